--- a/Makefile
+++ b/Makefile
@@ -3,6 +3,7 @@
 MODULES := peridotpath platform peridotd peridotctl standin measure soak
 PROGRAMS := peridotd peridotctl standin measure
 LINT_VERSION := v2.15.0
+GOPLS_VERSION := v0.23.0
 GOBIN := $(shell go env GOPATH)/bin
 PATTERNS := $(MODULES:%=./%/...)
 # A line "test: NAME" of KNOWN-RED.txt names a test, or a part of one as NAME/PART.
@@ -22,6 +23,10 @@
 	@$(GOBIN)/golangci-lint version 2>/dev/null | grep -q '$(LINT_VERSION:v%=%)' || \
 		go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(LINT_VERSION)
 
+gopls: ## installs gopls, at a pinned version: `gopls rename` carries every use of a name in the workspace along
+	@$(GOBIN)/gopls version 2>/dev/null | grep -q '$(GOPLS_VERSION)' || \
+		go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 format: tools ## formats the code
 	@for module in $(MODULES); do (cd $$module && $(GOBIN)/golangci-lint fmt) || exit 1; done
 
