--- a/peridotpath/gossip/cells.go
+++ b/peridotpath/gossip/cells.go
@@ -7,68 +7,71 @@
 	"peridotpath.example/peridotpath/cell"
 )
 
-// settleTime is how long after a change of the cells all instances know of it: one
-// reads it, and those that hear of it read the list of instances within seconds.
-const settleTime = 8 * time.Second
+// cellSettleTime bounds the time until all instances have applied a change of the number of
+// cells: one instance reads it in the registry, and the peers that receive the new count in
+// a digest read the registry within seconds.
+const cellSettleTime = 8 * time.Second
 
-// cells is the part of the fleet that an instance belongs to, while the fleet is
-// divided anew.
+// cellMembership holds the cell of an instance while the number of cells changes.
 //
-// The load that this is made for is a day of joins and leaves. Instances learn of a
-// change of the cells seconds apart; those that had learnt of it heard nothing of
-// the others' requests and placed prompts on engines that looked free. Until all
-// know of it, an instance tells the wider of the old and the new cell, and uses the
-// endpoints of the narrower.
-type cells struct {
-	// used is read for each request.
-	used atomic.Pointer[cell.Cell]
-	told cell.Cell
-	// due is the cell by the last list, since when it has been, and began when there
-	// was a first list.
-	due          cell.Cell
-	since, began time.Time
+// It matters while instances join and leave. They learn of a new number of cells seconds
+// apart. An instance that gossips to the new cell only is missing from the view of those
+// still in the old one, which then place prompts on engines that merely look idle. For
+// cellSettleTime after a change, an instance therefore gossips to the larger of the old and
+// the new cell and sends requests to the endpoints of the smaller one.
+type cellMembership struct {
+	// endpointCell is the cell whose endpoints are used. It is read for each request.
+	endpointCell atomic.Pointer[cell.Cell]
+	// gossipCell is the cell to which digests are sent.
+	gossipCell cell.Cell
+	// latest is the cell according to the latest list of instances, latestSince when it
+	// last changed, and firstListAt the time of the first list.
+	latest                   cell.Cell
+	latestSince, firstListAt time.Time
 }
 
-// Used returns the cell whose endpoints are used.
-func (cells *cells) Used() cell.Cell {
-	if used := cells.used.Load(); used != nil {
-		return *used
+// EndpointCell returns the cell whose endpoints are used.
+func (membership *cellMembership) EndpointCell() cell.Cell {
+	if active := membership.endpointCell.Load(); active != nil {
+		return *active
 	}
 	return cell.Cell{}
 }
 
-// known returns how many cells there are by the last list, zero before the first.
-func (cells *cells) known() int {
-	if cells.began.IsZero() {
+// latestCount returns the number of cells according to the latest list; zero before the
+// first list.
+func (membership *cellMembership) latestCount() int {
+	if membership.firstListAt.IsZero() {
 		return 0
 	}
-	return cells.due.Count()
+	return membership.latest.Count()
 }
 
-// divide takes the cell by a new list of instances, and reports whether it is
-// another one.
-func (cells *cells) divide(own cell.Cell, now time.Time) bool {
-	if cells.began.IsZero() {
-		cells.began = now
+// update applies the cell that follows from a new list of instances, and reports whether it
+// differs from the previous one.
+func (membership *cellMembership) update(own cell.Cell, now time.Time) bool {
+	if membership.firstListAt.IsZero() {
+		membership.firstListAt = now
 	}
-	changed := own != cells.due
+	changed := own != membership.latest
 	if changed {
-		cells.due, cells.since = own, now
+		membership.latest, membership.latestSince = own, now
 	}
-	used := own
-	// An instance that has just started has nothing under way that others know of.
-	if now.Sub(cells.since) < settleTime && now.Sub(cells.began) >= settleTime {
-		if before := cells.Used(); before.Count() > own.Count() {
-			used = before
+	active := own
+	// An instance that has just started has no in-flight requests in the views of its peers,
+	// so it uses the new cell at once.
+	if now.Sub(membership.latestSince) < cellSettleTime && now.Sub(membership.firstListAt) >= cellSettleTime {
+		if before := membership.EndpointCell(); before.Count() > own.Count() {
+			active = before
 		}
-		if cells.told.Count() > own.Count() {
-			cells.told = own
+		if membership.gossipCell.Count() > own.Count() {
+			membership.gossipCell = own
 		}
 	} else {
-		cells.told = own
+		membership.gossipCell = own
 	}
-	if used != cells.Used() {
-		cells.used.Store(&used)
+	if active != membership.EndpointCell() {
+		membership.endpointCell.Store(&active)
 	}
 	return changed
 }
--- a/peridotpath/gossip/cells_test.go
+++ b/peridotpath/gossip/cells_test.go
@@ -10,41 +10,42 @@
 	"peridotpath.example/peridotpath/cell"
 )
 
-// Machines join, and the fleet is divided anew: those that had learnt of it told
-// only their new cell, while the others, which had not, still sent to the engines of
-// both and took them for free. Later machines leave, and an instance used the engines
-// of a cell of which it had heard nothing yet.
-func TestCellsChangeTogether(t *testing.T) {
+// While the fleet grows from two cells to four, instances that already know gossip to the
+// old, larger cell, since others still send to its engines and would otherwise take them
+// for idle. While it shrinks again, they use the endpoints of the smaller cell only, until
+// they have received the load of the larger one.
+func TestCellChangeOverlaps(t *testing.T) {
 	is := is.New(t)
 	address := netip.MustParseAddrPort("10.0.0.1:1")
 	two, four := cell.Of(address, 150), cell.Of(address, 250)
 	is.Equal(two.Count(), 2)
 	is.Equal(four.Count(), 4)
-	began := time.Now()
-	var cells cells
-	is.True(cells.divide(two, began))
-	is.Equal(cells.Used(), two)
-	is.Equal(cells.told, two) // one that starts waits for nothing
+	startedAt := time.Now()
+	var membership cellMembership
+	is.True(membership.update(two, startedAt))
+	is.Equal(membership.EndpointCell(), two)
+	is.Equal(membership.gossipCell, two) // no overlap at the start
 
-	joined := began.Add(20 * time.Second)
-	is.True(cells.divide(four, joined))
-	is.Equal(cells.Used(), four) // all of it was known before
-	is.Equal(cells.told, two)    // some still use it
-	is.True(!cells.divide(four, joined.Add(6*time.Second)))
-	is.Equal(cells.told, two)
-	cells.divide(four, joined.Add(9*time.Second))
-	is.Equal(cells.told, four)
+	joined := startedAt.Add(20 * time.Second)
+	is.True(membership.update(four, joined))
+	is.Equal(membership.EndpointCell(), four) // its load was received before
+	is.Equal(membership.gossipCell, two)      // some instances still use it
+	is.True(!membership.update(four, joined.Add(6*time.Second)))
+	is.Equal(membership.gossipCell, two)
+	membership.update(four, joined.Add(9*time.Second))
+	is.Equal(membership.gossipCell, four)
 
 	left := joined.Add(30 * time.Second)
-	is.True(cells.divide(two, left))
-	is.Equal(cells.Used(), four) // the rest is not known yet
-	is.Equal(cells.told, two)
-	cells.divide(two, left.Add(9*time.Second))
-	is.Equal(cells.Used(), two)
+	is.True(membership.update(two, left))
+	is.Equal(membership.EndpointCell(), four) // the load of the rest is not received yet
+	is.Equal(membership.gossipCell, two)
+	membership.update(two, left.Add(9*time.Second))
+	is.Equal(membership.EndpointCell(), two)
 
-	// Back and forth within seconds: nobody is told too little, nothing is used unknown.
-	cells.divide(four, left.Add(30*time.Second))
-	cells.divide(two, left.Add(32*time.Second))
-	is.Equal(cells.Used(), four)
-	is.Equal(cells.told, two)
+	// Two changes within seconds: the gossip cell stays the larger, the endpoint cell the
+	// smaller one.
+	membership.update(four, left.Add(30*time.Second))
+	membership.update(two, left.Add(32*time.Second))
+	is.Equal(membership.EndpointCell(), four)
+	is.Equal(membership.gossipCell, two)
 }
--- a/peridotpath/gossip/fact.go
+++ b/peridotpath/gossip/fact.go
@@ -16,10 +16,11 @@
 	"peridotpath.example/peridotpath/gossip/wire"
 )
 
-func encodeFacts(told []facts.Fact, now time.Time) []*wire.Fact {
+// encodeFacts encodes facts for a digest, with their ages at the time now.
+func encodeFacts(list []facts.Fact, now time.Time) []*wire.Fact {
 	var encoded []*wire.Fact
-	for i := range told {
-		fact := &told[i]
+	for i := range list {
+		fact := &list[i]
 		encoded = append(encoded, &wire.Fact{
 			Kind: uint32(fact.Kind), Subject: fact.Subject[:], Detail: fact.Detail, Value: fact.Value, Age: clock.Micros(now.Sub(fact.At)),
 		})
@@ -27,69 +28,73 @@
 	return encoded
 }
 
+// decodeFacts decodes the facts of a digest that was received at the time now. It skips
+// malformed ones.
 func decodeFacts(digest *wire.Digest, now time.Time) []facts.Fact {
-	var told []facts.Fact
+	var decoded []facts.Fact
 	for _, encoded := range digest.Facts {
 		if len(encoded.Subject) != len(facts.Subject{}) || !(encoded.Value >= 0) || math.IsInf(encoded.Value, 1) {
-			// It could only come from another version.
+			// Only an instance of another version sends such a fact.
 			continue
 		}
-		told = append(told, facts.Fact{
+		decoded = append(decoded, facts.Fact{
 			Kind: facts.Kind(encoded.Kind), Subject: facts.Subject(encoded.Subject), Detail: encoded.Detail, Value: encoded.Value,
 			At: now.Add(-clock.FromMicros(encoded.Age)), From: peridotpath.InstanceID(digest.Instance),
 		})
 	}
-	return told
+	return decoded
 }
 
-// again reports whether this digest is to tell facts that all should know already. In
-// a fleet of any size some instance does so several times a second, so that one that
-// was frozen knows them soon; all do after a new peer was heard. A busy instance sends
-// no heartbeats, so that the time decides and not what the digest is sent for.
-func (gossip *Gossip) again(now time.Time) bool {
+// takeLastingFactsDue reports whether the next digest repeats the facts that peers should
+// hold already, and schedules the following repetition. The interval grows with the number
+// of peers, so that the fleet as a whole repeats them several times a second and an
+// instance that was frozen catches up soon. A new peer makes them due at once. The schedule
+// depends on time alone, since a busy instance sends no heartbeats.
+func (gossip *Gossip) takeLastingFactsDue(now time.Time) bool {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	if now.Before(gossip.againDue) {
+	if now.Before(gossip.lastingFactsDue) {
 		return false
 	}
-	span := time.Duration(1+len(gossip.peers)) * heartbeat
-	gossip.againDue = now.Add(span/2 + rand.N(span))
+	interval := time.Duration(1+len(gossip.peers)) * heartbeatInterval
+	gossip.lastingFactsDue = now.Add(interval/2 + rand.N(interval))
 	return true
 }
 
-// tellAbroad tells facts to one instance of each other cell, another one each time.
-// Endpoints may be shared between cells, and a request may come to any instance.
-func (gossip *Gossip) tellAbroad(conn *net.UDPConn, told []*wire.Fact, now time.Time) {
-	if len(told) == 0 {
+// sendFactsToOtherCells sends facts to one instance of each other cell, picked at random
+// each time. Cells may share endpoints, and a request may arrive at any instance, so facts
+// must cross cells.
+func (gossip *Gossip) sendFactsToOtherCells(conn *net.UDPConn, list []*wire.Fact, now time.Time) {
+	if len(list) == 0 {
 		return
 	}
 	datagram, err := proto.Marshal(&wire.Digest{
-		Instance: string(gossip.Instance), Address: gossip.Address.String(), Facts: told, FactsOnly: true,
+		Instance: string(gossip.Instance), Address: gossip.Address.String(), Facts: list, FactsOnly: true,
 	})
 	if err != nil {
 		gossip.Log.Error().Err(err).Msg("digest_unmade")
 		return
 	}
-	for _, address := range gossip.abroad(now) {
+	for _, address := range gossip.otherCellTargets(now) {
 		if _, err := conn.WriteToUDPAddrPort(datagram, address); err != nil {
 			gossip.Log.Debug().Err(err).Stringer("peer", address).Msg("digest_unsent")
 		}
 	}
 }
 
-// abroad returns an instance of each other cell.
-func (gossip *Gossip) abroad(now time.Time) []netip.AddrPort {
+// otherCellTargets returns one registered instance of each other cell, picked at random.
+func (gossip *Gossip) otherCellTargets(now time.Time) []netip.AddrPort {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	own := gossip.cells.told
+	own := gossip.cells.gossipCell
 	if own.Count() == 1 {
 		return nil
 	}
 	cells := make([][]netip.AddrPort, own.Count())
 	for address, peer := range gossip.peers {
-		if peer.listed && !own.HasInstance(address) {
-			cell := own.IndexOf(address)
-			cells[cell] = append(cells[cell], address)
+		if peer.registered && !own.HasInstance(address) {
+			index := own.IndexOf(address)
+			cells[index] = append(cells[index], address)
 		}
 	}
 	var picked []netip.AddrPort
--- a/peridotpath/gossip/fact_test.go
+++ b/peridotpath/gossip/fact_test.go
@@ -12,21 +12,23 @@
 	"peridotpath.example/peridotpath/gossip"
 )
 
-func knows(node *node, fact facts.Fact) bool {
-	_, known := node.facts.Get(fact.Kind, fact.Subject, fact.Detail, time.Now())
-	return known
+// holdsFact reports whether the node holds the fact.
+func holdsFact(node *node, fact facts.Fact) bool {
+	_, found := node.facts.Get(fact.Kind, fact.Subject, fact.Detail, time.Now())
+	return found
 }
 
-// What one instance saw is known to its peers, in other data centres too.
+// A fact reaches the peers of the own and of other data centres.
 func TestFactsReachPeers(t *testing.T) {
-	one, near, far := start(t, "one", "a", gossip.Freshness{}), start(t, "two", "a", gossip.Freshness{}), start(t, "three", "b", gossip.Freshness{})
-	one.gossip.SetPeers([]gossip.Peer{{Address: near.gossip.Address, DataCentre: "a"}, {Address: far.gossip.Address, DataCentre: "b"}})
+	one, near, remote := start(t, "one", "a", gossip.Freshness{}), start(t, "two", "a", gossip.Freshness{}), start(t, "three", "b", gossip.Freshness{})
+	one.gossip.SetPeers([]gossip.Peer{{Address: near.gossip.Address, DataCentre: "a"}, {Address: remote.gossip.Address, DataCentre: "b"}})
 	fact := facts.Fact{Kind: facts.KindEnded, Subject: facts.Subject{7}, Detail: 5, At: time.Now()}
 	one.facts.Learn(fact)
-	eventually(t, "the fact is known", func() bool { return knows(near, fact) && knows(far, fact) })
+	eventually(t, "the fact is received", func() bool { return holdsFact(near, fact) && holdsFact(remote, fact) })
 }
 
-// A request that was barred in one cell went on ending endpoints in the others.
+// A fact crosses cells: a request that is quarantined in one cell otherwise goes on to
+// crash endpoints in the others.
 func TestFactsReachOtherCells(t *testing.T) {
 	is := is.New(t)
 	one := start(t, "one", "a", gossip.Freshness{})
@@ -48,7 +50,7 @@
 		others[index] = node
 		found++
 	}
-	// Each of them is the only one of its cell that there is.
+	// Each of these nodes is the only live instance of its cell.
 	peers = peers[:0]
 	for i := range 400 {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 9)
@@ -70,9 +72,9 @@
 	one.gossip.SetPeers(peers)
 	fact := facts.Fact{Kind: facts.KindBarred, Subject: facts.Subject{7}, Value: 60, At: time.Now()}
 	one.facts.Learn(fact)
-	eventually(t, "the fact is known in every cell", func() bool {
+	eventually(t, "the fact is received in every cell", func() bool {
 		for _, node := range others {
-			if node != nil && !knows(node, fact) {
+			if node != nil && !holdsFact(node, fact) {
 				return false
 			}
 		}
@@ -80,11 +82,12 @@
 	})
 }
 
-// A busy instance sends no heartbeats, and did not tell one that had just started which requests are barred.
-func TestBusyInstanceTellsANewPeerWhatLasts(t *testing.T) {
+// A busy instance sends no heartbeats. It must repeat lasting facts to a new peer all the
+// same, or the peer does not learn which requests are quarantined.
+func TestBusyInstanceSendsLastingFactsToNewPeer(t *testing.T) {
 	one := start(t, "one", "a", gossip.Freshness{})
 	fact := facts.Fact{Kind: facts.KindBarred, Subject: facts.Subject{7}, Value: 60, At: time.Now()}
-	one.facts.Hear([]facts.Fact{fact}, false) // told by somebody else, long ago
+	one.facts.Hear([]facts.Fact{fact}, false) // received from another peer, not to be sent as new
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go func() {
@@ -96,10 +99,10 @@
 	time.Sleep(50 * time.Millisecond)
 	two := start(t, "two", "a", gossip.Freshness{})
 	two.gossip.SetPeers([]gossip.Peer{{Address: one.gossip.Address, DataCentre: "a"}})
-	eventually(t, "the fact is known", func() bool {
-		for len(two.heard) > 0 {
-			<-two.heard
+	eventually(t, "the fact is received", func() bool {
+		for len(two.received) > 0 {
+			<-two.received
 		}
-		return knows(two, fact)
+		return holdsFact(two, fact)
 	})
 }
--- a/peridotpath/gossip/gossip.go
+++ b/peridotpath/gossip/gossip.go
@@ -1,10 +1,13 @@
-// Package gossip speaks to the other instances over UDP: each tells all others
-// what requests it has under way and how fresh what it read of the store is.
-// A datagram that is lost costs nothing but age, since each holds everything.
+// Package gossip exchanges state with the other instances over UDP. Each instance sends
+// digests with its in-flight requests, its queued prompts, the endpoints that it has
+// ejected, new facts, and how fresh its snapshot of the store is. A digest holds the
+// complete state, so that a lost datagram only makes that state older.
 //
-// An instance tells those of its own data centre itself, and one of each other
-// data centre that hands it on there, another one each time: bytes between data
-// centres are priced, and one that is gone costs single datagrams.
+// It matters under many concurrent requests through many instances, each of which places
+// requests by the load that the whole cell causes. An instance sends its digests directly
+// to the peers of its own data centre and cell. To each other data centre it sends one
+// copy, to a peer that forwards it there; the peers take turns, since traffic between data
+// centres is metered and a dead forwarder must cost single datagrams only.
 package gossip
 
 import (
@@ -32,76 +35,78 @@
 var Error = errs.Class("gossip")
 
 const (
-	// heartbeat is the longest time between two digests to a peer. What peers
-	// have read of the store confirms what this instance holds, at that age.
-	heartbeat = 250 * time.Millisecond
-	// farHeartbeat is the same to other data centres: bytes between them are priced,
-	// and most of them said that nothing had changed.
-	farHeartbeat = 2 * heartbeat
-	// coalesce is how long a change waits for others, so that a burst of
-	// requests makes one digest and not one each.
-	coalesce = 4 * time.Millisecond
-	// forgetAfter is how long a peer that is silent and not in the store is kept.
-	forgetAfter = 5 * time.Second
-	// silentAfter is the silence after which a peer is not asked to hand on.
-	silentAfter = time.Second
-	// maxDatagram bounds what is read, in bytes.
-	maxDatagram = 64 << 10
-	// readPause is the wait of the receiver after an error, so that one that lasts
-	// does not take the processor.
-	readPause = 10 * time.Millisecond
+	// heartbeatInterval is the longest time between two digests to a peer. A peer's
+	// snapshot of the store confirms the one held here, at the age that the digest states.
+	heartbeatInterval = 250 * time.Millisecond
+	// remoteHeartbeatInterval is the same for other data centres. It is longer because
+	// traffic between them is metered and most heartbeats report no change.
+	remoteHeartbeatInterval = 2 * heartbeatInterval
+	// coalesceDelay is how long a change waits for further ones, so that a burst of
+	// requests makes one digest.
+	coalesceDelay = 4 * time.Millisecond
+	// forgetPeerAfter is how long a peer is kept that is silent and unregistered.
+	forgetPeerAfter = 5 * time.Second
+	// peerSilentAfter is the silence after which a peer is not asked to forward digests.
+	peerSilentAfter = time.Second
+	// maxDatagramBytes bounds a datagram that is received.
+	maxDatagramBytes = 64 << 10
+	// receiveErrorPause is the pause after a receive error. It keeps a persistent error
+	// from using up the processor.
+	receiveErrorPause = 10 * time.Millisecond
 )
 
-// Freshness is how old what an instance has read of the store is.
+// Freshness is the version and age of the snapshot of the store that an instance holds.
 type Freshness struct {
 	RoutingVersion peridotpath.RoutingVersion
 	RoutingAge     time.Duration
-	// Endpoints names the content of the reading of the endpoints.
+	// Endpoints is the hash of the endpoints in the snapshot.
 	Endpoints    uint64
 	EndpointsAge time.Duration
-	// Era is the newest one of the store that was met, EraAge how long ago it was first met,
-	// where EraDated says that this is known.
+	// Era is the newest era of the store that was seen, and EraAge the time since it was
+	// first seen, valid if EraDated is set.
 	Era      keyvalue.Era
 	EraAge   time.Duration
 	EraDated bool
 }
 
-// Gossip tells and hears digests. Set the exported fields before Run.
+// Gossip sends and receives digests. Set the exported fields before Run.
 type Gossip struct {
 	Instance    peridotpath.InstanceID
 	Incarnation peridotpath.Incarnation
 	Address     netip.AddrPort
 	DataCentre  peridotpath.DataCentre
-	// ReadingsPort is where peers may ask for what this instance has read.
+	// ReadingsPort is the port on which peers may fetch the snapshot of the store that this
+	// instance holds.
 	ReadingsPort uint16
 	Book         *placement.Book
-	// Facts is what all instances have to know.
+	// Facts holds the facts that all instances share.
 	Facts *facts.Table
-	// Clock goes on while the machine is suspended.
+	// Clock returns the time since boot, which advances while the machine is suspended.
 	Clock func() time.Duration
-	// Fresh returns what this instance has read of the store.
+	// Fresh returns the freshness of the local snapshot of the store.
 	Fresh func() Freshness
-	// Heard is called with what a peer has read of the store, and where it can be
-	// asked for it. Asked is a time on this instance's clock that surely came
-	// before the peer spoke, to which the ages are related; zero where none did.
+	// Heard is called with the freshness of a peer's snapshot of the store, and the address
+	// from which it can be fetched. The ages in fresh are relative to asked, a value of
+	// this instance's own clock that is certainly earlier than the digest; zero if the
+	// digest carries none.
 	Heard func(peer readings.Peer, fresh Freshness, asked time.Duration)
-	// OtherCells is called when a peer knows of another number of cells.
+	// OtherCells is called when a peer reports another number of cells.
 	OtherCells func()
 	Log        zerolog.Logger
 
-	dirty    clock.Signal
-	mutex    sync.Mutex
-	cells    cells
-	peers    map[netip.AddrPort]*peer
-	sequence uint64
-	// turn counts the digests, to choose who hands them on.
-	turn int
-	// toldFar is when other data centres were told last, againDue when lasting facts are
-	// told again.
-	toldFar, againDue time.Time
+	digestRequested clock.Signal
+	mutex           sync.Mutex
+	cells           cellMembership
+	peers           map[netip.AddrPort]*peer
+	sequence        uint64
+	// forwarderTurn counts the digests to other data centres, and rotates their forwarders.
+	forwarderTurn int
+	// remoteSentAt is when other data centres were last sent a digest, lastingFactsDue when
+	// lasting facts are repeated next.
+	remoteSentAt, lastingFactsDue time.Time
 }
 
-// Peer is where an instance is.
+// Peer is the location of an instance.
 type Peer struct {
 	Address    netip.AddrPort
 	DataCentre peridotpath.DataCentre
@@ -111,114 +116,117 @@
 	instance    peridotpath.InstanceID
 	incarnation peridotpath.Incarnation
 	dataCentre  peridotpath.DataCentre
-	// echo is the newest clock reading that the peer has told.
-	echo  uint64
-	heard time.Time
-	// listed says that the store names the peer.
-	listed bool
+	// lastSent is the newest clock value received from the peer.
+	lastSent   uint64
+	receivedAt time.Time
+	// registered reports whether the peer is listed in the registry.
+	registered bool
 }
 
-// Changed asks for a digest soon. It never waits.
-func (gossip *Gossip) Changed() { gossip.dirty.Raise() }
+// Changed requests a digest soon. It never blocks.
+func (gossip *Gossip) Changed() { gossip.digestRequested.Raise() }
 
-// SetPeers takes the peers that the store names.
+// SetPeers sets the peers that are listed in the registry.
 func (gossip *Gossip) SetPeers(peers []Peer) {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	for _, known := range gossip.peers {
-		known.listed = false
+	for _, peer := range gossip.peers {
+		peer.registered = false
 	}
 	before := len(gossip.peers)
 	for _, listed := range peers {
 		if listed.Address != gossip.Address {
-			peer := gossip.peer(listed.Address)
-			peer.listed, peer.dataCentre = true, listed.DataCentre
+			peer := gossip.findOrAddPeer(listed.Address)
+			peer.registered, peer.dataCentre = true, listed.DataCentre
 		}
 	}
 	if len(gossip.peers) > before {
-		// Those that are new here may not know this instance either, and have what it
-		// waits for.
+		// New peers may not have this instance in their list yet, and may hold the
+		// snapshot that it needs.
 		gossip.Changed()
 	}
-	fleet := 1
-	for _, known := range gossip.peers {
-		if known.listed {
-			fleet++
+	fleetSize := 1
+	for _, peer := range gossip.peers {
+		if peer.registered {
+			fleetSize++
 		}
 	}
-	if gossip.cells.divide(cell.Of(gossip.Address, fleet), time.Now()) {
-		gossip.Log.Info().Int("instances", fleet).Int("cells", gossip.cells.due.Count()).Msg("cells_changed")
+	if gossip.cells.update(cell.Of(gossip.Address, fleetSize), time.Now()) {
+		gossip.Log.Info().Int("instances", fleetSize).Int("cells", gossip.cells.latest.Count()).Msg("cells_changed")
 	}
 }
 
-// Cell returns the part of the fleet whose endpoints this instance sends to.
-func (gossip *Gossip) Cell() cell.Cell { return gossip.cells.Used() }
+// Cell returns the cell to whose endpoints this instance sends requests.
+func (gossip *Gossip) Cell() cell.Cell { return gossip.cells.EndpointCell() }
 
-func (gossip *Gossip) peer(address netip.AddrPort) *peer {
+// findOrAddPeer returns the peer at an address, which it adds if it is new.
+func (gossip *Gossip) findOrAddPeer(address netip.AddrPort) *peer {
 	if gossip.peers == nil {
 		gossip.peers = map[netip.AddrPort]*peer{}
 	}
-	known := gossip.peers[address]
-	if known == nil {
-		known = &peer{heard: time.Now()}
-		gossip.peers[address] = known
+	found := gossip.peers[address]
+	if found == nil {
+		found = &peer{receivedAt: time.Now()}
+		gossip.peers[address] = found
 	}
-	return known
+	return found
 }
 
-// Run tells and hears until ctx ends.
+// Run sends and receives digests until ctx ends.
 func (gossip *Gossip) Run(ctx context.Context) error {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(gossip.Address))
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	defer conn.Close()
-	// Closing ends the receiver's wait at once: a process that is told to end has
+	// Closing the socket unblocks the receiver at once: a process that shuts down has
 	// little time left.
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	ended := make(chan error, 1)
-	go func() { ended <- gossip.receive(ctx, conn) }()
+	go func() { ended <- gossip.receiveDigests(ctx, conn) }()
 	for {
 		select {
 		case <-ctx.Done():
 			return <-ended
-		case <-time.After(heartbeat):
-			gossip.tell(conn, gossip.farDue(time.Now()))
-		case <-gossip.dirty.C():
-			time.Sleep(coalesce)
-			gossip.tell(conn, true)
+		case <-time.After(heartbeatInterval):
+			gossip.sendDigests(conn, gossip.remoteHeartbeatDue(time.Now()))
+		case <-gossip.digestRequested.C():
+			time.Sleep(coalesceDelay)
+			gossip.sendDigests(conn, true)
 		}
 	}
 }
 
-// farDue reports whether other data centres are to hear though nothing changed.
-func (gossip *Gossip) farDue(now time.Time) bool { return now.Sub(gossip.toldFar) >= farHeartbeat }
+// remoteHeartbeatDue reports whether other data centres are due a heartbeat.
+func (gossip *Gossip) remoteHeartbeatDue(now time.Time) bool {
+	return now.Sub(gossip.remoteSentAt) >= remoteHeartbeatInterval
+}
 
-// tell sends one digest to every peer, or to those of the own data centre only where
-// there is no fact to tell.
-func (gossip *Gossip) tell(conn *net.UDPConn, far bool) {
-	// The echoes come first: a receiver relates the ages to the echo, so that it
-	// must be older than they are. Were the process frozen in between, an echo
-	// taken afterwards would make what was read before the freeze look fresh.
+// sendDigests sends a digest to the peers of the own data centre and, with remote or if
+// there are facts to send, to the other data centres.
+func (gossip *Gossip) sendDigests(conn *net.UDPConn, remote bool) {
+	// The echoes are taken before the ages: a receiver relates the ages to its echo,
+	// which must therefore be older. If the process froze between the two, an echo
+	// taken last would make a snapshot from before the freeze look fresh.
 	now := time.Now()
-	told := encodeFacts(gossip.Facts.Tell(now, gossip.again(now)), now)
-	targets := gossip.targets(now, far || len(told) > 0)
-	digest := gossip.digest()
-	digest.Facts = told
+	encoded := encodeFacts(gossip.Facts.Tell(now, gossip.takeLastingFactsDue(now)), now)
+	targets := gossip.selectTargets(now, remote || len(encoded) > 0)
+	digest := gossip.nextDigest()
+	digest.Facts = encoded
 	common, err := proto.Marshal(digest)
 	if err != nil {
 		gossip.Log.Error().Err(err).Msg("digest_unmade")
 		return
 	}
 	for _, target := range targets {
-		gossip.send(conn, target.address, common, &wire.Digest{Echo: target.echo, HandOn: target.handOn})
+		gossip.sendDigest(conn, target.address, common, &wire.Digest{Echo: target.lastSent, HandOn: target.forward})
 	}
-	gossip.tellAbroad(conn, told, now)
+	gossip.sendFactsToOtherCells(conn, encoded, now)
 }
 
-// send sends a digest with what is for one receiver only: two messages in a row
-// read as one.
-func (gossip *Gossip) send(conn *net.UDPConn, to netip.AddrPort, common []byte, own *wire.Digest) {
+// sendDigest sends the encoded digest that is common to all receivers, followed by the
+// fields for one of them: concatenated protobuf messages decode as one merged message.
+func (gossip *Gossip) sendDigest(conn *net.UDPConn, to netip.AddrPort, common []byte, own *wire.Digest) {
 	datagram, err := proto.MarshalOptions{}.MarshalAppend(common[:len(common):len(common)], own)
 	if err == nil {
 		_, err = conn.WriteToUDPAddrPort(datagram, to)
@@ -228,8 +236,8 @@
 	}
 }
 
-// handOn tells the own data centre what an instance of another one said.
-func (gossip *Gossip) handOn(conn *net.UDPConn, digest *wire.Digest) {
+// forward forwards a digest from another data centre to the peers of the own one.
+func (gossip *Gossip) forward(conn *net.UDPConn, digest *wire.Digest) {
 	digest.HandOn, digest.HandedOn, digest.Echo = false, true, 0
 	datagram, err := proto.Marshal(digest)
 	if err != nil {
@@ -238,7 +246,7 @@
 	}
 	gossip.mutex.Lock()
 	var addresses []netip.AddrPort
-	own := gossip.cells.told
+	own := gossip.cells.gossipCell
 	for address, peer := range gossip.peers {
 		if peer.dataCentre == gossip.DataCentre && peer.instance != peridotpath.InstanceID(digest.Instance) && own.HasInstance(address) {
 			addresses = append(addresses, address)
@@ -252,10 +260,11 @@
 	}
 }
 
-func (gossip *Gossip) digest() *wire.Digest {
+// nextDigest returns the digest of the current state, with the next sequence number.
+func (gossip *Gossip) nextDigest() *wire.Digest {
 	fresh, now := gossip.Fresh(), time.Now()
 	gossip.mutex.Lock()
-	cells := gossip.cells.known()
+	cells := gossip.cells.latestCount()
 	gossip.mutex.Unlock()
 	gossip.sequence++
 	digest := &wire.Digest{
@@ -265,29 +274,29 @@
 		Endpoints: fresh.Endpoints, EndpointsAge: clock.Micros(fresh.EndpointsAge), Cells: uint32(cells),
 		Era: uint64(fresh.Era), EraAge: clock.Micros(fresh.EraAge), EraDated: fresh.EraDated,
 	}
-	for _, flight := range gossip.Book.Own() {
-		digest.Flights = append(digest.Flights, encodeFlight(&flight, now))
+	for _, request := range gossip.Book.Own() {
+		digest.Flights = append(digest.Flights, encodeInFlight(&request, now))
 	}
-	for _, wait := range gossip.Book.OwnWaits() {
-		digest.Waits = append(digest.Waits, encodeWait(&wait, now))
+	for _, queued := range gossip.Book.OwnWaits() {
+		digest.Waits = append(digest.Waits, encodeQueuedPrompt(&queued, now))
 	}
-	for _, suspicion := range gossip.Book.OwnSuspicions(now) {
+	for _, ejection := range gossip.Book.OwnSuspicions(now) {
 		digest.Suspicions = append(digest.Suspicions, &wire.Suspicion{
-			Endpoint: uint64(suspicion.Endpoint), Left: clock.Micros(suspicion.Until.Sub(now)),
+			Endpoint: uint64(ejection.Endpoint), Left: clock.Micros(ejection.Until.Sub(now)),
 		})
 	}
 	digest.Sent = clock.Micros(gossip.Clock())
 	return digest
 }
 
-func (gossip *Gossip) receive(ctx context.Context, conn *net.UDPConn) error {
-	buffer := make([]byte, maxDatagram)
+// receiveDigests receives digests until ctx ends.
+func (gossip *Gossip) receiveDigests(ctx context.Context, conn *net.UDPConn) error {
+	buffer := make([]byte, maxDatagramBytes)
 	for ctx.Err() == nil {
 		length, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			// Peers that are gone make such errors, and the socket's end makes one;
-			// what was not heard is told again.
-			clock.Pause(ctx, readPause)
+			// Unreachable peers cause such errors, and closing the socket causes one. Missed digests are superseded by later ones.
+			clock.Pause(ctx, receiveErrorPause)
 			continue
 		}
 		digest := &wire.Digest{}
@@ -295,13 +304,13 @@
 			gossip.Log.Debug().Err(err).Stringer("peer", from).Msg("digest_unread")
 			continue
 		}
-		gossip.hear(conn, digest, time.Now())
+		gossip.handleDigest(conn, digest, time.Now())
 	}
 	return ctx.Err()
 }
 
-// hear takes one digest in.
-func (gossip *Gossip) hear(conn *net.UDPConn, digest *wire.Digest, now time.Time) {
+// handleDigest applies one received digest.
+func (gossip *Gossip) handleDigest(conn *net.UDPConn, digest *wire.Digest, now time.Time) {
 	from, err := netip.ParseAddrPort(digest.Address)
 	if err != nil || digest.Instance == "" || digest.Instance == string(gossip.Instance) {
 		return
@@ -311,31 +320,31 @@
 		return
 	}
 	gossip.mutex.Lock()
-	peer := gossip.peer(from)
+	peer := gossip.findOrAddPeer(from)
 	if peer.instance != peridotpath.InstanceID(digest.Instance) || peer.incarnation != peridotpath.Incarnation(digest.Incarnation) {
 		peer.instance, peer.incarnation = peridotpath.InstanceID(digest.Instance), peridotpath.Incarnation(digest.Incarnation)
 		gossip.Log.Info().Str("peer", digest.Instance).Stringer("address", from).Msg("peer_heard")
-		// One that has just started waits to be told.
-		gossip.againDue = time.Time{}
+		// A peer that has just started needs the lasting facts.
+		gossip.lastingFactsDue = time.Time{}
 		gossip.Changed()
 	}
 	peer.dataCentre = peridotpath.DataCentre(digest.DataCentre)
-	peer.heard = now
-	peer.echo = digest.Sent
-	known := gossip.cells.known()
+	peer.receivedAt = now
+	peer.lastSent = digest.Sent
+	cellCount := gossip.cells.latestCount()
 	gossip.mutex.Unlock()
-	if known != 0 && digest.Cells != 0 && int(digest.Cells) != known {
+	if cellCount != 0 && digest.Cells != 0 && int(digest.Cells) != cellCount {
 		gossip.OtherCells()
 	}
 	near := peer.dataCentre == gossip.DataCentre
-	echo, handOn := digest.Echo, digest.HandOn
+	echo, mustForward := digest.Echo, digest.HandOn
 	gossip.Book.HearPeer(decodeReport(digest, now), now)
-	if handOn {
-		gossip.handOn(conn, digest)
+	if mustForward {
+		gossip.forward(conn, digest)
 	}
 	asked := clock.FromMicros(echo)
 	if asked > gossip.Clock() {
-		// A clock reading of before this machine's last start is none of this run's.
+		// The echo stems from before the last boot of this machine.
 		asked = 0
 	}
 	gossip.Heard(readings.Peer{Address: netip.AddrPortFrom(from.Addr(), uint16(digest.ReadingsPort)), Near: near}, Freshness{
--- a/peridotpath/gossip/gossip_test.go
+++ b/peridotpath/gossip/gossip_test.go
@@ -23,6 +23,7 @@
 	"peridotpath.example/peridotpath/readings"
 )
 
+// freeAddress returns a free local UDP address.
 func freeAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
@@ -33,35 +34,38 @@
 	return netip.MustParseAddrPort(conn.LocalAddr().String())
 }
 
-type heard struct {
+// receivedFreshness is a call of Heard.
+type receivedFreshness struct {
 	peer  netip.AddrPort
 	fresh gossip.Freshness
 	asked time.Duration
 }
 
+// node is an instance that gossips, with what it receives.
 type node struct {
-	gossip *gossip.Gossip
-	book   *placement.Book
-	facts  *facts.Table
-	heard  chan heard
-	// others counts the peers that knew of another number of cells.
-	others atomic.Int64
+	gossip   *gossip.Gossip
+	loads    *placement.Book
+	facts    *facts.Table
+	received chan receivedFreshness
+	// cellMismatches counts the digests with another number of cells.
+	cellMismatches atomic.Int64
 }
 
+// start runs a node until the test ends.
 func start(t *testing.T, id peridotpath.InstanceID, dataCentre peridotpath.DataCentre, fresh gossip.Freshness) *node {
 	t.Helper()
-	node := &node{book: &placement.Book{}, facts: &facts.Table{}, heard: make(chan heard, 1000)}
+	node := &node{loads: &placement.Book{}, facts: &facts.Table{}, received: make(chan receivedFreshness, 1000)}
 	node.gossip = &gossip.Gossip{
-		Instance: id, Incarnation: 1, Address: freeAddress(t), DataCentre: dataCentre, ReadingsPort: 99, Book: node.book, Facts: node.facts, Clock: clock.SinceBoot, Log: zerolog.Nop(),
+		Instance: id, Incarnation: 1, Address: freeAddress(t), DataCentre: dataCentre, ReadingsPort: 99, Book: node.loads, Facts: node.facts, Clock: clock.SinceBoot, Log: zerolog.Nop(),
 		Fresh: func() gossip.Freshness { return fresh },
 		Heard: func(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
 			if asked > 0 {
-				node.heard <- heard{peer.Address, fresh, asked}
+				node.received <- receivedFreshness{peer.Address, fresh, asked}
 			}
 		},
 	}
-	node.gossip.OtherCells = func() { node.others.Add(1) }
-	node.book.Changed = node.gossip.Changed
+	node.gossip.OtherCells = func() { node.cellMismatches.Add(1) }
+	node.loads.Changed = node.gossip.Changed
 	node.facts.Changed = node.gossip.Changed
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -75,7 +79,7 @@
 	return node
 }
 
-// eventually waits for a condition that another goroutine brings about.
+// eventually waits until another goroutine has made the condition true.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for range 2000 {
@@ -84,98 +88,98 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("not in ten seconds: %s", what)
+	t.Fatalf("timed out after 10 s: %s", what)
 }
 
-// What one instance has under way, waiting and in suspicion, another one knows;
-// also one that only the first has been told of.
-func TestPeersKnow(t *testing.T) {
+// A peer receives an instance's in-flight requests, queued prompts and ejections, even if
+// only one of the two has the other in its list.
+func TestLoadReachesPeer(t *testing.T) {
 	is := is.New(t)
 	fresh := gossip.Freshness{RoutingVersion: 7, RoutingAge: 300 * time.Millisecond, Endpoints: 9, EndpointsAge: 200 * time.Millisecond}
 	one, two := start(t, "one", "a", fresh), start(t, "two", "a", gossip.Freshness{})
 	one.gossip.SetPeers([]gossip.Peer{{Address: two.gossip.Address, DataCentre: "a"}})
-	flight := one.book.Begin(placement.Flight{
+	request := one.loads.Begin(placement.Flight{
 		Parts:  []placement.Part{{Endpoint: 5, Reading: time.Second, Memory: 70_000}, {Endpoint: 6, Reading: time.Second, Memory: 30_000}},
 		Prompt: 100_000, PauseAim: 800 * time.Millisecond, Sent: time.Now(),
 	})
-	one.book.Join(placement.NewWait(time.Now(), 3*time.Second))
-	one.book.Failed(8, time.Now())
-	eventually(t, "the load is known", func() bool {
-		load := two.book.View(time.Now()).At(6)
+	one.loads.Join(placement.NewWait(time.Now(), 3*time.Second))
+	one.loads.Failed(8, time.Now())
+	eventually(t, "the load is received", func() bool {
+		load := two.loads.View(time.Now()).At(6)
 		return load.Memory == 30_000 && load.Backlog > 500*time.Millisecond
 	})
-	is.Equal(two.book.View(time.Now()).At(5).Waiting, 1)
-	eventually(t, "the suspicion is known", func() bool { return two.book.Suspects(time.Now())[8] })
-	own := two.book.Join(placement.NewWait(time.Now().Add(time.Second), 3*time.Second))
-	count, reading := two.book.Ahead(own, "two", time.Now())
+	is.Equal(two.loads.View(time.Now()).At(5).Waiting, 1)
+	eventually(t, "the ejection is received", func() bool { return two.loads.Suspects(time.Now())[8] })
+	queued := two.loads.Join(placement.NewWait(time.Now().Add(time.Second), 3*time.Second))
+	count, prefill := two.loads.Ahead(queued, "two", time.Now())
 	is.Equal(count, 1)
-	is.Equal(reading, 3*time.Second)
+	is.Equal(prefill, 3*time.Second)
 
-	one.book.Writing(flight)
-	eventually(t, "the reading is over", func() bool { return two.book.View(time.Now()).At(6).Backlog == 0 })
-	is.Equal(two.book.View(time.Now()).At(6).Memory, peridotpath.Tokens(30_000)) // but not the memory
-	one.book.End(flight)
-	eventually(t, "the request is over", func() bool { return two.book.View(time.Now()).At(6).Memory == 0 })
+	one.loads.Writing(request)
+	eventually(t, "prefill has ended", func() bool { return two.loads.View(time.Now()).At(6).Backlog == 0 })
+	is.Equal(two.loads.View(time.Now()).At(6).Memory, peridotpath.Tokens(30_000)) // the KV cache is still held
+	one.loads.End(request)
+	eventually(t, "the request has ended", func() bool { return two.loads.View(time.Now()).At(6).Memory == 0 })
 
-	// two answered, so that its clock's echo came back with what one has read.
-	told := <-two.heard
-	is.Equal(told.fresh, fresh)
-	is.True(told.asked <= clock.SinceBoot())
-	is.Equal(told.peer, netip.AddrPortFrom(one.gossip.Address.Addr(), 99))
+	// two sends digests as well, so that one returns an echo of its clock.
+	got := <-two.received
+	is.Equal(got.fresh, fresh)
+	is.True(got.asked <= clock.SinceBoot())
+	is.Equal(got.peer, netip.AddrPortFrom(one.gossip.Address.Addr(), 99))
 }
 
-// An instance tells one of another data centre, which hands it on to the others
-// there: all know, though only one datagram of each digest crosses. What is
-// handed on confirms no reading of the store, since its echo is another's.
-func TestHandedOn(t *testing.T) {
-	far := start(t, "far", "b", gossip.Freshness{RoutingVersion: 7})
+// A digest to another data centre goes to one instance, which forwards it to the peers
+// there: all receive the load, though a single datagram crosses. A forwarded digest
+// confirms no snapshot of the store, since its echo is for another receiver.
+func TestDigestIsForwarded(t *testing.T) {
+	remote := start(t, "far", "b", gossip.Freshness{RoutingVersion: 7})
 	near := []*node{start(t, "near-1", "a", gossip.Freshness{}), start(t, "near-2", "a", gossip.Freshness{}), start(t, "near-3", "a", gossip.Freshness{})}
 	var all []gossip.Peer
 	for _, node := range near {
 		all = append(all, gossip.Peer{Address: node.gossip.Address, DataCentre: "a"})
 	}
 	for _, node := range near {
-		node.gossip.SetPeers(append(all, gossip.Peer{Address: far.gossip.Address, DataCentre: "b"}))
+		node.gossip.SetPeers(append(all, gossip.Peer{Address: remote.gossip.Address, DataCentre: "b"}))
 	}
-	far.gossip.SetPeers(all[:1])
-	far.book.Begin(placement.Flight{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}, Sent: time.Now()})
+	remote.gossip.SetPeers(all[:1])
+	remote.loads.Begin(placement.Flight{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}, Sent: time.Now()})
 	for _, node := range near {
-		eventually(t, "the load is known", func() bool { return node.book.View(time.Now()).At(5).Memory == 10 })
+		eventually(t, "the load is received", func() bool { return node.loads.View(time.Now()).At(5).Memory == 10 })
 	}
-	eventually(t, "each other is known", func() bool { return near[2].book.Peers(time.Now()) == 3 })
+	eventually(t, "all peers are known", func() bool { return near[2].loads.Peers(time.Now()) == 3 })
 }
 
-// A digest is late or comes twice: what it says of requests is out of date.
-func TestLateDigestIsDropped(t *testing.T) {
+// A digest that arrives out of order or twice is dropped.
+func TestOutdatedDigestIsDropped(t *testing.T) {
 	is := is.New(t)
-	book := &placement.Book{}
+	loads := &placement.Book{}
 	now := time.Now()
-	flights := []placement.Flight{{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}}}
-	book.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 4, Flights: flights}, now)
-	book.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 3}, now)
-	is.Equal(book.View(now).At(5).Memory, peridotpath.Tokens(10))
-	book.HearPeer(placement.Report{Peer: "one", Incarnation: 2, Sequence: 1}, now) // started again
-	is.Equal(book.View(now).At(5).Memory, peridotpath.Tokens(0))
-	book.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 5, Flights: flights}, now)
-	is.Equal(book.View(now).At(5).Memory, peridotpath.Tokens(0))
+	requests := []placement.Flight{{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}}}
+	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 4, Flights: requests}, now)
+	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 3}, now)
+	is.Equal(loads.View(now).At(5).Memory, peridotpath.Tokens(10))
+	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 2, Sequence: 1}, now) // restarted
+	is.Equal(loads.View(now).At(5).Memory, peridotpath.Tokens(0))
+	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 5, Flights: requests}, now)
+	is.Equal(loads.View(now).At(5).Memory, peridotpath.Tokens(0))
 }
 
-// A peer dies with requests under way: endpoints drop them with their
-// connections, and nobody goes on counting them.
-func TestDeadPeerIsForgotten(t *testing.T) {
+// A peer dies with in-flight requests. Endpoints drop these with their connections, so
+// their load must expire.
+func TestDeadPeerExpires(t *testing.T) {
 	is := is.New(t)
-	book := &placement.Book{}
+	loads := &placement.Book{}
 	now := time.Now()
-	book.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 1, Flights: []placement.Flight{{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}}}}, now)
-	is.Equal(book.Peers(now.Add(time.Second)), 1)
-	is.Equal(book.Peers(now.Add(3*time.Second)), 0)
-	is.Equal(book.View(now.Add(3*time.Second)).At(5).Memory, peridotpath.Tokens(0))
+	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 1, Flights: []placement.Flight{{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}}}}, now)
+	is.Equal(loads.Peers(now.Add(time.Second)), 1)
+	is.Equal(loads.Peers(now.Add(3*time.Second)), 0)
+	is.Equal(loads.View(now.Add(3*time.Second)).At(5).Memory, peridotpath.Tokens(0))
 }
 
-// A key that was taken away goes on working, since a peer's digest stood in a
-// buffer for half a second and was taken for what is known now. The digest carries
-// back a reading of this instance's own clock, and counts from that.
-func TestConfirmationCountsFromTheEcho(t *testing.T) {
+// A digest that stood in a buffer for 500 ms must not make an old snapshot look fresh, or a
+// revoked key stays usable. Its ages count from the echo, a value of the receiver's own
+// clock.
+func TestConfirmationIsRelativeToEcho(t *testing.T) {
 	is := is.New(t)
 	one := start(t, "one", "a", gossip.Freshness{})
 	conn, err := net.Dial("udp4", one.gossip.Address.String())
@@ -186,18 +190,19 @@
 		Instance: "two", Address: "127.0.0.1:9", RoutingVersion: 7, RoutingAge: clock.Micros(100 * time.Millisecond), Echo: clock.Micros(echo),
 	})
 	is.NoErr(err)
-	eventually(t, "it is heard", func() bool {
-		// Again and again: the instance may not listen yet.
+	eventually(t, "the digest is received", func() bool {
+		// Repeated, since the instance may not listen yet.
 		_, _ = conn.Write(datagram)
-		return len(one.heard) > 0
+		return len(one.received) > 0
 	})
-	told := <-one.heard
-	is.Equal(told.asked, echo.Truncate(time.Microsecond))
-	is.Equal(told.fresh.RoutingAge, 100*time.Millisecond)
+	got := <-one.received
+	is.Equal(got.asked, echo.Truncate(time.Microsecond))
+	is.Equal(got.fresh.RoutingAge, 100*time.Millisecond)
 }
 
-// Whatever arrives on the port, the instance goes on.
-func TestGarbage(t *testing.T) {
+// Malformed datagrams do not stop the receiver, and an echo that lies in the future is
+// ignored.
+func TestMalformedDatagramsAreIgnored(t *testing.T) {
 	one, two := start(t, "one", "a", gossip.Freshness{}), start(t, "two", "a", gossip.Freshness{})
 	conn, err := net.Dial("udp4", one.gossip.Address.String())
 	if err != nil {
@@ -209,26 +214,26 @@
 		_, _ = conn.Write(datagram)
 	}
 	two.gossip.SetPeers([]gossip.Peer{{Address: one.gossip.Address, DataCentre: "a"}})
-	two.book.Begin(placement.Flight{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}, Sent: time.Now()})
-	eventually(t, "digests are heard", func() bool { return one.book.View(time.Now()).At(5).Memory == 10 })
-	if len(one.heard) > 0 {
-		t.Error("an echo of a time that has not come was believed")
+	two.loads.Begin(placement.Flight{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}, Sent: time.Now()})
+	eventually(t, "digests are received", func() bool { return one.loads.View(time.Now()).At(5).Memory == 10 })
+	if len(one.received) > 0 {
+		t.Error("an echo that lies in the future was accepted")
 	}
 }
 
-// In a fleet of 300 an instance hears 1,000 digests a second and more, and spends
-// a third of its processor on them: every one told everybody else of each request.
-// Only those of its own cell are told.
-func TestLargeFleetIsToldInCells(t *testing.T) {
+// With every digest to every peer, an instance in a fleet of 300 receives 1,000 digests a
+// second and more, which takes a third of its processor time. Digests go only to the peers
+// of the own cell.
+func TestDigestsStayWithinCell(t *testing.T) {
 	is := is.New(t)
-	told := map[netip.AddrPort]*atomic.Bool{}
+	received := map[netip.AddrPort]*atomic.Bool{}
 	var peers []gossip.Peer
 	for range 24 {
 		conn, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		is.NoErr(err)
 		defer conn.Close()
 		address, got := netip.MustParseAddrPort(conn.LocalAddr().String()), &atomic.Bool{}
-		told[address] = got
+		received[address] = got
 		peers = append(peers, gossip.Peer{Address: address, DataCentre: "a"})
 		go func() {
 			for buffer := make([]byte, 2048); ; got.Store(true) {
@@ -247,8 +252,8 @@
 	own := one.gossip.Cell()
 	is.Equal(own, cell.Of(one.gossip.Address, len(peers)+1))
 	is.True(own.Count() > 1)
-	eventually(t, "all of the cell are told", func() bool {
-		for address, got := range told {
+	eventually(t, "exactly the peers of the cell receive digests", func() bool {
+		for address, got := range received {
 			if own.HasInstance(address) != got.Load() {
 				return false
 			}
@@ -256,8 +261,8 @@
 		return true
 	})
 	one.gossip.SetPeers(peers[:24])
-	eventually(t, "all are told once the fleet is small", func() bool {
-		for _, got := range told {
+	eventually(t, "all peers receive digests once the fleet is small", func() bool {
+		for _, got := range received {
 			if !got.Load() {
 				return false
 			}
@@ -266,9 +271,9 @@
 	})
 }
 
-// The fleet has grown and is divided into two cells; a peer has read that, this
-// instance has not and would not for most of a minute.
-func TestHearsOfOtherCells(t *testing.T) {
+// The fleet has grown and is divided into two cells. A peer has read that; this instance
+// has not, and its next list is due only in most of a minute.
+func TestOtherCellCountIsReported(t *testing.T) {
 	is := is.New(t)
 	node := start(t, "one", "a", gossip.Freshness{})
 	peer := freeAddress(t)
@@ -276,28 +281,29 @@
 	is.NoErr(err)
 	defer conn.Close()
 	sequence := uint64(0)
-	// tell sends until the node has heard one: it may not listen yet.
-	tell := func(cells uint32) {
-		eventually(t, "the digest is heard", func() bool {
+	// sendUntilReceived repeats a digest until the node receives one, since it may not
+	// listen yet.
+	sendUntilReceived := func(cells uint32) {
+		eventually(t, "the digest is received", func() bool {
 			sequence++
 			datagram, err := proto.Marshal(&wire.Digest{
 				Instance: "two", Incarnation: 1, Sequence: sequence, Address: peer.String(), DataCentre: "a", Cells: cells, Echo: 1,
 			})
 			is.NoErr(err)
-			// An error says that nobody listens yet.
+			// An error means that the node does not listen yet.
 			_, _ = conn.Write(datagram)
 			select {
-			case <-node.heard:
+			case <-node.received:
 				return true
 			case <-time.After(5 * time.Millisecond):
 				return false
 			}
 		})
 	}
-	tell(2) // it has read no list itself
+	sendUntilReceived(2) // the node has read no list yet
 	node.gossip.SetPeers([]gossip.Peer{{Address: peer, DataCentre: "a"}})
-	tell(1)
-	is.Equal(node.others.Load(), int64(0))
-	tell(2)
-	is.True(node.others.Load() > 0)
+	sendUntilReceived(1)
+	is.Equal(node.cellMismatches.Load(), int64(0))
+	sendUntilReceived(2)
+	is.True(node.cellMismatches.Load() > 0)
 }
--- a/peridotpath/gossip/registry.go
+++ b/peridotpath/gossip/registry.go
@@ -17,8 +17,8 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Registry tells this instance's address through the store, and learns those of
-// others. Set the exported fields before Run.
+// Registry registers this instance's address in the store and reads those of the others.
+// Set the exported fields before Run.
 type Registry struct {
 	Store       *keyvalue.Store
 	Instance    peridotpath.InstanceID
@@ -26,70 +26,73 @@
 	Address     netip.AddrPort
 	DataCentre  peridotpath.DataCentre
 	SetPeers    func([]Peer)
-	// Eras are those of the store.
+	// Eras holds the eras of the store.
 	Eras *keyvalue.Eras
 	Log  zerolog.Logger
 
 	lease keyvalue.LeaseID
-	// listed is when the others were last read, zero where that is due; others is how
-	// many there were.
-	listed time.Time
-	others int
-	// wanted asks for a list that is not due.
-	wanted clock.Signal
-	// lapsed asks for a new entry, as the store may have lost this one.
-	lapsed clock.Signal
-	// first is closed once the others were read, or could not be, or one was heard.
-	first     chan struct{}
-	firstOnce sync.Once
-	closeOnce sync.Once
-	failed    atomic.Bool
+	// listedAt is when the list of instances was last read, zero if it is due now;
+	// listedCount is its length.
+	listedAt    time.Time
+	listedCount int
+	// listRequested requests a list before it is due.
+	listRequested clock.Signal
+	// reregisterRequested requests a new entry, since the store may have lost the current
+	// one.
+	reregisterRequested clock.Signal
+	// peersReady is closed once the list was read, reading it failed, or PeerReady was
+	// called.
+	peersReady      chan struct{}
+	peersReadyInit  sync.Once
+	peersReadyClose sync.Once
+	storeFailed     atomic.Bool
 }
 
-// RegistryPrefix comes before the keys under which instances register. Each
-// start has a key of its own, so that none has to take over what an earlier
-// start left; that lapses with its lease.
+// RegistryPrefix is the key prefix under which instances register. Each start of an
+// instance has its own key, so that it need not take over the entry of an earlier start,
+// which expires with its lease.
 const RegistryPrefix = "peridotpath/instances/"
 
 const (
-	// registryTTL is how long an entry outlives its instance, and renewal how
-	// often it is renewed: a renewal costs a tenth of a call.
-	registryTTL = 20 * time.Second
-	renewal     = 6 * time.Second
-	// retryPause is the wait after the store could not be reached.
-	retryPause = 1500 * time.Millisecond
-	// gather is how long an instance that finds nobody waits before it looks for
-	// those that started at the same moment.
-	gather = 500 * time.Millisecond
-	// listShare is the time between two lists of all instances together: an entry for
-	// each of them is in each list, so that what all of them read would grow with their
-	// square.
-	listShare = 250 * time.Millisecond
-	// renewShare is the time between two entries of all instances together after the
-	// store came back from a copy, renewLeast the time that a small fleet takes.
-	renewShare = 10 * time.Millisecond
-	renewLeast = 500 * time.Millisecond
-	// wantedSpread is the time over which instances look that heard of another number
-	// of cells at the same moment.
-	wantedSpread = time.Second
+	// registrationTTL is how long an entry outlives its instance, renewalInterval how often
+	// it is renewed. A renewal costs the store a tenth of a call.
+	registrationTTL = 20 * time.Second
+	renewalInterval = 6 * time.Second
+	// storeRetryPause is the pause after the store was unreachable.
+	storeRetryPause = 1500 * time.Millisecond
+	// gatherDelay is how long an instance that finds no others waits before it lists again,
+	// to find those that start at the same moment.
+	gatherDelay = 500 * time.Millisecond
+	// listIntervalPerInstance is the time between two lists of the whole fleet. Each list
+	// holds an entry for every instance, so that with a fixed interval per instance the
+	// volume would grow with the square of the fleet.
+	listIntervalPerInstance = 250 * time.Millisecond
+	// reregisterSpreadPerInstance is the time between two new entries of the whole fleet
+	// after the store was restored from an older copy, minReregisterSpread the shortest
+	// span over which a fleet spreads them.
+	reregisterSpreadPerInstance = 10 * time.Millisecond
+	minReregisterSpread         = 500 * time.Millisecond
+	// requestedListJitter is the span over which instances spread their lists that receive
+	// another number of cells at the same moment.
+	requestedListJitter = time.Second
 )
 
-// registration is the value of an entry.
+// registration is the value of a registry entry.
 type registration struct {
 	Address    netip.AddrPort         `json:"address"`
 	DataCentre peridotpath.DataCentre `json:"data_centre"`
-	// Era is that of the store when it was written.
+	// Era is the era of the store when the entry was written.
 	Era keyvalue.Era `json:"era,omitempty"`
 }
 
-// AfterFirst returns a task that begins once the others were read, or could not be, or
-// PeerReady was called: what an instance that starts does first depends on who else is
-// there.
+// AfterFirst returns a task that starts once the list of instances was read, reading it
+// failed, or PeerReady was called: the first reads of a starting instance depend on which
+// peers exist.
 func (registry *Registry) AfterFirst(run func(context.Context) error) func(context.Context) error {
-	first := registry.firstRead()
+	ready := registry.peersReadySignal()
 	return func(ctx context.Context) error {
 		select {
-		case <-first:
+		case <-ready:
 			return run(ctx)
 		case <-ctx.Done():
 			return ctx.Err()
@@ -97,71 +100,74 @@
 	}
 }
 
-func (registry *Registry) firstRead() chan struct{} {
-	registry.firstOnce.Do(func() { registry.first = make(chan struct{}) })
-	return registry.first
+// peersReadySignal returns the channel that is closed once peers may be asked.
+func (registry *Registry) peersReadySignal() chan struct{} {
+	registry.peersReadyInit.Do(func() { registry.peersReady = make(chan struct{}) })
+	return registry.peersReady
 }
 
-// PeerReady says that another instance has what this one needs. Where the store is silent,
-// an instance that starts would wait for it in vain before it asks that one.
-func (registry *Registry) PeerReady() { registry.begin() }
+// PeerReady reports that a peer holds the snapshot that this instance needs. While the
+// store does not answer, a starting instance would otherwise wait for its list before it
+// asks that peer.
+func (registry *Registry) PeerReady() { registry.signalPeersReady() }
 
-// begin lets the tasks of AfterFirst begin.
-func (registry *Registry) begin() {
-	first := registry.firstRead()
-	registry.closeOnce.Do(func() { close(first) })
+// signalPeersReady starts the tasks of AfterFirst.
+func (registry *Registry) signalPeersReady() {
+	ready := registry.peersReadySignal()
+	registry.peersReadyClose.Do(func() { close(ready) })
 }
 
-// Run keeps the entry and the list until ctx ends.
+// Run maintains the entry and the list of instances until ctx ends.
 //
-// After a loss of all instances their entries are still there, and each has to know
-// the others before it reads anything else; so the list comes first.
+// After a power loss of all instances their entries are still in the store. The list is
+// read first, so that each instance learns of the others before it reads anything else and
+// does not fetch everything from the store by itself.
 func (registry *Registry) Run(ctx context.Context) error {
-	err := registry.list(ctx, registry.Store.ListStale)
-	registry.report(ctx, err)
+	err := registry.refreshPeers(ctx, registry.Store.ListStale)
+	registry.recordOutcome(ctx, err)
 	wait := time.Duration(0)
-	if err == nil && registry.others == 0 {
-		wait = registry.startTogether(ctx)
+	if err == nil && registry.listedCount == 0 {
+		wait = registry.registerAndGather(ctx)
 	}
-	registry.begin()
-	for registry.rest(ctx, wait) {
-		wait = registry.next(ctx, registry.round(ctx))
+	registry.signalPeersReady()
+	for registry.waitForRound(ctx, wait) {
+		wait = registry.finishRound(ctx, registry.runRound(ctx))
 	}
 	return ctx.Err()
 }
 
-// startTogether registers this instance and gives those time to do the same that
-// start at the same moment. It returns the wait until the next round.
+// registerAndGather registers this instance, waits for others that start at the same moment
+// to register as well, and lists them. It returns the time until the next round.
 //
-// The load that it is made for is the first start of hundreds of instances. Each of
-// them found nobody else, and asked the store for everything by itself.
-func (registry *Registry) startTogether(ctx context.Context) time.Duration {
-	err := registry.register(ctx)
-	if err == nil && clock.Pause(ctx, gather) {
-		err = registry.list(ctx, registry.Store.List)
+// It matters when hundreds of instances start for the first time at once: each of them
+// would find no peers and fetch everything from the store by itself.
+func (registry *Registry) registerAndGather(ctx context.Context) time.Duration {
+	err := registry.renewOrRegister(ctx)
+	if err == nil && clock.Pause(ctx, gatherDelay) {
+		err = registry.refreshPeers(ctx, registry.Store.List)
 	}
-	return registry.next(ctx, err)
+	return registry.finishRound(ctx, err)
 }
 
-// next returns the wait until the next round, after one that ended so.
-func (registry *Registry) next(ctx context.Context, err error) time.Duration {
-	registry.report(ctx, err)
+// finishRound records the outcome of a round and returns the time until the next one.
+func (registry *Registry) finishRound(ctx context.Context, err error) time.Duration {
+	registry.recordOutcome(ctx, err)
 	if err != nil {
-		return retryPause
+		return storeRetryPause
 	}
-	return renewal
+	return renewalInterval
 }
 
-// Renew asks for a new entry soon, at another moment than other instances: the store came
-// back from a copy in which this one's may not be. It never waits.
-func (registry *Registry) Renew() { registry.lapsed.Raise() }
+// Renew requests a new entry soon, spread over time among the instances: the store was
+// restored from an older copy that may lack this entry. It never blocks.
+func (registry *Registry) Renew() { registry.reregisterRequested.Raise() }
 
-// Look asks for a list soon: a peer knows of another number of cells. It never waits.
-func (registry *Registry) Look() { registry.wanted.Raise() }
+// Look requests a list soon, as a peer reports another number of cells. It never blocks.
+func (registry *Registry) Look() { registry.listRequested.Raise() }
 
-// rest waits for the given time, and reads the others if that is asked for meanwhile;
-// false when ctx ended first.
-func (registry *Registry) rest(ctx context.Context, wait time.Duration) bool {
+// waitForRound waits for the given time, and lists the instances if that is requested
+// meanwhile. It returns early for a requested new entry, and false if ctx ended first.
+func (registry *Registry) waitForRound(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -170,50 +176,52 @@
 			return false
 		case <-timer.C:
 			return true
-		case <-registry.lapsed.C():
-			spread := max(renewLeast, time.Duration(registry.others)*renewShare)
+		case <-registry.reregisterRequested.C():
+			spread := max(minReregisterSpread, time.Duration(registry.listedCount)*reregisterSpreadPerInstance)
 			return clock.Pause(ctx, rand.N(spread))
-		case <-registry.wanted.C():
+		case <-registry.listRequested.C():
 		}
-		if registry.lease.None() || time.Since(registry.listed) < renewal {
-			// The next round reads them, or they were just read.
+		if registry.lease.None() || time.Since(registry.listedAt) < renewalInterval {
+			// The next round lists them, or they were listed a moment ago.
 			continue
 		}
-		if !clock.Pause(ctx, rand.N(wantedSpread)) {
+		if !clock.Pause(ctx, rand.N(requestedListJitter)) {
 			return false
 		}
-		registry.report(ctx, registry.list(ctx, registry.Store.List))
+		registry.recordOutcome(ctx, registry.refreshPeers(ctx, registry.Store.List))
 	}
 }
 
-// Failing reports whether the store could not be reached the last time.
-func (registry *Registry) Failing() bool { return registry.failed.Load() }
+// Failing reports whether the store was unreachable in the last round.
+func (registry *Registry) Failing() bool { return registry.storeFailed.Load() }
 
-func (registry *Registry) report(ctx context.Context, err error) {
-	registry.failed.Store(err != nil)
+// recordOutcome records whether the store was reachable, and logs an error.
+func (registry *Registry) recordOutcome(ctx context.Context, err error) {
+	registry.storeFailed.Store(err != nil)
 	if err != nil && ctx.Err() == nil {
 		registry.Log.Warn().Err(err).Msg("registry_unreachable")
 	}
 }
 
-// round renews or makes the entry, and reads the others' where that is due.
-func (registry *Registry) round(ctx context.Context) error {
-	if err := registry.register(ctx); err != nil {
+// runRound renews or creates the entry, and lists the instances if that is due.
+func (registry *Registry) runRound(ctx context.Context) error {
+	if err := registry.renewOrRegister(ctx); err != nil {
 		return err
 	}
 	switch {
-	case registry.listed.IsZero():
-		// Of two that start at the same moment, the one that registered later reads of
-		// the other and tells it; a list that may be old would leave both unknown.
-		return registry.list(ctx, registry.Store.List)
-	case time.Since(registry.listed) >= time.Duration(registry.others)*listShare:
-		return registry.list(ctx, registry.Store.ListStale)
+	case registry.listedAt.IsZero():
+		// Of two instances that start at the same moment, the one that registers later
+		// finds the other in a consistent list and sends it a digest. In a stale list
+		// neither would find the other.
+		return registry.refreshPeers(ctx, registry.Store.List)
+	case time.Since(registry.listedAt) >= time.Duration(registry.listedCount)*listIntervalPerInstance:
+		return registry.refreshPeers(ctx, registry.Store.ListStale)
 	}
 	return nil
 }
 
-// list reads all entries.
-func (registry *Registry) list(ctx context.Context, read func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error)) error {
+// refreshPeers reads all entries and sets the peers.
+func (registry *Registry) refreshPeers(ctx context.Context, read func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error)) error {
 	entries, _, err := read(ctx, RegistryPrefix)
 	if err != nil {
 		return err
@@ -227,18 +235,20 @@
 		}
 		peers = append(peers, Peer{Address: registration.Address, DataCentre: registration.DataCentre})
 		if registration.Era < registry.Eras.Current() {
-			// An entry lasts some seconds; the era began since this one was written.
+			// Entries expire within seconds, so that one of an earlier era shows that the
+			// current era began recently.
 			registry.Eras.Suspect()
 		}
 	}
-	registry.listed, registry.others = time.Now(), len(peers)
+	registry.listedAt, registry.listedCount = time.Now(), len(peers)
 	registry.SetPeers(peers)
 	return nil
 }
 
-// register renews the entry, or makes one. After that the others are to be read, unless
-// they were known and only the store went back.
-func (registry *Registry) register(ctx context.Context) error {
+// renewOrRegister renews the entry, or creates one. A new entry makes a list due, unless
+// the entry was replaced only because the store was restored from an older copy and the
+// other instances are known already.
+func (registry *Registry) renewOrRegister(ctx context.Context) error {
 	before := registry.lease
 	if !before.None() {
 		err := registry.Store.Renew(ctx, before)
@@ -247,7 +257,7 @@
 		}
 		registry.lease = keyvalue.LeaseID{}
 	}
-	lease, err := registry.Store.Grant(ctx, registryTTL)
+	lease, err := registry.Store.Grant(ctx, registrationTTL)
 	if err != nil {
 		return err
 	}
@@ -261,7 +271,7 @@
 	}
 	registry.lease = lease
 	if before.None() || before.Era == lease.Era {
-		registry.listed = time.Time{}
+		registry.listedAt = time.Time{}
 	}
 	return nil
 }
--- a/peridotpath/gossip/registry_era_test.go
+++ b/peridotpath/gossip/registry_era_test.go
@@ -21,13 +21,15 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// registered is an instance with its own way to a service that goes back.
+// registered is an instance with its own link to a store that is restored from older
+// copies.
 type registered struct {
 	*gossip.Registry
 	link  memory.Link
 	ended chan error
 }
 
+// register starts an instance that registers in the service.
 func register(ctx context.Context, service *memory.Memory, number int) *registered {
 	began := time.Now()
 	one := &registered{ended: make(chan error, 1)}
@@ -43,7 +45,7 @@
 	return one
 }
 
-// entries returns the registrations that the service holds, by instance.
+// entries returns the number of registrations in the service by instance.
 func entries(t *testing.T, service *memory.Memory) map[string]int {
 	t.Helper()
 	listed, _, err := service.Store().List(t.Context(), gossip.RegistryPrefix)
@@ -58,10 +60,11 @@
 	return count
 }
 
-// The store loses an instance's entry and lease, and gives the lease's number to somebody
-// else, whose lease the instance renewed for good, without an entry of its own. Those that
-// have theirs in the copy make a new one, too, since nobody can tell; not all at once.
-func TestEntryThatTheStoreLost(t *testing.T) {
+// The store is restored from a copy without some instances' entries and leases, and grants
+// the numbers of those leases to other clients. An instance must not go on renewing a lease
+// that is now another client's while it has no entry of its own. Instances whose entries
+// are in the copy cannot tell, so that all register anew, spread over time.
+func TestEntriesLostByRestoreAreRecreated(t *testing.T) {
 	const early, late = 40, 20
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -80,27 +83,27 @@
 		is.Equal(len(entries(t, service)), early+late)
 
 		service.GoBack(before)
-		var theirs []keyvalue.LeaseID
+		var foreign []keyvalue.LeaseID
 		for range late {
 			lease, err := service.Store().Grant(ctx, 15*time.Second)
 			is.NoErr(err)
-			theirs = append(theirs, lease)
+			foreign = append(foreign, lease)
 		}
-		// One meets the era first and tells the others.
+		// One instance sees the new era first and gossips it.
 		for _, one := range all {
 			one.link.Eras.Heard(1, 0, true)
 		}
 		writes := func() int { return service.Calls()[keyvalue.CallSwap] }
-		most, began := 0, writes()
+		maxBurst, initial := 0, writes()
 		for range 20 {
 			last := writes()
 			time.Sleep(100 * time.Millisecond)
-			most = max(most, writes()-last)
+			maxBurst = max(maxBurst, writes()-last)
 		}
 		is.Equal(len(entries(t, service)), early+late)
-		is.Equal(writes()-began, early+late) // one each
-		if most > (early+late)/3 {
-			t.Errorf("%d of %d entries were made within 100 ms", most, early+late)
+		is.Equal(writes()-initial, early+late) // one each
+		if maxBurst > (early+late)/3 {
+			t.Errorf("%d of %d entries were made within 100 ms", maxBurst, early+late)
 		}
 		time.Sleep(20 * time.Second)
 		for name, count := range entries(t, service) {
@@ -108,8 +111,8 @@
 				t.Errorf("%s has %d entries, want one", name, count)
 			}
 		}
-		for _, lease := range theirs {
-			is.True(keyvalue.ErrLeaseGone.Has(service.Store().Renew(ctx, lease))) // nobody kept it
+		for _, lease := range foreign {
+			is.True(keyvalue.ErrLeaseGone.Has(service.Store().Renew(ctx, lease))) // no instance renewed it
 		}
 		cancel()
 		for _, one := range all {
@@ -118,15 +121,15 @@
 	})
 }
 
-// An instance starts a moment after the store came back from a copy. It cannot know when
-// that was, but entries of the era before are left.
-func TestStartFindsEntriesOfTheEraBefore(t *testing.T) {
+// An instance starts shortly after the store was restored from an older copy. It has not
+// seen the change of the era, but entries of the previous era show that it was recent.
+func TestStartDetectsRecentEraChange(t *testing.T) {
 	for name, test := range map[string]struct {
 		era  keyvalue.Era
 		want bool
 	}{
-		"of the era before": {4, false},
-		"of this era":       {5, true},
+		"of the previous era": {4, false},
+		"of this era":         {5, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -140,7 +143,7 @@
 						return []keyvalue.Entry{{Key: "one", Value: value}}, 1, nil
 					},
 					Grant: func(context.Context, time.Duration) (keyvalue.LeaseID, error) {
-						return keyvalue.LeaseID{}, keyvalue.ErrUnavailable.New("away")
+						return keyvalue.LeaseID{}, keyvalue.ErrUnavailable.New("store unreachable")
 					},
 				},
 				Instance: "one", Eras: eras, SetPeers: func([]gossip.Peer) {}, Log: zerolog.Nop(),
--- a/peridotpath/gossip/registry_test.go
+++ b/peridotpath/gossip/registry_test.go
@@ -18,19 +18,19 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// All instances lost their power; their entries are still in the store. Each has to
-// know the others before it reads anything else, or all of them read the same. It
-// registered first, and everything else began meanwhile.
-func TestOthersAreReadFirst(t *testing.T) {
+// After a power loss of all instances their entries are still in the store. The list of
+// instances is read before anything else starts, or every instance reads everything from
+// the store by itself.
+func TestPeersAreListedFirst(t *testing.T) {
 	other := keyvalue.Entry{Key: gossip.RegistryPrefix + "other/1-1", Value: []byte(`{"address":"10.0.0.2:9","data_centre":"a"}`)}
 	tests := map[string]struct {
 		listed []keyvalue.Entry
 		err    error
 		want   string
 	}{
-		"others are there":  {[]keyvalue.Entry{other}, nil, "[stale peers grant task swap list peers]"},
-		"nobody is there":   {nil, nil, "[stale peers grant swap list peers task]"},
-		"the store is away": {nil, keyvalue.ErrUnavailable.New("away"), "[stale grant task]"},
+		"other instances":   {[]keyvalue.Entry{other}, nil, "[stale peers grant task swap list peers]"},
+		"no other instance": {nil, nil, "[stale peers grant swap list peers task]"},
+		"store unavailable": {nil, keyvalue.ErrUnavailable.New("store unreachable"), "[stale grant task]"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -38,13 +38,13 @@
 				is := is.New(t)
 				var mutex sync.Mutex
 				var calls []string
-				note := func(name string) {
+				record := func(name string) {
 					mutex.Lock()
 					defer mutex.Unlock()
 					calls = append(calls, name)
 				}
 				call := func(name string) error {
-					note(name)
+					record(name)
 					time.Sleep(4 * time.Millisecond)
 					return test.err
 				}
@@ -65,13 +65,13 @@
 						},
 					},
 					Instance: "one", Incarnation: 1, Address: netip.MustParseAddrPort("10.0.0.1:9"), DataCentre: "a",
-					SetPeers: func([]gossip.Peer) { note("peers") }, Eras: &keyvalue.Eras{}, Log: zerolog.Nop(),
+					SetPeers: func([]gossip.Peer) { record("peers") }, Eras: &keyvalue.Eras{}, Log: zerolog.Nop(),
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
 				task := registry.AfterFirst(func(context.Context) error {
 					time.Sleep(time.Millisecond)
-					note("task")
+					record("task")
 					return nil
 				})
 				ended := make(chan error, 2)
@@ -87,17 +87,18 @@
 	}
 }
 
-// lists is a store of registrations whose lists may be three seconds old.
+// lists is a store of registrations whose stale lists lag by listsLag.
 type lists struct {
-	mutex   sync.Mutex
-	entries []keyvalue.Entry
-	made    []time.Time
-	// count is how many lists were read.
+	mutex     sync.Mutex
+	entries   []keyvalue.Entry
+	createdAt []time.Time
+	// count is the number of lists that were read.
 	count int
 }
 
 const listsLag = 3 * time.Second
 
+// read returns the entries that are at least lag old.
 func (lists *lists) read(lag time.Duration) ([]keyvalue.Entry, keyvalue.Version, error) {
 	time.Sleep(4 * time.Millisecond)
 	lists.mutex.Lock()
@@ -105,14 +106,14 @@
 	lists.count++
 	var entries []keyvalue.Entry
 	for i, entry := range lists.entries {
-		if time.Since(lists.made[i]) >= lag {
+		if time.Since(lists.createdAt[i]) >= lag {
 			entries = append(entries, entry)
 		}
 	}
 	return entries, 1, nil
 }
 
-// total is how many lists were read so far.
+// total returns the number of lists that were read so far.
 func (lists *lists) total() int {
 	lists.mutex.Lock()
 	defer lists.mutex.Unlock()
@@ -132,13 +133,13 @@
 			lists.mutex.Lock()
 			defer lists.mutex.Unlock()
 			lists.entries = append(lists.entries, keyvalue.Entry{Key: key, Value: value})
-			lists.made = append(lists.made, time.Now())
+			lists.createdAt = append(lists.createdAt, time.Now())
 			return 1, nil
 		},
 	}
 }
 
-// listed is one instance of a test, with those that it knows.
+// listed is an instance under test with the peers that it has listed.
 type listed struct {
 	registry *gossip.Registry
 	mutex    sync.Mutex
@@ -165,17 +166,17 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 9)
 }
 
-func (listed *listed) knows(number int) bool {
+func (listed *listed) hasPeer(number int) bool {
 	listed.mutex.Lock()
 	defer listed.mutex.Unlock()
 	return listed.peers[listedAddress(number)]
 }
 
-// Sixty instances start within a tenth of a second, and the store's cheap lists are
-// seconds old. Of any two one must know the other soon, or neither hears what the other
-// sends. Each read the list every few seconds; with an entry for each of them in it,
-// that was most of what went between the data centres of a large fleet.
-func TestListsOfInstances(t *testing.T) {
+// Sixty instances start within 100 ms, and stale lists lag by seconds. Of any two, one must
+// find the other soon, or neither receives the digests of the other. The lists must also
+// stay few: with one every few seconds from each instance, they made up most of the traffic
+// between the data centres of a large fleet.
+func TestInstanceListsAreCompleteAndFew(t *testing.T) {
 	const count, span = 60, 60 * time.Second
 	virtual.Test(t, func(t *testing.T) {
 		lists := &lists{}
@@ -194,8 +195,8 @@
 		time.Sleep(2 * time.Second)
 		for i := range count {
 			for j := range i {
-				if !all[i].knows(j) && !all[j].knows(i) {
-					t.Errorf("after 2 s neither %d nor %d knows the other", i, j)
+				if !all[i].hasPeer(j) && !all[j].hasPeer(i) {
+					t.Errorf("after 2 s neither %d nor %d has the other", i, j)
 				}
 			}
 		}
@@ -204,23 +205,23 @@
 				t.Errorf("Run: %v", err)
 			}
 		}
-		// Two for each at its start, and four a second of all together.
+		// Two lists for each instance at its start, and four a second for the fleet.
 		if got, want := lists.total(), 2*count+4*int(span.Seconds()); got > want {
 			t.Errorf("%d lists were read, want %d at most", got, want)
 		}
 	})
 }
 
-// A peer has read that the fleet is divided into more cells. An instance whose list is
-// not due for most of a minute would go on by the old cells, place on engines that
-// others use, and hear nothing of them.
-func TestListIsReadForOtherCells(t *testing.T) {
+// A peer reports another number of cells. An instance whose next list is due only in most
+// of a minute would keep to its old cell, send requests to engines that others use, and
+// receive nothing of their load.
+func TestListIsReadWhenCellCountDiffers(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		lists := &lists{}
 		for i := range 200 {
 			lists.entries = append(lists.entries, keyvalue.Entry{Key: "k", Value: []byte(`{"address":"10.0.1.1:9","data_centre":"a"}`)})
-			lists.made = append(lists.made, time.Now().Add(-time.Duration(i)*time.Hour))
+			lists.createdAt = append(lists.createdAt, time.Now().Add(-time.Duration(i)*time.Hour))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
@@ -228,23 +229,24 @@
 		ended := make(chan error, 1)
 		go func() { ended <- one.registry.Run(ctx) }()
 		time.Sleep(10 * time.Second)
-		is.Equal(lists.total(), 2) // those of its start
+		is.Equal(lists.total(), 2) // both at its start
 		_, err := lists.store().Swap(ctx, "new", 0, []byte(`{"address":"10.0.0.7:9","data_centre":"a"}`), keyvalue.LeaseID{Number: 5})
 		is.NoErr(err)
 		one.registry.Look()
 		one.registry.Look()
 		time.Sleep(1500 * time.Millisecond)
-		is.True(one.knows(7))
+		is.True(one.hasPeer(7))
 		is.Equal(lists.total(), 3)
-		one.registry.Look() // it was read a moment ago
+		one.registry.Look() // no effect: a list was read a moment ago
 		is.True(errors.Is(<-ended, context.DeadlineExceeded))
 		is.Equal(lists.total(), 3)
 	})
 }
 
-// The store is silent when an instance starts, and its peers know all that it needs. It asked
-// nobody for more than a second, until the store's list of them was given up.
-func TestPeerIsAskedWhileTheStoreIsSilent(t *testing.T) {
+// The store does not answer while an instance starts, and a peer holds the snapshot that it
+// needs. The peer is asked at once and not after the list of instances timed out, more than
+// a second later.
+func TestPeerIsAskedWhileStoreDoesNotAnswer(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
--- a/peridotpath/gossip/flight_test.go
+++ b/peridotpath/gossip/report_test.go
@@ -15,29 +15,30 @@
 	"peridotpath.example/peridotpath/quarantine"
 )
 
-// Whatever a datagram holds, what is made of it can be reckoned with.
+// Whatever a datagram holds, decoding it yields loads, facts and queued prompts that can be
+// computed with.
 func FuzzDigest(f *testing.F) {
-	whole, err := proto.Marshal(&wire.Digest{
+	valid, err := proto.Marshal(&wire.Digest{
 		Instance: "a", Sequence: 1, Flights: []*wire.Flight{{Number: 1, Endpoints: []uint64{1, 2}, Reading: 5, Memory: []uint64{7}, Age: 9}},
 		Waits: []*wire.Wait{{Number: 1, DueIn: -5, Reading: 3}}, Suspicions: []*wire.Suspicion{{Endpoint: 1, Left: 5}},
 	})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	// A flight that is under way nowhere.
-	nowhere, err := proto.Marshal(&wire.Digest{Instance: "a", Sequence: 1, Flights: []*wire.Flight{{Number: 1}}})
+	f.Add(valid)
+	// An in-flight request without endpoints.
+	noEndpoints, err := proto.Marshal(&wire.Digest{Instance: "a", Sequence: 1, Flights: []*wire.Flight{{Number: 1}}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(nowhere)
-	fact, err := proto.Marshal(&wire.Digest{Instance: "a", Facts: []*wire.Fact{
+	f.Add(noEndpoints)
+	invalidFacts, err := proto.Marshal(&wire.Digest{Instance: "a", Facts: []*wire.Fact{
 		{Kind: uint32(facts.KindBarred), Subject: make([]byte, 16), Value: math.NaN()}, {Kind: 99, Subject: []byte{1}, Age: math.MaxUint64},
 	}})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(fact)
+	f.Add(invalidFacts)
 	f.Fuzz(func(t *testing.T, datagram []byte) {
 		digest := &wire.Digest{}
 		if proto.Unmarshal(datagram, digest) != nil {
@@ -50,14 +51,14 @@
 		for _, fact := range table.Tell(now, true) {
 			decider.Look(peridotpath.Fingerprint(fact.Subject), now)
 		}
-		book := &placement.Book{}
-		book.HearPeer(decodeReport(digest, now), now)
-		for _, load := range book.View(now).All() {
+		loads := &placement.Book{}
+		loads.HearPeer(decodeReport(digest, now), now)
+		for _, load := range loads.View(now).All() {
 			if load.Backlog < 0 || load.Taken() < 0 {
 				t.Errorf("load %+v", load)
 			}
 		}
-		book.Suspects(now)
-		book.Ahead(book.Join(placement.NewWait(now, time.Second)), "b", now)
+		loads.Suspects(now)
+		loads.Ahead(loads.Join(placement.NewWait(now, time.Second)), "b", now)
 	})
 }
--- a/peridotpath/gossip/targets.go
+++ b/peridotpath/gossip/targets.go
@@ -8,58 +8,60 @@
 	"peridotpath.example/peridotpath"
 )
 
-// target is a peer as a digest is sent to it.
+// target is a peer to which a digest is sent.
 type target struct {
 	address netip.AddrPort
-	echo    uint64
-	// handOn asks it to tell its data centre.
-	handOn bool
+	// lastSent is the newest clock value received from the peer, which the digest returns
+	// as its echo.
+	lastSent uint64
+	// forward asks the peer to forward the digest within its data centre.
+	forward bool
 }
 
-// targets returns the peers of the cell to tell: all of the own data centre, and
-// with far of each other one the next in turn that was heard lately. It forgets
-// peers that are gone.
-func (gossip *Gossip) targets(now time.Time, far bool) []target {
+// selectTargets returns the peers of the cell to which a digest is sent: all of the own
+// data centre and, with remote, one of each other data centre. It removes peers that have
+// been silent and unregistered for longer than forgetPeerAfter.
+func (gossip *Gossip) selectTargets(now time.Time, remote bool) []target {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	var targets []target
-	own := gossip.cells.told
-	elsewhere := map[peridotpath.DataCentre][]netip.AddrPort{}
+	own := gossip.cells.gossipCell
+	byDataCentre := map[peridotpath.DataCentre][]netip.AddrPort{}
 	for address, peer := range gossip.peers {
 		switch {
-		case !peer.listed && now.Sub(peer.heard) > forgetAfter:
+		case !peer.registered && now.Sub(peer.receivedAt) > forgetPeerAfter:
 			delete(gossip.peers, address)
 		case !own.HasInstance(address):
 		case peer.dataCentre == gossip.DataCentre || peer.dataCentre == "":
-			targets = append(targets, target{address: address, echo: peer.echo})
+			targets = append(targets, target{address: address, lastSent: peer.lastSent})
 		default:
-			elsewhere[peer.dataCentre] = append(elsewhere[peer.dataCentre], address)
+			byDataCentre[peer.dataCentre] = append(byDataCentre[peer.dataCentre], address)
 		}
 	}
-	if !far {
+	if !remote {
 		return targets
 	}
-	gossip.turn++
-	gossip.toldFar = now
-	for _, addresses := range elsewhere {
-		address := gossip.inTurn(addresses, now)
-		targets = append(targets, target{address: address, echo: gossip.peers[address].echo, handOn: true})
+	gossip.forwarderTurn++
+	gossip.remoteSentAt = now
+	for _, addresses := range byDataCentre {
+		address := gossip.nextForwarder(addresses, now)
+		targets = append(targets, target{address: address, lastSent: gossip.peers[address].lastSent, forward: true})
 	}
 	return targets
 }
 
-// inTurn picks one of a data centre's instances, each time another one; those
-// that have been silent only when all have.
-func (gossip *Gossip) inTurn(addresses []netip.AddrPort, now time.Time) netip.AddrPort {
-	heard := make([]netip.AddrPort, 0, len(addresses))
+// nextForwarder picks the instance of another data centre that forwards the next digest
+// there, in rotation. Silent instances are skipped unless all are silent.
+func (gossip *Gossip) nextForwarder(addresses []netip.AddrPort, now time.Time) netip.AddrPort {
+	reachable := make([]netip.AddrPort, 0, len(addresses))
 	for _, address := range addresses {
-		if now.Sub(gossip.peers[address].heard) < silentAfter {
-			heard = append(heard, address)
+		if now.Sub(gossip.peers[address].receivedAt) < peerSilentAfter {
+			reachable = append(reachable, address)
 		}
 	}
-	if len(heard) == 0 {
-		heard = addresses
+	if len(reachable) == 0 {
+		reachable = addresses
 	}
-	slices.SortFunc(heard, netip.AddrPort.Compare)
-	return heard[gossip.turn%len(heard)]
+	slices.SortFunc(reachable, netip.AddrPort.Compare)
+	return reachable[gossip.forwarderTurn%len(reachable)]
 }
--- a/peridotpath/gossip/targets_test.go
+++ b/peridotpath/gossip/targets_test.go
@@ -8,27 +8,27 @@
 	"github.com/matryer/is"
 )
 
-// Nothing is asked of the fleet, and most bytes between its data centres said so: four
-// times a second from each instance into each of them. Half as often keeps what is
-// known there from lapsing; those nearby hear it as often as before.
-func TestFarIsToldLessWhileNothingChanges(t *testing.T) {
+// Most traffic between the data centres of an idle fleet is heartbeats that report no
+// change. Other data centres receive them half as often, which still keeps their state from
+// expiring; peers of the own data centre receive them as often as before.
+func TestRemoteHeartbeatsAreLessFrequent(t *testing.T) {
 	is := is.New(t)
 	gossip := &Gossip{Address: netip.MustParseAddrPort("10.0.0.1:1"), DataCentre: "a"}
-	near, far := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.1.0.1:1")
-	gossip.SetPeers([]Peer{{Address: near, DataCentre: "a"}, {Address: far, DataCentre: "b"}})
-	told := map[netip.AddrPort]int{}
+	near, remote := netip.MustParseAddrPort("10.0.0.2:1"), netip.MustParseAddrPort("10.1.0.1:1")
+	gossip.SetPeers([]Peer{{Address: near, DataCentre: "a"}, {Address: remote, DataCentre: "b"}})
+	sent := map[netip.AddrPort]int{}
 	now := time.Now()
 	for range 16 {
-		now = now.Add(heartbeat)
-		for _, target := range gossip.targets(now, gossip.farDue(now)) {
-			told[target.address]++
+		now = now.Add(heartbeatInterval)
+		for _, target := range gossip.selectTargets(now, gossip.remoteHeartbeatDue(now)) {
+			sent[target.address]++
 		}
 	}
-	is.Equal(told[near], 16)
-	is.Equal(told[far], 8)
-	told = map[netip.AddrPort]int{}
-	for _, target := range gossip.targets(now, true) { // something changed
-		told[target.address]++
+	is.Equal(sent[near], 16)
+	is.Equal(sent[remote], 8)
+	sent = map[netip.AddrPort]int{}
+	for _, target := range gossip.selectTargets(now, true) { // after a change
+		sent[target.address]++
 	}
-	is.Equal(told[far], 1)
+	is.Equal(sent[remote], 1)
 }
