--- a/peridotpath/directory/directory.go
+++ b/peridotpath/directory/directory.go
@@ -1,5 +1,11 @@
-// Package directory holds the endpoints that may be used: those that stand in
-// the platform's store, less those that leave or have left.
+// Package directory holds the endpoints that may receive requests: those that are
+// registered as live in the platform's store. Endpoints that are leaving or have left are
+// excluded.
+//
+// It matters when the store is unreachable for a while or is restored from an older copy.
+// Entries then expire although their endpoints run, or reappear although their endpoints
+// have left. For a short, fixed time the directory keeps using the former and goes on
+// excluding the latter.
 package directory
 
 import (
@@ -20,35 +26,36 @@
 var Error = errs.Class("directory")
 
 const (
-	// returnGrace is how long after an outage of the store an entry may still be
-	// missing though its endpoint lives: entries lapse meanwhile and are back
-	// about two seconds after the store's return.
-	returnGrace = 2200 * time.Millisecond
-	// outageGap is the time between two readings from which the store counts as
-	// having been away: several readings must have failed or been left out.
-	outageGap = 2500 * time.Millisecond
-	// leftKnown is how long it is remembered that an endpoint has left, leftStands how long
-	// after the store came back from a copy that memory goes before what the store says: an
-	// entry in the copy of an endpoint that is gone lasts until it lapses.
-	leftKnown  = time.Minute
-	leftStands = 8 * time.Second
+	// recoveryGrace is how long after an outage of the store an entry may be missing while
+	// its endpoint still runs: entries expire during the outage and are registered again
+	// about two seconds after it.
+	recoveryGrace = 2200 * time.Millisecond
+	// minOutageGap is the time between two successful reads from which on the store counts
+	// as having been down. It spans several reads that failed or were skipped.
+	minOutageGap = 2500 * time.Millisecond
+	// departureRetention is how long the departure of an endpoint is remembered. For
+	// restoredEntryTimeout after the store was restored from an older copy, it takes
+	// precedence over the entry in the store: the copy may hold entries of departed
+	// endpoints until they expire.
+	departureRetention   = time.Minute
+	restoredEntryTimeout = 8 * time.Second
 )
 
-// Member is an endpoint with its key, which is reckoned once and not for each
-// request: on a fleet of thousands that alone would take a millisecond.
+// Member is an endpoint with its key. The key is precomputed, since hashing it for each
+// request takes a millisecond in a fleet of thousands.
 type Member struct {
 	*peridotpath.Endpoint
 	Key peridotpath.EndpointKey
 }
 
-// Snapshot is the endpoints in use at one moment. It is not changed.
+// Snapshot is an immutable set of the endpoints in use.
 type Snapshot struct {
 	byService map[peridotpath.Service][]Member
 	byID      map[peridotpath.EndpointID]*peridotpath.Endpoint
 	byKey     map[peridotpath.EndpointKey]*peridotpath.Endpoint
 }
 
-// Of returns the endpoints of a service that take new requests.
+// Of returns the endpoints of a service that accept new requests.
 func (snapshot *Snapshot) Of(service peridotpath.Service) []Member {
 	if snapshot == nil {
 		return nil
@@ -56,7 +63,7 @@
 	return snapshot.byService[service]
 }
 
-// Find returns the endpoint of that key; nil where there is none.
+// Find returns the endpoint with the key, or nil.
 func (snapshot *Snapshot) Find(key peridotpath.EndpointKey) *peridotpath.Endpoint {
 	if snapshot == nil {
 		return nil
@@ -64,10 +71,10 @@
 	return snapshot.byKey[key]
 }
 
-// Narrow returns the endpoints for which keep holds. A service of which none is
-// kept keeps all.
+// Narrow returns a snapshot with the endpoints for which keep returns true. A service of
+// which no endpoint is kept retains all of its endpoints.
 func (snapshot *Snapshot) Narrow(keep func(key peridotpath.EndpointKey, ofService int) bool) *Snapshot {
-	narrow := &Snapshot{byService: map[peridotpath.Service][]Member{}, byID: snapshot.byID, byKey: snapshot.byKey}
+	filtered := &Snapshot{byService: map[peridotpath.Service][]Member{}, byID: snapshot.byID, byKey: snapshot.byKey}
 	for service, members := range snapshot.byService {
 		var kept []Member
 		for _, member := range members {
@@ -78,136 +85,141 @@
 		if len(kept) == 0 {
 			kept = members
 		}
-		narrow.byService[service] = kept
+		filtered.byService[service] = kept
 	}
-	return narrow
+	return filtered
 }
 
-// Directory follows the endpoints. Set the exported fields before use.
+// Directory tracks the endpoints in use. Set the exported fields before use.
 type Directory struct {
 	Log zerolog.Logger
 
 	current atomic.Pointer[Snapshot]
 
 	mutex sync.Mutex
-	// readAt is when what was read last was the newest, seenAt when the store was
-	// last readable for any instance, returnedAt when it came back from an outage,
-	// on a clock that goes on while the machine is suspended.
-	readAt, seenAt, returnedAt time.Duration
-	// wentBackAt is when the store was first known to have come back from a copy.
-	wentBackAt time.Duration
-	// content names what was read last, differsUntil is when the first excuse ends by which
-	// what is used differs from it; zero where it does not.
-	content      uint64
-	differsUntil time.Duration
-	// left holds when endpoints left.
-	left map[peridotpath.EndpointKey]time.Duration
+	// confirmedAt is when the last read was known to be the newest, storeReadableAt when
+	// any instance last read the store, and storeRecoveredAt when the store was first
+	// readable after an outage, on a clock that advances while the machine is suspended.
+	confirmedAt, storeReadableAt, storeRecoveredAt time.Duration
+	// storeRestoredAt is when the store was first known to have been restored from an older
+	// copy.
+	storeRestoredAt time.Duration
+	// contentHash is the hash of the last read. exceptionEndsAt is when the first exception
+	// ends by which the endpoints in use differ from it; zero if there is none.
+	contentHash     uint64
+	exceptionEndsAt time.Duration
+	// departedAt holds the times at which endpoints departed.
+	departedAt map[peridotpath.EndpointKey]time.Duration
 }
 
-// ReadAt returns when the last reading was known to be the newest.
+// ReadAt returns when the last read was known to be the newest.
 func (directory *Directory) ReadAt() time.Duration {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	return directory.readAt
+	return directory.confirmedAt
 }
 
-// Content names what was read last; zero before the first reading.
+// Content returns the hash of the last read; zero before the first one.
 func (directory *Directory) Content() uint64 {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	return directory.content
+	return directory.contentHash
 }
 
-// Confirm says that a reading with that content was the newest at that time.
+// Confirm records that a read with that content hash was the newest at the given time.
 func (directory *Directory) Confirm(content uint64, at time.Duration) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	if content == directory.content {
-		directory.readAt = max(directory.readAt, at)
+	if content == directory.contentHash {
+		directory.confirmedAt = max(directory.confirmedAt, at)
 	}
 }
 
-// Seen says that the store could be read at that time, by whichever instance: it
-// was not away then, even if this instance was cut off from it.
+// Seen records that an instance could read the store at the given time. The store was not
+// down then, even if it was unreachable from this instance.
 func (directory *Directory) Seen(at time.Duration) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	directory.noteSeen(at)
+	directory.recordStoreReadable(at)
 }
 
-func (directory *Directory) noteSeen(at time.Duration) {
-	if directory.seenAt > 0 && at-directory.seenAt > outageGap {
-		directory.returnedAt = at
-		directory.Log.Info().Dur("gap", at-directory.seenAt).Msg("store_readable_again")
+// recordStoreReadable records a time at which the store was readable, and detects the end
+// of an outage.
+func (directory *Directory) recordStoreReadable(at time.Duration) {
+	if directory.storeReadableAt > 0 && at-directory.storeReadableAt > minOutageGap {
+		directory.storeRecoveredAt = at
+		directory.Log.Info().Dur("gap", at-directory.storeReadableAt).Msg("store_readable_again")
 	}
-	directory.seenAt = max(directory.seenAt, at)
+	directory.storeReadableAt = max(directory.storeReadableAt, at)
 }
 
-// WentBack says that the store came back from an older copy at that time. Endpoints that
-// joined since the copy are missing from it until they are written again, and those that
-// left since stand in it again.
+// WentBack records that the store was restored from an older copy at the given time.
+// Endpoints that joined after the copy was made are missing until they register again, and
+// those that left after it are listed again.
 func (directory *Directory) WentBack(at time.Duration) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	directory.wentBackAt, directory.returnedAt = at, max(directory.returnedAt, at)
+	directory.storeRestoredAt, directory.storeRecoveredAt = at, max(directory.storeRecoveredAt, at)
 }
 
-// Overdue returns for how long what is used has differed from what was read though nothing
-// excuses that any more: the store must be read anew, even if what it held has not changed.
-// It returns zero where that is not so.
+// Overdue returns for how long the endpoints in use have differed from the last read
+// without an exception that allows it. If it is positive, the store must be read again,
+// even if its content has not changed.
 func (directory *Directory) Overdue(now time.Duration) time.Duration {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	if directory.differsUntil == 0 {
+	if directory.exceptionEndsAt == 0 {
 		return 0
 	}
-	return max(0, now-directory.differsUntil)
+	return max(0, now-directory.exceptionEndsAt)
 }
 
-// Current returns the endpoints in use; nil before the first reading.
+// Current returns the endpoints in use; nil before the first read.
 func (directory *Directory) Current() *Snapshot { return directory.current.Load() }
 
-// Apply takes a whole reading of the store in, which began at the time given.
+// Apply applies a complete read of the store that began at the given time.
 func (directory *Directory) Apply(endpoints []peridotpath.Endpoint, at time.Duration) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
-	directory.noteSeen(at)
-	directory.readAt = max(directory.readAt, at)
-	directory.differsUntil = 0
-	directory.content = contentOf(endpoints)
+	directory.recordStoreReadable(at)
+	directory.confirmedAt = max(directory.confirmedAt, at)
+	directory.exceptionEndsAt = 0
+	directory.contentHash = hashContent(endpoints)
 	before := directory.current.Load()
-	snapshot := newSnapshot(endpoints, func(key peridotpath.EndpointKey) bool { return directory.stillGone(key, at) })
+	snapshot := newSnapshot(endpoints, func(key peridotpath.EndpointKey) bool { return directory.hasDeparted(key, at) })
 	if before != nil {
-		directory.keepLapsed(before, snapshot, endpoints, at)
-		directory.noteChanges(before, snapshot, at)
+		directory.keepMissing(before, snapshot, endpoints, at)
+		directory.recordChanges(before, snapshot, at)
 	}
 	for i := range endpoints {
 		if endpoints[i].State != peridotpath.StateLive {
-			directory.noteLeft(endpoints[i].Key(), at)
+			directory.recordDeparture(endpoints[i].Key(), at)
 		}
 	}
 	directory.current.Store(snapshot)
 }
 
-// stillGone reports whether the endpoint is known to have left and stands in what was read
-// only since the store came back from a copy.
-func (directory *Directory) stillGone(key peridotpath.EndpointKey, at time.Duration) bool {
-	left, known := directory.left[key]
-	if !known || directory.wentBackAt == 0 || left > directory.wentBackAt || at-directory.wentBackAt > leftStands {
+// hasDeparted reports whether the endpoint is known to have departed and is listed again
+// only because the store was restored from an older copy.
+func (directory *Directory) hasDeparted(key peridotpath.EndpointKey, at time.Duration) bool {
+	left, known := directory.departedAt[key]
+	if !known || directory.storeRestoredAt == 0 || left > directory.storeRestoredAt || at-directory.storeRestoredAt > restoredEntryTimeout {
 		return false
 	}
-	directory.differ(directory.wentBackAt + leftStands)
+	directory.addException(directory.storeRestoredAt + restoredEntryTimeout)
 	return true
 }
 
-func (directory *Directory) differ(until time.Duration) {
-	if directory.differsUntil == 0 || until < directory.differsUntil {
-		directory.differsUntil = until
+// addException records that the endpoints in use differ from the last read until the given
+// time.
+func (directory *Directory) addException(until time.Duration) {
+	if directory.exceptionEndsAt == 0 || until < directory.exceptionEndsAt {
+		directory.exceptionEndsAt = until
 	}
 }
 
-// contentOf names a reading, whatever the order of its entries.
-func contentOf(endpoints []peridotpath.Endpoint) uint64 {
+// hashContent returns a hash of the endpoints that does not depend on their order.
+func hashContent(endpoints []peridotpath.Endpoint) uint64 {
 	sum := uint64(len(endpoints)) + 1
 	for i := range endpoints {
 		endpoint := &endpoints[i]
@@ -217,14 +229,15 @@
 	return sum
 }
 
-func newSnapshot(endpoints []peridotpath.Endpoint, gone func(peridotpath.EndpointKey) bool) *Snapshot {
+// newSnapshot returns a snapshot of the live endpoints that are not excluded.
+func newSnapshot(endpoints []peridotpath.Endpoint, excluded func(peridotpath.EndpointKey) bool) *Snapshot {
 	snapshot := &Snapshot{
 		byService: map[peridotpath.Service][]Member{},
 		byID:      map[peridotpath.EndpointID]*peridotpath.Endpoint{},
 		byKey:     map[peridotpath.EndpointKey]*peridotpath.Endpoint{},
 	}
 	for i := range endpoints {
-		if endpoints[i].State == peridotpath.StateLive && !gone(endpoints[i].Key()) {
+		if endpoints[i].State == peridotpath.StateLive && !excluded(endpoints[i].Key()) {
 			snapshot.add(&endpoints[i])
 		}
 	}
@@ -238,32 +251,32 @@
 	snapshot.byService[endpoint.Service] = append(snapshot.byService[endpoint.Service], member)
 }
 
-// keepLapsed keeps endpoints whose entries are missing just after an outage.
-// Entries lapse when their endpoints cannot renew them; dropped at once, the
-// whole fleet would be gone for the first seconds after an outage.
-func (directory *Directory) keepLapsed(before, snapshot *Snapshot, endpoints []peridotpath.Endpoint, at time.Duration) {
-	if directory.returnedAt == 0 || at-directory.returnedAt > returnGrace {
+// keepMissing keeps endpoints whose entries are missing shortly after an outage of the
+// store. Endpoints cannot renew their entries during the outage; if they were removed at
+// once, the whole fleet would be unusable for the first seconds after it.
+func (directory *Directory) keepMissing(before, snapshot *Snapshot, endpoints []peridotpath.Endpoint, at time.Duration) {
+	if directory.storeRecoveredAt == 0 || at-directory.storeRecoveredAt > recoveryGrace {
 		return
 	}
-	named := map[peridotpath.EndpointID]bool{}
+	listed := map[peridotpath.EndpointID]bool{}
 	addresses := map[string]bool{}
 	for i := range endpoints {
-		named[endpoints[i].ID] = true
+		listed[endpoints[i].ID] = true
 		addresses[endpoints[i].Address.String()] = true
 	}
 	for id, endpoint := range before.byID {
-		// An address that another endpoint uses now is no longer this one's.
-		if !named[id] && !addresses[endpoint.Address.String()] {
+		// The address may belong to another endpoint by now.
+		if !listed[id] && !addresses[endpoint.Address.String()] {
 			snapshot.add(endpoint)
-			directory.differ(directory.returnedAt + returnGrace)
+			directory.addException(directory.storeRecoveredAt + recoveryGrace)
 		}
 	}
 }
 
-// noteChanges remembers which endpoints left, and logs who came and went.
-func (directory *Directory) noteChanges(before, after *Snapshot, at time.Duration) {
+// recordChanges records the endpoints that departed, and logs those that joined and left.
+func (directory *Directory) recordChanges(before, after *Snapshot, at time.Duration) {
 	for id, endpoint := range after.byID {
-		if known := before.byID[id]; known == nil || known.Incarnation != endpoint.Incarnation {
+		if previous := before.byID[id]; previous == nil || previous.Incarnation != endpoint.Incarnation {
 			directory.Log.Info().Str("endpoint", string(id)).Str("service", string(endpoint.Service)).
 				Stringer("address", endpoint.Address).Msg("endpoint_joined")
 		}
@@ -271,15 +284,17 @@
 	for id := range before.byID {
 		if after.byID[id] == nil {
 			directory.Log.Info().Str("endpoint", string(id)).Msg("endpoint_left")
-			directory.noteLeft(before.byID[id].Key(), at)
+			directory.recordDeparture(before.byID[id].Key(), at)
 		}
 	}
 }
 
-func (directory *Directory) noteLeft(key peridotpath.EndpointKey, at time.Duration) {
-	if directory.left == nil {
-		directory.left = map[peridotpath.EndpointKey]time.Duration{}
+// recordDeparture records that an endpoint departed, and removes records older than
+// departureRetention.
+func (directory *Directory) recordDeparture(key peridotpath.EndpointKey, at time.Duration) {
+	if directory.departedAt == nil {
+		directory.departedAt = map[peridotpath.EndpointKey]time.Duration{}
 	}
-	maps.DeleteFunc(directory.left, func(_ peridotpath.EndpointKey, left time.Duration) bool { return at-left > leftKnown })
-	directory.left[key] = at
+	maps.DeleteFunc(directory.departedAt, func(_ peridotpath.EndpointKey, left time.Duration) bool { return at-left > departureRetention })
+	directory.departedAt[key] = at
 }
--- a/peridotpath/directory/directory_test.go
+++ b/peridotpath/directory/directory_test.go
@@ -19,6 +19,7 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
+// endpoint returns a live endpoint of the service llm.
 func endpoint(id string, number byte) peridotpath.Endpoint {
 	return peridotpath.Endpoint{
 		ID: peridotpath.EndpointID(id), Service: "llm", State: peridotpath.StateLive, Incarnation: 1,
@@ -26,6 +27,7 @@
 	}
 }
 
+// ids returns the endpoints in use.
 func ids(dir *directory.Directory) []string {
 	var names []string
 	for _, endpoint := range dir.Current().Of("llm") {
@@ -34,7 +36,7 @@
 	return names
 }
 
-func TestLeavingEndpointIsOut(t *testing.T) {
+func TestLeavingEndpointIsExcluded(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	one, two := endpoint("one", 1), endpoint("two", 2)
@@ -47,10 +49,10 @@
 	is.Equal(ids(dir), []string{"one"})
 }
 
-// After an outage of the store half of the endpoints are missing: they could not
-// renew their entries. Dropped, requests would crowd at the rest or find none;
-// within about two seconds the others are back, or they are gone.
-func TestEntriesThatLapsedInAnOutage(t *testing.T) {
+// After an outage of the store half of the endpoints are missing, since they could not
+// renew their entries. Without them, requests would crowd on the rest or find no endpoint.
+// They stay in use for about two seconds, within which running endpoints register again.
+func TestMissingEntriesAreKeptAfterOutage(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	one, two := endpoint("one", 1), endpoint("two", 2)
@@ -65,11 +67,10 @@
 	is.Equal(dir.Overdue(back+time.Minute), time.Duration(0))
 }
 
-// An endpoint that left while one instance was cut off from the store got
-// requests three seconds after the instance was back: the missing entry was
-// taken for lapsed. Other instances had read the store all the while, so that
-// it had not been away.
-func TestInstanceThatWasCutOff(t *testing.T) {
+// An endpoint leaves while one instance is cut off from the store. That instance must not
+// take the missing entry for one that expired in an outage, and send requests to it for
+// seconds: reads by other instances show that the store was up.
+func TestEndpointLeavesWhileInstanceIsCutOff(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	one, two := endpoint("one", 1), endpoint("two", 2)
@@ -81,9 +82,9 @@
 	is.Equal(ids(dir), []string{"one"})
 }
 
-// While the store is away an address goes to another endpoint. The entry that
-// lapsed must not be kept beside the new one.
-func TestAddressUsedAgainInAnOutage(t *testing.T) {
+// During an outage of the store an address passes to another endpoint. The expired entry
+// must not be kept next to the new one.
+func TestAddressIsReusedDuringOutage(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	one, two := endpoint("one", 1), endpoint("two", 2)
@@ -93,7 +94,7 @@
 	is.Equal(ids(dir), []string{"one", "three"})
 }
 
-func TestNewIncarnationIsAnotherEndpoint(t *testing.T) {
+func TestNewIncarnationHasNewKey(t *testing.T) {
 	is := is.New(t)
 	before, after := endpoint("one", 1), endpoint("one", 1)
 	after.Incarnation = 2
@@ -105,13 +106,13 @@
 	is.Equal(dir.Current().Of("llm")[0].Key, after.Key())
 }
 
-// The excuse of an outage ends by itself: if nothing changes in the store after
-// it, no reading would be due, and an endpoint that is gone would stay in use.
-func TestFollowerReadsAgainWhenTheExcuseEnds(t *testing.T) {
+// The exception after an outage ends by time alone. The follower must read again then, even
+// if nothing in the store changes, or a dead endpoint stays in use.
+func TestFollowerReadsWhenExceptionEnds(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		began := time.Now()
-		now := func() time.Duration { return time.Hour + time.Since(began) }
+		startedAt := time.Now()
+		now := func() time.Duration { return time.Hour + time.Since(startedAt) }
 		dir := &directory.Directory{Log: zerolog.Nop()}
 		one, two := endpoint("one", 1), endpoint("two", 2)
 		var mutex sync.Mutex
@@ -131,13 +132,13 @@
 			},
 			Decode: func(entries []keyvalue.Entry) []peridotpath.Endpoint {
 				endpoints := map[string]peridotpath.Endpoint{"one": one, "two": two}
-				var named []peridotpath.Endpoint
+				var decoded []peridotpath.Endpoint
 				for _, entry := range entries {
-					named = append(named, endpoints[entry.Key])
+					decoded = append(decoded, endpoints[entry.Key])
 				}
-				return named
+				return decoded
 			},
-			// So rarely that only the end of the excuse makes a reading due.
+			// The interval is so long that only the end of the exception makes a read due.
 			Pace: clock.Pace{Least: 4 * time.Second, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond},
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -145,7 +146,7 @@
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(len(ids(dir)), 2)
-		set(nil, errors.New("away"))
+		set(nil, errors.New("store unreachable"))
 		time.Sleep(10 * time.Second)
 		set([]keyvalue.Entry{{Key: "one"}}, nil)
 		time.Sleep(time.Second)
--- a/peridotpath/directory/era_test.go
+++ b/peridotpath/directory/era_test.go
@@ -20,9 +20,9 @@
 	"peridotpath.example/peridotpath/readings"
 )
 
-// The store comes back from a copy in which an endpoint that has left stands as before, and
-// one that has joined does not stand.
-func TestDirectoryOfAnOlderCopy(t *testing.T) {
+// The store is restored from an older copy that lists an endpoint which has left, and lacks
+// one which has joined.
+func TestRestoreFromOlderCopy(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	stays, left, leaving, joined := endpoint("stays", 1), endpoint("left", 2), endpoint("leaving", 3), endpoint("joined", 4)
@@ -32,24 +32,24 @@
 	dir.Apply([]peridotpath.Endpoint{stays, leaving, joined}, time.Minute+time.Second)
 	is.Equal(ids(dir), []string{"stays", "joined"})
 
-	back := time.Minute + 4*time.Second
-	dir.Seen(back - time.Second)
-	dir.WentBack(back)
-	dir.Apply(inCopy, back+100*time.Millisecond)
+	restored := time.Minute + 4*time.Second
+	dir.Seen(restored - time.Second)
+	dir.WentBack(restored)
+	dir.Apply(inCopy, restored+100*time.Millisecond)
 	is.Equal(ids(dir), []string{"stays", "joined"})
-	// Both excuses end, at different times, and each asks for a reading.
-	is.Equal(dir.Overdue(back+2*time.Second), time.Duration(0))
-	is.True(dir.Overdue(back+2300*time.Millisecond) > 0)
-	dir.Apply(inCopy, back+2300*time.Millisecond)
+	// Both exceptions end, at different times, and each makes a read overdue.
+	is.Equal(dir.Overdue(restored+2*time.Second), time.Duration(0))
+	is.True(dir.Overdue(restored+2300*time.Millisecond) > 0)
+	dir.Apply(inCopy, restored+2300*time.Millisecond)
 	is.Equal(ids(dir), []string{"stays"})
-	is.Equal(dir.Overdue(back+7*time.Second), time.Duration(0))
-	is.True(dir.Overdue(back+9*time.Second) > 0)
-	dir.Apply(inCopy, back+9*time.Second)
+	is.Equal(dir.Overdue(restored+7*time.Second), time.Duration(0))
+	is.True(dir.Overdue(restored+9*time.Second) > 0)
+	dir.Apply(inCopy, restored+9*time.Second)
 	is.Equal(ids(dir), []string{"stays", "left", "leaving"})
 }
 
-// An endpoint that left after the store went back, and comes again, is taken.
-func TestEndpointThatComesAgain(t *testing.T) {
+// An endpoint that left after the restore and registers again is used.
+func TestEndpointRegistersAgainAfterRestore(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	one, two := endpoint("one", 1), endpoint("two", 2)
@@ -62,15 +62,17 @@
 	is.Equal(ids(dir), []string{"one", "two"})
 }
 
-// fleetOfDirectories is many followers of one store that tell each other what they read.
-type fleetOfDirectories struct {
+// followerFleet is a set of followers of one store that send each other the hashes of their
+// reads.
+type followerFleet struct {
 	mutex     sync.Mutex
 	entries   []keyvalue.Entry
 	lists     int
 	followers []*directory.Follower
 }
 
-func (fleet *fleetOfDirectories) list(context.Context) ([]keyvalue.Entry, keyvalue.Era, error) {
+// list reads the store, and counts the read.
+func (fleet *followerFleet) list(context.Context) ([]keyvalue.Entry, keyvalue.Era, error) {
 	time.Sleep(4 * time.Millisecond)
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -78,45 +80,47 @@
 	return slices.Clone(fleet.entries), 0, nil
 }
 
-func (fleet *fleetOfDirectories) tell(from int) {
+// send sends the freshness of one follower to all others.
+func (fleet *followerFleet) send(from int) {
 	follower := fleet.followers[from]
 	content, at := follower.Directory.Content(), follower.Directory.ReadAt()
 	for to := range fleet.followers {
 		if to != from {
-			fleet.followers[to].HearPeer(readings.Peer{Address: numbered(from), Near: true}, content, at)
+			fleet.followers[to].HearPeer(readings.Peer{Address: peerAddress(from), Near: true}, content, at)
 		}
 	}
 }
 
-func numbered(i int) netip.AddrPort {
+// peerAddress returns the address of the follower with that index.
+func peerAddress(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 0, byte(i)}), 1)
 }
 
-// The excuses after a return of the store end at one moment for all instances. One of them
-// reads the store and tells the others.
-func TestEndOfExcusesIsNoHerd(t *testing.T) {
+// The exceptions after a restore end at the same moment for all instances. One of them must
+// read the store and send the result to the others, instead of all reading at once.
+func TestEndOfExceptionsCausesNoThunderingHerd(t *testing.T) {
 	const count = 60
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		began := time.Now()
-		now := func() time.Duration { return time.Hour + time.Since(began) }
-		named := map[string]peridotpath.Endpoint{"one": endpoint("one", 1), "two": endpoint("two", 2)}
-		fleet := &fleetOfDirectories{entries: []keyvalue.Entry{{Key: "one"}, {Key: "two"}}}
+		startedAt := time.Now()
+		now := func() time.Duration { return time.Hour + time.Since(startedAt) }
+		endpointsByName := map[string]peridotpath.Endpoint{"one": endpoint("one", 1), "two": endpoint("two", 2)}
+		fleet := &followerFleet{entries: []keyvalue.Entry{{Key: "one"}, {Key: "two"}}}
 		for i := range count {
 			fleet.followers = append(fleet.followers, &directory.Follower{
 				Directory: &directory.Directory{Log: zerolog.Nop()}, Now: now, Log: zerolog.Nop(), Eras: &keyvalue.Eras{},
-				List: fleet.list, Confirmed: func() { time.AfterFunc(10*time.Millisecond, func() { fleet.tell(i) }) },
+				List: fleet.list, Confirmed: func() { time.AfterFunc(10*time.Millisecond, func() { fleet.send(i) }) },
 				Ask: func(_ context.Context, peer netip.AddrPort, _ readings.Endpoints) (readings.Endpoints, error) {
-					reading, ok := fleet.followers[peer.Addr().As4()[3]].Last()
+					snapshot, ok := fleet.followers[peer.Addr().As4()[3]].Last()
 					if !ok {
-						return reading, errors.New("nothing read")
+						return snapshot, errors.New("nothing read yet")
 					}
-					return reading, nil
+					return snapshot, nil
 				},
 				Decode: func(entries []keyvalue.Entry) []peridotpath.Endpoint {
 					var endpoints []peridotpath.Endpoint
 					for _, entry := range entries {
-						endpoints = append(endpoints, named[entry.Key])
+						endpoints = append(endpoints, endpointsByName[entry.Key])
 					}
 					return endpoints
 				},
@@ -149,7 +153,7 @@
 		cancel()
 		all.Wait()
 		if fleet.lists > 6 {
-			t.Errorf("%d lists were read of the store by %d instances, want 6 at most", fleet.lists, count)
+			t.Errorf("%d lists were read from the store by %d instances, want 6 at most", fleet.lists, count)
 		}
 	})
 }
--- a/peridotpath/directory/follower.go
+++ b/peridotpath/directory/follower.go
@@ -15,39 +15,38 @@
 	"peridotpath.example/peridotpath/readings"
 )
 
-// Follower keeps a Directory up to date with the store. Set the exported fields
-// before Run.
+// Follower keeps a Directory up to date with the store. Set the exported fields before Run.
 type Follower struct {
 	Directory *Directory
-	// List reads every endpoint's entry, and tells the era of the store that they are of;
-	// Decode makes endpoints of them.
+	// List reads the entries of all endpoints and returns them with the era of the store
+	// they belong to. Decode decodes them.
 	List   func(ctx context.Context) ([]keyvalue.Entry, keyvalue.Era, error)
 	Decode func(entries []keyvalue.Entry) []peridotpath.Endpoint
-	// Ask asks a peer for what it has read.
+	// Ask fetches a peer's snapshot of the endpoints; have is the one held here.
 	Ask func(ctx context.Context, peer netip.AddrPort, have readings.Endpoints) (readings.Endpoints, error)
-	// Eras are those of the store.
+	// Eras holds the eras of the store.
 	Eras *keyvalue.Eras
-	// Now goes on while the machine is suspended.
+	// Now returns the time since boot, which advances while the machine is suspended.
 	Now  func() time.Duration
 	Pace clock.Pace
-	// Confirmed is called after each reading that succeeded.
+	// Confirmed is called after each successful read.
 	Confirmed func()
 	Log       zerolog.Logger
 
-	failed atomic.Bool
-	newer  readings.Newer
+	storeFailed atomic.Bool
+	newer       readings.Newer
 
 	mutex sync.Mutex
-	// read holds what was read.
-	read readings.History
+	// history holds the last reads.
+	history readings.History
 }
 
-// Run reads the store whenever the last reading, here or at a peer that read the
-// same, is old, until ctx ends. When a reading fails the last one stays: the
-// store may be away, and endpoints outlive that.
+// Run reads the store, or fetches the snapshot of a peer, whenever the snapshot held here
+// is old and no peer has confirmed it, until ctx ends. If a read fails, the snapshot stays
+// in use: endpoints keep running while the store is unreachable.
 func (follower *Follower) Run(ctx context.Context) error {
-	for follower.Pace.Wait(ctx, follower.due) {
-		if follower.askPeer(ctx) {
+	for follower.Pace.Wait(ctx, follower.effectiveAge) {
+		if follower.readFromPeer(ctx) {
 			continue
 		}
 		asked := follower.Now()
@@ -55,13 +54,13 @@
 		if err == nil {
 			follower.apply(entries, era, asked)
 			follower.Confirmed()
-			follower.failed.Store(false)
+			follower.storeFailed.Store(false)
 			continue
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		if !follower.failed.Swap(true) {
+		if !follower.storeFailed.Swap(true) {
 			follower.Log.Warn().Err(err).Dur("age", follower.Age()).Msg("endpoints_unread")
 		}
 		follower.Pace.Rest(ctx)
@@ -69,39 +68,40 @@
 	return ctx.Err()
 }
 
-// Failing reports whether the last look at the store failed.
-func (follower *Follower) Failing() bool { return follower.failed.Load() }
+// Failing reports whether the last read of the store failed.
+func (follower *Follower) Failing() bool { return follower.storeFailed.Load() }
 
-// due is the age that decides about the next reading. What is overdue is about to be read
-// by all instances at one moment; it counts as old as makes the first of them look at once,
-// and the others hear of it.
-func (follower *Follower) due() time.Duration {
+// effectiveAge returns the age that decides when to read next. When an exception of the
+// directory has ended, all instances would read at the same moment; the raised age makes
+// the first in the order of the Pace read at once, and the others receive its result.
+func (follower *Follower) effectiveAge() time.Duration {
 	if overdue := follower.Directory.Overdue(follower.Now()); overdue > 0 {
 		return max(follower.Age(), follower.Pace.Least+overdue)
 	}
 	return follower.Age()
 }
 
-// Age returns how long ago the last reading was known to be the newest.
+// Age returns the time since the last read was known to be the newest.
 func (follower *Follower) Age() time.Duration { return follower.Now() - follower.Directory.ReadAt() }
 
-// Last returns what was read last, for peers; false before the first reading.
+// Last returns the last read, to be served to peers; false before the first one.
 func (follower *Follower) Last() (readings.Endpoints, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	last, ok := follower.read.Last()
+	last, ok := follower.history.Last()
 	last.Age = follower.Age()
 	return last, ok
 }
 
-// Of returns what was read with that content, for peers; false where it is not
-// kept.
+// Of returns the read with that content hash, to be served to peers; false if it is not in
+// the history.
 func (follower *Follower) Of(content uint64) (readings.Endpoints, bool) {
-	return follower.read.Of(content)
+	return follower.history.Of(content)
 }
 
-// HearPeer takes in what a peer has read: it confirms what was read here, or
-// says that there is something newer.
+// HearPeer applies the content hash of a peer's snapshot, which was the newest at the time
+// confirmed. It confirms the snapshot held here, or wakes the follower to fetch a newer
+// one.
 func (follower *Follower) HearPeer(peer readings.Peer, content uint64, confirmed time.Duration) {
 	if content == 0 {
 		return
@@ -109,58 +109,60 @@
 	follower.Directory.Seen(confirmed)
 	switch {
 	case content == follower.Directory.Content():
-		follower.confirm(content, confirmed)
+		follower.confirmContent(content, confirmed)
 	case confirmed > follower.Directory.ReadAt(), follower.Directory.Content() == 0:
 		follower.newer.Note(peer)
 		follower.Pace.Wake()
 	}
 }
 
-// confirm says that what was read last was still the newest at that time. Where what is
-// used differed from it, and nothing excused that any more by then, it is taken in anew.
-func (follower *Follower) confirm(content uint64, at time.Duration) {
+// confirmContent records that the last read was still the newest at the given time. If the
+// endpoints in use differ from it without an exception that still allows it, it is applied
+// again.
+func (follower *Follower) confirmContent(content uint64, at time.Duration) {
 	follower.Directory.Confirm(content, at)
 	if follower.Directory.Overdue(at) == 0 {
 		return
 	}
-	if last, ok := follower.read.Last(); ok && last.Content == content {
+	if last, ok := follower.history.Last(); ok && last.Content == content {
 		follower.apply(last.Entries, last.Era, at)
 	}
 }
 
-// askPeer reads from a peer that told of something newer, and reports whether
-// that was taken in, or was already: then the store need not be asked.
-func (follower *Follower) askPeer(ctx context.Context) bool {
-	peer, noted := follower.newer.Take()
-	if !noted {
-		// Woken for what another wake has brought already.
-		return !follower.Pace.Due(follower.due())
+// readFromPeer fetches the snapshot of a peer that reported a newer one. It reports whether
+// the store need not be read: that snapshot, or one as new, was applied.
+func (follower *Follower) readFromPeer(ctx context.Context) bool {
+	peer, ok := follower.newer.Take()
+	if !ok {
+		// An earlier wake has already fetched the snapshot that this one is for.
+		return !follower.Pace.Due(follower.effectiveAge())
 	}
 	asked := follower.Now()
-	have, _ := follower.read.Last()
-	reading, err := follower.Ask(ctx, peer.Address, have)
+	have, _ := follower.history.Last()
+	snapshot, err := follower.Ask(ctx, peer.Address, have)
 	if err == nil {
-		follower.Eras.Heard(reading.Era, 0, false)
-		if era := follower.Eras.Current(); reading.Era != era {
-			err = Error.New("reading of era %d of the store in era %d", reading.Era, era)
+		follower.Eras.Heard(snapshot.Era, 0, false)
+		if era := follower.Eras.Current(); snapshot.Era != era {
+			err = Error.New("peer snapshot is of store era %d, expected era %d", snapshot.Era, era)
 		}
 	}
 	if err != nil {
 		follower.Log.Info().Err(err).Stringer("peer", peer.Address).Msg("peer_not_read")
 		return false
 	}
-	if asked-reading.Age <= follower.Directory.ReadAt() {
+	if asked-snapshot.Age <= follower.Directory.ReadAt() {
 		return true
 	}
-	follower.apply(reading.Entries, reading.Era, asked-reading.Age)
+	follower.apply(snapshot.Entries, snapshot.Era, asked-snapshot.Age)
 	return true
 }
 
+// apply applies entries that were read at the time asked.
 func (follower *Follower) apply(entries []keyvalue.Entry, era keyvalue.Era, asked time.Duration) {
-	// Both change together: a peer that asks in between would take the old
-	// entries for as fresh as the new ones.
+	// Directory and history change under one lock, so that Last never combines old
+	// entries with the age of new ones.
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	follower.Directory.Apply(follower.Decode(entries), asked)
-	follower.read.Add(readings.Endpoints{Entries: entries, Content: follower.Directory.Content(), Era: era})
+	follower.history.Add(readings.Endpoints{Entries: entries, Content: follower.Directory.Content(), Era: era})
 }
--- a/peridotpath/directory/machine_test.go
+++ b/peridotpath/directory/machine_test.go
@@ -13,28 +13,30 @@
 	"peridotpath.example/peridotpath/internal/soak"
 )
 
-// The users' promise: what lives is back in the store so soon after its return.
-const backWithin = 2 * time.Second
+// reregisterWithin is the users' guarantee: after an outage, every running endpoint is back
+// in the store within this time.
+const reregisterWithin = 2 * time.Second
 
-// fleetMachine drives endpoints that come, leave and crash, a store that is away
-// for a while, and an instance that reads it or is cut off from it.
+// fleetMachine is a random state machine of endpoints that join, leave and crash, a store
+// with outages, and an instance that reads it or is cut off from it.
 type fleetMachine struct {
 	now       time.Duration
 	directory *directory.Directory
 	endpoints []*machineEndpoint
-	// away says that nobody reads the store, returned when it came back last.
-	away     bool
-	returned time.Duration
-	// read is what the instance has read last.
+	// outageActive reports that the store is down for all instances, recoveredAt when the
+	// last outage ended.
+	outageActive bool
+	recoveredAt  time.Duration
+	// read is the last read of the instance.
 	read map[peridotpath.EndpointID]peridotpath.State
 }
 
 type machineEndpoint struct {
 	peridotpath.Endpoint
-	// listed says that the store names it.
+	// listed reports whether the endpoint has an entry in the store.
 	listed bool
-	// gone says that it does not live any more.
-	gone bool
+	// crashed reports whether the endpoint has crashed.
+	crashed bool
 }
 
 func newFleetMachine() *fleetMachine {
@@ -42,12 +44,12 @@
 	for range 3 {
 		machine.join(nil)
 	}
-	machine.look(nil)
+	machine.readStore(nil)
 	return machine
 }
 
 func (machine *fleetMachine) join(*rapid.T) {
-	if machine.away {
+	if machine.outageActive {
 		return
 	}
 	number := len(machine.endpoints)
@@ -60,54 +62,55 @@
 }
 
 func (machine *fleetMachine) leave(random *rapid.T) {
-	if picked := machine.pick(random); !machine.away && picked.listed {
+	if picked := machine.pick(random); !machine.outageActive && picked.listed {
 		picked.State = peridotpath.StateLeaving
 	}
 }
 
-// crash ends an endpoint; its entry lapses at once.
+// crash ends an endpoint, whose entry expires at once.
 func (machine *fleetMachine) crash(random *rapid.T) {
 	picked := machine.pick(random)
-	picked.gone, picked.listed = true, false
+	picked.crashed, picked.listed = true, false
 }
 
-// wait lets time pass, with peers reading the store all the while.
+// wait advances the time, while peers keep reading the store.
 func (machine *fleetMachine) wait(random *rapid.T) {
-	machine.pass(time.Duration(rapid.IntRange(1, 3000).Draw(random, "wait_ms")) * time.Millisecond)
+	machine.advance(time.Duration(rapid.IntRange(1, 3000).Draw(random, "wait_ms")) * time.Millisecond)
 }
 
-func (machine *fleetMachine) pass(span time.Duration) {
-	const peerLooks = 500 * time.Millisecond
-	for ; span > 0; span -= peerLooks {
-		machine.now += min(span, peerLooks)
-		if !machine.away {
+// advance advances the time, and re-registers running endpoints after an outage.
+func (machine *fleetMachine) advance(span time.Duration) {
+	const peerReadInterval = 500 * time.Millisecond
+	for ; span > 0; span -= peerReadInterval {
+		machine.now += min(span, peerReadInterval)
+		if !machine.outageActive {
 			machine.directory.Seen(machine.now)
 		}
 	}
-	if !machine.away && machine.now-machine.returned >= backWithin {
+	if !machine.outageActive && machine.now-machine.recoveredAt >= reregisterWithin {
 		for _, endpoint := range machine.endpoints {
-			endpoint.listed = endpoint.listed || !endpoint.gone
+			endpoint.listed = endpoint.listed || !endpoint.crashed
 		}
 	}
 }
 
-// outage takes the store away for longer than entries last, and brings it back
-// without some of the entries of endpoints that live.
+// outage makes the store unreachable for longer than entries last; some entries of running
+// endpoints are missing afterwards.
 func (machine *fleetMachine) outage(random *rapid.T) {
-	machine.away = true
-	machine.pass(time.Duration(rapid.IntRange(4000, 20_000).Draw(random, "outage_ms")) * time.Millisecond)
+	machine.outageActive = true
+	machine.advance(time.Duration(rapid.IntRange(4000, 20_000).Draw(random, "outage_ms")) * time.Millisecond)
 	for _, endpoint := range machine.endpoints {
 		if endpoint.listed && rapid.Bool().Draw(random, "lapsed "+string(endpoint.ID)) {
 			endpoint.listed = false
 		}
 	}
-	machine.away, machine.returned = false, machine.now
-	machine.look(random)
+	machine.outageActive, machine.recoveredAt = false, machine.now
+	machine.readStore(random)
 }
 
-// look reads the store.
-func (machine *fleetMachine) look(*rapid.T) {
-	if machine.away {
+// readStore reads the store and checks the endpoints in use.
+func (machine *fleetMachine) readStore(*rapid.T) {
+	if machine.outageActive {
 		return
 	}
 	machine.read = map[peridotpath.EndpointID]peridotpath.State{}
@@ -119,40 +122,42 @@
 		}
 	}
 	machine.directory.Apply(entries, machine.now)
-	machine.checkReading()
+	machine.checkEndpoints()
 }
 
-// wrong is what a check found; rapid shows the steps that led there.
-type wrong string
+// violation is a failed check, with which the test panics so that rapid prints the steps
+// that led to it.
+type violation string
 
-func (machine *fleetMachine) checkReading() {
+// checkEndpoints checks the endpoints in use against the last read.
+func (machine *fleetMachine) checkEndpoints() {
 	used := map[peridotpath.EndpointID]bool{}
 	for _, member := range machine.directory.Current().Of("llm") {
 		used[member.ID] = true
-		state, named := machine.read[member.ID]
+		state, listed := machine.read[member.ID]
 		switch {
-		case named && state != peridotpath.StateLive:
-			panic(wrong(fmt.Sprintf("%s leaves and is used", member.ID)))
-		case !named && (machine.returned == 0 || machine.now-machine.returned > backWithin+500*time.Millisecond):
-			panic(wrong(fmt.Sprintf("%s is missing and used, %s after an outage", member.ID, machine.now-machine.returned)))
+		case listed && state != peridotpath.StateLive:
+			panic(violation(fmt.Sprintf("%s is leaving and in use", member.ID)))
+		case !listed && (machine.recoveredAt == 0 || machine.now-machine.recoveredAt > reregisterWithin+500*time.Millisecond):
+			panic(violation(fmt.Sprintf("%s is missing and in use %s after an outage", member.ID, machine.now-machine.recoveredAt)))
 		}
 	}
 	for id, state := range machine.read {
 		if state == peridotpath.StateLive && !used[id] {
-			panic(wrong(fmt.Sprintf("%s lives and is not used", id)))
+			panic(violation(fmt.Sprintf("%s is live and not in use", id)))
 		}
 	}
 }
 
-// Endpoints leave, crash and lapse while the store is away, once and again. None
-// that leaves is sent anything after it was read to leave, none that is missing is
-// used unless an outage excuses it, and all that live are used.
+// Endpoints leave, crash and lose their entries in repeated outages of the store. No
+// endpoint is used once a read shows it as leaving, none is used without an entry unless an
+// outage was recent, and all live ones are used.
 func TestRandomDrainingAndOutages(t *testing.T) {
 	soak.Check(t, 5, func(random *rapid.T) {
 		machine := newFleetMachine()
 		random.Repeat(map[string]func(*rapid.T){
 			"join": machine.join, "leave": machine.leave, "crash": machine.crash, "wait": machine.wait,
-			"outage": machine.outage, "look": machine.look,
+			"outage": machine.outage, "look": machine.readStore,
 		})
 	})
 }
