--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -30,110 +30,112 @@
 	"peridotpath.example/peridotpath/throttle"
 )
 
-// Adapter is what an instance needs of the platform it runs on.
+// Adapter is the interface of an instance to the platform it runs on.
 type Adapter struct {
 	Store *keyvalue.Store
-	// Eras guards Store, and follows its eras.
+	// Eras guards Store against calls across its eras. An era is the epoch of the store,
+	// which changes when it is restored from an older copy.
 	Eras *keyvalue.Eras
-	// RoutingKey is where the operators' routing lies, DecodeRouting reads it.
+	// RoutingKey is the key of the operators' routing; DecodeRouting decodes its value.
 	RoutingKey    string
 	DecodeRouting func(value []byte) (*peridotpath.Routing, error)
-	// EndpointPrefix is where the endpoints' entries lie, DecodeEndpoints reads them.
-	// CompactEndpoints leaves nothing in them but what DecodeEndpoints reads.
+	// EndpointPrefix is the key prefix of the endpoints' entries; DecodeEndpoints decodes
+	// them. CompactEndpoints reduces entries to what DecodeEndpoints uses.
 	EndpointPrefix   string
 	DecodeEndpoints  func(entries []keyvalue.Entry) []peridotpath.Endpoint
 	CompactEndpoints func(entries []keyvalue.Entry) []keyvalue.Entry
 	// Send sends a call to an endpoint.
 	Send relay.Sender
-	// Check asks an engine whether it is there, Pace how slow it is.
+	// Check probes whether an engine is alive, Pace how slow it is.
 	Check relay.Checker
 	Pace  func(ctx context.Context, endpoint *peridotpath.Endpoint) (pace.Pace, error)
-	// Reserve and Release are the orders that a reservation.Keeper gives.
+	// Reserve and Release are the calls of a reservation.Keeper.
 	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, hold time.Duration) (bool, error)
 	Release func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error
-	// Ingress returns the handler of callers' requests.
+	// Ingress returns the handler of requests from callers.
 	Ingress func(Callers) http.Handler
-	// ReadyPath is where the balancer asks.
+	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string
 }
 
-// Callers is what a handler of callers' requests needs of the instance.
+// Callers holds the dependencies of a handler of callers' requests.
 type Callers struct {
 	Relay  *relay.Relay
 	Bodies *caller.Bodies
-	// Stopping says that callers should not come back on the same connection,
-	// Closing that no further request is taken.
+	// Stopping reports that callers should not reuse the connection, Closing that no
+	// further request is accepted.
 	Stopping, Closing func() bool
 }
 
 const (
-	// lookLeast and lookSpread are the ages of what was read of the store between
-	// which one of the instances looks again, as parts of the time within which a
-	// change must be in force. In that way it is known everywhere after six tenths
-	// of it and two calls; the rest is for a call that fails. The spread keeps two
-	// from looking at once.
-	lookLeast, lookSpread = 0.35, 0.25
-	// lookRetry is the pause after a look that failed.
-	lookRetry = 250 * time.Millisecond
-	// lookGap is the least time between two looks: at the start, when there is
-	// nothing yet, and when peers tell of something newer again and again.
-	lookGap = 60 * time.Millisecond
-	// mostBefore bounds those that look before this instance: they may all be cut off
-	// from the store.
-	mostBefore = 9
-	// servedLines bounds the log lines of requests that went well, a second: each
-	// takes some of the processor.
-	servedLines = 50
-	// keyMargin is how long before its end a key's lifetime is over here, for the
-	// time between the last look at the clock and the endpoint.
-	keyMargin = 500 * time.Millisecond
-	// readyMargin is how long before keys stop working the instance turns not
-	// ready, so that the balancer, which asks each second, has moved callers on.
-	readyMargin = 1500 * time.Millisecond
-	// memoryShare is the part of the process's memory at which the collector
-	// works harder; the rest is for stacks, buffers and what the kernel holds.
-	memoryShare = 0.7
+	// minPollAgeShare and pollSpreadShare set the age of a snapshot at which instances read
+	// the store again, as shares of the time within which a change must be active: the
+	// first instance reads at the lower age, the last one pollSpreadShare later. A change
+	// is thus received everywhere after six tenths of that time and two calls, which leaves
+	// the rest for a call that fails. The spread keeps two instances from reading at once.
+	minPollAgeShare, pollSpreadShare = 0.35, 0.25
+	// pollRetryPause is the pause after a failed read.
+	pollRetryPause = 250 * time.Millisecond
+	// minPollGap is the shortest time between two reads: at the start, when there is no
+	// snapshot yet, and when peers report newer ones repeatedly.
+	minPollGap = 60 * time.Millisecond
+	// maxPollRank bounds how many instances may read before this one, since they may all be
+	// cut off from the store.
+	maxPollRank = 9
+	// servedLogLinesPerSecond bounds the log lines of successful requests, which take
+	// processor time.
+	servedLogLinesPerSecond = 50
+	// keyExpiryMargin is how much earlier than required a revoked key expires here. It
+	// covers the time between the last clock check and the request reaching the endpoint.
+	keyExpiryMargin = 500 * time.Millisecond
+	// readinessMargin is how long before keys expire the instance reports not ready. The
+	// load balancer, which checks each second, moves callers to other instances within that
+	// time.
+	readinessMargin = 1500 * time.Millisecond
+	// memoryLimitShare is the share of the process memory that is set as the soft limit of
+	// the garbage collector. The rest is for stacks, buffers and kernel memory.
+	memoryLimitShare = 0.7
 )
 
-// Instance is one instance with its parts joined.
+// Instance is one instance, assembled from its parts.
 type Instance struct {
 	Settings *Settings
 	Adapter  Adapter
 	Log      zerolog.Logger
 
-	incarnation peridotpath.Incarnation
-	keeper      *reservation.Keeper
-	routing     *routing.State
-	directory   *directory.Directory
-	book        *placement.Book
-	facts       *facts.Table
-	quarantine  *quarantine.Quarantine
-	throttle    *throttle.Throttle
-	paces       *pace.Watch
-	relay       *relay.Relay
-	gossip      *gossip.Gossip
-	registry    *gossip.Registry
-	routes      *routing.Follower
-	endpoints   *directory.Follower
-	start       *start
-	narrowed    atomic.Pointer[narrowed]
-	active      atomic.Int64
-	stopping    atomic.Bool
-	// closing says that no further request is taken.
-	closing  atomic.Bool
-	callers  *inbound.Listener
-	balancer *inbound.Listener
-	readings *inbound.Listener
-	metrics  *inbound.Listener
+	incarnation         peridotpath.Incarnation
+	keeper              *reservation.Keeper
+	routing             *routing.State
+	directory           *directory.Directory
+	loads               *placement.Book
+	facts               *facts.Table
+	quarantine          *quarantine.Quarantine
+	throttle            *throttle.Throttle
+	paces               *pace.Watch
+	relay               *relay.Relay
+	gossip              *gossip.Gossip
+	registry            *gossip.Registry
+	routingFollower     *routing.Follower
+	endpointFollower    *directory.Follower
+	startup             *startup
+	cachedCellEndpoints atomic.Pointer[cellSnapshot]
+	activeRequests      atomic.Int64
+	stopping            atomic.Bool
+	// closing reports that no further request is accepted.
+	closing           atomic.Bool
+	callerListener    *inbound.Listener
+	readinessListener *inbound.Listener
+	snapshotListener  *inbound.Listener
+	metricsListener   *inbound.Listener
 }
 
-// New joins the parts; nothing runs yet.
+// New assembles an instance without starting it.
 func New(settings *Settings, adapter Adapter, log zerolog.Logger) *Instance {
-	debug.SetMemoryLimit(int64(memoryShare * float64(settings.Memory)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(settings.Memory)))
 	instance := &Instance{Settings: settings, Adapter: adapter, Log: log, incarnation: peridotpath.Incarnation(time.Now().UnixNano())}
-	instance.routing = &routing.State{Now: clock.SinceBoot, KeyLifetime: settings.KeyLifetime - keyMargin, Log: log}
+	instance.routing = &routing.State{Now: clock.SinceBoot, KeyLifetime: settings.KeyLifetime - keyExpiryMargin, Log: log}
 	instance.directory = &directory.Directory{Log: log}
-	instance.book = &placement.Book{}
+	instance.loads = &placement.Book{}
 	instance.facts = &facts.Table{}
 	instance.quarantine = &quarantine.Quarantine{Instance: settings.InstanceID, Facts: instance.facts, Log: log}
 	instance.throttle = &throttle.Throttle{
@@ -143,61 +145,62 @@
 		Instance: settings.InstanceID, Incarnation: instance.incarnation,
 		Reserve: adapter.Reserve, Release: adapter.Release, MaxHold: settings.MaxHold, Log: log,
 	}
-	instance.paces = &pace.Watch{Facts: instance.facts, Ask: adapter.Pace, Find: instance.findEndpoint, Mine: instance.looksAfter, Log: log}
-	instance.book.Paces = instance.slowEngines
-	instance.start = newStart(instance.routed, instance.knows, instance.failing)
+	instance.paces = &pace.Watch{Facts: instance.facts, Ask: adapter.Pace, Find: instance.findEndpoint, Mine: instance.ownsEndpoint, Log: log}
+	instance.loads.Paces = instance.slowEngines
+	instance.startup = newStartup(instance.hasRouting, instance.hasRoutingAndEndpoints, instance.storeFailing)
 	instance.relay = &relay.Relay{
 		Instance: settings.InstanceID, DataCentre: settings.DataCentre, Log: log, Routing: instance.routing,
-		Endpoints: instance.near, AllEndpoints: instance.directory.Current, Book: instance.book, Send: adapter.Send, Check: adapter.Check,
-		Served: &telemetry.Sampler{PerSecond: servedLines},
-		Keeper: instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, Doubt: instance.paces.Doubt, Stall: settings.Stall, Routed: instance.start.routed, Started: instance.start.over,
+		Endpoints: instance.cellEndpoints, AllEndpoints: instance.directory.Current, Book: instance.loads, Send: adapter.Send, Check: adapter.Check,
+		Served: &telemetry.Sampler{PerSecond: servedLogLinesPerSecond},
+		Keeper: instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, Doubt: instance.paces.Doubt, Stall: settings.Stall, Routed: instance.startup.routingReady, Started: instance.startup.finished,
 		Budget: &relay.Budget{
 			Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow,
-			Instances: instance.count,
+			Instances: instance.estimateFleetSize,
 		},
 	}
-	instance.follow()
-	instance.listen()
+	instance.createFollowers()
+	instance.createListeners()
 	instance.setGauges()
 	return instance
 }
 
+// setGauges registers the gauges of the metrics.
 func (instance *Instance) setGauges() {
 	telemetry.SetGauges(&telemetry.Gauges{
 		RoutingAge:     func() float64 { return instance.routing.Age().Seconds() },
-		EndpointsAge:   func() float64 { return instance.endpoints.Age().Seconds() },
+		EndpointsAge:   func() float64 { return instance.endpointFollower.Age().Seconds() },
 		RoutingVersion: func() float64 { return float64(instance.routing.Version()) },
-		Peers:          func() float64 { return float64(instance.book.Peers(time.Now())) },
+		Peers:          func() float64 { return float64(instance.loads.Peers(time.Now())) },
 		Reservations:   func() float64 { return float64(instance.keeper.Held()) },
-		Active:         func() float64 { return float64(instance.active.Load()) },
+		Active:         func() float64 { return float64(instance.activeRequests.Load()) },
 	})
 }
 
-// ready reports whether new callers are served here: by a routing that is known
-// to be the newest, and endpoints.
-func (instance *Instance) ready() bool {
-	return !instance.stopping.Load() && instance.knows() && instance.routing.Age() < instance.Settings.KeyLifetime-readyMargin
+// isReady reports whether the instance accepts new callers: it has endpoints and a routing
+// that was recently known to be the newest, and is not shutting down.
+func (instance *Instance) isReady() bool {
+	return !instance.stopping.Load() && instance.hasRoutingAndEndpoints() && instance.routing.Age() < instance.Settings.KeyLifetime-readinessMargin
 }
 
-// routed reports whether there is a routing.
-func (instance *Instance) routed() bool { return instance.routing.Current() != nil }
+// hasRouting reports whether a routing was read.
+func (instance *Instance) hasRouting() bool { return instance.routing.Current() != nil }
 
-// knows reports whether there is a routing and endpoints.
-func (instance *Instance) knows() bool {
-	return instance.routed() && instance.directory.Current() != nil
+// hasRoutingAndEndpoints reports whether a routing and endpoints were read.
+func (instance *Instance) hasRoutingAndEndpoints() bool {
+	return instance.hasRouting() && instance.directory.Current() != nil
 }
 
-// failing reports whether the store cannot be read.
-func (instance *Instance) failing() bool {
-	return instance.registry.Failing() || instance.routes.Failing() || instance.endpoints.Failing()
+// storeFailing reports whether reading the store failed last.
+func (instance *Instance) storeFailing() bool {
+	return instance.registry.Failing() || instance.routingFollower.Failing() || instance.endpointFollower.Failing()
 }
 
-// looksAfter reports whether this instance asks a slow engine again.
-func (instance *Instance) looksAfter(endpoint peridotpath.EndpointKey) bool {
-	return instance.book.Chosen(instance.Settings.InstanceID, endpoint)
+// ownsEndpoint reports whether this instance is the one that probes the pace of an engine.
+func (instance *Instance) ownsEndpoint(endpoint peridotpath.EndpointKey) bool {
+	return instance.loads.Chosen(instance.Settings.InstanceID, endpoint)
 }
 
-// slowEngines returns the engines that are known to be slow.
+// slowEngines returns the slowdown factors of engines that are known to be slow.
 func (instance *Instance) slowEngines(now time.Time) map[peridotpath.EndpointKey]float64 {
 	paces := instance.paces.Slow(now)
 	slow := make(map[peridotpath.EndpointKey]float64, len(paces))
@@ -207,103 +210,105 @@
 	return slow
 }
 
-// findEndpoint returns the endpoint of that key; nil where it is not in use.
+// findEndpoint returns the endpoint with the key; nil if it is not in use.
 func (instance *Instance) findEndpoint(key peridotpath.EndpointKey) *peridotpath.Endpoint {
 	return instance.directory.Current().Find(key)
 }
 
-// task is one background task.
+// task is a background task.
 type task struct {
 	name string
 	run  func(ctx context.Context) error
 }
 
-// follow joins what reads the store and what peers say of it.
-func (instance *Instance) follow() {
+// createFollowers creates the followers of the store and connects them to gossip, by which
+// peers confirm or renew what they read.
+func (instance *Instance) createFollowers() {
 	settings, adapter := instance.Settings, instance.Adapter
 	instance.gossip = &gossip.Gossip{
 		Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
 		DataCentre: settings.DataCentre, ReadingsPort: settings.ReadingsAddress.Port(),
-		Book: instance.book, Facts: instance.facts, Clock: clock.SinceBoot, Fresh: instance.fresh, Heard: instance.heard, Log: instance.Log,
+		Book: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, Fresh: instance.localFreshness, Heard: instance.handlePeerFreshness, Log: instance.Log,
 	}
-	adapter.Eras.Risen = func(_, _ keyvalue.Era) { instance.wentBack() }
-	instance.book.Changed = instance.gossip.Changed
+	adapter.Eras.Risen = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
+	instance.loads.Changed = instance.gossip.Changed
 	instance.facts.Changed = instance.gossip.Changed
 	instance.registry = &gossip.Registry{
 		Store: adapter.Store, Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
 		DataCentre: settings.DataCentre, SetPeers: instance.gossip.SetPeers, Eras: adapter.Eras, Log: instance.Log,
 	}
 	instance.gossip.OtherCells = instance.registry.Look
-	instance.routes = &routing.Follower{
+	instance.routingFollower = &routing.Follower{
 		State: instance.routing, Key: adapter.RoutingKey, Decode: adapter.DecodeRouting, Check: adapter.Store.Check,
 		Eras: adapter.Eras, Ask: readings.AskRouting, Confirmed: instance.gossip.Changed, Log: instance.Log,
 		Before: func(version peridotpath.RoutingVersion) int { return instance.gossip.Before(uint64(version)) },
-		Pace: instance.pace(
+		Pace: instance.pollPace(
 			func() bool { return instance.routing.Current() != nil && adapter.Eras.Settled() },
 			func() uint64 { return uint64(instance.routing.Version()) },
 		),
 	}
-	instance.endpoints = &directory.Follower{
+	instance.endpointFollower = &directory.Follower{
 		Directory: instance.directory, List: instance.listEndpoints, Decode: adapter.DecodeEndpoints, Now: clock.SinceBoot,
 		Eras: adapter.Eras, Ask: readings.AskEndpoints, Confirmed: instance.gossip.Changed, Log: instance.Log,
-		Pace: instance.pace(func() bool { return instance.directory.Current() != nil }, instance.directory.Content),
+		Pace: instance.pollPace(func() bool { return instance.directory.Current() != nil }, instance.directory.Content),
 	}
 }
 
-// pace returns the pace of looks at something of the store. The instances' order
-// changes with its content, so that no instance looks more often than others.
-func (instance *Instance) pace(known func() bool, content func() uint64) clock.Pace {
-	within := float64(instance.Settings.ChangeWithin)
+// pollPace returns the pace at which one kind of data is read from the store. The order of
+// the instances depends on the content, so that the reads are shared among them.
+func (instance *Instance) pollPace(hasSnapshot func() bool, content func() uint64) clock.Pace {
+	limit := float64(instance.Settings.ChangeWithin)
 	return clock.Pace{
-		Least: time.Duration(lookLeast * within), Spread: time.Duration(lookSpread * within), Retry: lookRetry, Gap: lookGap,
-		Others: func() int { return instance.book.Peers(time.Now()) },
-		Known:  known, Before: func() int { return min(instance.gossip.Before(content()), mostBefore) },
+		Least: time.Duration(minPollAgeShare * limit), Spread: time.Duration(pollSpreadShare * limit), Retry: pollRetryPause, Gap: minPollGap,
+		Others: func() int { return instance.loads.Peers(time.Now()) },
+		Known:  hasSnapshot, Before: func() int { return min(instance.gossip.Before(content()), maxPollRank) },
 	}
 }
 
-// wentBack begins what follows when the store came back from an older copy. The routing is
-// looked at when its turn comes, and by then as something that may be older than it was.
-func (instance *Instance) wentBack() {
+// handleStoreRestored reacts to a restore of the store from an older copy. The routing is
+// read again on its normal schedule; what is read may then be older than before.
+func (instance *Instance) handleStoreRestored() {
 	instance.directory.WentBack(clock.SinceBoot())
 	instance.registry.Renew()
 	instance.gossip.Changed()
 }
 
-// fresh returns what this instance has read of the store, for its peers.
-func (instance *Instance) fresh() gossip.Freshness {
+// localFreshness returns the freshness of this instance's snapshot of the store.
+func (instance *Instance) localFreshness() gossip.Freshness {
 	eras := instance.Adapter.Eras
 	age, dated := eras.Age()
 	return gossip.Freshness{
 		Era: eras.Current(), EraAge: age, EraDated: dated,
 		RoutingVersion: instance.routing.Version(), RoutingAge: instance.routing.Age(),
-		Endpoints: instance.directory.Content(), EndpointsAge: instance.endpoints.Age(),
+		Endpoints: instance.directory.Content(), EndpointsAge: instance.endpointFollower.Age(),
 	}
 }
 
-// heard takes in what a peer has read of the store.
-func (instance *Instance) heard(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
+// handlePeerFreshness applies the freshness of a peer's snapshot of the store.
+func (instance *Instance) handlePeerFreshness(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
 	instance.Adapter.Eras.Heard(fresh.Era, fresh.EraAge, fresh.EraDated)
 	if fresh.RoutingVersion > 0 && fresh.Endpoints != 0 {
 		instance.registry.PeerReady()
 	}
-	instance.routes.HearPeer(peer, fresh.RoutingVersion, asked-fresh.RoutingAge)
-	instance.endpoints.HearPeer(peer, fresh.Endpoints, asked-fresh.EndpointsAge)
+	instance.routingFollower.HearPeer(peer, fresh.RoutingVersion, asked-fresh.RoutingAge)
+	instance.endpointFollower.HearPeer(peer, fresh.Endpoints, asked-fresh.EndpointsAge)
 }
 
-// tasks lists everything that runs beside the listeners.
-func (instance *Instance) tasks() []task {
+// backgroundTasks returns the tasks that run next to the listeners.
+func (instance *Instance) backgroundTasks() []task {
 	return []task{
-		{"start", instance.start.Run},
+		{"start", instance.startup.Run},
 		{"gossip", instance.gossip.Run},
 		{"registry", instance.registry.Run},
-		{"routing", instance.registry.AfterFirst(instance.routes.Run)},
-		{"endpoints", instance.registry.AfterFirst(instance.endpoints.Run)},
+		{"routing", instance.registry.AfterFirst(instance.routingFollower.Run)},
+		{"endpoints", instance.registry.AfterFirst(instance.endpointFollower.Run)},
 		{"reservations", instance.keeper.Run},
 		{"pace", instance.paces.Run},
-		{"pauses", (&pauses{Now: clock.SinceBoot, Log: instance.Log}).Run},
+		{"pauses", (&pauseDetector{Now: clock.SinceBoot, Log: instance.Log}).Run},
 	}
 }
 
+// listEndpoints reads the entries of the endpoints from the store.
 func (instance *Instance) listEndpoints(ctx context.Context) ([]keyvalue.Entry, keyvalue.Era, error) {
 	entries, version, err := instance.Adapter.Store.List(ctx, instance.Adapter.EndpointPrefix)
 	if err != nil {
@@ -312,11 +317,11 @@
 	return instance.Adapter.CompactEndpoints(entries), version.Era(), nil
 }
 
-// Run serves until a signal comes on stop and everything is finished.
+// Run serves requests until a signal arrives on stop, and then shuts down.
 func (instance *Instance) Run(stop <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	tasks := instance.tasks()
+	tasks := instance.backgroundTasks()
 	ended := make(chan string, len(tasks))
 	for _, task := range tasks {
 		go func() {
@@ -326,14 +331,14 @@
 			ended <- task.name
 		}()
 	}
-	listeners := instance.listeners()
+	listeners := instance.requiredListeners()
 	failed := make(chan error, len(listeners))
 	for _, listener := range listeners {
 		go func() { failed <- listener.Run() }()
 	}
-	measured := make(chan struct{})
+	metricsDone := make(chan struct{})
 	go func() {
-		defer close(measured)
+		defer close(metricsDone)
 		instance.serveMetrics()
 	}()
 	instance.Log.Info().Stringer("callers", instance.Settings.CallerAddress).Msg("started")
@@ -342,9 +347,9 @@
 		return err
 	case <-stop:
 	}
-	instance.stop(ctx)
-	if active := instance.active.Load(); active > 0 {
-		// go-zero's shutdown would wait for them, beyond the grace.
+	instance.shutDown(ctx)
+	if active := instance.activeRequests.Load(); active > 0 {
+		// The shutdown of go-zero would wait for them beyond the grace period.
 		instance.Log.Warn().Int64("active", active).Msg("stopped")
 		return nil
 	}
@@ -353,7 +358,7 @@
 		<-ended
 	}
 	inbound.Finish()
-	<-measured
+	<-metricsDone
 	var err error
 	for range listeners {
 		err = errs.Combine(err, <-failed)
--- a/peridotpath/instance/instance_test.go
+++ b/peridotpath/instance/instance_test.go
@@ -25,7 +25,7 @@
 	"peridotpath.example/peridotpath/relay"
 )
 
-// ports returns free ports in a row.
+// freePorts returns local addresses with free ports.
 func freePorts(t *testing.T, count int) []netip.AddrPort {
 	t.Helper()
 	var addresses []netip.AddrPort
@@ -44,8 +44,8 @@
 	return addresses
 }
 
-// emptyStore is a store in which nothing lies but one routing and one endpoint.
-func emptyStore(endpoint peridotpath.Endpoint) *keyvalue.Store {
+// staticStore returns a store that holds one routing and one endpoint.
+func staticStore(endpoint peridotpath.Endpoint) *keyvalue.Store {
 	entry, _ := json.Marshal(endpoint)
 	return &keyvalue.Store{
 		Check: func(_ context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
@@ -82,31 +82,32 @@
 	return endpoints
 }
 
-// running is an instance under test, and its way to an endpoint.
+// running is an instance under test with the endpoint that it sends to.
 type running struct {
 	settings *instance.Settings
 	stop     chan os.Signal
 	ended    chan error
-	// release lets the endpoint answer.
+	// release, when closed, lets the endpoint answer.
 	release chan struct{}
 	calls   atomic.Int64
 }
 
+// run starts an instance and waits until it is ready.
 func run(t *testing.T, grace time.Duration, changes ...func(*instance.Settings)) *running {
 	t.Helper()
-	at := freePorts(t, 5)
+	addresses := freePorts(t, 5)
 	running := &running{stop: make(chan os.Signal, 1), ended: make(chan error, 1), release: make(chan struct{})}
 	running.settings = &instance.Settings{
-		InstanceID: "edge-1", DataCentre: "a", CallerAddress: at[0], ReadyAddress: at[1], PeerAddress: at[2], ReadingsAddress: at[3],
-		MetricsAddress: at[4], Grace: grace,
+		InstanceID: "edge-1", DataCentre: "a", CallerAddress: addresses[0], ReadyAddress: addresses[1], PeerAddress: addresses[2], ReadingsAddress: addresses[3],
+		MetricsAddress: addresses[4], Grace: grace,
 	}
 	for _, change := range changes {
 		change(running.settings)
 	}
 	running.settings.Defaults()
-	endpoint := peridotpath.Endpoint{ID: "one", Service: "app", State: peridotpath.StateLive, Address: at[0], Slots: 5}
+	endpoint := peridotpath.Endpoint{ID: "one", Service: "app", State: peridotpath.StateLive, Address: addresses[0], Slots: 5}
 	adapter := instance.Adapter{
-		Store: emptyStore(endpoint), Eras: &keyvalue.Eras{}, DecodeRouting: decodeRouting, DecodeEndpoints: decodeEndpoints,
+		Store: staticStore(endpoint), Eras: &keyvalue.Eras{}, DecodeRouting: decodeRouting, DecodeEndpoints: decodeEndpoints,
 		CompactEndpoints: func(entries []keyvalue.Entry) []keyvalue.Entry { return entries }, ReadyPath: "/ready",
 		Send: func(ctx context.Context, _ *relay.Call) (*relay.Answer, error) {
 			running.calls.Add(1)
@@ -119,8 +120,8 @@
 		},
 		Ingress: func(callers instance.Callers) http.Handler {
 			return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-				asked := &relay.Request{ID: "r", Path: request.URL.Path, Host: peridotpath.NormalHost(request.Host), Arrived: time.Now()}
-				callers.Relay.Serve(request.Context(), asked, &relay.Caller{
+				incoming := &relay.Request{ID: "r", Path: request.URL.Path, Host: peridotpath.NormalHost(request.Host), Arrived: time.Now()}
+				callers.Relay.Serve(request.Context(), incoming, &relay.Caller{
 					Refuse: func(result peridotpath.Result) { writer.WriteHeader(result.Code.Status()) },
 					Answer: func(status int, _ http.Header, body []byte) {
 						writer.WriteHeader(status)
@@ -137,11 +138,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("not ready")
+	t.Fatal("the instance is not ready within 10 s")
 	return nil
 }
 
-// status returns what a GET is answered with; zero for no answer.
+// status returns the status of a GET, or zero without a response.
 func (running *running) status(path string, at netip.AddrPort) int {
 	response, err := http.Get(fmt.Sprintf("http://%s%s", at, path))
 	if err != nil {
@@ -151,9 +152,9 @@
 	return response.StatusCode
 }
 
-// A planned stop: the balancer is told at once, who still comes is served, what
-// runs is finished, and the process ends as soon as it is.
-func TestPlannedStop(t *testing.T) {
+// A planned shutdown: readiness fails at once, new requests are still served, running ones
+// finish, and the process exits as soon as they have.
+func TestPlannedShutdown(t *testing.T) {
 	is := is.New(t)
 	running := run(t, 4*time.Second)
 	answered := make(chan int, 2)
@@ -184,10 +185,10 @@
 	is.True(!errors.Is(faults.OrNil(), nil))
 }
 
-// Another process has the port of the metrics, which is the same on every machine.
-// Callers see nothing of it: the instance serves, and stops without waiting for a
-// listener that never was.
-func TestPortOfMetricsIsTaken(t *testing.T) {
+// Another process has the metrics port, which is the same on every machine. Callers are not
+// affected: the instance serves, and shuts down without waiting for a listener that never
+// opened.
+func TestMetricsPortIsTaken(t *testing.T) {
 	is := is.New(t)
 	var taken net.Listener
 	running := run(t, 5*time.Second, func(settings *instance.Settings) {
@@ -210,10 +211,10 @@
 	is.NoErr(<-running.ended)
 }
 
-// A request outlasts the grace. The process ends by itself before it is killed;
-// it used to wait for the request, and was. This test comes last: like a process
-// that ends, it leaves listeners behind, on which go-zero waits for good.
-func TestStopWithARequestThatGoesOn(t *testing.T) {
+// A request outlasts the grace period. The process must exit before it is killed instead of
+// waiting for the request. This test comes last: like an exiting process, it leaves
+// listeners open, on which go-zero waits forever.
+func TestShutdownWithRequestBeyondGrace(t *testing.T) {
 	is := is.New(t)
 	running := run(t, 2*time.Second)
 	defer close(running.release)
@@ -226,6 +227,6 @@
 	case err := <-running.ended:
 		is.NoErr(err)
 	case <-time.After(20 * time.Second):
-		t.Error("still there")
+		t.Error("the instance did not exit")
 	}
 }
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -15,76 +15,77 @@
 )
 
 const (
-	// bodyShare is the part of the memory that requests' bodies may take.
-	bodyShare = 0.2
-	// maxBody bounds one body until the routing says how large it may be.
-	maxBody = 8 * mebibyte
-	// bodyPause bounds the time between two pieces of a body.
-	bodyPause = 5 * time.Second
-	// maxHeader bounds the headers of any request, in bytes. What the routing allows
-	// of callers is less.
-	maxHeader = 64 << 10
+	// bodyMemoryShare is the share of the memory that request bodies may take.
+	bodyMemoryShare = 0.2
+	// initialMaxBody bounds a request body until the routing sets its limit.
+	initialMaxBody = 8 * mebibyte
+	// bodyReadTimeout bounds the time between two chunks of a body.
+	bodyReadTimeout = 5 * time.Second
+	// maxHeaderBytes bounds the headers of any request. The routing sets a lower limit for
+	// callers.
+	maxHeaderBytes = 64 << 10
 )
 
-// listen opens the listeners.
-func (instance *Instance) listen() {
+// createListeners creates and opens the listeners.
+func (instance *Instance) createListeners() {
 	settings := instance.Settings
-	bodies := caller.NewBodies(maxBody, peridotpath.Bytes(bodyShare*float64(settings.Memory)), bodyPause)
+	bodies := caller.NewBodies(initialMaxBody, peridotpath.Bytes(bodyMemoryShare*float64(settings.Memory)), bodyReadTimeout)
 	handler := instance.Adapter.Ingress(Callers{
 		Relay: instance.relay, Bodies: bodies, Stopping: instance.stopping.Load, Closing: instance.closing.Load,
 	})
-	instance.callers = &inbound.Listener{
-		Name: "callers", Address: settings.CallerAddress, MaxHeaderBytes: maxHeader,
+	instance.callerListener = &inbound.Listener{
+		Name: "callers", Address: settings.CallerAddress, MaxHeaderBytes: maxHeaderBytes,
 		Prefix: "/", PrefixHandler: instance.countActive(handler),
 	}
-	instance.balancer = &inbound.Listener{
-		Name: "balancer", Address: settings.ReadyAddress, MaxHeaderBytes: maxHeader,
-		Routes: []rest.Route{{Method: http.MethodGet, Path: instance.Adapter.ReadyPath, Handler: instance.answerReady}},
+	instance.readinessListener = &inbound.Listener{
+		Name: "balancer", Address: settings.ReadyAddress, MaxHeaderBytes: maxHeaderBytes,
+		Routes: []rest.Route{{Method: http.MethodGet, Path: instance.Adapter.ReadyPath, Handler: instance.handleReady}},
 	}
 	peers := &readings.Server{
-		LastRouting: instance.routes.Last, RoutingOf: instance.routes.Of,
-		LastEndpoints: instance.endpoints.Last, EndpointsOf: instance.endpoints.Of,
+		LastRouting: instance.routingFollower.Last, RoutingOf: instance.routingFollower.Of,
+		LastEndpoints: instance.endpointFollower.Last, EndpointsOf: instance.endpointFollower.Of,
 	}
-	instance.readings = &inbound.Listener{
-		Name: "readings", Address: settings.ReadingsAddress, MaxHeaderBytes: maxHeader,
+	instance.snapshotListener = &inbound.Listener{
+		Name: "readings", Address: settings.ReadingsAddress, MaxHeaderBytes: maxHeaderBytes,
 		Routes: []rest.Route{
 			{Method: http.MethodPost, Path: readings.PathPrefix + "/:service/:method", Handler: peers.Handler().ServeHTTP},
 		},
 	}
-	instance.metrics = &inbound.Listener{
-		Name: "metrics", Address: settings.MetricsAddress, MaxHeaderBytes: maxHeader,
+	instance.metricsListener = &inbound.Listener{
+		Name: "metrics", Address: settings.MetricsAddress, MaxHeaderBytes: maxHeaderBytes,
 		Routes: []rest.Route{{Method: http.MethodGet, Path: "/metrics", Handler: telemetry.WriteMetrics}},
 	}
-	for _, listener := range append(instance.listeners(), instance.metrics) {
+	for _, listener := range append(instance.requiredListeners(), instance.metricsListener) {
 		listener.Open()
 	}
 }
 
-// listeners returns those without which the instance does not work. Metrics are
-// none of them.
-func (instance *Instance) listeners() []*inbound.Listener {
-	return []*inbound.Listener{instance.callers, instance.balancer, instance.readings}
+// requiredListeners returns the listeners that the instance cannot work without. The
+// metrics listener is not one of them.
+func (instance *Instance) requiredListeners() []*inbound.Listener {
+	return []*inbound.Listener{instance.callerListener, instance.readinessListener, instance.snapshotListener}
 }
 
-// serveMetrics serves metrics until the instance stops. Their port is the same
-// for all; where something else has it, the instance works without.
+// serveMetrics serves metrics until the instance stops. Their port is the same on every
+// machine; if another process has it, the instance works without.
 func (instance *Instance) serveMetrics() {
-	if err := instance.metrics.Run(); !errors.Is(err, http.ErrServerClosed) {
+	if err := instance.metricsListener.Run(); !errors.Is(err, http.ErrServerClosed) {
 		instance.Log.Warn().Err(err).Msg("metrics_unserved")
 	}
 }
 
-// countActive counts the requests that run.
+// countActive counts running requests.
 func (instance *Instance) countActive(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		instance.active.Add(1)
-		defer instance.active.Add(-1)
+		instance.activeRequests.Add(1)
+		defer instance.activeRequests.Add(-1)
 		handler.ServeHTTP(writer, request)
 	})
 }
 
-func (instance *Instance) answerReady(writer http.ResponseWriter, _ *http.Request) {
-	if instance.ready() {
+// handleReady answers a readiness check.
+func (instance *Instance) handleReady(writer http.ResponseWriter, _ *http.Request) {
+	if instance.isReady() {
 		writer.WriteHeader(http.StatusOK)
 		return
 	}
--- a/peridotpath/instance/parts_test.go
+++ b/peridotpath/instance/parts_test.go
@@ -11,8 +11,9 @@
 	"peridotpath.example/peridotpath/throttle"
 )
 
-// Instances that all send under one name do not count what the others send to an endpoint.
-func TestInstanceSendsUnderItsOwnName(t *testing.T) {
+// Each instance counts the requests of the others to a limited endpoint by sender.
+// Instances that shared a sender name would not count each other's.
+func TestSenderNameIsUniquePerInstance(t *testing.T) {
 	is := is.New(t)
 	one := New(&Settings{InstanceID: "edge-1"}, Adapter{
 		Store: &keyvalue.Store{}, Eras: &keyvalue.Eras{}, Ingress: func(Callers) http.Handler { return http.NotFoundHandler() },
--- a/peridotpath/instance/pause.go
+++ b/peridotpath/instance/pause.go
@@ -10,27 +10,28 @@
 )
 
 const (
-	// pauseTick is how often an instance looks whether it stood still, pauseLeast the least
-	// time that counts.
-	pauseTick  = 200 * time.Millisecond
-	pauseLeast = 300 * time.Millisecond
+	// pauseCheckInterval is the interval at which pauses are detected, minLoggedPause the
+	// shortest one that is logged.
+	pauseCheckInterval = 200 * time.Millisecond
+	minLoggedPause     = 300 * time.Millisecond
 )
 
-// pauses logs when the process did not run: it was stopped, its machine was suspended, or
-// its share of the processor was used up. What was late then was held by nobody.
-type pauses struct {
-	// Now goes on while the machine is suspended.
+// pauseDetector logs when the process did not run because it was stopped, its machine was
+// suspended, or its CPU quota was used up. The log tells delays of that time apart from
+// those of a busy instance.
+type pauseDetector struct {
+	// Now returns the time since boot, which advances while the machine is suspended.
 	Now func() time.Duration
 	Log zerolog.Logger
 }
 
-// Run looks until ctx ends.
-func (pauses *pauses) Run(ctx context.Context) error {
-	last := pauses.Now()
-	for clock.Pause(ctx, pauseTick) {
-		now := pauses.Now()
-		if still := now - last - pauseTick; still >= pauseLeast {
-			pauses.Log.Warn().Dur("span", still).Msg("paused")
+// Run detects pauses until ctx ends.
+func (detector *pauseDetector) Run(ctx context.Context) error {
+	last := detector.Now()
+	for clock.Pause(ctx, pauseCheckInterval) {
+		now := detector.Now()
+		if paused := now - last - pauseCheckInterval; paused >= minLoggedPause {
+			detector.Log.Warn().Dur("span", paused).Msg("paused")
 		}
 		last = now
 	}
--- a/peridotpath/instance/pause_test.go
+++ b/peridotpath/instance/pause_test.go
@@ -15,19 +15,19 @@
 	"peridotpath.example/peridotpath/internal/virtual"
 )
 
-// A machine is suspended for seconds; the logs tell it apart from an instance that is busy.
+// A machine is suspended for seconds. The log tells it apart from an instance that is busy.
 func TestPauseIsLogged(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
 		var suspended atomic.Int64
-		began := time.Now()
-		pauses := &pauses{
-			Now: func() time.Duration { return time.Since(began) + time.Duration(suspended.Load()) }, Log: zerolog.New(&out),
+		startedAt := time.Now()
+		detector := &pauseDetector{
+			Now: func() time.Duration { return time.Since(startedAt) + time.Duration(suspended.Load()) }, Log: zerolog.New(&out),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		go func() { ended <- pauses.Run(ctx) }()
+		go func() { ended <- detector.Run(ctx) }()
 		time.Sleep(3100 * time.Millisecond)
 		suspended.Store(int64(3400 * time.Millisecond))
 		time.Sleep(3 * time.Second)
--- a/peridotpath/instance/settings.go
+++ b/peridotpath/instance/settings.go
@@ -1,5 +1,10 @@
-// Package instance joins the parts of one instance that relays requests to
-// endpoints, and runs them.
+// Package instance assembles one instance of the relay from its parts and runs it: the
+// listeners, gossip with the other instances, the followers of the store, and request
+// placement.
+//
+// It decides how often the store is read, when the instance reports itself ready, and how
+// it shuts down. It matters with many instances on one store: their reads are ordered and
+// spread so that one instance reads a change and the others receive it by gossip.
 package instance
 
 import (
@@ -9,40 +14,40 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Settings are one instance's settings.
+// Settings are the settings of one instance.
 type Settings struct {
 	InstanceID peridotpath.InstanceID
 	DataCentre peridotpath.DataCentre
-	// CallerAddress is listened on for callers, ReadyAddress for the balancer's
-	// question whether the instance takes new ones.
+	// CallerAddress is the listen address for callers, ReadyAddress the one for the load
+	// balancer's readiness checks.
 	CallerAddress, ReadyAddress netip.AddrPort
-	// PeerAddress is listened on for other instances, over UDP.
+	// PeerAddress is the listen address for gossip, over UDP.
 	PeerAddress netip.AddrPort
-	// ReadingsAddress is listened on for what other instances ask, over TCP.
+	// ReadingsAddress is the listen address, over TCP, at which other instances fetch the
+	// snapshot of the store that this one holds.
 	ReadingsAddress netip.AddrPort
-	// MetricsAddress serves the metrics, as text.
+	// MetricsAddress is the listen address for metrics in text form.
 	MetricsAddress netip.AddrPort
-	// StoreAddress is where the platform's key-value service listens.
+	// StoreAddress is the address of the platform's key-value service.
 	StoreAddress netip.AddrPort
-	// Memory is what the process may use; above it, it is killed.
+	// Memory is the memory limit of the process, beyond which it is killed.
 	Memory peridotpath.Bytes
-	// Grace is how long a planned stop may take; after it the process is killed.
+	// Grace is the time for a planned shutdown, after which the process is killed.
 	Grace time.Duration
-	// KeyLifetime is how long after an API key was taken away it may still be used.
+	// KeyLifetime is how long an API key may still be used after it was revoked.
 	KeyLifetime time.Duration
-	// RetryRatio and RetrySlack bound the requests that all instances together
-	// send once more, in any span of RetryWindow: so many for each request, and
-	// so many on top.
+	// RetryRatio and RetrySlack are the retry budget of all instances together in any span
+	// of RetryWindow: a ratio of the requests, and a constant on top.
 	RetryRatio  float64
 	RetrySlack  int
 	RetryWindow time.Duration
-	// MaxHold is the longest span for which an engine reserves memory at a time.
+	// MaxHold is the longest time for which an engine reserves memory at once.
 	MaxHold time.Duration
-	// ChangeWithin is the time within which a change of the routing or of the
-	// endpoints must be in force.
+	// ChangeWithin is the time within which a change of the routing or of the endpoints
+	// must be active.
 	ChangeWithin time.Duration
-	// Stall is how long an engine's work stands still when another engine that it
-	// depends on is gone.
+	// Stall is how long an engine's work stalls when another engine that it depends on is
+	// unreachable.
 	Stall time.Duration
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
@@ -51,33 +56,33 @@
 const (
 	mebibyte = 1 << 20
 
-	// The defaults are the tighter of what the users' deployments set.
-	defaultMemory      = 184 * mebibyte
-	defaultGrace       = 8 * time.Second
-	defaultKeyLifetime = 5 * time.Second
-	defaultRetryWindow = 10 * time.Second
-	defaultMaxHold     = 20 * time.Second
-	defaultChange      = 2 * time.Second
-	defaultStall       = 1500 * time.Millisecond
-	defaultLogLevel    = "info"
+	// The defaults are the strictest values of the users' deployments.
+	defaultMemory       = 184 * mebibyte
+	defaultGrace        = 8 * time.Second
+	defaultKeyLifetime  = 5 * time.Second
+	defaultRetryWindow  = 10 * time.Second
+	defaultMaxHold      = 20 * time.Second
+	defaultChangeWithin = 2 * time.Second
+	defaultStall        = 1500 * time.Millisecond
+	defaultLogLevel     = "info"
 
-	// minMemory is what the process needs with no request in it, doubled.
+	// minMemory is twice the memory of the process without any request.
 	minMemory = 48 * mebibyte
 )
 
-// Defaults fills every optional field that was left zero.
+// Defaults sets every optional field that is zero.
 func (settings *Settings) Defaults() {
 	peridotpath.SetDefault(&settings.Memory, defaultMemory)
 	peridotpath.SetDefault(&settings.Grace, defaultGrace)
 	peridotpath.SetDefault(&settings.KeyLifetime, defaultKeyLifetime)
 	peridotpath.SetDefault(&settings.RetryWindow, defaultRetryWindow)
 	peridotpath.SetDefault(&settings.MaxHold, defaultMaxHold)
-	peridotpath.SetDefault(&settings.ChangeWithin, defaultChange)
+	peridotpath.SetDefault(&settings.ChangeWithin, defaultChangeWithin)
 	peridotpath.SetDefault(&settings.Stall, defaultStall)
 	peridotpath.SetDefault(&settings.LogLevel, defaultLogLevel)
 }
 
-// Validate returns every fault by field.
+// Validate returns the faults of all fields.
 func (settings *Settings) Validate() peridotpath.Faults {
 	var faults peridotpath.Faults
 	if settings.InstanceID == "" {
