--- a/peridotpath/service/example_test.go
+++ b/peridotpath/service/example_test.go
@@ -7,8 +7,8 @@
 	"peridotpath.example/peridotpath/service"
 )
 
-// What belongs to the caller's connection stays behind, with the headers that
-// Connection names; what belongs to the call goes on.
+// Hop-by-hop headers are removed, with those that Connection lists; end-to-end headers are
+// forwarded.
 func ExampleEndToEnd() {
 	kept := service.EndToEnd(http.Header{
 		"Connection":    {"keep-alive, X-Trace"},
--- a/peridotpath/service/service.go
+++ b/peridotpath/service/service.go
@@ -1,5 +1,7 @@
-// Package service speaks to plain services: it passes any method, path, body
-// and header through, and tells whether a call that failed may have run.
+// Package service sends requests to plain services, which are HTTP services that are not
+// inference engines. It passes any method, path, body and headers through, sends each call
+// at most once, and classifies failures by whether the call may have run, which decides
+// whether it can be retried safely.
 package service
 
 import (
@@ -15,28 +17,29 @@
 	"peridotpath.example/peridotpath/outbound"
 )
 
-// HeaderRequestID carries the request id through every process.
+// HeaderRequestID is the header that carries the request id through every process.
 const HeaderRequestID = "X-Request-Id"
 
 const (
-	// HeaderNotRun on a refusal says that the service did not begin the work.
+	// HeaderNotRun marks a refusal: the service did not start the call.
 	HeaderNotRun = "X-Not-Run"
-	// NotRunLeaving is its value where the replica is leaving the fleet.
+	// NotRunLeaving is the value of HeaderNotRun for a replica that is leaving the fleet.
 	NotRunLeaving = "leaving"
 )
 
 var (
-	// ErrUnreached says that the call never reached the service: not run.
+	// ErrUnreached reports that the call never reached the service, so that it did not run.
 	ErrUnreached = errs.Class("service: unreached")
-	// ErrRefused says that the service refused before it began: not run.
+	// ErrRefused reports that the service refused the call before it started, so that it
+	// did not run.
 	ErrRefused = errs.Class("service: refused")
-	// ErrLeaving says, within ErrRefused, that the replica is leaving the fleet.
+	// ErrLeaving, wrapped in ErrRefused, reports that the replica is leaving the fleet.
 	ErrLeaving = errs.Class("service: leaving")
-	// ErrFailed says that the call failed and may have run.
+	// ErrFailed reports that the call failed and may have run.
 	ErrFailed = errs.Class("service: failed")
 )
 
-// Request is one call on its way to a service.
+// Request is a call to a service.
 type Request struct {
 	ID     peridotpath.RequestID
 	Method string
@@ -46,18 +49,18 @@
 	Body   []byte
 }
 
-// hopByHop are the headers that belong to one connection, not to the call.
+// hopByHop lists the headers that apply to a single connection and are not forwarded.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd returns a copy of the header without what belongs to one connection,
-// which includes the headers that Connection itself names.
+// EndToEnd returns a copy of the headers without the hop-by-hop ones, including those that
+// Connection lists.
 func EndToEnd(header http.Header) http.Header {
 	kept := header.Clone()
-	for _, name := range header.Values("Connection") {
-		for _, listed := range bytes.Split([]byte(name), []byte(",")) {
+	for _, value := range header.Values("Connection") {
+		for _, listed := range bytes.Split([]byte(value), []byte(",")) {
 			kept.Del(string(bytes.TrimSpace(listed)))
 		}
 	}
@@ -67,28 +70,28 @@
 	return kept
 }
 
-// onceReader hides a body's type from net/http. Knowing how to read a body
-// again, or that there is none, the transport sends a request anew by itself
-// when its connection broke: always for GET, and for any method with an
-// Idempotency-Key. A call that must run once would then run twice. A reader
-// of unknown type it can read once only.
+// onceReader hides the type of a body from net/http. If the transport can rewind a body or
+// knows it to be empty, it resends a request by itself when its connection breaks: always
+// for GET, and for any method with an Idempotency-Key. A call that must run once could then
+// run twice. The transport cannot rewind a reader of unknown type.
 type onceReader struct{ io.Reader }
 
-// Client makes calls to plain services.
+// Client sends calls to plain services.
 type Client struct {
-	// Do makes an HTTP call; nil stands for outbound.Do.
+	// Do sends an HTTP request; nil means outbound.Do.
 	Do func(request *http.Request) (*http.Response, error)
 }
 
-func (client *Client) do(request *http.Request) (*http.Response, error) {
+// doRequest sends an HTTP request by Do or its default.
+func (client *Client) doRequest(request *http.Request) (*http.Response, error) {
 	if client.Do != nil {
 		return client.Do(request)
 	}
 	return outbound.Do(request)
 }
 
-// Send makes the call and returns when the response's headers are in. Any
-// status is the service's own answer, but for a refusal that says not run.
+// Send sends the call and returns once the response headers have arrived. Any status is the
+// service's own response, except for a refusal with HeaderNotRun.
 func (client *Client) Send(ctx context.Context, address netip.AddrPort, call *Request) (*http.Response, error) {
 	body := onceReader{bytes.NewReader(call.Body)}
 	request, err := http.NewRequestWithContext(ctx, call.Method, "http://"+address.String()+call.Target, body)
@@ -98,7 +101,7 @@
 	request.Header = EndToEnd(call.Header)
 	request.Header.Set(HeaderRequestID, string(call.ID))
 	request.ContentLength = int64(len(call.Body))
-	response, err := client.do(request)
+	response, err := client.doRequest(request)
 	if outbound.ErrNotSent.Has(err) {
 		return nil, ErrUnreached.Wrap(err)
 	}
--- a/peridotpath/service/servicetest/service.go
+++ b/peridotpath/service/servicetest/service.go
@@ -1,5 +1,5 @@
-// Package servicetest is a small plain service, for tests and trials: it takes
-// any method and path and counts what it ran by idempotency key.
+// Package servicetest provides a small plain service for tests and load runs. It accepts
+// any method and path, counts calls by idempotency key, and can inject faults.
 package servicetest
 
 import (
@@ -21,13 +21,13 @@
 
 // Service is one replica of a plain service. Set the exported fields before use.
 type Service struct {
-	// Name is what the answers bear.
+	// Name is the service name in the answers.
 	Name string
-	// Takes is how long a call runs.
+	// Takes is the duration of a call.
 	Takes time.Duration
-	// LoadLag is how old a load report is at least.
+	// LoadLag is the minimum age of a load report.
 	LoadLag time.Duration
-	// Faults can be switched while the service runs.
+	// Faults holds the injected faults. They may change while the service runs.
 	Faults faults.Faults
 
 	mu      sync.Mutex
@@ -37,45 +37,46 @@
 	pending peridotpath.Load
 }
 
-// Answer is what the service says of one call.
+// Answer is the response body to a call.
 type Answer struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Key     string `json:"key,omitempty"`
-	// Body is the xxhash of the body that came in, in hexadecimal.
+	// Body is the xxhash of the request body, in hexadecimal.
 	Body  string `json:"body"`
 	Bytes int    `json:"bytes"`
-	// Run counts the runs of this key or request id, this one included.
+	// Run is the number of runs with this key or request id so far, including this one.
 	Run int `json:"run"`
 }
 
-// BodySum returns the hash of a body as an Answer bears it.
+// BodySum returns the hash of a body in the format of Answer.
 func BodySum(body []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(body)) }
 
-// Handler returns the service's HTTP form.
+// Handler returns the HTTP handler of the service.
 func (service *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+engine.PathLoad, service.load)
-	mux.HandleFunc("GET "+engine.PathCounts, service.showCounts)
+	mux.HandleFunc("GET "+engine.PathLoad, service.handleLoad)
+	mux.HandleFunc("GET "+engine.PathCounts, service.handleCounts)
 	mux.Handle(faults.Path, &service.Faults)
-	mux.HandleFunc("/", service.serve)
+	mux.HandleFunc("/", service.handleCall)
 	return mux
 }
 
-func (service *Service) serve(writer http.ResponseWriter, request *http.Request) {
+// handleCall runs a call, subject to the injected faults.
+func (service *Service) handleCall(writer http.ResponseWriter, request *http.Request) {
 	key := request.Header.Get(headerIdempotencyKey)
 	if key == "" {
 		key = request.Header.Get(engine.HeaderRequestID)
 	}
 	switch service.Faults.First(faults.Refuse, faults.Drain, faults.Fail) {
 	case faults.Drain:
-		service.note(key, func(count *engine.Count) { count.Refused++ })
+		service.recordCount(key, func(count *engine.Count) { count.Refused++ })
 		writer.Header().Set(engine.HeaderNotRun, engine.NotRunLeaving)
 		http.Error(writer, "leaving", http.StatusServiceUnavailable)
 		return
 	case faults.Refuse:
-		service.note(key, func(count *engine.Count) { count.Refused++ })
+		service.recordCount(key, func(count *engine.Count) { count.Refused++ })
 		writer.Header().Set(engine.HeaderNotRun, "true")
 		http.Error(writer, "refused", http.StatusServiceUnavailable)
 		return
@@ -87,19 +88,19 @@
 	if err != nil {
 		return
 	}
-	run := service.begin(key)
-	defer service.end()
+	run := service.beginRun(key)
+	defer service.endRun()
 	service.Faults.Wait(request.Context().Done())
 	time.Sleep(service.Takes)
-	service.note(key, func(count *engine.Count) { count.Finished++ })
-	service.answer(writer, request, Answer{
+	service.recordCount(key, func(count *engine.Count) { count.Finished++ })
+	service.writeAnswer(writer, request, Answer{
 		Service: service.Name, Method: request.Method, Path: request.URL.RequestURI(), Key: request.Header.Get(headerIdempotencyKey),
 		Body: BodySum(body), Bytes: len(body), Run: run,
 	})
 }
 
-// answer gives the answer, or what a fault makes of it.
-func (service *Service) answer(writer http.ResponseWriter, request *http.Request, answer Answer) {
+// writeAnswer writes the answer, or what an injected fault makes of it.
+func (service *Service) writeAnswer(writer http.ResponseWriter, request *http.Request, answer Answer) {
 	text, err := json.Marshal(answer)
 	if err != nil {
 		http.Error(writer, err.Error(), http.StatusInternalServerError)
@@ -123,51 +124,53 @@
 	}
 }
 
-// begin counts a run and returns which one of this key it is.
-func (service *Service) begin(key string) int {
-	run := service.note(key, func(count *engine.Count) { count.Runs++ }).Runs
+// beginRun counts a run and returns its number among those with the same key.
+func (service *Service) beginRun(key string) int {
+	run := service.recordCount(key, func(count *engine.Count) { count.Runs++ }).Runs
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	service.running++
 	return run
 }
 
-func (service *Service) end() {
+func (service *Service) endRun() {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	service.running--
 }
 
-// note changes the counts and returns those of the key.
-func (service *Service) note(key string, change func(*engine.Count)) engine.Count {
+// recordCount changes the counts and returns those of the key.
+func (service *Service) recordCount(key string, change func(*engine.Count)) engine.Count {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	if service.counts.Requests == nil {
 		service.counts.Requests = map[string]engine.Count{}
 	}
 	change(&service.counts.Total)
-	one := service.counts.Requests[key]
-	change(&one)
-	service.counts.Requests[key] = one
-	return one
+	count := service.counts.Requests[key]
+	change(&count)
+	service.counts.Requests[key] = count
+	return count
 }
 
-// Counts returns what the service ran so far.
+// Counts returns the counts so far.
 func (service *Service) Counts() engine.Counts {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	counts := engine.Counts{Total: service.counts.Total, Requests: map[string]engine.Count{}}
-	for key, one := range service.counts.Requests {
-		counts.Requests[key] = one
+	for key, count := range service.counts.Requests {
+		counts.Requests[key] = count
 	}
 	return counts
 }
 
-func (service *Service) showCounts(writer http.ResponseWriter, _ *http.Request) {
+// handleCounts answers with the counts.
+func (service *Service) handleCounts(writer http.ResponseWriter, _ *http.Request) {
 	_ = json.NewEncoder(writer).Encode(service.Counts())
 }
 
-func (service *Service) load(writer http.ResponseWriter, _ *http.Request) {
+// handleLoad answers with a load report that is at least LoadLag old.
+func (service *Service) handleLoad(writer http.ResponseWriter, _ *http.Request) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	now := time.Now()
