--- a/peridotpath/gossip/gossip_test.go
+++ b/peridotpath/gossip/gossip_test.go
@@ -34,7 +34,7 @@
 	return netip.MustParseAddrPort(conn.LocalAddr().String())
 }
 
-// receivedFreshness is a call of Heard.
+// receivedFreshness is the freshness that a node received from a peer.
 type receivedFreshness struct {
 	peer  netip.AddrPort
 	fresh gossip.Freshness
--- a/peridotpath/service/service.go
+++ b/peridotpath/service/service.go
@@ -33,7 +33,7 @@
 	// ErrRefused reports that the service refused the call before it started, so that it
 	// did not run.
 	ErrRefused = errs.Class("service: refused")
-	// ErrLeaving, wrapped in ErrRefused, reports that the replica is leaving the fleet.
+	// ErrLeaving reports, wrapped in ErrRefused, that the replica is leaving the fleet.
 	ErrLeaving = errs.Class("service: leaving")
 	// ErrFailed reports that the call failed and may have run.
 	ErrFailed = errs.Class("service: failed")
