--- a/peridotd/relay.go
+++ b/peridotd/relay.go
@@ -79,7 +79,7 @@
 		EndpointPrefix: platform.PrefixEndpoints, DecodeEndpoints: platform.DecodeEndpoints,
 		CompactEndpoints: platform.CompactEndpoints,
 		Send:             platform.Send, Check: platform.Check, Pace: platform.Pace, Reserve: platform.Reserve, Release: platform.Release, ReadyPath: platform.ReadyPath,
-		Ingress: func(callers instance.Callers) http.Handler { return &platform.Ingress{Callers: callers} },
+		Ingress: func(callers instance.IngressDependencies) http.Handler { return &platform.Ingress{Callers: callers} },
 	}
 	return instance.New(settings, adapter, log).Run(stop)
 }
--- a/peridotpath/caller/deadline_test.go
+++ b/peridotpath/caller/deadline_test.go
@@ -331,7 +331,7 @@
 				is := is.New(t)
 				stack := newStack()
 				defer stack.close(t)
-				stack.service.Takes = time.Second
+				stack.service.CallDuration = time.Second
 				if test.fault != "" {
 					stack.service.Faults.Set(faults.Fault{Kind: test.fault})
 				}
--- a/peridotpath/caller/resume_test.go
+++ b/peridotpath/caller/resume_test.go
@@ -134,7 +134,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		stack := newStack()
-		stack.service.Takes = time.Second
+		stack.service.CallDuration = time.Second
 		defer stack.close(t)
 		stack.pair(t)
 		header := map[string]string{caller.HeaderRequestID: "1", caller.HeaderIdempotencyKey: "1"}
--- a/peridotpath/directory/directory.go
+++ b/peridotpath/directory/directory.go
@@ -55,25 +55,25 @@
 	byKey     map[peridotpath.EndpointKey]*peridotpath.Endpoint
 }
 
-// Of returns the endpoints of a service that accept new requests.
-func (snapshot *Snapshot) Of(service peridotpath.Service) []Member {
+// ForService returns the endpoints of a service that accept new requests.
+func (snapshot *Snapshot) ForService(service peridotpath.Service) []Member {
 	if snapshot == nil {
 		return nil
 	}
 	return snapshot.byService[service]
 }
 
-// Find returns the endpoint with the key, or nil.
-func (snapshot *Snapshot) Find(key peridotpath.EndpointKey) *peridotpath.Endpoint {
+// ByKey returns the endpoint with the key, or nil.
+func (snapshot *Snapshot) ByKey(key peridotpath.EndpointKey) *peridotpath.Endpoint {
 	if snapshot == nil {
 		return nil
 	}
 	return snapshot.byKey[key]
 }
 
-// Narrow returns a snapshot with the endpoints for which keep returns true. A service of
+// Filter returns a snapshot with the endpoints for which keep returns true. A service of
 // which no endpoint is kept retains all of its endpoints.
-func (snapshot *Snapshot) Narrow(keep func(key peridotpath.EndpointKey, ofService int) bool) *Snapshot {
+func (snapshot *Snapshot) Filter(keep func(key peridotpath.EndpointKey, ofService int) bool) *Snapshot {
 	filtered := &Snapshot{byService: map[peridotpath.Service][]Member{}, byID: snapshot.byID, byKey: snapshot.byKey}
 	for service, members := range snapshot.byService {
 		var kept []Member
@@ -112,15 +112,15 @@
 	departedAt map[peridotpath.EndpointKey]time.Duration
 }
 
-// ReadAt returns when the last read was known to be the newest.
-func (directory *Directory) ReadAt() time.Duration {
+// ConfirmedAt returns when the last read was known to be the newest.
+func (directory *Directory) ConfirmedAt() time.Duration {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	return directory.confirmedAt
 }
 
-// Content returns the hash of the last read; zero before the first one.
-func (directory *Directory) Content() uint64 {
+// ContentHash returns the hash of the last read; zero before the first one.
+func (directory *Directory) ContentHash() uint64 {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	return directory.contentHash
@@ -135,9 +135,9 @@
 	}
 }
 
-// Seen records that an instance could read the store at the given time. The store was not
+// MarkStoreReadable records that an instance could read the store at the given time. The store was not
 // down then, even if it was unreachable from this instance.
-func (directory *Directory) Seen(at time.Duration) {
+func (directory *Directory) MarkStoreReadable(at time.Duration) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	directory.recordStoreReadable(at)
@@ -153,19 +153,19 @@
 	directory.storeReadableAt = max(directory.storeReadableAt, at)
 }
 
-// WentBack records that the store was restored from an older copy at the given time.
+// MarkStoreRestored records that the store was restored from an older copy at the given time.
 // Endpoints that joined after the copy was made are missing until they register again, and
 // those that left after it are listed again.
-func (directory *Directory) WentBack(at time.Duration) {
+func (directory *Directory) MarkStoreRestored(at time.Duration) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	directory.storeRestoredAt, directory.storeRecoveredAt = at, max(directory.storeRecoveredAt, at)
 }
 
-// Overdue returns for how long the endpoints in use have differed from the last read
+// OverdueBy returns for how long the endpoints in use have differed from the last read
 // without an exception that allows it. If it is positive, the store must be read again,
 // even if its content has not changed.
-func (directory *Directory) Overdue(now time.Duration) time.Duration {
+func (directory *Directory) OverdueBy(now time.Duration) time.Duration {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
 	if directory.exceptionEndsAt == 0 {
--- a/peridotpath/directory/directory_test.go
+++ b/peridotpath/directory/directory_test.go
@@ -30,7 +30,7 @@
 // ids returns the endpoints in use.
 func ids(dir *directory.Directory) []string {
 	var names []string
-	for _, endpoint := range dir.Current().Of("llm") {
+	for _, endpoint := range dir.Current().ForService("llm") {
 		names = append(names, string(endpoint.ID))
 	}
 	return names
@@ -60,11 +60,11 @@
 	back := time.Minute + 10*time.Second
 	dir.Apply([]peridotpath.Endpoint{one}, back)
 	is.Equal(ids(dir), []string{"one", "two"})
-	is.Equal(dir.Overdue(back+2*time.Second), time.Duration(0))
-	is.True(dir.Overdue(back+2300*time.Millisecond) > 0)
+	is.Equal(dir.OverdueBy(back+2*time.Second), time.Duration(0))
+	is.True(dir.OverdueBy(back+2300*time.Millisecond) > 0)
 	dir.Apply([]peridotpath.Endpoint{one}, back+2300*time.Millisecond)
 	is.Equal(ids(dir), []string{"one"})
-	is.Equal(dir.Overdue(back+time.Minute), time.Duration(0))
+	is.Equal(dir.OverdueBy(back+time.Minute), time.Duration(0))
 }
 
 // An endpoint leaves while one instance is cut off from the store. That instance must not
@@ -76,7 +76,7 @@
 	one, two := endpoint("one", 1), endpoint("two", 2)
 	dir.Apply([]peridotpath.Endpoint{one, two}, time.Minute)
 	for second := range time.Duration(10) {
-		dir.Seen(time.Minute + second*time.Second)
+		dir.MarkStoreReadable(time.Minute + second*time.Second)
 	}
 	dir.Apply([]peridotpath.Endpoint{one}, time.Minute+10*time.Second)
 	is.Equal(ids(dir), []string{"one"})
@@ -101,9 +101,9 @@
 	is.True(before.Key() != after.Key())
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	dir.Apply([]peridotpath.Endpoint{before}, time.Minute)
-	is.Equal(dir.Current().Of("llm")[0].Key, before.Key())
+	is.Equal(dir.Current().ForService("llm")[0].Key, before.Key())
 	dir.Apply([]peridotpath.Endpoint{after}, time.Minute+time.Second)
-	is.Equal(dir.Current().Of("llm")[0].Key, after.Key())
+	is.Equal(dir.Current().ForService("llm")[0].Key, after.Key())
 }
 
 // The exception after an outage ends by time alone. The follower must read again then, even
@@ -123,7 +123,7 @@
 			list, failure = entries, err
 		}
 		follower := &directory.Follower{
-			Directory: dir, Now: now, Confirmed: func() {}, Log: zerolog.Nop(),
+			Directory: dir, Now: now, OnConfirmed: func() {}, Log: zerolog.Nop(),
 			Eras: &keyvalue.Eras{},
 			List: func(context.Context) ([]keyvalue.Entry, keyvalue.Era, error) {
 				mutex.Lock()
--- a/peridotpath/directory/era_test.go
+++ b/peridotpath/directory/era_test.go
@@ -33,17 +33,17 @@
 	is.Equal(ids(dir), []string{"stays", "joined"})
 
 	restored := time.Minute + 4*time.Second
-	dir.Seen(restored - time.Second)
-	dir.WentBack(restored)
+	dir.MarkStoreReadable(restored - time.Second)
+	dir.MarkStoreRestored(restored)
 	dir.Apply(inCopy, restored+100*time.Millisecond)
 	is.Equal(ids(dir), []string{"stays", "joined"})
 	// Both exceptions end, at different times, and each makes a read overdue.
-	is.Equal(dir.Overdue(restored+2*time.Second), time.Duration(0))
-	is.True(dir.Overdue(restored+2300*time.Millisecond) > 0)
+	is.Equal(dir.OverdueBy(restored+2*time.Second), time.Duration(0))
+	is.True(dir.OverdueBy(restored+2300*time.Millisecond) > 0)
 	dir.Apply(inCopy, restored+2300*time.Millisecond)
 	is.Equal(ids(dir), []string{"stays"})
-	is.Equal(dir.Overdue(restored+7*time.Second), time.Duration(0))
-	is.True(dir.Overdue(restored+9*time.Second) > 0)
+	is.Equal(dir.OverdueBy(restored+7*time.Second), time.Duration(0))
+	is.True(dir.OverdueBy(restored+9*time.Second) > 0)
 	dir.Apply(inCopy, restored+9*time.Second)
 	is.Equal(ids(dir), []string{"stays", "left", "leaving"})
 }
@@ -54,8 +54,8 @@
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	one, two := endpoint("one", 1), endpoint("two", 2)
 	dir.Apply([]peridotpath.Endpoint{one, two}, time.Minute)
-	dir.WentBack(time.Minute)
-	dir.Seen(time.Minute + time.Second)
+	dir.MarkStoreRestored(time.Minute)
+	dir.MarkStoreReadable(time.Minute + time.Second)
 	dir.Apply([]peridotpath.Endpoint{one}, time.Minute+3*time.Second)
 	is.Equal(ids(dir), []string{"one"})
 	dir.Apply([]peridotpath.Endpoint{one, two}, time.Minute+4*time.Second)
@@ -83,10 +83,10 @@
 // send sends the freshness of one follower to all others.
 func (fleet *followerFleet) send(from int) {
 	follower := fleet.followers[from]
-	content, at := follower.Directory.Content(), follower.Directory.ReadAt()
+	content, at := follower.Directory.ContentHash(), follower.Directory.ConfirmedAt()
 	for to := range fleet.followers {
 		if to != from {
-			fleet.followers[to].HearPeer(readings.Peer{Address: peerAddress(from), Near: true}, content, at)
+			fleet.followers[to].UpdateFromPeer(readings.Peer{Address: peerAddress(from), Near: true}, content, at)
 		}
 	}
 }
@@ -109,8 +109,8 @@
 		for i := range count {
 			fleet.followers = append(fleet.followers, &directory.Follower{
 				Directory: &directory.Directory{Log: zerolog.Nop()}, Now: now, Log: zerolog.Nop(), Eras: &keyvalue.Eras{},
-				List: fleet.list, Confirmed: func() { time.AfterFunc(10*time.Millisecond, func() { fleet.send(i) }) },
-				Ask: func(_ context.Context, peer netip.AddrPort, _ readings.Endpoints) (readings.Endpoints, error) {
+				List: fleet.list, OnConfirmed: func() { time.AfterFunc(10*time.Millisecond, func() { fleet.send(i) }) },
+				FetchFromPeer: func(_ context.Context, peer netip.AddrPort, _ readings.Endpoints) (readings.Endpoints, error) {
 					snapshot, ok := fleet.followers[peer.Addr().As4()[3]].Last()
 					if !ok {
 						return snapshot, errors.New("nothing read yet")
@@ -140,7 +140,7 @@
 		fleet.entries, fleet.lists = fleet.entries[:1], 0
 		fleet.mutex.Unlock()
 		for _, follower := range fleet.followers {
-			follower.Directory.WentBack(now())
+			follower.Directory.MarkStoreRestored(now())
 		}
 		time.Sleep(2 * time.Second)
 		for _, follower := range fleet.followers {
--- a/peridotpath/directory/follower.go
+++ b/peridotpath/directory/follower.go
@@ -22,16 +22,16 @@
 	// they belong to. Decode decodes them.
 	List   func(ctx context.Context) ([]keyvalue.Entry, keyvalue.Era, error)
 	Decode func(entries []keyvalue.Entry) []peridotpath.Endpoint
-	// Ask fetches a peer's snapshot of the endpoints; have is the one held here.
-	Ask func(ctx context.Context, peer netip.AddrPort, have readings.Endpoints) (readings.Endpoints, error)
+	// FetchFromPeer fetches a peer's snapshot of the endpoints; have is the one held here.
+	FetchFromPeer func(ctx context.Context, peer netip.AddrPort, have readings.Endpoints) (readings.Endpoints, error)
 	// Eras holds the eras of the store.
 	Eras *keyvalue.Eras
 	// Now returns the time since boot, which advances while the machine is suspended.
 	Now  func() time.Duration
 	Pace clock.Pace
-	// Confirmed is called after each successful read.
-	Confirmed func()
-	Log       zerolog.Logger
+	// OnConfirmed is called after each successful read.
+	OnConfirmed func()
+	Log         zerolog.Logger
 
 	storeFailed atomic.Bool
 	newer       readings.Newer
@@ -53,7 +53,7 @@
 		entries, era, err := follower.List(ctx)
 		if err == nil {
 			follower.apply(entries, era, asked)
-			follower.Confirmed()
+			follower.OnConfirmed()
 			follower.storeFailed.Store(false)
 			continue
 		}
@@ -75,14 +75,16 @@
 // directory has ended, all instances would read at the same moment; the raised age makes
 // the first in the order of the Pace read at once, and the others receive its result.
 func (follower *Follower) effectiveAge() time.Duration {
-	if overdue := follower.Directory.Overdue(follower.Now()); overdue > 0 {
+	if overdue := follower.Directory.OverdueBy(follower.Now()); overdue > 0 {
 		return max(follower.Age(), follower.Pace.Least+overdue)
 	}
 	return follower.Age()
 }
 
 // Age returns the time since the last read was known to be the newest.
-func (follower *Follower) Age() time.Duration { return follower.Now() - follower.Directory.ReadAt() }
+func (follower *Follower) Age() time.Duration {
+	return follower.Now() - follower.Directory.ConfirmedAt()
+}
 
 // Last returns the last read, to be served to peers; false before the first one.
 func (follower *Follower) Last() (readings.Endpoints, bool) {
@@ -93,24 +95,24 @@
 	return last, ok
 }
 
-// Of returns the read with that content hash, to be served to peers; false if it is not in
+// ByContentHash returns the read with that content hash, to be served to peers; false if it is not in
 // the history.
-func (follower *Follower) Of(content uint64) (readings.Endpoints, bool) {
+func (follower *Follower) ByContentHash(content uint64) (readings.Endpoints, bool) {
 	return follower.history.Of(content)
 }
 
-// HearPeer applies the content hash of a peer's snapshot, which was the newest at the time
+// UpdateFromPeer applies the content hash of a peer's snapshot, which was the newest at the time
 // confirmed. It confirms the snapshot held here, or wakes the follower to fetch a newer
 // one.
-func (follower *Follower) HearPeer(peer readings.Peer, content uint64, confirmed time.Duration) {
+func (follower *Follower) UpdateFromPeer(peer readings.Peer, content uint64, confirmed time.Duration) {
 	if content == 0 {
 		return
 	}
-	follower.Directory.Seen(confirmed)
+	follower.Directory.MarkStoreReadable(confirmed)
 	switch {
-	case content == follower.Directory.Content():
+	case content == follower.Directory.ContentHash():
 		follower.confirmContent(content, confirmed)
-	case confirmed > follower.Directory.ReadAt(), follower.Directory.Content() == 0:
+	case confirmed > follower.Directory.ConfirmedAt(), follower.Directory.ContentHash() == 0:
 		follower.newer.Note(peer)
 		follower.Pace.Wake()
 	}
@@ -121,7 +123,7 @@
 // again.
 func (follower *Follower) confirmContent(content uint64, at time.Duration) {
 	follower.Directory.Confirm(content, at)
-	if follower.Directory.Overdue(at) == 0 {
+	if follower.Directory.OverdueBy(at) == 0 {
 		return
 	}
 	if last, ok := follower.history.Last(); ok && last.Content == content {
@@ -139,7 +141,7 @@
 	}
 	asked := follower.Now()
 	have, _ := follower.history.Last()
-	snapshot, err := follower.Ask(ctx, peer.Address, have)
+	snapshot, err := follower.FetchFromPeer(ctx, peer.Address, have)
 	if err == nil {
 		follower.Eras.Heard(snapshot.Era, 0, false)
 		if era := follower.Eras.Current(); snapshot.Era != era {
@@ -150,7 +152,7 @@
 		follower.Log.Info().Err(err).Stringer("peer", peer.Address).Msg("peer_not_read")
 		return false
 	}
-	if asked-snapshot.Age <= follower.Directory.ReadAt() {
+	if asked-snapshot.Age <= follower.Directory.ConfirmedAt() {
 		return true
 	}
 	follower.apply(snapshot.Entries, snapshot.Era, asked-snapshot.Age)
@@ -164,5 +166,5 @@
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	follower.Directory.Apply(follower.Decode(entries), asked)
-	follower.history.Add(readings.Endpoints{Entries: entries, Content: follower.Directory.Content(), Era: era})
+	follower.history.Add(readings.Endpoints{Entries: entries, Content: follower.Directory.ContentHash(), Era: era})
 }
--- a/peridotpath/directory/machine_test.go
+++ b/peridotpath/directory/machine_test.go
@@ -84,7 +84,7 @@
 	for ; span > 0; span -= peerReadInterval {
 		machine.now += min(span, peerReadInterval)
 		if !machine.outageActive {
-			machine.directory.Seen(machine.now)
+			machine.directory.MarkStoreReadable(machine.now)
 		}
 	}
 	if !machine.outageActive && machine.now-machine.recoveredAt >= reregisterWithin {
@@ -132,7 +132,7 @@
 // checkEndpoints checks the endpoints in use against the last read.
 func (machine *fleetMachine) checkEndpoints() {
 	used := map[peridotpath.EndpointID]bool{}
-	for _, member := range machine.directory.Current().Of("llm") {
+	for _, member := range machine.directory.Current().ForService("llm") {
 		used[member.ID] = true
 		state, listed := machine.read[member.ID]
 		switch {
--- a/peridotpath/gossip/fact_test.go
+++ b/peridotpath/gossip/fact_test.go
@@ -92,7 +92,7 @@
 	defer stop()
 	go func() {
 		for ctx.Err() == nil {
-			one.gossip.Changed()
+			one.gossip.RequestDigest()
 			time.Sleep(5 * time.Millisecond)
 		}
 	}()
--- a/peridotpath/gossip/gossip.go
+++ b/peridotpath/gossip/gossip.go
@@ -59,14 +59,14 @@
 type Freshness struct {
 	RoutingVersion peridotpath.RoutingVersion
 	RoutingAge     time.Duration
-	// Endpoints is the hash of the endpoints in the snapshot.
-	Endpoints    uint64
-	EndpointsAge time.Duration
+	// EndpointsHash is the hash of the endpoints in the snapshot.
+	EndpointsHash uint64
+	EndpointsAge  time.Duration
 	// Era is the newest era of the store that was seen, and EraAge the time since it was
-	// first seen, valid if EraDated is set.
-	Era      keyvalue.Era
-	EraAge   time.Duration
-	EraDated bool
+	// first seen, valid if EraAgeKnown is set.
+	Era         keyvalue.Era
+	EraAge      time.Duration
+	EraAgeKnown bool
 }
 
 // Gossip sends and receives digests. Set the exported fields before Run.
@@ -75,24 +75,24 @@
 	Incarnation peridotpath.Incarnation
 	Address     netip.AddrPort
 	DataCentre  peridotpath.DataCentre
-	// ReadingsPort is the port on which peers may fetch the snapshot of the store that this
+	// SnapshotPort is the port on which peers may fetch the snapshot of the store that this
 	// instance holds.
-	ReadingsPort uint16
-	Book         *placement.Book
+	SnapshotPort uint16
+	Loads        *placement.Book
 	// Facts holds the facts that all instances share.
 	Facts *facts.Table
 	// Clock returns the time since boot, which advances while the machine is suspended.
 	Clock func() time.Duration
-	// Fresh returns the freshness of the local snapshot of the store.
-	Fresh func() Freshness
-	// Heard is called with the freshness of a peer's snapshot of the store, and the address
+	// LocalFreshness returns the freshness of the local snapshot of the store.
+	LocalFreshness func() Freshness
+	// OnPeerFreshness is called with the freshness of a peer's snapshot of the store, and the address
 	// from which it can be fetched. The ages in fresh are relative to asked, a value of
 	// this instance's own clock that is certainly earlier than the digest; zero if the
 	// digest carries none.
-	Heard func(peer readings.Peer, fresh Freshness, asked time.Duration)
-	// OtherCells is called when a peer reports another number of cells.
-	OtherCells func()
-	Log        zerolog.Logger
+	OnPeerFreshness func(peer readings.Peer, fresh Freshness, asked time.Duration)
+	// OnCellCountMismatch is called when a peer reports another number of cells.
+	OnCellCountMismatch func()
+	Log                 zerolog.Logger
 
 	digestRequested clock.Signal
 	mutex           sync.Mutex
@@ -123,8 +123,8 @@
 	registered bool
 }
 
-// Changed requests a digest soon. It never blocks.
-func (gossip *Gossip) Changed() { gossip.digestRequested.Raise() }
+// RequestDigest requests a digest soon. It never blocks.
+func (gossip *Gossip) RequestDigest() { gossip.digestRequested.Raise() }
 
 // SetPeers sets the peers that are listed in the registry.
 func (gossip *Gossip) SetPeers(peers []Peer) {
@@ -143,7 +143,7 @@
 	if len(gossip.peers) > before {
 		// New peers may not have this instance in their list yet, and may hold the
 		// snapshot that it needs.
-		gossip.Changed()
+		gossip.RequestDigest()
 	}
 	fleetSize := 1
 	for _, peer := range gossip.peers {
@@ -262,25 +262,25 @@
 
 // nextDigest returns the digest of the current state, with the next sequence number.
 func (gossip *Gossip) nextDigest() *wire.Digest {
-	fresh, now := gossip.Fresh(), time.Now()
+	fresh, now := gossip.LocalFreshness(), time.Now()
 	gossip.mutex.Lock()
 	cells := gossip.cells.latestCount()
 	gossip.mutex.Unlock()
 	gossip.sequence++
 	digest := &wire.Digest{
 		Instance: string(gossip.Instance), Incarnation: uint64(gossip.Incarnation), Sequence: gossip.sequence,
-		DataCentre: string(gossip.DataCentre), Address: gossip.Address.String(), ReadingsPort: uint32(gossip.ReadingsPort),
+		DataCentre: string(gossip.DataCentre), Address: gossip.Address.String(), ReadingsPort: uint32(gossip.SnapshotPort),
 		RoutingVersion: uint64(fresh.RoutingVersion), RoutingAge: clock.Micros(fresh.RoutingAge),
-		Endpoints: fresh.Endpoints, EndpointsAge: clock.Micros(fresh.EndpointsAge), Cells: uint32(cells),
-		Era: uint64(fresh.Era), EraAge: clock.Micros(fresh.EraAge), EraDated: fresh.EraDated,
+		Endpoints: fresh.EndpointsHash, EndpointsAge: clock.Micros(fresh.EndpointsAge), Cells: uint32(cells),
+		Era: uint64(fresh.Era), EraAge: clock.Micros(fresh.EraAge), EraDated: fresh.EraAgeKnown,
 	}
-	for _, request := range gossip.Book.Own() {
+	for _, request := range gossip.Loads.Own() {
 		digest.Flights = append(digest.Flights, encodeInFlight(&request, now))
 	}
-	for _, queued := range gossip.Book.OwnWaits() {
+	for _, queued := range gossip.Loads.OwnWaits() {
 		digest.Waits = append(digest.Waits, encodeQueuedPrompt(&queued, now))
 	}
-	for _, ejection := range gossip.Book.OwnSuspicions(now) {
+	for _, ejection := range gossip.Loads.OwnSuspicions(now) {
 		digest.Suspicions = append(digest.Suspicions, &wire.Suspicion{
 			Endpoint: uint64(ejection.Endpoint), Left: clock.Micros(ejection.Until.Sub(now)),
 		})
@@ -326,7 +326,7 @@
 		gossip.Log.Info().Str("peer", digest.Instance).Stringer("address", from).Msg("peer_heard")
 		// A peer that has just started needs the lasting facts.
 		gossip.lastingFactsDue = time.Time{}
-		gossip.Changed()
+		gossip.RequestDigest()
 	}
 	peer.dataCentre = peridotpath.DataCentre(digest.DataCentre)
 	peer.receivedAt = now
@@ -334,11 +334,11 @@
 	cellCount := gossip.cells.latestCount()
 	gossip.mutex.Unlock()
 	if cellCount != 0 && digest.Cells != 0 && int(digest.Cells) != cellCount {
-		gossip.OtherCells()
+		gossip.OnCellCountMismatch()
 	}
 	near := peer.dataCentre == gossip.DataCentre
 	echo, mustForward := digest.Echo, digest.HandOn
-	gossip.Book.HearPeer(decodeReport(digest, now), now)
+	gossip.Loads.HearPeer(decodeReport(digest, now), now)
 	if mustForward {
 		gossip.forward(conn, digest)
 	}
@@ -347,9 +347,9 @@
 		// The echo stems from before the last boot of this machine.
 		asked = 0
 	}
-	gossip.Heard(readings.Peer{Address: netip.AddrPortFrom(from.Addr(), uint16(digest.ReadingsPort)), Near: near}, Freshness{
+	gossip.OnPeerFreshness(readings.Peer{Address: netip.AddrPortFrom(from.Addr(), uint16(digest.ReadingsPort)), Near: near}, Freshness{
 		RoutingVersion: peridotpath.RoutingVersion(digest.RoutingVersion), RoutingAge: clock.FromMicros(digest.RoutingAge),
-		Endpoints: digest.Endpoints, EndpointsAge: clock.FromMicros(digest.EndpointsAge),
-		Era: keyvalue.Era(digest.Era), EraAge: clock.FromMicros(digest.EraAge), EraDated: digest.EraDated,
+		EndpointsHash: digest.Endpoints, EndpointsAge: clock.FromMicros(digest.EndpointsAge),
+		Era: keyvalue.Era(digest.Era), EraAge: clock.FromMicros(digest.EraAge), EraAgeKnown: digest.EraDated,
 	}, asked)
 }
--- a/peridotpath/gossip/gossip_test.go
+++ b/peridotpath/gossip/gossip_test.go
@@ -56,17 +56,17 @@
 	t.Helper()
 	node := &node{loads: &placement.Book{}, facts: &facts.Table{}, received: make(chan receivedFreshness, 1000)}
 	node.gossip = &gossip.Gossip{
-		Instance: id, Incarnation: 1, Address: freeAddress(t), DataCentre: dataCentre, ReadingsPort: 99, Book: node.loads, Facts: node.facts, Clock: clock.SinceBoot, Log: zerolog.Nop(),
-		Fresh: func() gossip.Freshness { return fresh },
-		Heard: func(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
+		Instance: id, Incarnation: 1, Address: freeAddress(t), DataCentre: dataCentre, SnapshotPort: 99, Loads: node.loads, Facts: node.facts, Clock: clock.SinceBoot, Log: zerolog.Nop(),
+		LocalFreshness: func() gossip.Freshness { return fresh },
+		OnPeerFreshness: func(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
 			if asked > 0 {
 				node.received <- receivedFreshness{peer.Address, fresh, asked}
 			}
 		},
 	}
-	node.gossip.OtherCells = func() { node.cellMismatches.Add(1) }
-	node.loads.Changed = node.gossip.Changed
-	node.facts.Changed = node.gossip.Changed
+	node.gossip.OnCellCountMismatch = func() { node.cellMismatches.Add(1) }
+	node.loads.Changed = node.gossip.RequestDigest
+	node.facts.Changed = node.gossip.RequestDigest
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- node.gossip.Run(ctx) }()
@@ -95,7 +95,7 @@
 // only one of the two has the other in its list.
 func TestLoadReachesPeer(t *testing.T) {
 	is := is.New(t)
-	fresh := gossip.Freshness{RoutingVersion: 7, RoutingAge: 300 * time.Millisecond, Endpoints: 9, EndpointsAge: 200 * time.Millisecond}
+	fresh := gossip.Freshness{RoutingVersion: 7, RoutingAge: 300 * time.Millisecond, EndpointsHash: 9, EndpointsAge: 200 * time.Millisecond}
 	one, two := start(t, "one", "a", fresh), start(t, "two", "a", gossip.Freshness{})
 	one.gossip.SetPeers([]gossip.Peer{{Address: two.gossip.Address, DataCentre: "a"}})
 	request := one.loads.Begin(placement.Flight{
--- a/peridotpath/gossip/rank.go
+++ b/peridotpath/gossip/rank.go
@@ -8,11 +8,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Before returns the rank of this instance for a subject by rendezvous hashing: how many
+// Rank returns the rank of this instance for a subject by rendezvous hashing: how many
 // instances of its data centre and cell precede it in an order that all of them compute
 // alike and that differs from subject to subject. Instances that have been silent for
 // peerSilentAfter do not count.
-func (gossip *Gossip) Before(subject uint64) int {
+func (gossip *Gossip) Rank(subject uint64) int {
 	now := time.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
--- a/peridotpath/gossip/registry.go
+++ b/peridotpath/gossip/registry.go
@@ -40,7 +40,7 @@
 	// reregisterRequested requests a new entry, since the store may have lost the current
 	// one.
 	reregisterRequested clock.Signal
-	// peersReady is closed once the list was read, reading it failed, or PeerReady was
+	// peersReady is closed once the list was read, reading it failed, or MarkPeerReady was
 	// called.
 	peersReady      chan struct{}
 	peersReadyInit  sync.Once
@@ -85,10 +85,10 @@
 	Era keyvalue.Era `json:"era,omitempty"`
 }
 
-// AfterFirst returns a task that starts once the list of instances was read, reading it
-// failed, or PeerReady was called: the first reads of a starting instance depend on which
+// AfterFirstList returns a task that starts once the list of instances was read, reading it
+// failed, or MarkPeerReady was called: the first reads of a starting instance depend on which
 // peers exist.
-func (registry *Registry) AfterFirst(run func(context.Context) error) func(context.Context) error {
+func (registry *Registry) AfterFirstList(run func(context.Context) error) func(context.Context) error {
 	ready := registry.peersReadySignal()
 	return func(ctx context.Context) error {
 		select {
@@ -106,12 +106,12 @@
 	return registry.peersReady
 }
 
-// PeerReady reports that a peer holds the snapshot that this instance needs. While the
+// MarkPeerReady reports that a peer holds the snapshot that this instance needs. While the
 // store does not answer, a starting instance would otherwise wait for its list before it
 // asks that peer.
-func (registry *Registry) PeerReady() { registry.signalPeersReady() }
+func (registry *Registry) MarkPeerReady() { registry.signalPeersReady() }
 
-// signalPeersReady starts the tasks of AfterFirst.
+// signalPeersReady starts the tasks of AfterFirstList.
 func (registry *Registry) signalPeersReady() {
 	ready := registry.peersReadySignal()
 	registry.peersReadyClose.Do(func() { close(ready) })
@@ -158,12 +158,12 @@
 	return renewalInterval
 }
 
-// Renew requests a new entry soon, spread over time among the instances: the store was
+// RequestReregistration requests a new entry soon, spread over time among the instances: the store was
 // restored from an older copy that may lack this entry. It never blocks.
-func (registry *Registry) Renew() { registry.reregisterRequested.Raise() }
+func (registry *Registry) RequestReregistration() { registry.reregisterRequested.Raise() }
 
-// Look requests a list soon, as a peer reports another number of cells. It never blocks.
-func (registry *Registry) Look() { registry.listRequested.Raise() }
+// RequestList requests a list soon, as a peer reports another number of cells. It never blocks.
+func (registry *Registry) RequestList() { registry.listRequested.Raise() }
 
 // waitForRound waits for the given time, and lists the instances if that is requested
 // meanwhile. It returns early for a requested new entry, and false if ctx ended first.
--- a/peridotpath/gossip/registry_era_test.go
+++ b/peridotpath/gossip/registry_era_test.go
@@ -40,7 +40,7 @@
 		Store: store, Instance: peridotpath.InstanceID(fmt.Sprintf("edge-%d", number)), Incarnation: 1, Eras: one.link.Eras,
 		Address: listedAddress(number), DataCentre: "a", Log: zerolog.Nop(), SetPeers: func([]gossip.Peer) {},
 	}
-	one.link.Eras.Risen = func(_, _ keyvalue.Era) { one.Renew() }
+	one.link.Eras.Risen = func(_, _ keyvalue.Era) { one.RequestReregistration() }
 	go func() { one.ended <- one.Run(ctx) }()
 	return one
 }
@@ -151,7 +151,7 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			var all sync.WaitGroup
 			all.Go(func() { _ = registry.Run(ctx) })
-			is.NoErr(registry.AfterFirst(func(context.Context) error { return nil })(ctx))
+			is.NoErr(registry.AfterFirstList(func(context.Context) error { return nil })(ctx))
 			is.Equal(eras.Settled(), test.want)
 			cancel()
 			all.Wait()
--- a/peridotpath/gossip/registry_test.go
+++ b/peridotpath/gossip/registry_test.go
@@ -69,7 +69,7 @@
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
-				task := registry.AfterFirst(func(context.Context) error {
+				task := registry.AfterFirstList(func(context.Context) error {
 					time.Sleep(time.Millisecond)
 					record("task")
 					return nil
@@ -232,12 +232,12 @@
 		is.Equal(lists.total(), 2) // both at its start
 		_, err := lists.store().Swap(ctx, "new", 0, []byte(`{"address":"10.0.0.7:9","data_centre":"a"}`), keyvalue.LeaseID{Number: 5})
 		is.NoErr(err)
-		one.registry.Look()
-		one.registry.Look()
+		one.registry.RequestList()
+		one.registry.RequestList()
 		time.Sleep(1500 * time.Millisecond)
 		is.True(one.hasPeer(7))
 		is.Equal(lists.total(), 3)
-		one.registry.Look() // no effect: a list was read a moment ago
+		one.registry.RequestList() // no effect: a list was read a moment ago
 		is.True(errors.Is(<-ended, context.DeadlineExceeded))
 		is.Equal(lists.total(), 3)
 	})
@@ -262,15 +262,15 @@
 		}
 		one := newListed(1, store)
 		ended, began, asked := make(chan error, 2), time.Now(), make(chan time.Duration, 1)
-		task := one.registry.AfterFirst(func(context.Context) error {
+		task := one.registry.AfterFirstList(func(context.Context) error {
 			asked <- time.Since(began)
 			return nil
 		})
 		go func() { ended <- one.registry.Run(ctx) }()
 		go func() { ended <- task(ctx) }()
 		time.Sleep(30 * time.Millisecond)
-		one.registry.PeerReady()
-		one.registry.PeerReady()
+		one.registry.MarkPeerReady()
+		one.registry.MarkPeerReady()
 		is.Equal(<-asked, 30*time.Millisecond)
 		is.NoErr(<-ended)
 		cancel()
--- a/peridotpath/instance/cell.go
+++ b/peridotpath/instance/cell.go
@@ -24,7 +24,7 @@
 	if cached := instance.cachedCellEndpoints.Load(); cached != nil && cached.source == snapshot && cached.cell == own {
 		return cached.endpoints
 	}
-	endpoints := snapshot.Narrow(own.HasEndpoint)
+	endpoints := snapshot.Filter(own.HasEndpoint)
 	instance.cachedCellEndpoints.Store(&cellSnapshot{source: snapshot, cell: own, endpoints: endpoints})
 	return endpoints
 }
--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -53,13 +53,13 @@
 	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, hold time.Duration) (bool, error)
 	Release func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error
 	// Ingress returns the handler of requests from callers.
-	Ingress func(Callers) http.Handler
+	Ingress func(IngressDependencies) http.Handler
 	// ReadyPath is the path of the load balancer's readiness check.
 	ReadyPath string
 }
 
-// Callers holds the dependencies of a handler of callers' requests.
-type Callers struct {
+// IngressDependencies holds the dependencies of a handler of callers' requests.
+type IngressDependencies struct {
 	Relay  *relay.Relay
 	Bodies *caller.Bodies
 	// Stopping reports that callers should not reuse the connection, Closing that no
@@ -152,7 +152,7 @@
 		Instance: settings.InstanceID, DataCentre: settings.DataCentre, Log: log, Routing: instance.routing,
 		Endpoints: instance.cellEndpoints, AllEndpoints: instance.directory.Current, Book: instance.loads, Send: adapter.Send, Check: adapter.Check,
 		Served: &telemetry.Sampler{PerSecond: servedLogLinesPerSecond},
-		Keeper: instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, Doubt: instance.paces.Doubt, Stall: settings.Stall, Routed: instance.startup.routingReady, Started: instance.startup.finished,
+		Keeper: instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, Doubt: instance.paces.Doubt, Stall: settings.StallTime, Routed: instance.startup.routingReady, Started: instance.startup.finished,
 		Budget: &relay.Budget{
 			Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow,
 			Instances: instance.estimateFleetSize,
@@ -212,7 +212,7 @@
 
 // findEndpoint returns the endpoint with the key; nil if it is not in use.
 func (instance *Instance) findEndpoint(key peridotpath.EndpointKey) *peridotpath.Endpoint {
-	return instance.directory.Current().Find(key)
+	return instance.directory.Current().ByKey(key)
 }
 
 // task is a background task.
@@ -227,21 +227,21 @@
 	settings, adapter := instance.Settings, instance.Adapter
 	instance.gossip = &gossip.Gossip{
 		Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
-		DataCentre: settings.DataCentre, ReadingsPort: settings.ReadingsAddress.Port(),
-		Book: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, Fresh: instance.localFreshness, Heard: instance.handlePeerFreshness, Log: instance.Log,
+		DataCentre: settings.DataCentre, SnapshotPort: settings.SnapshotAddress.Port(),
+		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness, Log: instance.Log,
 	}
 	adapter.Eras.Risen = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
-	instance.loads.Changed = instance.gossip.Changed
-	instance.facts.Changed = instance.gossip.Changed
+	instance.loads.Changed = instance.gossip.RequestDigest
+	instance.facts.Changed = instance.gossip.RequestDigest
 	instance.registry = &gossip.Registry{
 		Store: adapter.Store, Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
 		DataCentre: settings.DataCentre, SetPeers: instance.gossip.SetPeers, Eras: adapter.Eras, Log: instance.Log,
 	}
-	instance.gossip.OtherCells = instance.registry.Look
+	instance.gossip.OnCellCountMismatch = instance.registry.RequestList
 	instance.routingFollower = &routing.Follower{
 		State: instance.routing, Key: adapter.RoutingKey, Decode: adapter.DecodeRouting, Check: adapter.Store.Check,
-		Eras: adapter.Eras, Ask: readings.AskRouting, Confirmed: instance.gossip.Changed, Log: instance.Log,
-		Before: func(version peridotpath.RoutingVersion) int { return instance.gossip.Before(uint64(version)) },
+		Eras: adapter.Eras, Ask: readings.AskRouting, Confirmed: instance.gossip.RequestDigest, Log: instance.Log,
+		Before: func(version peridotpath.RoutingVersion) int { return instance.gossip.Rank(uint64(version)) },
 		Pace: instance.pollPace(
 			func() bool { return instance.routing.Current() != nil && adapter.Eras.Settled() },
 			func() uint64 { return uint64(instance.routing.Version()) },
@@ -249,28 +249,28 @@
 	}
 	instance.endpointFollower = &directory.Follower{
 		Directory: instance.directory, List: instance.listEndpoints, Decode: adapter.DecodeEndpoints, Now: clock.SinceBoot,
-		Eras: adapter.Eras, Ask: readings.AskEndpoints, Confirmed: instance.gossip.Changed, Log: instance.Log,
-		Pace: instance.pollPace(func() bool { return instance.directory.Current() != nil }, instance.directory.Content),
+		Eras: adapter.Eras, FetchFromPeer: readings.AskEndpoints, OnConfirmed: instance.gossip.RequestDigest, Log: instance.Log,
+		Pace: instance.pollPace(func() bool { return instance.directory.Current() != nil }, instance.directory.ContentHash),
 	}
 }
 
 // pollPace returns the pace at which one kind of data is read from the store. The order of
 // the instances depends on the content, so that the reads are shared among them.
 func (instance *Instance) pollPace(hasSnapshot func() bool, content func() uint64) clock.Pace {
-	limit := float64(instance.Settings.ChangeWithin)
+	limit := float64(instance.Settings.MaxPropagationDelay)
 	return clock.Pace{
 		Least: time.Duration(minPollAgeShare * limit), Spread: time.Duration(pollSpreadShare * limit), Retry: pollRetryPause, Gap: minPollGap,
 		Others: func() int { return instance.loads.Peers(time.Now()) },
-		Known:  hasSnapshot, Before: func() int { return min(instance.gossip.Before(content()), maxPollRank) },
+		Known:  hasSnapshot, Before: func() int { return min(instance.gossip.Rank(content()), maxPollRank) },
 	}
 }
 
 // handleStoreRestored reacts to a restore of the store from an older copy. The routing is
 // read again on its normal schedule; what is read may then be older than before.
 func (instance *Instance) handleStoreRestored() {
-	instance.directory.WentBack(clock.SinceBoot())
-	instance.registry.Renew()
-	instance.gossip.Changed()
+	instance.directory.MarkStoreRestored(clock.SinceBoot())
+	instance.registry.RequestReregistration()
+	instance.gossip.RequestDigest()
 }
 
 // localFreshness returns the freshness of this instance's snapshot of the store.
@@ -278,20 +278,20 @@
 	eras := instance.Adapter.Eras
 	age, dated := eras.Age()
 	return gossip.Freshness{
-		Era: eras.Current(), EraAge: age, EraDated: dated,
+		Era: eras.Current(), EraAge: age, EraAgeKnown: dated,
 		RoutingVersion: instance.routing.Version(), RoutingAge: instance.routing.Age(),
-		Endpoints: instance.directory.Content(), EndpointsAge: instance.endpointFollower.Age(),
+		EndpointsHash: instance.directory.ContentHash(), EndpointsAge: instance.endpointFollower.Age(),
 	}
 }
 
 // handlePeerFreshness applies the freshness of a peer's snapshot of the store.
 func (instance *Instance) handlePeerFreshness(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
-	instance.Adapter.Eras.Heard(fresh.Era, fresh.EraAge, fresh.EraDated)
-	if fresh.RoutingVersion > 0 && fresh.Endpoints != 0 {
-		instance.registry.PeerReady()
+	instance.Adapter.Eras.Heard(fresh.Era, fresh.EraAge, fresh.EraAgeKnown)
+	if fresh.RoutingVersion > 0 && fresh.EndpointsHash != 0 {
+		instance.registry.MarkPeerReady()
 	}
 	instance.routingFollower.HearPeer(peer, fresh.RoutingVersion, asked-fresh.RoutingAge)
-	instance.endpointFollower.HearPeer(peer, fresh.Endpoints, asked-fresh.EndpointsAge)
+	instance.endpointFollower.UpdateFromPeer(peer, fresh.EndpointsHash, asked-fresh.EndpointsAge)
 }
 
 // backgroundTasks returns the tasks that run next to the listeners.
@@ -300,8 +300,8 @@
 		{"start", instance.startup.Run},
 		{"gossip", instance.gossip.Run},
 		{"registry", instance.registry.Run},
-		{"routing", instance.registry.AfterFirst(instance.routingFollower.Run)},
-		{"endpoints", instance.registry.AfterFirst(instance.endpointFollower.Run)},
+		{"routing", instance.registry.AfterFirstList(instance.routingFollower.Run)},
+		{"endpoints", instance.registry.AfterFirstList(instance.endpointFollower.Run)},
 		{"reservations", instance.keeper.Run},
 		{"pace", instance.paces.Run},
 		{"pauses", (&pauseDetector{Now: clock.SinceBoot, Log: instance.Log}).Run},
--- a/peridotpath/instance/instance_test.go
+++ b/peridotpath/instance/instance_test.go
@@ -98,7 +98,7 @@
 	addresses := freePorts(t, 5)
 	running := &running{stop: make(chan os.Signal, 1), ended: make(chan error, 1), release: make(chan struct{})}
 	running.settings = &instance.Settings{
-		InstanceID: "edge-1", DataCentre: "a", CallerAddress: addresses[0], ReadyAddress: addresses[1], PeerAddress: addresses[2], ReadingsAddress: addresses[3],
+		InstanceID: "edge-1", DataCentre: "a", CallerAddress: addresses[0], ReadyAddress: addresses[1], PeerAddress: addresses[2], SnapshotAddress: addresses[3],
 		MetricsAddress: addresses[4], Grace: grace,
 	}
 	for _, change := range changes {
@@ -118,7 +118,7 @@
 			}
 			return &relay.Answer{Status: 200, Header: http.Header{}, Genuine: true, Body: io.NopCloser(strings.NewReader("done"))}, nil
 		},
-		Ingress: func(callers instance.Callers) http.Handler {
+		Ingress: func(callers instance.IngressDependencies) http.Handler {
 			return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 				incoming := &relay.Request{ID: "r", Path: request.URL.Path, Host: peridotpath.NormalHost(request.Host), Arrived: time.Now()}
 				callers.Relay.Serve(request.Context(), incoming, &relay.Caller{
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -30,7 +30,7 @@
 func (instance *Instance) createListeners() {
 	settings := instance.Settings
 	bodies := caller.NewBodies(initialMaxBody, peridotpath.Bytes(bodyMemoryShare*float64(settings.Memory)), bodyReadTimeout)
-	handler := instance.Adapter.Ingress(Callers{
+	handler := instance.Adapter.Ingress(IngressDependencies{
 		Relay: instance.relay, Bodies: bodies, Stopping: instance.stopping.Load, Closing: instance.closing.Load,
 	})
 	instance.callerListener = &inbound.Listener{
@@ -43,10 +43,10 @@
 	}
 	peers := &readings.Server{
 		LastRouting: instance.routingFollower.Last, RoutingOf: instance.routingFollower.Of,
-		LastEndpoints: instance.endpointFollower.Last, EndpointsOf: instance.endpointFollower.Of,
+		LastEndpoints: instance.endpointFollower.Last, EndpointsOf: instance.endpointFollower.ByContentHash,
 	}
 	instance.snapshotListener = &inbound.Listener{
-		Name: "readings", Address: settings.ReadingsAddress, MaxHeaderBytes: maxHeaderBytes,
+		Name: "readings", Address: settings.SnapshotAddress, MaxHeaderBytes: maxHeaderBytes,
 		Routes: []rest.Route{
 			{Method: http.MethodPost, Path: readings.PathPrefix + "/:service/:method", Handler: peers.Handler().ServeHTTP},
 		},
--- a/peridotpath/instance/settings.go
+++ b/peridotpath/instance/settings.go
@@ -23,9 +23,9 @@
 	CallerAddress, ReadyAddress netip.AddrPort
 	// PeerAddress is the listen address for gossip, over UDP.
 	PeerAddress netip.AddrPort
-	// ReadingsAddress is the listen address, over TCP, at which other instances fetch the
+	// SnapshotAddress is the listen address, over TCP, at which other instances fetch the
 	// snapshot of the store that this one holds.
-	ReadingsAddress netip.AddrPort
+	SnapshotAddress netip.AddrPort
 	// MetricsAddress is the listen address for metrics in text form.
 	MetricsAddress netip.AddrPort
 	// StoreAddress is the address of the platform's key-value service.
@@ -43,12 +43,12 @@
 	RetryWindow time.Duration
 	// MaxHold is the longest time for which an engine reserves memory at once.
 	MaxHold time.Duration
-	// ChangeWithin is the time within which a change of the routing or of the endpoints
+	// MaxPropagationDelay is the time within which a change of the routing or of the endpoints
 	// must be active.
-	ChangeWithin time.Duration
-	// Stall is how long an engine's work stalls when another engine that it depends on is
+	MaxPropagationDelay time.Duration
+	// StallTime is how long an engine's work stalls when another engine that it depends on is
 	// unreachable.
-	Stall time.Duration
+	StallTime time.Duration
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
 }
@@ -77,8 +77,8 @@
 	peridotpath.SetDefault(&settings.KeyLifetime, defaultKeyLifetime)
 	peridotpath.SetDefault(&settings.RetryWindow, defaultRetryWindow)
 	peridotpath.SetDefault(&settings.MaxHold, defaultMaxHold)
-	peridotpath.SetDefault(&settings.ChangeWithin, defaultChangeWithin)
-	peridotpath.SetDefault(&settings.Stall, defaultStall)
+	peridotpath.SetDefault(&settings.MaxPropagationDelay, defaultChangeWithin)
+	peridotpath.SetDefault(&settings.StallTime, defaultStall)
 	peridotpath.SetDefault(&settings.LogLevel, defaultLogLevel)
 }
 
@@ -97,8 +97,8 @@
 	faults.Range("retry_window_ms", settings.RetryWindow.Milliseconds(), 100, 3_600_000)
 	faults.Range("retry_slack", int64(settings.RetrySlack), 0, 1_000_000)
 	faults.Range("max_hold_ms", settings.MaxHold.Milliseconds(), 100, 3_600_000)
-	faults.Range("change_within_ms", settings.ChangeWithin.Milliseconds(), 500, 600_000)
-	faults.Range("stall_ms", settings.Stall.Milliseconds(), 10, 60_000)
+	faults.Range("change_within_ms", settings.MaxPropagationDelay.Milliseconds(), 500, 600_000)
+	faults.Range("stall_ms", settings.StallTime.Milliseconds(), 10, 60_000)
 	if settings.RetryRatio < 0 || settings.RetryRatio > 1 {
 		faults.Add("retry_ratio", "is %v, must be from 0 to 1", settings.RetryRatio)
 	}
--- a/peridotpath/relay/candidates.go
+++ b/peridotpath/relay/candidates.go
@@ -10,11 +10,11 @@
 // candidates returns the endpoints that may take the request.
 func (exchange *exchange) candidates(now time.Time) []placement.Candidate {
 	exchange.limited = 0
-	members := exchange.relay.Endpoints().Of(exchange.service)
+	members := exchange.relay.Endpoints().ForService(exchange.service)
 	exchange.engines = len(members)
 	candidates := exchange.candidatesOf(members, now)
 	if len(candidates) == 0 {
-		candidates = exchange.candidatesOf(exchange.relay.AllEndpoints().Of(exchange.service), now)
+		candidates = exchange.candidatesOf(exchange.relay.AllEndpoints().ForService(exchange.service), now)
 	}
 	return candidates
 }
--- a/peridotpath/relay/relay.go
+++ b/peridotpath/relay/relay.go
@@ -148,7 +148,7 @@
 	snapshot := relay.Endpoints()
 	total := 0
 	for _, backend := range route.Backends {
-		if len(snapshot.Of(backend.Service)) > 0 {
+		if len(snapshot.ForService(backend.Service)) > 0 {
 			total += backend.Weight
 		}
 	}
@@ -157,7 +157,7 @@
 	}
 	pick := rand.IntN(total)
 	for _, backend := range route.Backends {
-		if len(snapshot.Of(backend.Service)) == 0 {
+		if len(snapshot.ForService(backend.Service)) == 0 {
 			continue
 		}
 		if pick < backend.Weight {
--- a/peridotpath/service/servicetest/service.go
+++ b/peridotpath/service/servicetest/service.go
@@ -23,10 +23,10 @@
 type Service struct {
 	// Name is the service name in the answers.
 	Name string
-	// Takes is the duration of a call.
-	Takes time.Duration
-	// LoadLag is the minimum age of a load report.
-	LoadLag time.Duration
+	// CallDuration is the duration of a call.
+	CallDuration time.Duration
+	// MinLoadReportAge is the minimum age of a load report.
+	MinLoadReportAge time.Duration
 	// Faults holds the injected faults. They may change while the service runs.
 	Faults faults.Faults
 
@@ -91,7 +91,7 @@
 	run := service.beginRun(key)
 	defer service.endRun()
 	service.Faults.Wait(request.Context().Done())
-	time.Sleep(service.Takes)
+	time.Sleep(service.CallDuration)
 	service.recordCount(key, func(count *engine.Count) { count.Finished++ })
 	service.writeAnswer(writer, request, Answer{
 		Service: service.Name, Method: request.Method, Path: request.URL.RequestURI(), Key: request.Header.Get(headerIdempotencyKey),
@@ -169,16 +169,16 @@
 	_ = json.NewEncoder(writer).Encode(service.Counts())
 }
 
-// handleLoad answers with a load report that is at least LoadLag old.
+// handleLoad answers with a load report that is at least MinLoadReportAge old.
 func (service *Service) handleLoad(writer http.ResponseWriter, _ *http.Request) {
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	now := time.Now()
 	current := peridotpath.Load{AsOf: now, Running: service.running, Revision: service.pending.Revision + 1}
-	if now.Sub(service.pending.AsOf) >= service.LoadLag {
+	if now.Sub(service.pending.AsOf) >= service.MinLoadReportAge {
 		service.report, service.pending = service.pending, current
 	}
-	if service.LoadLag == 0 {
+	if service.MinLoadReportAge == 0 {
 		service.report = current
 	}
 	_ = json.NewEncoder(writer).Encode(service.report)
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -128,7 +128,7 @@
 	}}
 	for i, address := range []string{serviceAddress1, serviceAddress2} {
 		id := string(deployment.plain) + "-" + string(rune('1'+i))
-		fleet.services[i].Name, fleet.services[i].Takes = string(deployment.plain), 20*time.Millisecond
+		fleet.services[i].Name, fleet.services[i].CallDuration = string(deployment.plain), 20*time.Millisecond
 		fleet.network.Serve(address, fleet.services[i].Handler())
 		fleet.endpoints = append(fleet.endpoints, peridotpath.Endpoint{
 			ID: peridotpath.EndpointID(id), Service: deployment.plain, Kind: peridotpath.KindPlain,
--- a/standin/service.go
+++ b/standin/service.go
@@ -26,8 +26,8 @@
 func (command *serviceCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&command.address, "address", "127.0.0.1:7200", "where to listen")
 	flags.StringVar(&command.service.Name, "name", "service", "name in the answers")
-	flags.DurationVar(&command.service.Takes, "takes", 5*time.Millisecond, "how long a call runs")
-	flags.DurationVar(&command.service.LoadLag, "load-lag", 200*time.Millisecond, "age of a load report, at least")
+	flags.DurationVar(&command.service.CallDuration, "takes", 5*time.Millisecond, "how long a call runs")
+	flags.DurationVar(&command.service.MinLoadReportAge, "load-lag", 200*time.Millisecond, "age of a load report, at least")
 }
 
 func (command *serviceCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
