--- a/peridotpath/facts/facts.go
+++ b/peridotpath/facts/facts.go
@@ -1,10 +1,12 @@
-// Package facts holds what single instances see and all have to know: each fact with
-// its age, who saw it, and when it ends. Instances tell each other what is new, and
-// everybody decides by the same facts.
+// Package facts stores observations that one instance makes and every instance needs:
+// endpoint crashes, quarantined requests, rate limits, request counts and engine
+// slowdowns. Each fact has a timestamp, a source and a time to live. Instances gossip new
+// facts, so that all of them decide by the same data.
 //
-// The load that it is made for is what one instance cannot see: a request that comes
-// to another instance each time, an endpoint that names to one what binds all. Facts
-// are few while nothing happens; what is kept and told of each kind is bounded.
+// It matters for load that no single instance sees whole: a request that crashes its
+// endpoint and reaches a different instance at each retry, or an endpoint that reports
+// its rate limit to only one of its senders. There are few facts in normal operation; the
+// number stored and the number sent are bounded for each kind.
 package facts
 
 import (
@@ -19,88 +21,90 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// Kind is what a fact says. The numbers stand in digests.
+// Kind is the type of an observation. Gossip digests carry its number.
 type Kind uint8
 
 // The kinds.
 const (
-	// KindEnded: an endpoint, the detail, ended while it ran a request, the subject.
+	// KindEnded: an endpoint (detail) crashed while it ran a request (subject).
 	KindEnded Kind = 1
-	// KindSurvived: an endpoint has run a request, the subject, and goes on.
+	// KindSurvived: an endpoint ran a request (subject) and did not crash.
 	KindSurvived Kind = 2
-	// KindBarred: a request, the subject, is kept off the endpoints for as many
-	// seconds as the value says.
+	// KindBarred: a request (subject) is quarantined; the value is the duration in
+	// seconds.
 	KindBarred Kind = 3
-	// KindTrial: an instance sends a suspected request, the subject; the value numbers
-	// these attempts.
+	// KindTrial: an instance sends a suspected request (subject); the value is the number
+	// of the attempt.
 	KindTrial Kind = 4
-	// KindLimit: an endpoint, the subject, takes as many requests a second from all
-	// instances together as the value says.
+	// KindLimit: the rate limit of an endpoint (subject); the value is in requests per
+	// second, for all instances together.
 	KindLimit Kind = 5
-	// KindSent: an instance, the detail, has sent as many requests to an endpoint with a
-	// limit, the subject, as the value says.
+	// KindSent: the value is the number of requests that a sender (detail) has sent to a
+	// rate-limited endpoint (subject).
 	KindSent Kind = 6
-	// KindPace: an engine, the detail, takes as many times as long as published for its
-	// work as the value says.
+	// KindPace: the slowdown of an engine (detail); the value is the ratio of its
+	// processing time to the published one.
 	KindPace Kind = 7
 
-	kinds = 8
+	kindCount = 8
 )
 
-// rule is how facts of a kind are kept.
-type rule struct {
+// policy sets how facts of a kind are stored and gossiped.
+type policy struct {
 	name string
-	// keep is how long one is known, most how many are at once.
-	keep time.Duration
-	most int
-	// lasting facts are told again now and then for those that missed them.
-	lasting bool
-	// same is the difference in age up to which two facts that say the same are one; the
-	// age of what is handed on grows by the time on its way.
-	same time.Duration
+	// ttl is the time after which a fact expires.
+	ttl time.Duration
+	// maxStored bounds the number of facts in the table.
+	maxStored int
+	// isResent marks facts that are repeated periodically, for instances that missed
+	// them.
+	isResent bool
+	// ageTolerance is the difference in age up to which two facts with the same value are
+	// duplicates: the age of a forwarded fact grows by the network delay.
+	ageTolerance time.Duration
 }
 
-// evidenceKept is how long an end counts against a request: one that comes once a
-// minute is found out, too.
-const evidenceKept = 10 * time.Minute
-
-// onWay is the time that a fact may have been on its way.
-const onWay = 250 * time.Millisecond
-
-var rules = [kinds]rule{
-	KindEnded:    {name: "ended", keep: evidenceKept, most: 2048, same: onWay},
-	KindSurvived: {name: "survived", keep: evidenceKept, most: 1024, same: onWay},
-	KindBarred:   {name: "barred", keep: 2 * time.Hour, most: 256, same: onWay, lasting: true},
-	KindTrial:    {name: "trial", keep: 5 * time.Second, most: 256, same: onWay},
-	// Endpoints name their limits in each answer; once in a while is news enough.
-	KindLimit: {name: "limit", keep: time.Minute, most: 1024, same: 5 * time.Second, lasting: true},
-	KindSent:  {name: "sent", keep: 20 * time.Second, most: 4096, same: onWay},
-	// Slow engines are asked again each second; one that nobody asks any more is forgotten.
-	KindPace: {name: "pace", keep: 3 * time.Second, most: 4096, same: onWay},
+// crashEvidenceTTL is long enough to detect a request that recurs once a minute.
+const crashEvidenceTTL = 10 * time.Minute
+
+// maxNetworkDelay bounds the time that a fact takes between instances.
+const maxNetworkDelay = 250 * time.Millisecond
+
+var policies = [kindCount]policy{
+	KindEnded:    {name: "ended", ttl: crashEvidenceTTL, maxStored: 2048, ageTolerance: maxNetworkDelay},
+	KindSurvived: {name: "survived", ttl: crashEvidenceTTL, maxStored: 1024, ageTolerance: maxNetworkDelay},
+	KindBarred:   {name: "barred", ttl: 2 * time.Hour, maxStored: 256, ageTolerance: maxNetworkDelay, isResent: true},
+	KindTrial:    {name: "trial", ttl: 5 * time.Second, maxStored: 256, ageTolerance: maxNetworkDelay},
+	// Endpoints report their limit in every response. The wider tolerance keeps an
+	// unchanged limit from being gossiped for each of them.
+	KindLimit: {name: "limit", ttl: time.Minute, maxStored: 1024, ageTolerance: 5 * time.Second, isResent: true},
+	KindSent:  {name: "sent", ttl: 20 * time.Second, maxStored: 4096, ageTolerance: maxNetworkDelay},
+	// Slow engines are probed every second; the fact expires when probing stops.
+	KindPace: {name: "pace", ttl: 3 * time.Second, maxStored: 4096, ageTolerance: maxNetworkDelay},
 }
 
-// String returns the kind's name as logs and metrics write it.
-func (kind Kind) String() string { return rules[kind].name }
+// String returns the name of the kind in logs and metrics.
+func (kind Kind) String() string { return policies[kind].name }
 
-// Subject is what a fact is about.
+// Subject identifies what a fact is about: a request's fingerprint or an endpoint.
 type Subject [16]byte
 
-// SubjectOf is the subject of facts about an endpoint.
+// SubjectOf returns the subject of facts about an endpoint.
 func SubjectOf(endpoint peridotpath.EndpointKey) Subject {
 	var subject Subject
 	binary.BigEndian.PutUint64(subject[:], uint64(endpoint))
 	return subject
 }
 
-// Fact is one thing that an instance saw.
+// Fact is one observation.
 type Fact struct {
 	Kind    Kind
 	Subject Subject
 	Detail  uint64
 	Value   float64
-	// At is when it was seen, on this instance's monotonic clock.
+	// At is the time of the observation, on the monotonic clock of this instance.
 	At time.Time
-	// From is the instance that this one has it from.
+	// From is the instance that sent the fact to this one.
 	From peridotpath.InstanceID
 }
 
@@ -114,110 +118,115 @@
 
 type entry struct {
 	fact Fact
-	// tellings counts how often it has been told, due is when it is next.
-	tellings int
-	due      time.Time
+	// sends is the number of times that the fact has been sent.
+	sends    int
+	nextSend time.Time
 }
 
 const (
-	// tellings is how often a fact is told, so that lost datagrams cost nothing but
-	// time, and tellPause the pause after the first telling, which doubles each time.
-	tellings  = 5
-	tellPause = 100 * time.Millisecond
-	// tellMost bounds the facts of one digest, which goes out in one datagram.
-	tellMost = 64
+	// maxSends is the number of times that a fact is sent, so that a lost datagram only
+	// delays it.
+	maxSends = 5
+	// firstResendDelay is the time between the first two sends. It doubles after each.
+	firstResendDelay = 100 * time.Millisecond
+	// maxFactsPerDigest keeps a digest within one datagram.
+	maxFactsPerDigest = 64
 )
 
-// Table holds facts. Set the exported fields before use.
+// Table stores facts until they expire. Set the exported fields before use.
 type Table struct {
-	// Changed, when set, is called when there is something to tell.
+	// Changed, when set, is called when there are new facts to send.
 	Changed func()
 
 	mutex sync.Mutex
 	facts map[key]*entry
-	// about holds the same facts by subject.
-	about  map[Subject]map[key]*entry
-	counts [kinds]atomic.Int64
-	// due is when the next fact is to be told.
-	due time.Time
+	// bySubject indexes the same facts by subject.
+	bySubject map[Subject]map[key]*entry
+	counts    [kindCount]atomic.Int64
+	// nextSend is the earliest time at which a fact has to be sent.
+	nextSend time.Time
 }
 
-// Has reports whether any fact of a kind is held. It costs a request next to nothing.
+// Has reports whether the table holds any fact of a kind. It takes no lock and is cheap
+// enough for every request.
 func (table *Table) Has(kind Kind) bool { return table.counts[kind].Load() > 0 }
 
-// Knows reports whether there is any fact about the subject.
+// Knows reports whether the table holds any fact about a subject.
 func (table *Table) Knows(subject Subject) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return len(table.about[subject]) > 0
+	return len(table.bySubject[subject]) > 0
 }
 
-// Learn takes in what this instance saw itself.
+// Learn stores an observation of this instance and schedules it for gossip.
 func (table *Table) Learn(fact Fact) {
-	table.take(fact, true)
+	table.merge(fact, true)
 	if table.Changed != nil {
 		table.Changed()
 	}
 }
 
-// Hear takes in what a peer tells. What comes from another cell is told in this one.
-func (table *Table) Hear(told []Fact, handOn bool) {
-	news := false
-	for _, fact := range told {
-		if fact.Kind > 0 && fact.Kind < kinds {
-			news = table.take(fact, handOn) || news
+// Hear stores facts received from a peer. With forward, which is set for facts from
+// another cell, new ones are also gossiped to the peers of this cell.
+func (table *Table) Hear(received []Fact, forward bool) {
+	hasNew := false
+	for _, fact := range received {
+		if fact.Kind > 0 && fact.Kind < kindCount {
+			hasNew = table.merge(fact, forward) || hasNew
 		}
 	}
-	if news && handOn && table.Changed != nil {
+	if hasNew && forward && table.Changed != nil {
 		table.Changed()
 	}
 }
 
-// take keeps the newer of two facts, and reports whether it is new.
-func (table *Table) take(fact Fact, tell bool) bool {
+// merge keeps the newer of two facts with the same key, and reports whether the given
+// one was stored.
+func (table *Table) merge(fact Fact, send bool) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	known := table.facts[fact.key()]
-	if known != nil && !fact.At.After(known.fact.At.Add(rules[fact.Kind].same)) && (fact.Value == known.fact.Value || !fact.At.After(known.fact.At)) {
+	stored := table.facts[fact.key()]
+	if stored != nil && !fact.At.After(stored.fact.At.Add(policies[fact.Kind].ageTolerance)) && (fact.Value == stored.fact.Value || !fact.At.After(stored.fact.At)) {
 		return false
 	}
-	added := &entry{fact: fact, tellings: tellings}
-	if tell {
-		added.tellings, added.due = 0, fact.At
-		table.due = time.Time{}
+	added := &entry{fact: fact, sends: maxSends}
+	if send {
+		added.sends, added.nextSend = 0, fact.At
+		table.nextSend = time.Time{}
 	}
-	table.put(added)
-	table.bound(fact.Kind, fact.At)
+	table.insert(added)
+	table.evict(fact.Kind, fact.At)
 	return true
 }
 
-func (table *Table) put(added *entry) {
+func (table *Table) insert(added *entry) {
 	if table.facts == nil {
-		table.facts, table.about = map[key]*entry{}, map[Subject]map[key]*entry{}
+		table.facts, table.bySubject = map[key]*entry{}, map[Subject]map[key]*entry{}
 	}
 	name, subject := added.fact.key(), added.fact.Subject
 	if table.facts[name] == nil {
 		table.counts[name.kind].Add(1)
 	}
-	if table.about[subject] == nil {
-		table.about[subject] = map[key]*entry{}
+	if table.bySubject[subject] == nil {
+		table.bySubject[subject] = map[key]*entry{}
 	}
-	table.facts[name], table.about[subject][name] = added, added
+	table.facts[name], table.bySubject[subject][name] = added, added
 }
 
-func (table *Table) drop(key key) {
+func (table *Table) remove(key key) {
 	delete(table.facts, key)
 	table.counts[key.kind].Add(-1)
-	delete(table.about[key.subject], key)
-	if len(table.about[key.subject]) == 0 {
-		delete(table.about, key.subject)
+	delete(table.bySubject[key.subject], key)
+	if len(table.bySubject[key.subject]) == 0 {
+		delete(table.bySubject, key.subject)
 	}
 }
 
-// bound forgets what is over of a kind of which there is too much, and then the oldest.
-func (table *Table) bound(kind Kind, now time.Time) {
-	rule := rules[kind]
-	if table.counts[kind].Load() <= int64(rule.most) {
+// evict removes the expired facts of a kind that exceeds its maximum, and the oldest one
+// if that was not enough.
+func (table *Table) evict(kind Kind, now time.Time) {
+	policy := policies[kind]
+	if table.counts[kind].Load() <= int64(policy.maxStored) {
 		return
 	}
 	var kept []*entry
@@ -225,95 +234,97 @@
 		if key.kind != kind {
 			continue
 		}
-		if now.Sub(entry.fact.At) > rule.keep {
-			table.drop(key)
+		if now.Sub(entry.fact.At) > policy.ttl {
+			table.remove(key)
 			continue
 		}
 		kept = append(kept, entry)
 	}
-	if len(kept) <= rule.most {
+	if len(kept) <= policy.maxStored {
 		return
 	}
 	oldest := slices.MinFunc(kept, func(a, b *entry) int { return a.fact.At.Compare(b.fact.At) })
-	table.drop(oldest.fact.key())
+	table.remove(oldest.fact.key())
 	telemetry.FactForgotten(kind.String())
 }
 
-// All returns the facts of a kind that are not over, in no order.
+// All returns the unexpired facts of a kind, in no order.
 func (table *Table) All(kind Kind, now time.Time) []Fact {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return ofKind(table.facts, kind, now)
+	return unexpired(table.facts, kind, now)
 }
 
-// About returns the facts of a kind about a subject that are not over, in no order.
+// About returns the unexpired facts of a kind about a subject, in no order.
 func (table *Table) About(kind Kind, subject Subject, now time.Time) []Fact {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	return ofKind(table.about[subject], kind, now)
+	return unexpired(table.bySubject[subject], kind, now)
 }
 
-func ofKind(entries map[key]*entry, kind Kind, now time.Time) []Fact {
-	var all []Fact
+func unexpired(entries map[key]*entry, kind Kind, now time.Time) []Fact {
+	var found []Fact
 	for key, entry := range entries {
-		if key.kind == kind && now.Sub(entry.fact.At) <= rules[kind].keep {
-			all = append(all, entry.fact)
+		if key.kind == kind && now.Sub(entry.fact.At) <= policies[kind].ttl {
+			found = append(found, entry.fact)
 		}
 	}
-	return all
+	return found
 }
 
-// Get returns the fact of a kind about a subject and a detail.
+// Get returns the unexpired fact of a kind with this subject and detail.
 func (table *Table) Get(kind Kind, subject Subject, detail uint64, now time.Time) (Fact, bool) {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	entry := table.facts[key{kind, subject, detail}]
-	if entry == nil || now.Sub(entry.fact.At) > rules[kind].keep {
+	if entry == nil || now.Sub(entry.fact.At) > policies[kind].ttl {
 		return Fact{}, false
 	}
 	return entry.fact, true
 }
 
-// Tell returns what is to be told now. With again, lasting facts are told that have
-// been told before.
-func (table *Table) Tell(now time.Time, again bool) []Fact {
+// Tell returns the facts to send now and counts them as sent: those sent least often
+// first, then the newest. With resend, it includes facts of the periodically repeated
+// kinds that were sent before. Expired facts are removed.
+func (table *Table) Tell(now time.Time, resend bool) []Fact {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
-	if !again && now.Before(table.due) {
+	if !resend && now.Before(table.nextSend) {
 		return nil
 	}
 	var due []*entry
 	for key, entry := range table.facts {
-		rule := rules[key.kind]
+		policy := policies[key.kind]
 		switch {
-		case now.Sub(entry.fact.At) > rule.keep:
-			table.drop(key)
-		case entry.tellings < tellings && !now.Before(entry.due), again && rule.lasting:
+		case now.Sub(entry.fact.At) > policy.ttl:
+			table.remove(key)
+		case entry.sends < maxSends && !now.Before(entry.nextSend), resend && policy.isResent:
 			due = append(due, entry)
 		}
 	}
 	slices.SortFunc(due, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.tellings, b.tellings), b.fact.At.Compare(a.fact.At))
+		return cmp.Or(cmp.Compare(a.sends, b.sends), b.fact.At.Compare(a.fact.At))
 	})
-	told := make([]Fact, 0, min(len(due), tellMost))
-	for _, entry := range due[:min(len(due), tellMost)] {
-		if entry.tellings < tellings {
-			entry.due = now.Add(tellPause << entry.tellings)
-			entry.tellings++
+	sent := make([]Fact, 0, min(len(due), maxFactsPerDigest))
+	for _, entry := range due[:min(len(due), maxFactsPerDigest)] {
+		if entry.sends < maxSends {
+			entry.nextSend = now.Add(firstResendDelay << entry.sends)
+			entry.sends++
 		}
-		told = append(told, entry.fact)
+		sent = append(sent, entry.fact)
 	}
-	table.due = table.nextDue(now)
-	return told
+	table.nextSend = table.earliestSend(now)
+	return sent
 }
 
-// nextDue returns when the next fact is to be told; long after now where there is none.
-func (table *Table) nextDue(now time.Time) time.Time {
-	next := now.Add(time.Hour)
+// earliestSend returns when the next fact has to be sent; an hour from now if there is
+// none.
+func (table *Table) earliestSend(now time.Time) time.Time {
+	earliest := now.Add(time.Hour)
 	for _, entry := range table.facts {
-		if entry.tellings < tellings && entry.due.Before(next) {
-			next = entry.due
+		if entry.sends < maxSends && entry.nextSend.Before(earliest) {
+			earliest = entry.nextSend
 		}
 	}
-	return next
+	return earliest
 }
--- a/peridotpath/facts/facts_test.go
+++ b/peridotpath/facts/facts_test.go
@@ -13,29 +13,30 @@
 	return facts.Fact{Kind: kind, Subject: facts.Subject{subject}, At: at}
 }
 
-// A fact is told so often that lost datagrams do not matter, and no more.
-func TestTellings(t *testing.T) {
+// A fact is sent five times, so that a lost datagram does not lose it. After that only
+// the periodically repeated kinds are sent.
+func TestFactIsSentABoundedNumberOfTimes(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := &facts.Table{}
 	table.Learn(fact(facts.KindEnded, 1, now))
 	table.Learn(fact(facts.KindBarred, 1, now))
-	told := map[facts.Kind]int{}
+	sends := map[facts.Kind]int{}
 	for range 100 {
 		for _, fact := range table.Tell(now, false) {
-			told[fact.Kind]++
+			sends[fact.Kind]++
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
-	is.Equal(told, map[facts.Kind]int{facts.KindEnded: 5, facts.KindBarred: 5})
-	again := table.Tell(now, true)
-	is.Equal(len(again), 1) // lasting ones
-	is.Equal(again[0].Kind, facts.KindBarred)
+	is.Equal(sends, map[facts.Kind]int{facts.KindEnded: 5, facts.KindBarred: 5})
+	resent := table.Tell(now, true)
+	is.Equal(len(resent), 1) // only the repeated kind
+	is.Equal(resent[0].Kind, facts.KindBarred)
 }
 
-// What a peer of the own cell tells is told by it alone; what comes from another cell
-// is handed on, once.
-func TestHandedOn(t *testing.T) {
+// A fact from a peer of the same cell is not forwarded, since that peer sends it to the
+// whole cell. A fact from another cell is forwarded once.
+func TestFactFromAnotherCellIsForwardedOnce(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := &facts.Table{}
@@ -43,31 +44,32 @@
 	is.Equal(len(table.Tell(now, false)), 0)
 	table.Hear([]facts.Fact{fact(facts.KindEnded, 2, now)}, true)
 	is.Equal(len(table.Tell(now, false)), 1)
-	// The same comes back, a little older or younger by the time on its way.
+	// The same fact comes back, its age changed by the network delay.
 	table.Hear([]facts.Fact{fact(facts.KindEnded, 2, now.Add(30*time.Millisecond))}, true)
 	is.Equal(len(table.Tell(now, false)), 0)
 }
 
-func TestNewerFactCounts(t *testing.T) {
+func TestNewerFactReplacesOlder(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := &facts.Table{}
 	value := func(value float64, at time.Time) facts.Fact {
 		return facts.Fact{Kind: facts.KindBarred, Subject: facts.Subject{1}, Value: value, At: at}
 	}
-	known := func() float64 {
+	stored := func() float64 {
 		fact, _ := table.Get(facts.KindBarred, facts.Subject{1}, 0, now)
 		return fact.Value
 	}
 	table.Learn(value(60, now))
-	table.Hear([]facts.Fact{value(30, now.Add(-time.Second))}, false) // late
-	is.Equal(known(), 60.0)
+	table.Hear([]facts.Fact{value(30, now.Add(-time.Second))}, false) // older
+	is.Equal(stored(), 60.0)
 	table.Hear([]facts.Fact{value(120, now.Add(time.Millisecond))}, false)
-	is.Equal(known(), 120.0)
+	is.Equal(stored(), 120.0)
 }
 
-// A caller that invents requests does not fill the memory, nor push out what lasts.
-func TestFactsAreBounded(t *testing.T) {
+// A caller that sends many different crashing requests neither exhausts memory nor evicts
+// facts of other kinds.
+func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := &facts.Table{}
@@ -77,11 +79,11 @@
 	}
 	is.Equal(len(table.All(facts.KindEnded, now)), 2048)
 	is.True(table.Knows(facts.Subject{1}))
-	is.True(!table.Knows(facts.Subject{2, 0, 0})) // the oldest
+	is.True(!table.Knows(facts.Subject{2, 0, 0})) // the oldest is evicted
 	is.Equal(len(table.Tell(now.Add(time.Second), true)), 64)
 }
 
-func TestFactsEnd(t *testing.T) {
+func TestFactsExpire(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	table := &facts.Table{}
@@ -89,14 +91,15 @@
 	table.Learn(fact(facts.KindTrial, 1, now))
 	is.True(table.Has(facts.KindTrial))
 	now = now.Add(time.Minute)
-	_, known := table.Get(facts.KindTrial, facts.Subject{1}, 0, now)
-	is.True(!known)
+	_, found := table.Get(facts.KindTrial, facts.Subject{1}, 0, now)
+	is.True(!found)
 	is.Equal(len(table.Tell(now, false)), 0)
 	is.True(!table.Has(facts.KindTrial))
 }
 
-// BenchmarkTellNothing is what a digest pays while many facts are known and none is new.
-func BenchmarkTellNothing(b *testing.B) {
+// BenchmarkDigestWithoutNewFacts measures the cost of a digest when the table holds many
+// facts and none is due.
+func BenchmarkDigestWithoutNewFacts(b *testing.B) {
 	now := time.Now()
 	table := &facts.Table{}
 	for i := range 2000 {
