--- a/peridotpath/quarantine/evidence.go
+++ b/peridotpath/quarantine/evidence.go
@@ -7,107 +7,112 @@
 	"peridotpath.example/peridotpath/facts"
 )
 
-// evidence is what is known at one moment.
+// evidence is the set of facts for a decision at one time.
 type evidence struct {
 	now time.Time
-	// ends is when endpoints ended under a request, since one survived it last.
-	ends     map[peridotpath.Fingerprint]map[peridotpath.EndpointKey]time.Time
+	// crashes maps each request to the endpoints that have crashed under it since one last
+	// survived it, with the time of the crash.
+	crashes  map[peridotpath.Fingerprint]map[peridotpath.EndpointKey]time.Time
 	survived map[peridotpath.Fingerprint]time.Time
-	bars     map[peridotpath.Fingerprint]bar
+	terms    map[peridotpath.Fingerprint]term
 }
 
-// bar is the time for which a request is kept off.
-type bar struct {
+// term is the period in which a request is quarantined.
+type term struct {
 	from, until time.Time
 }
 
-func (bar bar) span() time.Duration { return bar.until.Sub(bar.from) }
+func (term term) duration() time.Duration { return term.until.Sub(term.from) }
 
 func (quarantine *Quarantine) evidence(now time.Time) *evidence {
 	evidence := &evidence{
 		now:      now,
-		ends:     map[peridotpath.Fingerprint]map[peridotpath.EndpointKey]time.Time{},
+		crashes:  map[peridotpath.Fingerprint]map[peridotpath.EndpointKey]time.Time{},
 		survived: map[peridotpath.Fingerprint]time.Time{},
-		bars:     map[peridotpath.Fingerprint]bar{},
+		terms:    map[peridotpath.Fingerprint]term{},
 	}
 	for _, fact := range quarantine.Facts.All(facts.KindSurvived, now) {
 		evidence.survived[peridotpath.Fingerprint(fact.Subject)] = fact.At
 	}
 	for _, fact := range quarantine.Facts.All(facts.KindBarred, now) {
-		until := fact.At.Add(time.Duration(min(fact.Value, longestBar.Seconds()) * float64(time.Second)))
-		evidence.bars[peridotpath.Fingerprint(fact.Subject)] = bar{from: fact.At, until: until}
+		until := fact.At.Add(time.Duration(min(fact.Value, maxQuarantine.Seconds()) * float64(time.Second)))
+		evidence.terms[peridotpath.Fingerprint(fact.Subject)] = term{from: fact.At, until: until}
 	}
 	for _, fact := range quarantine.Facts.All(facts.KindEnded, now) {
 		content := peridotpath.Fingerprint(fact.Subject)
 		if !fact.At.After(evidence.survived[content]) {
 			continue
 		}
-		if evidence.ends[content] == nil {
-			evidence.ends[content] = map[peridotpath.EndpointKey]time.Time{}
+		if evidence.crashes[content] == nil {
+			evidence.crashes[content] = map[peridotpath.EndpointKey]time.Time{}
 		}
-		evidence.ends[content][peridotpath.EndpointKey(fact.Detail)] = fact.At
+		evidence.crashes[content][peridotpath.EndpointKey(fact.Detail)] = fact.At
 	}
 	return evidence
 }
 
-// bar returns a request's bar, which is remembered after its end for as long again;
-// none once an endpoint has survived it.
-func (evidence *evidence) bar(content peridotpath.Fingerprint) (bar, bool) {
-	bar, known := evidence.bars[content]
-	remembered := evidence.now.Before(bar.until.Add(bar.span()))
-	return bar, known && remembered && bar.from.After(evidence.survived[content])
+// term returns the current or most recent quarantine of a request. An ended one stays
+// relevant for as long again as it lasted; none does once an endpoint has survived the
+// request.
+func (evidence *evidence) term(content peridotpath.Fingerprint) (term, bool) {
+	term, known := evidence.terms[content]
+	isRelevant := evidence.now.Before(term.until.Add(term.duration()))
+	return term, known && isRelevant && term.from.After(evidence.survived[content])
 }
 
-// newest is when an endpoint ended last under a request; zero if none has.
-func (evidence *evidence) newest(content peridotpath.Fingerprint) time.Time {
-	var newest time.Time
-	for _, at := range evidence.ends[content] {
-		if at.After(newest) {
-			newest = at
+// lastCrash returns the time of the last crash under a request; zero if there is none.
+func (evidence *evidence) lastCrash(content peridotpath.Fingerprint) time.Time {
+	var last time.Time
+	for _, at := range evidence.crashes[content] {
+		if at.After(last) {
+			last = at
 		}
 	}
-	return newest
+	return last
 }
 
-// settled reports whether all is known of those that ran where a request was found last.
-func (evidence *evidence) settled(content peridotpath.Fingerprint) bool {
-	return evidence.now.Sub(evidence.newest(content)) >= settleTime
+// isComplete reports whether the last crash under a request is old enough for every
+// instance to have reported the requests that ran on the endpoint.
+func (evidence *evidence) isComplete(content peridotpath.Fingerprint) bool {
+	return evidence.now.Sub(evidence.lastCrash(content)) >= evidenceDelay
 }
 
-// newerThan reports whether something is known of a request that is newer.
-func (evidence *evidence) newerThan(than time.Time, content peridotpath.Fingerprint) bool {
-	return evidence.newest(content).After(than) || evidence.survived[content].After(than)
+// isNewerThan reports whether a crash under the request or a survival of it is newer than
+// the given time.
+func (evidence *evidence) isNewerThan(than time.Time, content peridotpath.Fingerprint) bool {
+	return evidence.lastCrash(content).After(than) || evidence.survived[content].After(than)
 }
 
-// judge decides whether a request is to be kept off, and for how long.
-func (evidence *evidence) judge(content peridotpath.Fingerprint) (bar, bool) {
-	newest := evidence.newest(content)
-	if before, known := evidence.bar(content); known {
-		// What was under way when it was barred says nothing new.
-		return bar{from: newest, until: newest.Add(min(2*before.span(), longestBar))}, newest.After(before.until)
+// judge reports whether a request has to be quarantined, and for which period.
+func (evidence *evidence) judge(content peridotpath.Fingerprint) (term, bool) {
+	lastCrash := evidence.lastCrash(content)
+	if previous, known := evidence.term(content); known {
+		// Crashes before the end of the previous quarantine come from attempts that were in
+		// flight when it began; they are no new evidence.
+		return term{from: lastCrash, until: lastCrash.Add(min(2*previous.duration(), maxQuarantine))}, lastCrash.After(previous.until)
 	}
-	own := evidence.ends[content]
-	if len(own)-evidence.explained(content) < endsForBar || !evidence.settled(content) {
-		return bar{}, false
+	own := evidence.crashes[content]
+	if len(own)-evidence.explainedCrashes(content) < minCrashesToQuarantine || !evidence.isComplete(content) {
+		return term{}, false
 	}
-	for other, ends := range evidence.ends {
-		if _, barred := evidence.bar(other); other != content && !barred && len(ends) >= len(own) && meet(own, ends) {
-			return bar{}, false
+	for other, crashes := range evidence.crashes {
+		if _, quarantined := evidence.term(other); other != content && !quarantined && len(crashes) >= len(own) && shareEndpoint(own, crashes) {
+			return term{}, false
 		}
 	}
-	return bar{from: newest, until: newest.Add(firstBar)}, true
+	return term{from: lastCrash, until: lastCrash.Add(firstQuarantine)}, true
 }
 
-// explained counts the endpoints that ended under the request and under one that is
-// barred.
-func (evidence *evidence) explained(content peridotpath.Fingerprint) int {
+// explainedCrashes counts the endpoints that crashed under both the request and a
+// quarantined one.
+func (evidence *evidence) explainedCrashes(content peridotpath.Fingerprint) int {
 	count := 0
-	for endpoint := range evidence.ends[content] {
-		for other := range evidence.bars {
-			if _, barred := evidence.bar(other); other == content || !barred {
+	for endpoint := range evidence.crashes[content] {
+		for other := range evidence.terms {
+			if _, quarantined := evidence.term(other); other == content || !quarantined {
 				continue
 			}
-			if _, ended := evidence.ends[other][endpoint]; ended {
+			if _, crashed := evidence.crashes[other][endpoint]; crashed {
 				count++
 				break
 			}
@@ -116,10 +121,10 @@
 	return count
 }
 
-// meet reports whether an endpoint ended under both.
-func meet(first, second map[peridotpath.EndpointKey]time.Time) bool {
+// shareEndpoint reports whether an endpoint crashed under both requests.
+func shareEndpoint(first, second map[peridotpath.EndpointKey]time.Time) bool {
 	for endpoint := range first {
-		if _, both := second[endpoint]; both {
+		if _, isShared := second[endpoint]; isShared {
 			return true
 		}
 	}
--- a/peridotpath/quarantine/quarantine.go
+++ b/peridotpath/quarantine/quarantine.go
@@ -1,14 +1,15 @@
-// Package quarantine decides which requests are kept off the endpoints since they end
-// what runs them.
+// Package quarantine detects requests that crash the endpoints that run them (queries of
+// death, poison requests) and keeps them away from the endpoints for a time.
 //
-// The load that it is made for is one request that ends every endpoint that begins to
-// run it, and that comes again, with another id, to any instance. Sent on as it comes,
-// and once more elsewhere each time, it takes a service's endpoints down together, and
-// all that runs on them.
+// It matters for one request that crashes every endpoint that starts to run it and that is
+// retried, under another ID, at any instance. Without quarantine each retry crashes
+// another endpoint, until the service's endpoints and all their other requests are lost.
 //
-// An end of an endpoint says little of any one request that ran there. One is kept off
-// once three endpoints have ended under it, none has survived it since, and the ends
-// are not those of another request that was found in more of them.
+// One crash is weak evidence against any single request that ran on the endpoint. A
+// request is quarantined after three endpoints have crashed under it, if none has survived
+// it since and the crashes are not explained by another request that ran on at least as
+// many of the crashed endpoints. The evidence is gossiped, so that all instances decide
+// alike.
 package quarantine
 
 import (
@@ -23,24 +24,27 @@
 )
 
 const (
-	// endsForBar is how many endpoints must have ended under a request before it is
-	// kept off: fewer are found at one that was there by chance.
-	endsForBar = 3
-	// endsForTrial is the number from which a request is sent by one instance at a time.
-	endsForTrial = 2
-	// firstBar is how long a request is kept off at first. Then it may be sent once;
-	// if an endpoint ends again, it is kept off for twice as long, up to longestBar.
-	firstBar, longestBar = time.Minute, time.Hour
-	// settleTime is how long after an end all that ran there is known: instances find
-	// out within milliseconds, and tell each other as soon.
-	settleTime = 100 * time.Millisecond
-	// trialTime bounds what an instance may take to find out whether an endpoint
+	// minCrashesToQuarantine is the number of endpoints that must have crashed under a
+	// request before it is quarantined. Below three, requests that ran there by chance are
+	// quarantined, too.
+	minCrashesToQuarantine = 3
+	// minCrashesToSerialise is the number of crashes from which only one instance at a time
+	// sends a request.
+	minCrashesToSerialise = 2
+	// firstQuarantine is the duration of the first quarantine. When it ends, one attempt is
+	// allowed; a further crash doubles the duration, up to maxQuarantine.
+	firstQuarantine, maxQuarantine = time.Minute, time.Hour
+	// evidenceDelay is the time after a crash by which every instance has reported the
+	// requests that ran on the endpoint. Instances detect a crash within milliseconds and
+	// gossip it at once.
+	evidenceDelay = 100 * time.Millisecond
+	// trialTimeout bounds the time in which an instance finds out whether an endpoint
 	// survives a request.
-	trialTime = 3 * time.Second
+	trialTimeout = 3 * time.Second
 )
 
-// Quarantine decides by the facts that instances tell each other. Set the exported
-// fields before use.
+// Quarantine decides which requests are quarantined, by the facts that instances gossip.
+// Set the exported fields before use.
 type Quarantine struct {
 	Instance peridotpath.InstanceID
 	Facts    *facts.Table
@@ -49,23 +53,24 @@
 	mutex sync.Mutex
 }
 
-// Standing is what is held against a request.
+// Standing is the quarantine state of a request.
 type Standing int
 
-// The standings.
+// The states.
 const (
-	// Clear: it is sent as any other.
+	// Clear: the request is sent without restriction.
 	Clear Standing = iota
-	// Suspected: endpoints have ended under it; it is sent by one instance at a time for
-	// as long as it may wait.
+	// Suspected: endpoints have crashed under the request. One instance at a time sends it,
+	// as long as the request can wait for that.
 	Suspected
-	// OnTrial: its bar is over; one instance at a time sends it.
+	// OnTrial: the quarantine has ended. One instance at a time sends the request, as in
+	// the half-open state of a circuit breaker.
 	OnTrial
-	// Barred: it is not sent.
+	// Barred: the request is quarantined and not sent.
 	Barred
 )
 
-// Ended notes that an endpoint ended while it ran a request.
+// Ended records that an endpoint crashed while it ran a request.
 func (quarantine *Quarantine) Ended(content peridotpath.Fingerprint, endpoint peridotpath.EndpointKey, now time.Time) {
 	telemetry.EndSeen()
 	quarantine.Facts.Learn(facts.Fact{
@@ -73,71 +78,72 @@
 	})
 }
 
-// Survived notes that an endpoint ran a request and goes on. Only what something is
-// held against is told of.
+// Survived records that an endpoint ran a request without a crash. It is gossiped only if
+// there is evidence against the request.
 func (quarantine *Quarantine) Survived(content peridotpath.Fingerprint, now time.Time) {
 	subject := facts.Subject(content)
-	if !quarantine.Facts.Knows(subject) || !quarantine.accused(content, now) {
+	if !quarantine.Facts.Knows(subject) || !quarantine.hasEvidenceAgainst(content, now) {
 		return
 	}
 	before, _ := quarantine.Facts.Get(facts.KindSurvived, subject, 0, now)
 	quarantine.Facts.Learn(facts.Fact{Kind: facts.KindSurvived, Subject: subject, Value: before.Value + 1, At: now, From: quarantine.Instance})
 }
 
-// accused reports whether anything is held against a request.
-func (quarantine *Quarantine) accused(content peridotpath.Fingerprint, now time.Time) bool {
+func (quarantine *Quarantine) hasEvidenceAgainst(content peridotpath.Fingerprint, now time.Time) bool {
 	evidence := quarantine.evidence(now)
-	_, barred := evidence.bar(content)
-	return barred || len(evidence.ends[content]) > 0
+	_, quarantined := evidence.term(content)
+	return quarantined || len(evidence.crashes[content]) > 0
 }
 
-// Empty reports whether nothing is held against anybody. While it is so, requests need
-// no fingerprint.
+// Empty reports whether there is no evidence against any request. Requests need no
+// fingerprint in that case.
 func (quarantine *Quarantine) Empty() bool {
 	return !quarantine.Facts.Has(facts.KindEnded) && !quarantine.Facts.Has(facts.KindBarred)
 }
 
-// Look returns what is held against a request, and for how long it is barred.
+// Look returns the state of a request and, if it is quarantined, the remaining time. It
+// starts a quarantine if the evidence suffices.
 func (quarantine *Quarantine) Look(content peridotpath.Fingerprint, now time.Time) (Standing, time.Duration) {
 	if !quarantine.Facts.Knows(facts.Subject(content)) {
 		return Clear, 0
 	}
 	evidence := quarantine.evidence(now)
-	bar, known := evidence.bar(content)
-	if known && now.Before(bar.until) {
-		return Barred, bar.until.Sub(now)
+	current, hasTerm := evidence.term(content)
+	if hasTerm && now.Before(current.until) {
+		return Barred, current.until.Sub(now)
 	}
-	if verdict, guilty := evidence.judge(content); guilty {
-		quarantine.announce(content, verdict, len(evidence.ends[content]))
-		return Barred, verdict.until.Sub(now)
+	if next, quarantined := evidence.judge(content); quarantined {
+		quarantine.announce(content, next, len(evidence.crashes[content]))
+		return Barred, next.until.Sub(now)
 	}
 	switch {
-	case known:
+	case hasTerm:
 		return OnTrial, 0
-	case len(evidence.ends[content]) >= endsForTrial:
+	case len(evidence.crashes[content]) >= minCrashesToSerialise:
 		return Suspected, 0
 	default:
 		return Clear, 0
 	}
 }
 
-// announce tells all instances that a request is barred.
-func (quarantine *Quarantine) announce(content peridotpath.Fingerprint, verdict bar, ends int) {
+// announce gossips the quarantine of a request to all instances.
+func (quarantine *Quarantine) announce(content peridotpath.Fingerprint, next term, crashes int) {
 	telemetry.Barred()
-	quarantine.Log.Warn().Stringer("content", content).Int("ends", ends).Int64("span", verdict.span().Milliseconds()).Msg("request_barred")
+	quarantine.Log.Warn().Stringer("content", content).Int("ends", crashes).Int64("span", next.duration().Milliseconds()).Msg("request_barred")
 	quarantine.Facts.Learn(facts.Fact{
-		Kind: facts.KindBarred, Subject: facts.Subject(content), Value: verdict.span().Seconds(), At: verdict.from, From: quarantine.Instance,
+		Kind: facts.KindBarred, Subject: facts.Subject(content), Value: next.duration().Seconds(), At: next.from, From: quarantine.Instance,
 	})
 }
 
-// Try takes the right to send a suspected request; it returns false while another
-// attempt has it, and while it is not known yet what else ran where it was found last.
+// Try reserves the next attempt at a suspected request. It returns false while another
+// attempt is in progress, and within evidenceDelay of the last crash, when other requests
+// that ran on the endpoint may not be known yet.
 func (quarantine *Quarantine) Try(content peridotpath.Fingerprint, now time.Time) bool {
 	quarantine.mutex.Lock()
 	defer quarantine.mutex.Unlock()
 	evidence := quarantine.evidence(now)
 	trial, known := quarantine.Facts.Get(facts.KindTrial, facts.Subject(content), 0, now)
-	if !evidence.settled(content) || known && now.Sub(trial.At) < trialTime && !evidence.newerThan(trial.At, content) {
+	if !evidence.isComplete(content) || known && now.Sub(trial.At) < trialTimeout && !evidence.isNewerThan(trial.At, content) {
 		return false
 	}
 	quarantine.Facts.Learn(facts.Fact{Kind: facts.KindTrial, Subject: facts.Subject(content), Value: trial.Value + 1, At: now, From: quarantine.Instance})
--- a/peridotpath/quarantine/quarantine_test.go
+++ b/peridotpath/quarantine/quarantine_test.go
@@ -12,148 +12,151 @@
 	"peridotpath.example/peridotpath/quarantine"
 )
 
-// The requests of the tests.
 var (
 	fatal    = peridotpath.Fingerprint{1}
 	innocent = peridotpath.Fingerprint{2}
 )
 
-// settled is the time after which an end is judged.
-const settled = 100 * time.Millisecond
+// evidenceDelay is the time after a crash at which it is judged.
+const evidenceDelay = 100 * time.Millisecond
 
-// bench is a quarantine with a clock of the test's.
-type bench struct {
+// fixture is a quarantine with a manual clock.
+type fixture struct {
 	*quarantine.Quarantine
 	now time.Time
 }
 
-func newBench() *bench {
+func newFixture() *fixture {
 	table := &facts.Table{}
-	bench := &bench{Quarantine: &quarantine.Quarantine{Instance: "edge-1", Facts: table, Log: zerolog.Nop()}, now: time.Now()}
-	return bench
+	fixture := &fixture{Quarantine: &quarantine.Quarantine{Instance: "edge-1", Facts: table, Log: zerolog.Nop()}, now: time.Now()}
+	return fixture
 }
 
-// end lets an endpoint end under requests, a while later.
-func (bench *bench) end(endpoint peridotpath.EndpointKey, contents ...peridotpath.Fingerprint) {
-	bench.now = bench.now.Add(300 * time.Millisecond)
+// crash lets an endpoint crash under requests, 300 ms later, and waits for the evidence to
+// be complete.
+func (fixture *fixture) crash(endpoint peridotpath.EndpointKey, contents ...peridotpath.Fingerprint) {
+	fixture.now = fixture.now.Add(300 * time.Millisecond)
 	for _, content := range contents {
-		bench.Ended(content, endpoint, bench.now)
+		fixture.Ended(content, endpoint, fixture.now)
 	}
-	bench.later(settled)
+	fixture.advance(evidenceDelay)
 }
 
-func (bench *bench) standing(content peridotpath.Fingerprint) quarantine.Standing {
-	standing, _ := bench.Look(content, bench.now)
-	return standing
+func (fixture *fixture) state(content peridotpath.Fingerprint) quarantine.Standing {
+	state, _ := fixture.Look(content, fixture.now)
+	return state
 }
 
-func (bench *bench) later(span time.Duration) { bench.now = bench.now.Add(span) }
+func (fixture *fixture) advance(duration time.Duration) { fixture.now = fixture.now.Add(duration) }
 
-func TestThirdEndBars(t *testing.T) {
+func TestThirdCrashQuarantines(t *testing.T) {
 	is := is.New(t)
-	bench := newBench()
-	is.True(bench.Empty())
-	bench.end(1, fatal)
-	is.Equal(bench.standing(fatal), quarantine.Clear)
-	bench.end(2, fatal)
-	is.Equal(bench.standing(fatal), quarantine.Suspected)
-	bench.end(2, fatal) // the same endpoint counts once
-	is.Equal(bench.standing(fatal), quarantine.Suspected)
-	bench.end(3, fatal)
-	standing, left := bench.Look(fatal, bench.now)
-	is.Equal(standing, quarantine.Barred)
-	is.Equal(left, time.Minute-settled)
+	fixture := newFixture()
+	is.True(fixture.Empty())
+	fixture.crash(1, fatal)
+	is.Equal(fixture.state(fatal), quarantine.Clear)
+	fixture.crash(2, fatal)
+	is.Equal(fixture.state(fatal), quarantine.Suspected)
+	fixture.crash(2, fatal) // the same endpoint counts once
+	is.Equal(fixture.state(fatal), quarantine.Suspected)
+	fixture.crash(3, fatal)
+	state, left := fixture.Look(fatal, fixture.now)
+	is.Equal(state, quarantine.Barred)
+	is.Equal(left, time.Minute-evidenceDelay)
 }
 
-// What runs beside a fatal request breaks off with it, moves on, and meets it again.
-func TestRequestsBesideAFatalOneAreNotBarred(t *testing.T) {
+// Requests that run on the same endpoint as a fatal one fail with it, and their retries may
+// run next to it again. They are not quarantined for its crashes.
+func TestRequestsBesideAFatalOneAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
-	bench := newBench()
-	bench.end(1, fatal, innocent)
-	bench.end(2, fatal, innocent)
-	bench.end(3, fatal, innocent)
-	is.Equal(bench.standing(fatal), quarantine.Suspected) // not decided
-	is.Equal(bench.standing(innocent), quarantine.Suspected)
-	bench.end(4, fatal)
-	is.Equal(bench.standing(fatal), quarantine.Barred)
-	bench.end(5, innocent) // by chance
-	is.Equal(bench.standing(innocent), quarantine.Suspected)
+	fixture := newFixture()
+	fixture.crash(1, fatal, innocent)
+	fixture.crash(2, fatal, innocent)
+	fixture.crash(3, fatal, innocent)
+	is.Equal(fixture.state(fatal), quarantine.Suspected) // undecided: both ran on the same endpoints
+	is.Equal(fixture.state(innocent), quarantine.Suspected)
+	fixture.crash(4, fatal)
+	is.Equal(fixture.state(fatal), quarantine.Barred)
+	fixture.crash(5, innocent) // an unrelated crash
+	is.Equal(fixture.state(innocent), quarantine.Suspected)
 }
 
-// Endpoints end by themselves while many send the same: some of it is always served.
-func TestSurvivalClears(t *testing.T) {
+// Endpoints crash for other reasons while many callers send the same request. Each survival
+// clears the evidence against it.
+func TestSurvivalClearsEvidence(t *testing.T) {
 	is := is.New(t)
-	bench := newBench()
+	fixture := newFixture()
 	for endpoint := range peridotpath.EndpointKey(20) {
-		bench.end(endpoint, innocent)
-		bench.later(10 * time.Millisecond)
-		bench.Survived(innocent, bench.now)
-		is.Equal(bench.standing(innocent), quarantine.Clear)
+		fixture.crash(endpoint, innocent)
+		fixture.advance(10 * time.Millisecond)
+		fixture.Survived(innocent, fixture.now)
+		is.Equal(fixture.state(innocent), quarantine.Clear)
 	}
 }
 
-// One that was barred wrongly is sent again as soon as an attempt under way survives.
-func TestSurvivalEndsABar(t *testing.T) {
+// A wrongly quarantined request is sent again as soon as an endpoint survives an attempt
+// that was in flight.
+func TestSurvivalEndsQuarantine(t *testing.T) {
 	is := is.New(t)
-	bench := newBench()
+	fixture := newFixture()
 	for endpoint := range peridotpath.EndpointKey(3) {
-		bench.end(endpoint, innocent)
+		fixture.crash(endpoint, innocent)
 	}
-	is.Equal(bench.standing(innocent), quarantine.Barred)
-	bench.later(time.Millisecond)
-	bench.Survived(innocent, bench.now)
-	is.Equal(bench.standing(innocent), quarantine.Clear)
+	is.Equal(fixture.state(innocent), quarantine.Barred)
+	fixture.advance(time.Millisecond)
+	fixture.Survived(innocent, fixture.now)
+	is.Equal(fixture.state(innocent), quarantine.Clear)
 }
 
-// A bar ends by itself; each one after it lasts twice as long, while the request still
-// ends what runs it.
-func TestBarEnds(t *testing.T) {
+// A quarantine expires. If the request still crashes endpoints, the next one lasts twice as
+// long.
+func TestQuarantineExpiresAndDoubles(t *testing.T) {
 	is := is.New(t)
-	bench := newBench()
+	fixture := newFixture()
 	for endpoint := range peridotpath.EndpointKey(3) {
-		bench.end(endpoint, fatal)
+		fixture.crash(endpoint, fatal)
 	}
-	bench.end(4, fatal) // had been sent before the verdict
-	standing, left := bench.Look(fatal, bench.now)
-	is.Equal(standing, quarantine.Barred)
+	fixture.crash(4, fatal) // the attempt was in flight when the quarantine began
+	state, left := fixture.Look(fatal, fixture.now)
+	is.Equal(state, quarantine.Barred)
 	is.True(left < time.Minute)
 
-	bench.later(time.Minute)
-	is.Equal(bench.standing(fatal), quarantine.OnTrial)
-	is.True(bench.Try(fatal, bench.now))
-	is.True(!bench.Try(fatal, bench.now)) // one at a time
-	bench.end(5, fatal)
-	_, left = bench.Look(fatal, bench.now)
-	is.Equal(left, 2*time.Minute-settled)
-
-	bench.later(2 * time.Minute)
-	is.True(bench.Try(fatal, bench.now))
-	bench.later(time.Second)
-	bench.Survived(fatal, bench.now) // a new version of the model, say
-	is.Equal(bench.standing(fatal), quarantine.Clear)
+	fixture.advance(time.Minute)
+	is.Equal(fixture.state(fatal), quarantine.OnTrial)
+	is.True(fixture.Try(fatal, fixture.now))
+	is.True(!fixture.Try(fatal, fixture.now)) // one at a time
+	fixture.crash(5, fatal)
+	_, left = fixture.Look(fatal, fixture.now)
+	is.Equal(left, 2*time.Minute-evidenceDelay)
+
+	fixture.advance(2 * time.Minute)
+	is.True(fixture.Try(fatal, fixture.now))
+	fixture.advance(time.Second)
+	fixture.Survived(fatal, fixture.now) // for example a new version of the model
+	is.Equal(fixture.state(fatal), quarantine.Clear)
 }
 
-// A verdict that nobody needs any more is forgotten.
-func TestBarIsForgotten(t *testing.T) {
+// An expired quarantine no longer affects a request that does not recur.
+func TestExpiredQuarantineIsForgotten(t *testing.T) {
 	is := is.New(t)
-	bench := newBench()
+	fixture := newFixture()
 	for endpoint := range peridotpath.EndpointKey(3) {
-		bench.end(endpoint, fatal)
+		fixture.crash(endpoint, fatal)
 	}
-	bench.later(20 * time.Minute)
-	is.Equal(bench.standing(fatal), quarantine.Clear)
+	fixture.advance(20 * time.Minute)
+	is.Equal(fixture.state(fatal), quarantine.Clear)
 }
 
-func TestTrialIsOver(t *testing.T) {
+func TestTrialTimesOut(t *testing.T) {
 	is := is.New(t)
-	bench := newBench()
-	bench.end(1, fatal)
-	bench.end(2, fatal)
-	is.True(bench.Try(fatal, bench.now))
-	is.True(!bench.Try(fatal, bench.now))
-	bench.later(4 * time.Second) // whoever had it is gone
-	is.True(bench.Try(fatal, bench.now))
-	bench.later(100 * time.Millisecond)
-	bench.Survived(fatal, bench.now)
-	is.Equal(bench.standing(fatal), quarantine.Clear)
+	fixture := newFixture()
+	fixture.crash(1, fatal)
+	fixture.crash(2, fatal)
+	is.True(fixture.Try(fatal, fixture.now))
+	is.True(!fixture.Try(fatal, fixture.now))
+	fixture.advance(4 * time.Second) // the instance of the first trial did not report a result
+	is.True(fixture.Try(fatal, fixture.now))
+	fixture.advance(100 * time.Millisecond)
+	fixture.Survived(fatal, fixture.now)
+	is.Equal(fixture.state(fatal), quarantine.Clear)
 }
