--- a/peridotpath/throttle/throttle.go
+++ b/peridotpath/throttle/throttle.go
@@ -1,10 +1,11 @@
-// Package throttle keeps what all instances together send to an endpoint within what
-// the endpoint says that it takes.
+// Package throttle enforces an endpoint's rate limit across all instances.
 //
-// The load that it is made for is an endpoint in need that names a few requests a second
-// before many instances. Were each to keep to it alone, it would get as many times more;
-// were each to have a fixed part, most of it would be lost at those that nobody asks. So
-// instances tell each other what they send there, and each counts what all have sent.
+// It matters for an overloaded endpoint that allows a few requests per second in total and
+// receives them from many instances. If each instance applied the limit by itself, the
+// endpoint would receive a multiple of it; if each had a fixed share, most of the limit
+// would be unused at instances without traffic. Each instance therefore keeps a token
+// bucket for the endpoint's whole limit, gossips how many requests it has sent, and deducts
+// what the others have sent.
 package throttle
 
 import (
@@ -21,21 +22,22 @@
 )
 
 const (
-	// leastRate is what is sent even to an endpoint that names less: only its answers
-	// say that its need is over.
-	leastRate peridotpath.Rate = 0.4
-	// burstTime is the time for which an endpoint's requests may be saved up, beyond one.
-	burstTime = 500 * time.Millisecond
-	// debtTime bounds how far what was sent beyond the limit is made up for.
-	debtTime = 4 * time.Second
-	// noLimit is the value of a fact that says that a limit has ended.
+	// minRate is applied to endpoints with a lower limit: only responses show that the
+	// limit has ended.
+	minRate peridotpath.Rate = 0.4
+	// maxBurstTime bounds the saved tokens, beyond one, to those of this time.
+	maxBurstTime = 500 * time.Millisecond
+	// maxDebtTime bounds the debt for requests sent beyond the limit to the tokens of this
+	// time.
+	maxDebtTime = 4 * time.Second
+	// noLimit is the value of a fact that ends a limit.
 	noLimit peridotpath.Rate = 1e12
 )
 
-// Throttle decides by the facts that instances tell each other. Set the exported fields
-// before use.
+// Throttle limits the request rate to endpoints, by the facts that instances gossip. Set
+// the exported fields before use.
 type Throttle struct {
-	// Instance and Sender name this instance, the latter this start of it.
+	// Instance identifies this instance, and Sender this start of it.
 	Instance peridotpath.InstanceID
 	Sender   uint64
 	Facts    *facts.Table
@@ -45,145 +47,148 @@
 	buckets map[peridotpath.EndpointKey]*bucket
 }
 
-// bucket is what may be sent to one endpoint.
+// bucket is the token bucket of one endpoint.
 type bucket struct {
 	rate peridotpath.Rate
-	// level is how many requests may be sent now; less than none where others sent at
-	// the same time.
-	level     float64
-	began, at time.Time
-	// own is how many this instance has sent, heard how many each other one.
-	own   float64
-	heard map[uint64]float64
+	// tokens is the number of requests that may be sent now. It is negative after other
+	// instances sent at the same time.
+	tokens              float64
+	createdAt, filledAt time.Time
+	// ownSent is the number of requests that this instance has sent, and peerSent the
+	// last reported number of each other sender.
+	ownSent  float64
+	peerSent map[uint64]float64
 }
 
-// SenderOf names one start of an instance among all that send.
+// SenderOf returns the ID of one start of an instance.
 func SenderOf(instance peridotpath.InstanceID, incarnation peridotpath.Incarnation) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s/%d", instance, incarnation))
 }
 
-// Named notes that an endpoint named its limit.
+// Named records the limit that an endpoint reported in a response.
 func (throttle *Throttle) Named(endpoint *peridotpath.Endpoint, limit peridotpath.Rate, now time.Time) {
 	before, known := throttle.limit(endpoint.Key(), now)
 	if !known || before != limit {
 		throttle.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("limit", float64(limit)).Float64("before", float64(before)).Msg("limit_changed")
 	}
-	throttle.tell(endpoint.Key(), limit, now)
+	throttle.publishLimit(endpoint.Key(), limit, now)
 }
 
-// Unnamed notes that an endpoint named no limit in its answer to a request that was sent
-// at a time. What was sent before the limit was named says nothing.
-func (throttle *Throttle) Unnamed(endpoint *peridotpath.Endpoint, sent, now time.Time) {
+// Unnamed records a response without a limit. It ends the endpoint's limit, unless the
+// request was sent before the limit was reported.
+func (throttle *Throttle) Unnamed(endpoint *peridotpath.Endpoint, sentAt, now time.Time) {
 	if throttle.Idle() {
 		return
 	}
-	named, known := throttle.Facts.Get(facts.KindLimit, facts.SubjectOf(endpoint.Key()), 0, now)
-	if !known || peridotpath.Rate(named.Value) >= noLimit || !sent.After(named.At) {
+	reported, known := throttle.Facts.Get(facts.KindLimit, facts.SubjectOf(endpoint.Key()), 0, now)
+	if !known || peridotpath.Rate(reported.Value) >= noLimit || !sentAt.After(reported.At) {
 		return
 	}
-	throttle.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("before", named.Value).Msg("limit_ended")
-	throttle.tell(endpoint.Key(), noLimit, now)
+	throttle.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("before", reported.Value).Msg("limit_ended")
+	throttle.publishLimit(endpoint.Key(), noLimit, now)
 }
 
-func (throttle *Throttle) tell(endpoint peridotpath.EndpointKey, limit peridotpath.Rate, now time.Time) {
+func (throttle *Throttle) publishLimit(endpoint peridotpath.EndpointKey, limit peridotpath.Rate, now time.Time) {
 	throttle.Facts.Learn(facts.Fact{
 		Kind: facts.KindLimit, Subject: facts.SubjectOf(endpoint), Value: float64(limit), At: now, From: throttle.Instance,
 	})
 }
 
-// limit returns what an endpoint takes, if it has said so.
+// limit returns an endpoint's limit; false if it has none.
 func (throttle *Throttle) limit(endpoint peridotpath.EndpointKey, now time.Time) (peridotpath.Rate, bool) {
 	fact, known := throttle.Facts.Get(facts.KindLimit, facts.SubjectOf(endpoint), 0, now)
 	limit := peridotpath.Rate(fact.Value)
 	return limit, known && limit < noLimit
 }
 
-// Idle reports whether no endpoint has a limit.
+// Idle reports whether no limit of any endpoint is stored.
 func (throttle *Throttle) Idle() bool { return !throttle.Facts.Has(facts.KindLimit) }
 
-// Wait returns how long it is until a request may be sent to an endpoint; zero where one
-// may be sent now. With contenders, others that want to send to it at this moment and of
-// which nothing is known yet, only each of so many is let through, by chance.
+// Wait returns the time until a request may be sent to an endpoint; zero if one may be sent
+// now. Contenders is the estimated number of competing requests elsewhere that have not
+// been gossiped yet; a request is then admitted with a probability of 1/(1+contenders).
 func (throttle *Throttle) Wait(endpoint peridotpath.EndpointKey, contenders float64, now time.Time) time.Duration {
 	throttle.mutex.Lock()
 	defer throttle.mutex.Unlock()
-	bucket := throttle.bucket(endpoint, now)
+	bucket := throttle.refilledBucket(endpoint, now)
 	switch {
 	case bucket == nil:
 		return 0
-	case bucket.level < 1:
-		return time.Duration((1 - bucket.level) / float64(bucket.rate) * float64(time.Second))
+	case bucket.tokens < 1:
+		return time.Duration((1 - bucket.tokens) / float64(bucket.rate) * float64(time.Second))
 	case rand.Float64()*(1+contenders) > 1:
 		return time.Duration(float64(time.Second) / float64(bucket.rate))
 	}
 	return 0
 }
 
-// Take counts a request that is about to be sent to the first endpoint, with the others
-// helping. It returns false where the first one's limit has been used up meanwhile.
+// Take deducts a token for a request from each of its endpoints: the first, the primary,
+// and its helpers. It returns false and deducts nothing if the primary's bucket has no
+// token left; helpers may go into debt.
 func (throttle *Throttle) Take(endpoints []peridotpath.EndpointKey, now time.Time) bool {
 	throttle.mutex.Lock()
 	defer throttle.mutex.Unlock()
 	for i, endpoint := range endpoints {
-		bucket := throttle.bucket(endpoint, now)
+		bucket := throttle.refilledBucket(endpoint, now)
 		if bucket == nil {
 			continue
 		}
-		if i == 0 && bucket.level < 1 {
+		if i == 0 && bucket.tokens < 1 {
 			return false
 		}
-		bucket.level--
-		bucket.own++
+		bucket.tokens--
+		bucket.ownSent++
 		throttle.Facts.Learn(facts.Fact{
-			Kind: facts.KindSent, Subject: facts.SubjectOf(endpoint), Detail: throttle.Sender, Value: bucket.own, At: now, From: throttle.Instance,
+			Kind: facts.KindSent, Subject: facts.SubjectOf(endpoint), Detail: throttle.Sender, Value: bucket.ownSent, At: now, From: throttle.Instance,
 		})
 	}
 	return true
 }
 
-// bucket returns an endpoint's bucket as it is now; nil where it has no limit.
-func (throttle *Throttle) bucket(endpoint peridotpath.EndpointKey, now time.Time) *bucket {
-	limit, limited := throttle.limit(endpoint, now)
-	if !limited {
+// refilledBucket returns an endpoint's bucket, updated to now; nil if it has no limit.
+func (throttle *Throttle) refilledBucket(endpoint peridotpath.EndpointKey, now time.Time) *bucket {
+	limit, isLimited := throttle.limit(endpoint, now)
+	if !isLimited {
 		delete(throttle.buckets, endpoint)
 		return nil
 	}
 	known := throttle.buckets[endpoint]
 	if known == nil {
-		known = &bucket{began: now, at: now, heard: map[uint64]float64{}}
+		known = &bucket{createdAt: now, filledAt: now, peerSent: map[uint64]float64{}}
 		if throttle.buckets == nil {
 			throttle.buckets = map[peridotpath.EndpointKey]*bucket{}
 		}
 		throttle.buckets[endpoint] = known
 	}
-	known.rate = max(limit, leastRate)
-	known.level += now.Sub(known.at).Seconds() * float64(known.rate)
-	known.at = now
+	known.rate = max(limit, minRate)
+	known.tokens += now.Sub(known.filledAt).Seconds() * float64(known.rate)
+	known.filledAt = now
 	for _, sent := range throttle.Facts.About(facts.KindSent, facts.SubjectOf(endpoint), now) {
 		if sent.Detail != throttle.Sender {
-			known.hear(&sent)
+			known.deductPeer(&sent)
 		}
 	}
-	known.bound()
+	known.clampTokens()
 	return known
 }
 
-// hear counts what an instance has sent since it was last heard of.
-func (bucket *bucket) hear(sent *facts.Fact) {
-	before, known := bucket.heard[sent.Detail]
+// deductPeer deducts the requests that a peer has sent since its previous report.
+func (bucket *bucket) deductPeer(sent *facts.Fact) {
+	before, known := bucket.peerSent[sent.Detail]
 	if !known {
 		before = sent.Value
-		if sent.At.After(bucket.began) {
+		if sent.At.After(bucket.createdAt) {
 			before--
 		}
 	}
-	bucket.heard[sent.Detail] = sent.Value
-	bucket.level -= max(sent.Value-before, 0)
+	bucket.peerSent[sent.Detail] = sent.Value
+	bucket.tokens -= max(sent.Value-before, 0)
 }
 
-// bound bounds what is saved up, and what is made up for. What others sent since the
-// last look comes off first: one that looks seldom would lose it twice.
-func (bucket *bucket) bound() {
-	most := 1 + float64(bucket.rate)*burstTime.Seconds()
-	bucket.level = min(max(bucket.level, -float64(bucket.rate)*debtTime.Seconds()), most)
+// clampTokens bounds the burst and the debt. It runs after the requests of peers are
+// deducted: if the refill were bounded first, an instance that rarely updates the bucket
+// would lose the bounded tokens and be charged for the peers' requests as well.
+func (bucket *bucket) clampTokens() {
+	maxTokens := 1 + float64(bucket.rate)*maxBurstTime.Seconds()
+	bucket.tokens = min(max(bucket.tokens, -float64(bucket.rate)*maxDebtTime.Seconds()), maxTokens)
 }
--- a/peridotpath/throttle/throttle_test.go
+++ b/peridotpath/throttle/throttle_test.go
@@ -12,10 +12,10 @@
 	"peridotpath.example/peridotpath/throttle"
 )
 
-// limited is the endpoint of the tests.
-var limited = &peridotpath.Endpoint{ID: "i-7"}
+// limitedEndpoint is the endpoint that reports a limit.
+var limitedEndpoint = &peridotpath.Endpoint{ID: "i-7"}
 
-// fleet is instances that hear each other's facts when told to.
+// fleet is a set of instances with a manual clock that exchange facts in gossip.
 type fleet struct {
 	now       time.Time
 	tables    []*facts.Table
@@ -32,164 +32,166 @@
 	return fleet
 }
 
-// tell lets all hear what each has to tell.
-func (fleet *fleet) tell() {
+// gossip sends every instance's facts to all others.
+func (fleet *fleet) gossip() {
 	for i, table := range fleet.tables {
-		told := table.Tell(fleet.now, true)
+		sent := table.Tell(fleet.now, true)
 		for j, other := range fleet.tables {
 			if i != j {
-				other.Hear(told, false)
+				other.Hear(sent, false)
 			}
 		}
 	}
 }
 
-// ask lets an instance send if the endpoint takes it.
-func (fleet *fleet) ask(instance int) bool {
-	one := fleet.throttles[instance]
-	return one.Wait(limited.Key(), 0, fleet.now) == 0 && one.Take([]peridotpath.EndpointKey{limited.Key()}, fleet.now)
+// trySend sends a request from an instance if the limit allows it, and reports whether it
+// was sent.
+func (fleet *fleet) trySend(instance int) bool {
+	sender := fleet.throttles[instance]
+	return sender.Wait(limitedEndpoint.Key(), 0, fleet.now) == 0 && sender.Take([]peridotpath.EndpointKey{limitedEndpoint.Key()}, fleet.now)
 }
 
-// play lets every instance ask each 50 ms, and returns how often they sent.
-func (fleet *fleet) play(span time.Duration) int {
+// sendFor lets every instance try to send every 50 ms, and returns the number of requests
+// sent.
+func (fleet *fleet) sendFor(duration time.Duration) int {
 	sent := 0
-	for range span / (50 * time.Millisecond) {
+	for range duration / (50 * time.Millisecond) {
 		fleet.now = fleet.now.Add(50 * time.Millisecond)
 		for i := range fleet.throttles {
-			if fleet.ask(i) {
+			if fleet.trySend(i) {
 				sent++
 			}
-			fleet.tell()
+			fleet.gossip()
 		}
 	}
 	return sent
 }
 
-func TestNoLimitIsNamed(t *testing.T) {
+func TestEndpointWithoutLimitIsNotThrottled(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(1)
 	is.True(fleet.throttles[0].Idle())
-	is.True(fleet.ask(0))
-	is.True(fleet.ask(0))
+	is.True(fleet.trySend(0))
+	is.True(fleet.trySend(0))
 }
 
-func TestAllTogetherKeepToALimit(t *testing.T) {
+func TestFleetKeepsToALimit(t *testing.T) {
 	tests := []struct {
-		limit       peridotpath.Rate
-		least, most int
+		limit            peridotpath.Rate
+		minSent, maxSent int
 	}{
 		{2.3, 22, 25},
 		{1, 9, 11},
-		{0, 3, 5}, // to learn that its need is over
+		{0, 3, 5}, // the minimum rate, to detect the end of the limit
 		{0.001, 3, 5},
 		{1_000_000, 199 * 8, 200 * 8},
 	}
 	for _, test := range tests {
 		is := is.New(t)
 		fleet := newFleet(8)
-		fleet.throttles[3].Named(limited, test.limit, fleet.now)
-		fleet.tell()
-		sent := fleet.play(10 * time.Second)
-		if sent < test.least || sent > test.most {
-			t.Errorf("limit %v: sent %d in 10 s, want %d to %d", test.limit, sent, test.least, test.most)
+		fleet.throttles[3].Named(limitedEndpoint, test.limit, fleet.now)
+		fleet.gossip()
+		sent := fleet.sendFor(10 * time.Second)
+		if sent < test.minSent || sent > test.maxSent {
+			t.Errorf("limit %v: sent %d in 10 s, want %d to %d", test.limit, sent, test.minSent, test.maxSent)
 		}
 		is.True(!fleet.throttles[0].Idle())
 	}
 }
 
-// Load may fall on one data centre, and on one instance there.
-func TestOneInstanceMayUseAll(t *testing.T) {
+// All traffic may arrive at one instance, which then uses the whole limit.
+func TestOneInstanceMayUseTheWholeLimit(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(8)
-	fleet.throttles[0].Named(limited, 2, fleet.now)
-	fleet.tell()
+	fleet.throttles[0].Named(limitedEndpoint, 2, fleet.now)
+	fleet.gossip()
 	sent := 0
 	for range 200 {
 		fleet.now = fleet.now.Add(50 * time.Millisecond)
-		if fleet.ask(5) {
+		if fleet.trySend(5) {
 			sent++
 		}
-		fleet.tell()
+		fleet.gossip()
 	}
 	is.True(sent >= 19)
 	is.True(sent <= 21)
 }
 
-// Instances that send at the same moment make up for it.
-func TestOvershootIsMadeUpFor(t *testing.T) {
+// Instances that send at the same time exceed the limit. The debt delays later requests.
+func TestOvershootDelaysLaterRequests(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(4)
-	fleet.throttles[0].Named(limited, 1, fleet.now)
-	fleet.tell()
+	fleet.throttles[0].Named(limitedEndpoint, 1, fleet.now)
+	fleet.gossip()
 	for i := range fleet.throttles {
-		fleet.throttles[i].Wait(limited.Key(), 0, fleet.now) // the limit is known
+		fleet.throttles[i].Wait(limitedEndpoint.Key(), 0, fleet.now) // creates the bucket
 	}
 	fleet.now = fleet.now.Add(time.Second)
 	for i := range fleet.throttles {
-		is.True(fleet.ask(i))
+		is.True(fleet.trySend(i))
 	}
-	fleet.tell()
-	is.Equal(fleet.throttles[2].Wait(limited.Key(), 0, fleet.now), 4*time.Second)
+	fleet.gossip()
+	is.Equal(fleet.throttles[2].Wait(limitedEndpoint.Key(), 0, fleet.now), 4*time.Second)
 }
 
 func TestLimitChangesAndEnds(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(2)
 	one, two := fleet.throttles[0], fleet.throttles[1]
-	one.Named(limited, 1, fleet.now)
-	fleet.tell()
-	is.True(one.Wait(limited.Key(), 0, fleet.now) > 0)
-	is.True(two.Wait(limited.Key(), 0, fleet.now) > 0)
-	// What had been sent before it named the limit says nothing.
-	one.Unnamed(limited, fleet.now.Add(-time.Second), fleet.now.Add(time.Second))
-	fleet.tell()
-	is.True(two.Wait(limited.Key(), 0, fleet.now) > 0)
+	one.Named(limitedEndpoint, 1, fleet.now)
+	fleet.gossip()
+	is.True(one.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(two.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	// The response to a request sent before the limit was reported does not end it.
+	one.Unnamed(limitedEndpoint, fleet.now.Add(-time.Second), fleet.now.Add(time.Second))
+	fleet.gossip()
+	is.True(two.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
 
 	fleet.now = fleet.now.Add(2 * time.Second)
-	two.Named(limited, 100, fleet.now)
-	fleet.tell()
+	two.Named(limitedEndpoint, 100, fleet.now)
+	fleet.gossip()
 	fleet.now = fleet.now.Add(100 * time.Millisecond)
-	is.Equal(one.Wait(limited.Key(), 0, fleet.now), time.Duration(0))
+	is.Equal(one.Wait(limitedEndpoint.Key(), 0, fleet.now), time.Duration(0))
 
-	two.Unnamed(limited, fleet.now, fleet.now.Add(50*time.Millisecond))
+	two.Unnamed(limitedEndpoint, fleet.now, fleet.now.Add(50*time.Millisecond))
 	fleet.now = fleet.now.Add(100 * time.Millisecond)
-	fleet.tell()
+	fleet.gossip()
 	for range 50 {
-		is.True(fleet.ask(0))
+		is.True(fleet.trySend(0))
 	}
-	is.True(fleet.ask(1))
+	is.True(fleet.trySend(1))
 	fleet.now = fleet.now.Add(time.Second)
-	one.Named(limited, 1, fleet.now) // anew
-	fleet.tell()
-	is.True(two.Wait(limited.Key(), 0, fleet.now) > 0)
+	one.Named(limitedEndpoint, 1, fleet.now) // a new limit
+	fleet.gossip()
+	is.True(two.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
 }
 
-// Another start of an endpoint has named nothing.
+// A limit does not apply to another incarnation of the endpoint.
 func TestOtherEndpointsAreNotLimited(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(1)
-	fleet.throttles[0].Named(limited, 0, fleet.now)
-	is.Equal(fleet.throttles[0].Wait(limited.Key()+1, 0, fleet.now), time.Duration(0))
-	is.True(fleet.throttles[0].Take([]peridotpath.EndpointKey{limited.Key() + 1}, fleet.now))
+	fleet.throttles[0].Named(limitedEndpoint, 0, fleet.now)
+	is.Equal(fleet.throttles[0].Wait(limitedEndpoint.Key()+1, 0, fleet.now), time.Duration(0))
+	is.True(fleet.throttles[0].Take([]peridotpath.EndpointKey{limitedEndpoint.Key() + 1}, fleet.now))
 }
 
-// What an endpoint reads for another one counts, too.
-func TestHelpersCount(t *testing.T) {
+// Prefill that an endpoint does as a helper counts against its limit.
+func TestHelperRequestsCount(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(1)
 	one := fleet.throttles[0]
-	one.Named(limited, 1, fleet.now)
-	is.True(one.Wait(limited.Key(), 0, fleet.now) > 0)
+	one.Named(limitedEndpoint, 1, fleet.now)
+	is.True(one.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
 	fleet.now = fleet.now.Add(time.Second)
-	is.True(one.Take([]peridotpath.EndpointKey{limited.Key() + 1, limited.Key()}, fleet.now))
-	is.True(one.Wait(limited.Key(), 0, fleet.now) > 0)
+	is.True(one.Take([]peridotpath.EndpointKey{limitedEndpoint.Key() + 1, limitedEndpoint.Key()}, fleet.now))
+	is.True(one.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
 }
 
-// An endpoint whose answers nobody hears any more is not limited for ever.
-func TestSilentLimitEnds(t *testing.T) {
+// A limit expires when no response from the endpoint confirms it.
+func TestUnconfirmedLimitExpires(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(1)
-	fleet.throttles[0].Named(limited, 0, fleet.now)
+	fleet.throttles[0].Named(limitedEndpoint, 0, fleet.now)
 	fleet.now = fleet.now.Add(2 * time.Minute)
-	is.Equal(fleet.throttles[0].Wait(limited.Key(), 0, fleet.now), time.Duration(0))
+	is.Equal(fleet.throttles[0].Wait(limitedEndpoint.Key(), 0, fleet.now), time.Duration(0))
 }
