--- a/peridotpath/readings/compress.go
+++ b/peridotpath/readings/compress.go
@@ -8,25 +8,25 @@
 	"peridotpath.example/peridotpath/outbound"
 )
 
-// compressed lets a handler answer those that take it with compressed lists.
+// compressed compresses the responses of a handler for clients that accept it.
 //
-// The load that it is made for is a start of hundreds of instances before thousands
-// of endpoints. Each asks a peer for the whole list; a small machine's link takes
-// longer to send it to a few of them than any of them waits, and all asked the store.
+// It matters when hundreds of instances start in a fleet of thousands of endpoints and each
+// fetches the whole list from a peer. Uncompressed, the link of a small machine takes longer
+// to send it to a few of them than the fetch timeout, and all of them read the store.
 func compressed(handler http.Handler) http.Handler { return gzhttp.GzipHandler(handler) }
 
-// doer sends questions to peers and takes compressed answers.
-type doer struct{}
+// httpClient sends requests to peers and accepts compressed responses.
+type httpClient struct{}
 
-// Do sends the request and returns the answer's head.
-func (doer) Do(request *http.Request) (*http.Response, error) {
+// Do sends the request and returns the response, with its body to be read.
+func (httpClient) Do(request *http.Request) (*http.Response, error) {
 	return gzhttp.Transport(roundTripper{}, gzhttp.TransportEnableZstd(false)).RoundTrip(request)
 }
 
-// roundTripper is outbound.Do.
+// roundTripper adapts outbound.Do to http.RoundTripper.
 type roundTripper struct{}
 
-// RoundTrip sends the request and returns the answer's head.
+// RoundTrip sends the request and returns the response, with its body to be read.
 func (roundTripper) RoundTrip(request *http.Request) (*http.Response, error) {
 	return outbound.Do(request)
 }
--- a/peridotpath/readings/history_test.go
+++ b/peridotpath/readings/endpoints_test.go
@@ -35,9 +35,9 @@
 	return values
 }
 
-// A teller has read the endpoints again and again. Whatever an asker has of them,
-// kept by the teller or not, it has the teller's last reading afterwards.
-func TestRandomReadingsReachTheAsker(t *testing.T) {
+// A peer reads the endpoints repeatedly. Whichever snapshot a caller has, kept by the peer
+// or not, it has the peer's newest one after a fetch.
+func TestRandomSnapshotsReachTheCaller(t *testing.T) {
 	history := &readings.History{}
 	server := &readings.Server{LastEndpoints: history.Last, EndpointsOf: history.Of}
 	listener := httptest.NewServer(server.Handler())
@@ -59,21 +59,21 @@
 			if rapid.IntRange(0, 9).Draw(random, "asks") > 0 {
 				continue
 			}
-			told, err := readings.AskEndpoints(t.Context(), peer, have)
+			got, err := readings.AskEndpoints(t.Context(), peer, have)
 			if err != nil {
 				random.Fatal(err)
 			}
-			if want := byKey(entriesOf(numbers)); !maps.Equal(byKey(told.Entries), want) || len(told.Entries) != len(want) {
-				random.Fatalf("have %v, want %v", told.Entries, want)
+			if want := byKey(entriesOf(numbers)); !maps.Equal(byKey(got.Entries), want) || len(got.Entries) != len(want) {
+				random.Fatalf("have %v, want %v", got.Entries, want)
 			}
-			have = told
+			have = got
 		}
 	})
 }
 
-// Three thousand endpoints, of which one changes: every instance asked for all of
-// them, half a megabyte, again and again. Only what changed is told.
-func TestChangesAreTold(t *testing.T) {
+// One of 3,000 endpoints changes. Without differences, every instance fetches the whole
+// list of half a megabyte after each change.
+func TestOnlyChangesAreSent(t *testing.T) {
 	is := is.New(t)
 	before := make([]keyvalue.Entry, 3000)
 	for i := range before {
@@ -84,27 +84,27 @@
 	history.Add(readings.Endpoints{Entries: before, Content: 1})
 	history.Add(readings.Endpoints{Entries: after, Content: 2})
 	server := &readings.Server{LastEndpoints: history.Last, EndpointsOf: history.Of}
-	recorder := &sizes{handler: server.Handler()}
+	recorder := &byteCounter{handler: server.Handler()}
 	listener := httptest.NewServer(recorder)
 	defer listener.Close()
 	peer := netip.MustParseAddrPort(listener.Listener.Addr().String())
-	told, err := readings.AskEndpoints(t.Context(), peer, readings.Endpoints{Entries: before, Content: 1})
+	got, err := readings.AskEndpoints(t.Context(), peer, readings.Endpoints{Entries: before, Content: 1})
 	is.NoErr(err)
-	is.Equal(byKey(told.Entries), byKey(after))
-	is.Equal(told.Content, uint64(2))
+	is.Equal(byKey(got.Entries), byKey(after))
+	is.Equal(got.Content, uint64(2))
 	is.True(recorder.bytes < 200)
 }
 
-// sizes counts the bytes of answers.
-type sizes struct {
+// byteCounter counts the bytes of the responses of a handler.
+type byteCounter struct {
 	handler http.Handler
 	bytes   int
 }
 
-func (sizes *sizes) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+func (byteCounter *byteCounter) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	recorder := httptest.NewRecorder()
-	sizes.handler.ServeHTTP(recorder, request)
-	sizes.bytes += recorder.Body.Len()
+	byteCounter.handler.ServeHTTP(recorder, request)
+	byteCounter.bytes += recorder.Body.Len()
 	maps.Copy(writer.Header(), recorder.Header())
 	writer.WriteHeader(recorder.Code)
 	_, _ = writer.Write(recorder.Body.Bytes())
@@ -122,11 +122,11 @@
 	last, ok := history.Last()
 	is.True(ok)
 	is.Equal(last, readings.Endpoints{Content: 100, Age: time.Second})
-	kept := 0
+	keptCount := 0
 	for content := range uint64(101) {
 		if _, ok := history.Of(content); ok {
-			kept++
+			keptCount++
 		}
 	}
-	is.Equal(kept, 16)
+	is.Equal(keptCount, 16)
 }
--- a/peridotpath/readings/newer.go
+++ b/peridotpath/readings/peers.go
@@ -5,20 +5,20 @@
 	"sync/atomic"
 )
 
-// Peer is an instance that may be asked for what it has read.
+// Peer is an instance that serves snapshots.
 type Peer struct {
 	Address netip.AddrPort
-	// Near says that it is in the same data centre.
+	// Near reports whether the peer is in the same data centre.
 	Near bool
 }
 
-// Newer holds the peers that told last of a reading newer than the one here, until
-// one of them is asked for it.
+// Newer holds the peers that last reported a newer snapshot than the local one: one in the
+// same data centre and one elsewhere.
 type Newer struct {
 	near, far atomic.Pointer[netip.AddrPort]
 }
 
-// Note takes the place of the peer noted before at about the same distance.
+// Note stores a peer in place of the previous one in the same or in other data centres.
 func (newer *Newer) Note(peer Peer) {
 	if peer.Near {
 		newer.near.Store(&peer.Address)
@@ -27,8 +27,8 @@
 	}
 }
 
-// Take returns a near peer, or else a far one, and forgets both; false where there
-// is none.
+// Take removes both peers and returns the near one if there is one, else the far one; false
+// if there is none.
 func (newer *Newer) Take() (Peer, bool) {
 	near, far := newer.near.Swap(nil), newer.far.Swap(nil)
 	switch {
--- a/peridotpath/readings/readings.go
+++ b/peridotpath/readings/readings.go
@@ -1,6 +1,10 @@
-// Package readings lets instances ask each other for what they have read of the
-// platform's store, so that a change costs the store a call or two and not one
-// for each instance.
+// Package readings distributes snapshots of the platform's store between instances: the
+// routing and the list of endpoints. An instance that lacks the newest snapshot fetches it
+// from a peer and reads the store only if that fails.
+//
+// It matters for a change that a large fleet needs at once: one or two instances read it
+// from the store and the others fetch it from them, instead of one store call for each
+// instance. Peers send only the difference to a snapshot that the caller has, compressed.
 package readings
 
 import (
@@ -17,18 +21,17 @@
 	"peridotpath.example/peridotpath/readings/wire"
 )
 
-// PathPrefix is where the service is found.
+// PathPrefix is the URL path prefix of the service.
 const PathPrefix = "/peer"
 
-// askTimeout bounds one question to a peer; the store is asked after it.
-const askTimeout = 400 * time.Millisecond
+// fetchTimeout bounds one call to a peer; after it, the store is read.
+const fetchTimeout = 400 * time.Millisecond
 
-// maxRouting bounds a routing, in bytes: some times what the store takes.
-const maxRouting = 8 << 20
+// maxRoutingBytes bounds an unpacked routing. It is a multiple of what the store accepts.
+const maxRoutingBytes = 8 << 20
 
-// Server answers peers. LastRouting and LastEndpoints return false before the
-// first reading, RoutingOf and EndpointsOf where the reading of that version or
-// content is not kept.
+// Server serves snapshots to peers. LastRouting and LastEndpoints return false before the
+// first read of the store, RoutingOf and EndpointsOf if that snapshot is not kept.
 type Server struct {
 	LastRouting   func() (Routing, bool)
 	RoutingOf     func(version keyvalue.Version) (Routing, bool)
@@ -38,18 +41,17 @@
 	packed packedRoutings
 }
 
-// Handler returns the handler of the service's paths.
+// Handler returns the HTTP handler of the service.
 func (server *Server) Handler() http.Handler {
 	return compressed(wire.NewReadingsServer(service{server}, twirp.WithServerPathPrefix(PathPrefix)))
 }
 
-// service is the server in the form of the generated interface.
+// service implements the generated interface.
 type service struct{ server *Server }
 
-// Routing answers a peer with what changed since the reading that it has, where
-// that is kept here.
+// Routing sends the newest routing, as a difference to the caller's if that is kept here.
 func (service service) Routing(_ context.Context, query *wire.RoutingQuery) (*wire.RoutingReading, error) {
-	reading, ok := service.server.LastRouting()
+	snapshot, ok := service.server.LastRouting()
 	if !ok {
 		return nil, twirp.NewError(twirp.Unavailable, "nothing was read yet")
 	}
@@ -57,74 +59,75 @@
 	if query.Have != 0 {
 		base, _ = service.server.RoutingOf(keyvalue.Version(query.Have))
 	}
-	packed, err := service.server.packed.of(reading, base)
+	packed, err := service.server.packed.pack(snapshot, base)
 	if err != nil {
 		return nil, twirp.InternalErrorWith(err)
 	}
 	return &wire.RoutingReading{
-		StoreVersion: uint64(reading.Version), Packed: packed, Age: clock.Micros(reading.Age), Since: uint64(base.Version),
+		StoreVersion: uint64(snapshot.Version), Packed: packed, Age: clock.Micros(snapshot.Age), Since: uint64(base.Version),
 	}, nil
 }
 
-// Endpoints answers a peer.
+// Endpoints sends the newest list of endpoints, as changes to the caller's if that is kept
+// here.
 func (service service) Endpoints(_ context.Context, query *wire.EndpointsQuery) (*wire.EndpointsReading, error) {
-	reading, ok := service.server.LastEndpoints()
+	snapshot, ok := service.server.LastEndpoints()
 	if !ok {
 		return nil, twirp.NewError(twirp.Unavailable, "nothing was read yet")
 	}
-	answer := &wire.EndpointsReading{
-		Age: clock.Micros(reading.Age), Read: true, Content: reading.Content, StoreEra: uint64(reading.Era),
+	response := &wire.EndpointsReading{
+		Age: clock.Micros(snapshot.Age), Read: true, Content: snapshot.Content, StoreEra: uint64(snapshot.Era),
 	}
-	entries := reading.Entries
-	if before, kept := service.server.EndpointsOf(query.Content); kept {
-		answer.Since = query.Content
-		entries, answer.Gone = changes(before.Entries, reading.Entries)
+	entries := snapshot.Entries
+	if base, isKept := service.server.EndpointsOf(query.Content); isKept {
+		response.Since = query.Content
+		entries, response.Gone = diff(base.Entries, snapshot.Entries)
 	}
 	for _, entry := range entries {
-		answer.Entries = append(answer.Entries, &wire.Entry{Key: entry.Key, Value: entry.Value})
+		response.Entries = append(response.Entries, &wire.Entry{Key: entry.Key, Value: entry.Value})
 	}
-	return answer, nil
+	return response, nil
 }
 
 func client(peer netip.AddrPort) wire.Readings {
-	return wire.NewReadingsProtobufClient("http://"+peer.String(), doer{}, twirp.WithClientPathPrefix(PathPrefix))
+	return wire.NewReadingsProtobufClient("http://"+peer.String(), httpClient{}, twirp.WithClientPathPrefix(PathPrefix))
 }
 
-// AskRouting asks a peer for the routing; of a peer that knows what this instance
-// has, only what changed comes.
+// AskRouting fetches the routing from a peer. If the peer keeps the snapshot that this
+// instance has, only the difference is transferred.
 func AskRouting(ctx context.Context, peer netip.AddrPort, have Routing) (Routing, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	answer, err := client(peer).Routing(ctx, &wire.RoutingQuery{Have: uint64(have.Version)})
+	response, err := client(peer).Routing(ctx, &wire.RoutingQuery{Have: uint64(have.Version)})
 	if err != nil {
 		return Routing{}, err
 	}
 	var base []byte
-	if answer.Since != 0 {
+	if response.Since != 0 {
 		base = have.Value
 	}
-	value, err := delta.Unpack(answer.Packed, base, maxRouting)
+	value, err := delta.Unpack(response.Packed, base, maxRoutingBytes)
 	if err != nil {
 		return Routing{}, err
 	}
-	return Routing{Version: keyvalue.Version(answer.StoreVersion), Value: value, Age: clock.FromMicros(answer.Age)}, nil
+	return Routing{Version: keyvalue.Version(response.StoreVersion), Value: value, Age: clock.FromMicros(response.Age)}, nil
 }
 
-// AskEndpoints asks a peer for the endpoints; of a peer that knows what this
-// instance has, only the changes come.
+// AskEndpoints fetches the list of endpoints from a peer. If the peer keeps the snapshot
+// that this instance has, only the changes are transferred.
 func AskEndpoints(ctx context.Context, peer netip.AddrPort, have Endpoints) (Endpoints, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	answer, err := client(peer).Endpoints(ctx, &wire.EndpointsQuery{Content: have.Content})
+	response, err := client(peer).Endpoints(ctx, &wire.EndpointsQuery{Content: have.Content})
 	if err != nil {
 		return Endpoints{}, err
 	}
-	reading := Endpoints{Age: clock.FromMicros(answer.Age), Content: answer.Content, Era: keyvalue.Era(answer.StoreEra)}
-	for _, entry := range answer.Entries {
-		reading.Entries = append(reading.Entries, keyvalue.Entry{Key: entry.Key, Value: entry.Value})
+	snapshot := Endpoints{Age: clock.FromMicros(response.Age), Content: response.Content, Era: keyvalue.Era(response.StoreEra)}
+	for _, entry := range response.Entries {
+		snapshot.Entries = append(snapshot.Entries, keyvalue.Entry{Key: entry.Key, Value: entry.Value})
 	}
-	if answer.Since != 0 {
-		reading.Entries = merge(have.Entries, reading.Entries, answer.Gone)
+	if response.Since != 0 {
+		snapshot.Entries = applyDiff(have.Entries, snapshot.Entries, response.Gone)
 	}
-	return reading, nil
+	return snapshot, nil
 }
--- a/peridotpath/readings/readings_test.go
+++ b/peridotpath/readings/readings_test.go
@@ -15,41 +15,41 @@
 	"peridotpath.example/peridotpath/readings"
 )
 
-func TestReadings(t *testing.T) {
+func TestFetchFromPeer(t *testing.T) {
 	is := is.New(t)
-	read := false
+	hasRead := false
 	routing := readings.Routing{Version: 5, Value: []byte("{}"), Age: 70 * time.Millisecond}
 	endpoints := readings.Endpoints{
 		Entries: []keyvalue.Entry{{Key: "one", Value: []byte("1")}}, Content: 7, Age: 90 * time.Millisecond,
 	}
 	server := &readings.Server{
-		LastRouting:   func() (readings.Routing, bool) { return routing, read },
-		LastEndpoints: func() (readings.Endpoints, bool) { return endpoints, read },
+		LastRouting:   func() (readings.Routing, bool) { return routing, hasRead },
+		LastEndpoints: func() (readings.Endpoints, bool) { return endpoints, hasRead },
 		EndpointsOf:   func(uint64) (readings.Endpoints, bool) { return readings.Endpoints{}, false },
 	}
 	listener := httptest.NewServer(server.Handler())
 	defer listener.Close()
 	peer := netip.MustParseAddrPort(listener.Listener.Addr().String())
 	_, err := readings.AskRouting(t.Context(), peer, readings.Routing{})
-	is.True(err != nil) // nothing was read yet
+	is.True(err != nil) // no snapshot yet
 	_, err = readings.AskEndpoints(t.Context(), peer, readings.Endpoints{})
 	is.True(err != nil)
 
-	read = true
-	haveRouting, err := readings.AskRouting(t.Context(), peer, readings.Routing{})
+	hasRead = true
+	gotRouting, err := readings.AskRouting(t.Context(), peer, readings.Routing{})
 	is.NoErr(err)
-	is.Equal(haveRouting, routing)
-	haveEndpoints, err := readings.AskEndpoints(t.Context(), peer, readings.Endpoints{})
+	is.Equal(gotRouting, routing)
+	gotEndpoints, err := readings.AskEndpoints(t.Context(), peer, readings.Endpoints{})
 	is.NoErr(err)
-	is.Equal(haveEndpoints, endpoints)
+	is.Equal(gotEndpoints, endpoints)
 }
 
-// Operators change one route of a thousand, and hundreds of instances ask those that
-// read it for the whole: their links were full for seconds. Whoever has an earlier
-// reading that is kept is sent what changed; everybody else the whole.
-func TestRoutingSinceAnEarlierOne(t *testing.T) {
+// Operators change one route of a thousand, and hundreds of instances fetch the routing.
+// Sending it whole saturates the links of the serving instances for seconds. A caller with
+// a snapshot that is kept receives only the difference, any other the whole routing.
+func TestRoutingIsSentAsDifference(t *testing.T) {
 	is := is.New(t)
-	var kept readings.Routings
+	var routings readings.Routings
 	document := func(target string) []byte {
 		text := []byte(target)
 		for i := range 1000 {
@@ -59,13 +59,13 @@
 	}
 	before := readings.Routing{Version: 5, Value: document("one")}
 	after := readings.Routing{Version: 9, Value: document("other")}
-	kept.Add(before)
-	kept.Add(after)
-	kept.Add(before) // late; the newest stays
-	peer, sent := countedPeer(t, &readings.Server{LastRouting: kept.Last, RoutingOf: kept.Of})
+	routings.Add(before)
+	routings.Add(after)
+	routings.Add(before) // out of order; the newest stays
+	peer, sent := countedPeer(t, &readings.Server{LastRouting: routings.Last, RoutingOf: routings.Of})
 	tests := map[string]struct {
-		have readings.Routing
-		most int
+		have     readings.Routing
+		maxBytes int
 	}{
 		"has nothing":              {readings.Routing{}, len(after.Value) / 2},
 		"has the one before":       {before, 200},
@@ -78,14 +78,14 @@
 			got, err := readings.AskRouting(t.Context(), peer, test.have)
 			is.NoErr(err)
 			is.Equal(got, after)
-			if *sent > test.most {
-				t.Errorf("sent %d bytes of %d, want at most %d", *sent, len(after.Value), test.most)
+			if *sent > test.maxBytes {
+				t.Errorf("sent %d bytes of %d, want at most %d", *sent, len(after.Value), test.maxBytes)
 			}
 		})
 	}
 }
 
-// countedPeer serves readings and counts the bytes of the last answer's body.
+// countedPeer serves snapshots and counts the bytes of the last response's body.
 func countedPeer(t *testing.T, server *readings.Server) (peer netip.AddrPort, sent *int) {
 	t.Helper()
 	handler := server.Handler()
@@ -102,10 +102,10 @@
 	return netip.MustParseAddrPort(listener.Listener.Addr().String()), sent
 }
 
-// Three hundred instances start before three thousand endpoints, and each asks a peer
-// for the list of them. At 20 Mbit/s a peer could send it to two of them in the time
-// that they wait; the others asked the store, all at once, and again.
-func TestListOfEndpointsIsCompressed(t *testing.T) {
+// 300 instances start in a fleet of 3,000 endpoints, and each fetches the list from a peer.
+// Uncompressed, a peer with a 20 Mbit/s link serves two of them within the fetch timeout;
+// the others read the store, all at once and repeatedly.
+func TestEndpointsAreCompressed(t *testing.T) {
 	is := is.New(t)
 	var list readings.Endpoints
 	for i := range 3000 {
@@ -122,11 +122,11 @@
 	got, err := readings.AskEndpoints(t.Context(), peer, readings.Endpoints{})
 	is.NoErr(err)
 	is.Equal(got, list)
-	whole := 0
+	wholeBytes := 0
 	for _, entry := range list.Entries {
-		whole += len(entry.Key) + len(entry.Value)
+		wholeBytes += len(entry.Key) + len(entry.Value)
 	}
-	if *sent > whole/4 {
-		t.Errorf("sent %d bytes of %d, want a quarter at most", *sent, whole)
+	if *sent > wholeBytes/4 {
+		t.Errorf("sent %d bytes of %d, want a quarter at most", *sent, wholeBytes)
 	}
 }
--- a/peridotpath/readings/routing.go
+++ b/peridotpath/readings/routing.go
@@ -10,63 +10,65 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Routing is the operators' routing as it was read.
+// Routing is a snapshot of the routing document in the store.
 type Routing struct {
+	// Version is the store's version of the document.
 	Version keyvalue.Version
-	// Number is the operators' own. It goes before Version: for a moment after the store
-	// came back from a copy, it holds an earlier one than it gave out before.
+	// Number is the version that operators gave the document. It takes precedence over
+	// the store's: a store that was restored from an older copy may briefly return an
+	// earlier document than before.
 	Number peridotpath.RoutingVersion
 	Value  []byte
-	// Age is how long ago it was known to be the newest.
+	// Age is the time since the snapshot was last confirmed to be the newest.
 	Age time.Duration
 }
 
-// routingsKept is how many readings of the routing are kept to tell peers only
-// what changed: the changes of some seconds when operators make many at once.
-const routingsKept = 8
+// maxRoutingSnapshots covers the changes of several seconds when operators make many at
+// once, so that peers can be sent only the difference.
+const maxRoutingSnapshots = 8
 
-// Routings holds the last readings of the routing, newest last. A whole one takes
-// hundreds of kilobytes; when each instance of a large fleet asked for that after
-// each change, the links of those that were asked were full for seconds, and what
-// instances tell each other of their loads stood behind it.
-type Routings struct{ kept kept[Routing] }
+// Routings holds the last snapshots of the routing, newest last. A whole routing is
+// hundreds of kilobytes. If every instance of a large fleet fetched it whole after each
+// change, the links of the serving instances would be saturated for seconds, and the
+// gossip of load reports would queue behind it.
+type Routings struct{ snapshots snapshots[Routing] }
 
-// Add notes a reading unless a newer one is kept.
-func (routings *Routings) Add(reading Routing) {
-	routings.kept.add(reading, routingsKept, func(last *Routing) bool {
-		return cmp.Or(cmp.Compare(last.Number, reading.Number), cmp.Compare(last.Version, reading.Version)) >= 0
+// Add appends a snapshot unless the same or a newer one is kept.
+func (routings *Routings) Add(snapshot Routing) {
+	routings.snapshots.add(snapshot, maxRoutingSnapshots, func(newest *Routing) bool {
+		return cmp.Or(cmp.Compare(newest.Number, snapshot.Number), cmp.Compare(newest.Version, snapshot.Version)) >= 0
 	})
 }
 
-// Last returns the newest reading; false before the first.
-func (routings *Routings) Last() (Routing, bool) { return routings.kept.last() }
+// Last returns the newest snapshot; false if there is none.
+func (routings *Routings) Last() (Routing, bool) { return routings.snapshots.newest() }
 
-// Of returns the reading of that version; false where it is not kept.
+// Of returns the snapshot with this store version; false if it is not kept.
 func (routings *Routings) Of(version keyvalue.Version) (Routing, bool) {
-	return routings.kept.find(func(reading *Routing) bool { return reading.Version == version })
+	return routings.snapshots.find(func(snapshot *Routing) bool { return snapshot.Version == version })
 }
 
-// packedRoutings keeps the newest routing as it was packed for those that have
-// each earlier one: peers ask at about the same moment, most of them alike.
+// packedRoutings caches the newest routing, packed whole and as a difference to earlier ones.
+// Peers fetch at about the same time, and most of them have the same version.
 type packedRoutings struct {
 	mutex   sync.Mutex
 	version keyvalue.Version
-	since   map[keyvalue.Version][]byte
+	byBase  map[keyvalue.Version][]byte
 }
 
-// of returns the reading packed for those that have base.
-func (packed *packedRoutings) of(reading, base Routing) ([]byte, error) {
+// pack returns the snapshot, packed as a difference to base.
+func (packed *packedRoutings) pack(snapshot, base Routing) ([]byte, error) {
 	packed.mutex.Lock()
 	defer packed.mutex.Unlock()
-	if packed.version != reading.Version {
-		packed.version, packed.since = reading.Version, map[keyvalue.Version][]byte{}
+	if packed.version != snapshot.Version {
+		packed.version, packed.byBase = snapshot.Version, map[keyvalue.Version][]byte{}
 	}
-	if known, ok := packed.since[base.Version]; ok {
-		return known, nil
+	if cached, ok := packed.byBase[base.Version]; ok {
+		return cached, nil
 	}
-	text, err := delta.Pack(reading.Value, base.Value)
+	difference, err := delta.Pack(snapshot.Value, base.Value)
 	if err == nil {
-		packed.since[base.Version] = text
+		packed.byBase[base.Version] = difference
 	}
-	return text, err
+	return difference, err
 }
