--- a/peridotpath/pace/pace_test.go
+++ b/peridotpath/pace/pace_test.go
@@ -51,8 +51,8 @@
 	return &peridotpath.Endpoint{ID: peridotpath.EndpointID(fmt.Sprintf("engine-%d", number)), Incarnation: 1}
 }
 
-// withWatch runs a pace.Watch for the duration of scenario.
-func withWatch(t *testing.T, isOwner bool, scenario func(is *is.I, engines *fakeEngines, watch *pace.Watch)) {
+// withProber runs a prober for the duration of scenario.
+func withProber(t *testing.T, isOwner bool, scenario func(is *is.I, engines *fakeEngines, prober *pace.Watch)) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines := &fakeEngines{slowdowns: map[peridotpath.EndpointID]pace.Pace{}, probes: map[peridotpath.EndpointID]int{}}
@@ -60,15 +60,15 @@
 		for i := range 3 {
 			all[endpoint(i).Key()] = endpoint(i)
 		}
-		watch := &pace.Watch{
+		prober := &pace.Watch{
 			Facts: &facts.Table{}, Ask: engines.probe, Log: zerolog.Nop(),
 			Find: func(key peridotpath.EndpointKey) *peridotpath.Endpoint { return all[key] },
 			Mine: func(peridotpath.EndpointKey) bool { return isOwner },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
-		go func() { ended <- watch.Run(ctx) }()
-		scenario(is, engines, watch)
+		go func() { ended <- prober.Run(ctx) }()
+		scenario(is, engines, prober)
 		cancel()
 		is.True(errors.Is(<-ended, context.Canceled))
 	})
@@ -77,18 +77,18 @@
 // Many requests are overdue at the same engines. Each engine is probed once, a slow one
 // repeatedly until it has recovered. No engine is probed while nothing is overdue.
 func TestOverdueEnginesAreProbed(t *testing.T) {
-	withWatch(t, true, func(is *is.I, engines *fakeEngines, watch *pace.Watch) {
+	withProber(t, true, func(is *is.I, engines *fakeEngines, prober *pace.Watch) {
 		engines.set("engine-0", 1)
 		engines.set("engine-1", 3.6)
 		time.Sleep(3 * time.Second)
 		is.Equal(engines.probeCount("engine-0"), 0)
 		for range 20 {
-			watch.Doubt(endpoint(0), endpoint(1), endpoint(2))
+			prober.Doubt(endpoint(0), endpoint(1), endpoint(2))
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.Equal(watch.Slow(time.Now()), map[peridotpath.EndpointKey]pace.Pace{endpoint(1).Key(): 3.6})
-		is.Equal(len(watch.Facts.All(facts.KindPace, time.Now())), 1) // an engine that is not slow is not gossiped
-		for number := range 3 {                                       // engine-2 does not answer
+		is.Equal(prober.Slow(time.Now()), map[peridotpath.EndpointKey]pace.Pace{endpoint(1).Key(): 3.6})
+		is.Equal(len(prober.Facts.All(facts.KindPace, time.Now())), 1) // an engine that is not slow is not gossiped
+		for number := range 3 {                                        // engine-2 does not answer
 			is.Equal(engines.probeCount(endpoint(number).ID), 1)
 		}
 		time.Sleep(5 * time.Second)
@@ -96,7 +96,7 @@
 		is.Equal(engines.probeCount("engine-0"), 1)
 		engines.set("engine-1", 1)
 		time.Sleep(2 * time.Second)
-		is.Equal(len(watch.Slow(time.Now())), 0)
+		is.Equal(len(prober.Slow(time.Now())), 0)
 		before := engines.probeCount("engine-1")
 		time.Sleep(5 * time.Second)
 		is.Equal(engines.probeCount("engine-1"), before)
@@ -106,13 +106,13 @@
 // The slowdown of an engine that another instance owns expires when that instance stops
 // reporting it.
 func TestSlowdownExpiresWithoutReports(t *testing.T) {
-	withWatch(t, false, func(is *is.I, engines *fakeEngines, watch *pace.Watch) {
+	withProber(t, false, func(is *is.I, engines *fakeEngines, prober *pace.Watch) {
 		engines.set("engine-1", 3.6)
-		watch.Doubt(endpoint(1))
+		prober.Doubt(endpoint(1))
 		time.Sleep(time.Second)
-		is.Equal(len(watch.Slow(time.Now())), 1)
+		is.Equal(len(prober.Slow(time.Now())), 1)
 		time.Sleep(3 * time.Second)
-		is.Equal(len(watch.Slow(time.Now())), 0)
+		is.Equal(len(prober.Slow(time.Now())), 0)
 		is.Equal(engines.probeCount("engine-1"), 1)
 	})
 }
@@ -120,9 +120,9 @@
 // Overdue requests are reported faster than probes run. Reports do not block the request.
 func TestReportingOverdueEnginesNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	watch := &pace.Watch{Facts: &facts.Table{}, Log: zerolog.Nop()}
+	prober := &pace.Watch{Facts: &facts.Table{}, Log: zerolog.Nop()}
 	for range 1000 {
-		watch.Doubt(endpoint(0))
+		prober.Doubt(endpoint(0))
 	}
-	is.Equal(len(watch.Slow(time.Now())), 0)
+	is.Equal(len(prober.Slow(time.Now())), 0)
 }
