--- a/peridotpath/throttle/throttle.go
+++ b/peridotpath/throttle/throttle.go
@@ -37,11 +37,11 @@
 // Throttle limits the request rate to endpoints, by the facts that instances gossip. Set
 // the exported fields before use.
 type Throttle struct {
-	// Instance identifies this instance, and Sender this start of it.
 	Instance peridotpath.InstanceID
-	Sender   uint64
-	Facts    *facts.Table
-	Log      zerolog.Logger
+	// Sender identifies this start of the instance.
+	Sender uint64
+	Facts  *facts.Table
+	Log    zerolog.Logger
 
 	mutex   sync.Mutex
 	buckets map[peridotpath.EndpointKey]*bucket
