--- a/peridotpath/facts/facts.go
+++ b/peridotpath/facts/facts.go
@@ -39,8 +39,8 @@
 	// KindLimit: the rate limit of an endpoint (subject); the value is in requests per
 	// second, for all instances together.
 	KindLimit Kind = 5
-	// KindSent: the value is the number of requests that a sender (detail) has sent to a
-	// rate-limited endpoint (subject).
+	// KindSent: the value is the number of requests that a sender (detail) has
+	// sent to a rate-limited endpoint (subject).
 	KindSent Kind = 6
 	// KindPace: the slowdown of an engine (detail); the value is the ratio of its
 	// processing time to the published one.
--- a/peridotpath/quarantine/quarantine.go
+++ b/peridotpath/quarantine/quarantine.go
@@ -66,7 +66,7 @@
 	// OnTrial: the quarantine has ended. One instance at a time sends the request, as in
 	// the half-open state of a circuit breaker.
 	OnTrial
-	// Barred: the request is quarantined and not sent.
+	// Barred: the request is not sent until the quarantine ends.
 	Barred
 )
 
@@ -78,8 +78,8 @@
 	})
 }
 
-// Survived records that an endpoint ran a request without a crash. It is gossiped only if
-// there is evidence against the request.
+// Survived records that an endpoint ran a request without a crash. It is gossiped
+// only if there is evidence against the request.
 func (quarantine *Quarantine) Survived(content peridotpath.Fingerprint, now time.Time) {
 	subject := facts.Subject(content)
 	if !quarantine.Facts.Knows(subject) || !quarantine.hasEvidenceAgainst(content, now) {
@@ -95,8 +95,8 @@
 	return quarantined || len(evidence.crashes[content]) > 0
 }
 
-// Empty reports whether there is no evidence against any request. Requests need no
-// fingerprint in that case.
+// Empty reports whether there is no evidence against any request. Requests need
+// no fingerprint in that case.
 func (quarantine *Quarantine) Empty() bool {
 	return !quarantine.Facts.Has(facts.KindEnded) && !quarantine.Facts.Has(facts.KindBarred)
 }
@@ -135,9 +135,9 @@
 	})
 }
 
-// Try reserves the next attempt at a suspected request. It returns false while another
-// attempt is in progress, and within evidenceDelay of the last crash, when other requests
-// that ran on the endpoint may not be known yet.
+// Try reserves the next attempt at a suspected request. It returns false while
+// another attempt is in progress, and within evidenceDelay of the last crash, when other
+// requests that ran on the endpoint may not be known yet.
 func (quarantine *Quarantine) Try(content peridotpath.Fingerprint, now time.Time) bool {
 	quarantine.mutex.Lock()
 	defer quarantine.mutex.Unlock()
--- a/peridotpath/readings/endpoints.go
+++ b/peridotpath/readings/endpoints.go
@@ -23,8 +23,8 @@
 // one changes per second, so that peers can be sent only the changes.
 const maxEndpointsSnapshots = 16
 
-// History holds the last snapshots of the endpoints, newest last. A peer that has one of
-// them is sent only the changes: the list of a large fleet is long, and every instance
+// History holds the last snapshots of the endpoints, newest last. A peer that has
+// one of them is sent only the changes: the list of a large fleet is long, and every instance
 // fetches it after each change.
 type History struct{ snapshots snapshots[Endpoints] }
 
--- a/peridotpath/readings/peers.go
+++ b/peridotpath/readings/peers.go
@@ -12,8 +12,8 @@
 	Near bool
 }
 
-// Newer holds the peers that last reported a newer snapshot than the local one: one in the
-// same data centre and one elsewhere.
+// Newer holds the peers that last reported a newer snapshot than the local one: one in
+// the same data centre and one elsewhere.
 type Newer struct {
 	near, far atomic.Pointer[netip.AddrPort]
 }
--- a/peridotpath/readings/routing.go
+++ b/peridotpath/readings/routing.go
@@ -14,8 +14,8 @@
 type Routing struct {
 	// Version is the store's version of the document.
 	Version keyvalue.Version
-	// Number is the version that operators gave the document. It takes precedence over
-	// the store's: a store that was restored from an older copy may briefly return an
+	// Number is the version that operators gave the document. It takes precedence
+	// over the store's: a store that was restored from an older copy may briefly return an
 	// earlier document than before.
 	Number peridotpath.RoutingVersion
 	Value  []byte
--- a/peridotpath/throttle/throttle.go
+++ b/peridotpath/throttle/throttle.go
@@ -74,8 +74,8 @@
 	throttle.publishLimit(endpoint.Key(), limit, now)
 }
 
-// Unnamed records a response without a limit. It ends the endpoint's limit, unless the
-// request was sent before the limit was reported.
+// Unnamed records a response without a limit. It ends the endpoint's limit, unless
+// the request was sent before the limit was reported.
 func (throttle *Throttle) Unnamed(endpoint *peridotpath.Endpoint, sentAt, now time.Time) {
 	if throttle.Idle() {
 		return
@@ -104,9 +104,10 @@
 // Idle reports whether no limit of any endpoint is stored.
 func (throttle *Throttle) Idle() bool { return !throttle.Facts.Has(facts.KindLimit) }
 
-// Wait returns the time until a request may be sent to an endpoint; zero if one may be sent
-// now. Contenders is the estimated number of competing requests elsewhere that have not
-// been gossiped yet; a request is then admitted with a probability of 1/(1+contenders).
+// Wait returns the time until a request may be sent to an endpoint; zero if
+// one may be sent now. Contenders is the estimated number of competing requests elsewhere
+// that have not been gossiped yet; a request is then admitted with a probability of
+// 1/(1+contenders).
 func (throttle *Throttle) Wait(endpoint peridotpath.EndpointKey, contenders float64, now time.Time) time.Duration {
 	throttle.mutex.Lock()
 	defer throttle.mutex.Unlock()
@@ -122,8 +123,8 @@
 	return 0
 }
 
-// Take deducts a token for a request from each of its endpoints: the first, the primary,
-// and its helpers. It returns false and deducts nothing if the primary's bucket has no
+// Take deducts a token for a request from each of its endpoints: the first, the
+// primary, and its helpers. It returns false and deducts nothing if the primary's bucket has no
 // token left; helpers may go into debt.
 func (throttle *Throttle) Take(endpoints []peridotpath.EndpointKey, now time.Time) bool {
 	throttle.mutex.Lock()
