--- a/peridotpath/directory/era_test.go
+++ b/peridotpath/directory/era_test.go
@@ -86,7 +86,7 @@
 	content, at := follower.Directory.ContentHash(), follower.Directory.ConfirmedAt()
 	for to := range fleet.followers {
 		if to != from {
-			fleet.followers[to].UpdateFromPeer(readings.Peer{Address: peerAddress(from), Near: true}, content, at)
+			fleet.followers[to].UpdateFromPeer(readings.Peer{Address: peerAddress(from), InSameDataCentre: true}, content, at)
 		}
 	}
 }
@@ -110,7 +110,7 @@
 			fleet.followers = append(fleet.followers, &directory.Follower{
 				Directory: &directory.Directory{Log: zerolog.Nop()}, Now: now, Log: zerolog.Nop(), Eras: &keyvalue.Eras{},
 				List: fleet.list, OnConfirmed: func() { time.AfterFunc(10*time.Millisecond, func() { fleet.send(i) }) },
-				FetchFromPeer: func(_ context.Context, peer netip.AddrPort, _ readings.Endpoints) (readings.Endpoints, error) {
+				FetchFromPeer: func(_ context.Context, peer netip.AddrPort, _ readings.EndpointsSnapshot) (readings.EndpointsSnapshot, error) {
 					snapshot, ok := fleet.followers[peer.Addr().As4()[3]].Last()
 					if !ok {
 						return snapshot, errors.New("nothing read yet")
--- a/peridotpath/directory/follower.go
+++ b/peridotpath/directory/follower.go
@@ -23,7 +23,7 @@
 	List   func(ctx context.Context) ([]keyvalue.Entry, keyvalue.Era, error)
 	Decode func(entries []keyvalue.Entry) []peridotpath.Endpoint
 	// FetchFromPeer fetches a peer's snapshot of the endpoints; have is the one held here.
-	FetchFromPeer func(ctx context.Context, peer netip.AddrPort, have readings.Endpoints) (readings.Endpoints, error)
+	FetchFromPeer func(ctx context.Context, peer netip.AddrPort, have readings.EndpointsSnapshot) (readings.EndpointsSnapshot, error)
 	// Eras holds the eras of the store.
 	Eras *keyvalue.Eras
 	// Now returns the time since boot, which advances while the machine is suspended.
@@ -34,11 +34,11 @@
 	Log         zerolog.Logger
 
 	storeFailed atomic.Bool
-	newer       readings.Newer
+	newer       readings.NewerPeers
 
 	mutex sync.Mutex
 	// history holds the last reads.
-	history readings.History
+	history readings.EndpointsHistory
 }
 
 // Run reads the store, or fetches the snapshot of a peer, whenever the snapshot held here
@@ -87,18 +87,18 @@
 }
 
 // Last returns the last read, to be served to peers; false before the first one.
-func (follower *Follower) Last() (readings.Endpoints, bool) {
+func (follower *Follower) Last() (readings.EndpointsSnapshot, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	last, ok := follower.history.Last()
+	last, ok := follower.history.Newest()
 	last.Age = follower.Age()
 	return last, ok
 }
 
 // ByContentHash returns the read with that content hash, to be served to peers; false if it is not in
 // the history.
-func (follower *Follower) ByContentHash(content uint64) (readings.Endpoints, bool) {
-	return follower.history.Of(content)
+func (follower *Follower) ByContentHash(content uint64) (readings.EndpointsSnapshot, bool) {
+	return follower.history.ByHash(content)
 }
 
 // UpdateFromPeer applies the content hash of a peer's snapshot, which was the newest at the time
@@ -113,7 +113,7 @@
 	case content == follower.Directory.ContentHash():
 		follower.confirmContent(content, confirmed)
 	case confirmed > follower.Directory.ConfirmedAt(), follower.Directory.ContentHash() == 0:
-		follower.newer.Note(peer)
+		follower.newer.Set(peer)
 		follower.Pace.Wake()
 	}
 }
@@ -126,7 +126,7 @@
 	if follower.Directory.OverdueBy(at) == 0 {
 		return
 	}
-	if last, ok := follower.history.Last(); ok && last.Content == content {
+	if last, ok := follower.history.Newest(); ok && last.ContentHash == content {
 		follower.apply(last.Entries, last.Era, at)
 	}
 }
@@ -140,7 +140,7 @@
 		return !follower.Pace.Due(follower.effectiveAge())
 	}
 	asked := follower.Now()
-	have, _ := follower.history.Last()
+	have, _ := follower.history.Newest()
 	snapshot, err := follower.FetchFromPeer(ctx, peer.Address, have)
 	if err == nil {
 		follower.Eras.Heard(snapshot.Era, 0, false)
@@ -166,5 +166,5 @@
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	follower.Directory.Apply(follower.Decode(entries), asked)
-	follower.history.Add(readings.Endpoints{Entries: entries, Content: follower.Directory.ContentHash(), Era: era})
+	follower.history.Add(readings.EndpointsSnapshot{Entries: entries, ContentHash: follower.Directory.ContentHash(), Era: era})
 }
--- a/peridotpath/facts/facts.go
+++ b/peridotpath/facts/facts.go
@@ -26,25 +26,25 @@
 
 // The kinds.
 const (
-	// KindEnded: an endpoint (detail) crashed while it ran a request (subject).
-	KindEnded Kind = 1
+	// KindCrashed: an endpoint (detail) crashed while it ran a request (subject).
+	KindCrashed Kind = 1
 	// KindSurvived: an endpoint ran a request (subject) and did not crash.
 	KindSurvived Kind = 2
-	// KindBarred: a request (subject) is quarantined; the value is the duration in
+	// KindQuarantined: a request (subject) is quarantined; the value is the duration in
 	// seconds.
-	KindBarred Kind = 3
+	KindQuarantined Kind = 3
 	// KindTrial: an instance sends a suspected request (subject); the value is the number
 	// of the attempt.
 	KindTrial Kind = 4
-	// KindLimit: the rate limit of an endpoint (subject); the value is in requests per
+	// KindRateLimit: the rate limit of an endpoint (subject); the value is in requests per
 	// second, for all instances together.
-	KindLimit Kind = 5
-	// KindSent: the value is the number of requests that a sender (detail) has
+	KindRateLimit Kind = 5
+	// KindRequestsSent: the value is the number of requests that a sender (detail) has
 	// sent to a rate-limited endpoint (subject).
-	KindSent Kind = 6
-	// KindPace: the slowdown of an engine (detail); the value is the ratio of its
+	KindRequestsSent Kind = 6
+	// KindSlowdown: the slowdown of an engine (detail); the value is the ratio of its
 	// processing time to the published one.
-	KindPace Kind = 7
+	KindSlowdown Kind = 7
 
 	kindCount = 8
 )
@@ -71,16 +71,16 @@
 const maxNetworkDelay = 250 * time.Millisecond
 
 var policies = [kindCount]policy{
-	KindEnded:    {name: "ended", ttl: crashEvidenceTTL, maxStored: 2048, ageTolerance: maxNetworkDelay},
-	KindSurvived: {name: "survived", ttl: crashEvidenceTTL, maxStored: 1024, ageTolerance: maxNetworkDelay},
-	KindBarred:   {name: "barred", ttl: 2 * time.Hour, maxStored: 256, ageTolerance: maxNetworkDelay, isResent: true},
-	KindTrial:    {name: "trial", ttl: 5 * time.Second, maxStored: 256, ageTolerance: maxNetworkDelay},
+	KindCrashed:     {name: "ended", ttl: crashEvidenceTTL, maxStored: 2048, ageTolerance: maxNetworkDelay},
+	KindSurvived:    {name: "survived", ttl: crashEvidenceTTL, maxStored: 1024, ageTolerance: maxNetworkDelay},
+	KindQuarantined: {name: "barred", ttl: 2 * time.Hour, maxStored: 256, ageTolerance: maxNetworkDelay, isResent: true},
+	KindTrial:       {name: "trial", ttl: 5 * time.Second, maxStored: 256, ageTolerance: maxNetworkDelay},
 	// Endpoints report their limit in every response. The wider tolerance keeps an
 	// unchanged limit from being gossiped for each of them.
-	KindLimit: {name: "limit", ttl: time.Minute, maxStored: 1024, ageTolerance: 5 * time.Second, isResent: true},
-	KindSent:  {name: "sent", ttl: 20 * time.Second, maxStored: 4096, ageTolerance: maxNetworkDelay},
+	KindRateLimit:    {name: "limit", ttl: time.Minute, maxStored: 1024, ageTolerance: 5 * time.Second, isResent: true},
+	KindRequestsSent: {name: "sent", ttl: 20 * time.Second, maxStored: 4096, ageTolerance: maxNetworkDelay},
 	// Slow engines are probed every second; the fact expires when probing stops.
-	KindPace: {name: "pace", ttl: 3 * time.Second, maxStored: 4096, ageTolerance: maxNetworkDelay},
+	KindSlowdown: {name: "pace", ttl: 3 * time.Second, maxStored: 4096, ageTolerance: maxNetworkDelay},
 }
 
 // String returns the name of the kind in logs and metrics.
@@ -89,8 +89,8 @@
 // Subject identifies what a fact is about: a request's fingerprint or an endpoint.
 type Subject [16]byte
 
-// SubjectOf returns the subject of facts about an endpoint.
-func SubjectOf(endpoint peridotpath.EndpointKey) Subject {
+// EndpointSubject returns the subject of facts about an endpoint.
+func EndpointSubject(endpoint peridotpath.EndpointKey) Subject {
 	var subject Subject
 	binary.BigEndian.PutUint64(subject[:], uint64(endpoint))
 	return subject
@@ -102,10 +102,10 @@
 	Subject Subject
 	Detail  uint64
 	Value   float64
-	// At is the time of the observation, on the monotonic clock of this instance.
-	At time.Time
-	// From is the instance that sent the fact to this one.
-	From peridotpath.InstanceID
+	// ObservedAt is the time of the observation, on the monotonic clock of this instance.
+	ObservedAt time.Time
+	// Source is the instance that sent the fact to this one.
+	Source peridotpath.InstanceID
 }
 
 type key struct {
@@ -135,8 +135,8 @@
 
 // Table stores facts until they expire. Set the exported fields before use.
 type Table struct {
-	// Changed, when set, is called when there are new facts to send.
-	Changed func()
+	// OnChange, when set, is called when there are new facts to send.
+	OnChange func()
 
 	mutex sync.Mutex
 	facts map[key]*entry
@@ -151,32 +151,32 @@
 // enough for every request.
 func (table *Table) Has(kind Kind) bool { return table.counts[kind].Load() > 0 }
 
-// Knows reports whether the table holds any fact about a subject.
-func (table *Table) Knows(subject Subject) bool {
+// HasSubject reports whether the table holds any fact about a subject.
+func (table *Table) HasSubject(subject Subject) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	return len(table.bySubject[subject]) > 0
 }
 
-// Learn stores an observation of this instance and schedules it for gossip.
-func (table *Table) Learn(fact Fact) {
+// Observe stores an observation of this instance and schedules it for gossip.
+func (table *Table) Observe(fact Fact) {
 	table.merge(fact, true)
-	if table.Changed != nil {
-		table.Changed()
+	if table.OnChange != nil {
+		table.OnChange()
 	}
 }
 
-// Hear stores facts received from a peer. With forward, which is set for facts from
+// Receive stores facts received from a peer. With forward, which is set for facts from
 // another cell, new ones are also gossiped to the peers of this cell.
-func (table *Table) Hear(received []Fact, forward bool) {
+func (table *Table) Receive(received []Fact, forward bool) {
 	hasNew := false
 	for _, fact := range received {
 		if fact.Kind > 0 && fact.Kind < kindCount {
 			hasNew = table.merge(fact, forward) || hasNew
 		}
 	}
-	if hasNew && forward && table.Changed != nil {
-		table.Changed()
+	if hasNew && forward && table.OnChange != nil {
+		table.OnChange()
 	}
 }
 
@@ -186,16 +186,16 @@
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	stored := table.facts[fact.key()]
-	if stored != nil && !fact.At.After(stored.fact.At.Add(policies[fact.Kind].ageTolerance)) && (fact.Value == stored.fact.Value || !fact.At.After(stored.fact.At)) {
+	if stored != nil && !fact.ObservedAt.After(stored.fact.ObservedAt.Add(policies[fact.Kind].ageTolerance)) && (fact.Value == stored.fact.Value || !fact.ObservedAt.After(stored.fact.ObservedAt)) {
 		return false
 	}
 	added := &entry{fact: fact, sends: maxSends}
 	if send {
-		added.sends, added.nextSend = 0, fact.At
+		added.sends, added.nextSend = 0, fact.ObservedAt
 		table.nextSend = time.Time{}
 	}
 	table.insert(added)
-	table.evict(fact.Kind, fact.At)
+	table.evict(fact.Kind, fact.ObservedAt)
 	return true
 }
 
@@ -234,7 +234,7 @@
 		if key.kind != kind {
 			continue
 		}
-		if now.Sub(entry.fact.At) > policy.ttl {
+		if now.Sub(entry.fact.ObservedAt) > policy.ttl {
 			table.remove(key)
 			continue
 		}
@@ -243,20 +243,20 @@
 	if len(kept) <= policy.maxStored {
 		return
 	}
-	oldest := slices.MinFunc(kept, func(a, b *entry) int { return a.fact.At.Compare(b.fact.At) })
+	oldest := slices.MinFunc(kept, func(a, b *entry) int { return a.fact.ObservedAt.Compare(b.fact.ObservedAt) })
 	table.remove(oldest.fact.key())
 	telemetry.FactForgotten(kind.String())
 }
 
-// All returns the unexpired facts of a kind, in no order.
-func (table *Table) All(kind Kind, now time.Time) []Fact {
+// ByKind returns the unexpired facts of a kind, in no order.
+func (table *Table) ByKind(kind Kind, now time.Time) []Fact {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	return unexpired(table.facts, kind, now)
 }
 
-// About returns the unexpired facts of a kind about a subject, in no order.
-func (table *Table) About(kind Kind, subject Subject, now time.Time) []Fact {
+// BySubject returns the unexpired facts of a kind about a subject, in no order.
+func (table *Table) BySubject(kind Kind, subject Subject, now time.Time) []Fact {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	return unexpired(table.bySubject[subject], kind, now)
@@ -265,7 +265,7 @@
 func unexpired(entries map[key]*entry, kind Kind, now time.Time) []Fact {
 	var found []Fact
 	for key, entry := range entries {
-		if key.kind == kind && now.Sub(entry.fact.At) <= policies[kind].ttl {
+		if key.kind == kind && now.Sub(entry.fact.ObservedAt) <= policies[kind].ttl {
 			found = append(found, entry.fact)
 		}
 	}
@@ -277,16 +277,16 @@
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	entry := table.facts[key{kind, subject, detail}]
-	if entry == nil || now.Sub(entry.fact.At) > policies[kind].ttl {
+	if entry == nil || now.Sub(entry.fact.ObservedAt) > policies[kind].ttl {
 		return Fact{}, false
 	}
 	return entry.fact, true
 }
 
-// Tell returns the facts to send now and counts them as sent: those sent least often
+// TakeDue returns the facts to send now and counts them as sent: those sent least often
 // first, then the newest. With resend, it includes facts of the periodically repeated
 // kinds that were sent before. Expired facts are removed.
-func (table *Table) Tell(now time.Time, resend bool) []Fact {
+func (table *Table) TakeDue(now time.Time, resend bool) []Fact {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
 	if !resend && now.Before(table.nextSend) {
@@ -296,14 +296,14 @@
 	for key, entry := range table.facts {
 		policy := policies[key.kind]
 		switch {
-		case now.Sub(entry.fact.At) > policy.ttl:
+		case now.Sub(entry.fact.ObservedAt) > policy.ttl:
 			table.remove(key)
 		case entry.sends < maxSends && !now.Before(entry.nextSend), resend && policy.isResent:
 			due = append(due, entry)
 		}
 	}
 	slices.SortFunc(due, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.sends, b.sends), b.fact.At.Compare(a.fact.At))
+		return cmp.Or(cmp.Compare(a.sends, b.sends), b.fact.ObservedAt.Compare(a.fact.ObservedAt))
 	})
 	sent := make([]Fact, 0, min(len(due), maxFactsPerDigest))
 	for _, entry := range due[:min(len(due), maxFactsPerDigest)] {
--- a/peridotpath/gossip/fact.go
+++ b/peridotpath/gossip/fact.go
@@ -22,7 +22,7 @@
 	for i := range list {
 		fact := &list[i]
 		encoded = append(encoded, &wire.Fact{
-			Kind: uint32(fact.Kind), Subject: fact.Subject[:], Detail: fact.Detail, Value: fact.Value, Age: clock.Micros(now.Sub(fact.At)),
+			Kind: uint32(fact.Kind), Subject: fact.Subject[:], Detail: fact.Detail, Value: fact.Value, Age: clock.Micros(now.Sub(fact.ObservedAt)),
 		})
 	}
 	return encoded
@@ -39,7 +39,7 @@
 		}
 		decoded = append(decoded, facts.Fact{
 			Kind: facts.Kind(encoded.Kind), Subject: facts.Subject(encoded.Subject), Detail: encoded.Detail, Value: encoded.Value,
-			At: now.Add(-clock.FromMicros(encoded.Age)), From: peridotpath.InstanceID(digest.Instance),
+			ObservedAt: now.Add(-clock.FromMicros(encoded.Age)), Source: peridotpath.InstanceID(digest.Instance),
 		})
 	}
 	return decoded
--- a/peridotpath/gossip/fact_test.go
+++ b/peridotpath/gossip/fact_test.go
@@ -22,8 +22,8 @@
 func TestFactsReachPeers(t *testing.T) {
 	one, near, remote := start(t, "one", "a", gossip.Freshness{}), start(t, "two", "a", gossip.Freshness{}), start(t, "three", "b", gossip.Freshness{})
 	one.gossip.SetPeers([]gossip.Peer{{Address: near.gossip.Address, DataCentre: "a"}, {Address: remote.gossip.Address, DataCentre: "b"}})
-	fact := facts.Fact{Kind: facts.KindEnded, Subject: facts.Subject{7}, Detail: 5, At: time.Now()}
-	one.facts.Learn(fact)
+	fact := facts.Fact{Kind: facts.KindCrashed, Subject: facts.Subject{7}, Detail: 5, ObservedAt: time.Now()}
+	one.facts.Observe(fact)
 	eventually(t, "the fact is received", func() bool { return holdsFact(near, fact) && holdsFact(remote, fact) })
 }
 
@@ -70,8 +70,8 @@
 		}
 	}
 	one.gossip.SetPeers(peers)
-	fact := facts.Fact{Kind: facts.KindBarred, Subject: facts.Subject{7}, Value: 60, At: time.Now()}
-	one.facts.Learn(fact)
+	fact := facts.Fact{Kind: facts.KindQuarantined, Subject: facts.Subject{7}, Value: 60, ObservedAt: time.Now()}
+	one.facts.Observe(fact)
 	eventually(t, "the fact is received in every cell", func() bool {
 		for _, node := range others {
 			if node != nil && !holdsFact(node, fact) {
@@ -86,8 +86,8 @@
 // same, or the peer does not learn which requests are quarantined.
 func TestBusyInstanceSendsLastingFactsToNewPeer(t *testing.T) {
 	one := start(t, "one", "a", gossip.Freshness{})
-	fact := facts.Fact{Kind: facts.KindBarred, Subject: facts.Subject{7}, Value: 60, At: time.Now()}
-	one.facts.Hear([]facts.Fact{fact}, false) // received from another peer, not to be sent as new
+	fact := facts.Fact{Kind: facts.KindQuarantined, Subject: facts.Subject{7}, Value: 60, ObservedAt: time.Now()}
+	one.facts.Receive([]facts.Fact{fact}, false) // received from another peer, not to be sent as new
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go func() {
--- a/peridotpath/gossip/gossip.go
+++ b/peridotpath/gossip/gossip.go
@@ -209,7 +209,7 @@
 	// which must therefore be older. If the process froze between the two, an echo
 	// taken last would make a snapshot from before the freeze look fresh.
 	now := time.Now()
-	encoded := encodeFacts(gossip.Facts.Tell(now, gossip.takeLastingFactsDue(now)), now)
+	encoded := encodeFacts(gossip.Facts.TakeDue(now, gossip.takeLastingFactsDue(now)), now)
 	targets := gossip.selectTargets(now, remote || len(encoded) > 0)
 	digest := gossip.nextDigest()
 	digest.Facts = encoded
@@ -315,7 +315,7 @@
 	if err != nil || digest.Instance == "" || digest.Instance == string(gossip.Instance) {
 		return
 	}
-	gossip.Facts.Hear(decodeFacts(digest, now), digest.FactsOnly)
+	gossip.Facts.Receive(decodeFacts(digest, now), digest.FactsOnly)
 	if digest.FactsOnly {
 		return
 	}
@@ -347,7 +347,7 @@
 		// The echo stems from before the last boot of this machine.
 		asked = 0
 	}
-	gossip.OnPeerFreshness(readings.Peer{Address: netip.AddrPortFrom(from.Addr(), uint16(digest.ReadingsPort)), Near: near}, Freshness{
+	gossip.OnPeerFreshness(readings.Peer{Address: netip.AddrPortFrom(from.Addr(), uint16(digest.ReadingsPort)), InSameDataCentre: near}, Freshness{
 		RoutingVersion: peridotpath.RoutingVersion(digest.RoutingVersion), RoutingAge: clock.FromMicros(digest.RoutingAge),
 		EndpointsHash: digest.Endpoints, EndpointsAge: clock.FromMicros(digest.EndpointsAge),
 		Era: keyvalue.Era(digest.Era), EraAge: clock.FromMicros(digest.EraAge), EraAgeKnown: digest.EraDated,
--- a/peridotpath/gossip/gossip_test.go
+++ b/peridotpath/gossip/gossip_test.go
@@ -66,7 +66,7 @@
 	}
 	node.gossip.OnCellCountMismatch = func() { node.cellMismatches.Add(1) }
 	node.loads.Changed = node.gossip.RequestDigest
-	node.facts.Changed = node.gossip.RequestDigest
+	node.facts.OnChange = node.gossip.RequestDigest
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- node.gossip.Run(ctx) }()
--- a/peridotpath/gossip/report_test.go
+++ b/peridotpath/gossip/report_test.go
@@ -33,7 +33,7 @@
 	}
 	f.Add(noEndpoints)
 	invalidFacts, err := proto.Marshal(&wire.Digest{Instance: "a", Facts: []*wire.Fact{
-		{Kind: uint32(facts.KindBarred), Subject: make([]byte, 16), Value: math.NaN()}, {Kind: 99, Subject: []byte{1}, Age: math.MaxUint64},
+		{Kind: uint32(facts.KindQuarantined), Subject: make([]byte, 16), Value: math.NaN()}, {Kind: 99, Subject: []byte{1}, Age: math.MaxUint64},
 	}})
 	if err != nil {
 		f.Fatal(err)
@@ -47,9 +47,9 @@
 		now := time.Now()
 		table := &facts.Table{}
 		decider := &quarantine.Quarantine{Facts: table, Log: zerolog.Nop()}
-		table.Hear(decodeFacts(digest, now), digest.FactsOnly)
-		for _, fact := range table.Tell(now, true) {
-			decider.Look(peridotpath.Fingerprint(fact.Subject), now)
+		table.Receive(decodeFacts(digest, now), digest.FactsOnly)
+		for _, fact := range table.TakeDue(now, true) {
+			decider.Check(peridotpath.Fingerprint(fact.Subject), now)
 		}
 		loads := &placement.Book{}
 		loads.HearPeer(decodeReport(digest, now), now)
--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -48,7 +48,7 @@
 	Send relay.Sender
 	// Check probes whether an engine is alive, Pace how slow it is.
 	Check relay.Checker
-	Pace  func(ctx context.Context, endpoint *peridotpath.Endpoint) (pace.Pace, error)
+	Pace  func(ctx context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error)
 	// Reserve and Release are the calls of a reservation.Keeper.
 	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, hold time.Duration) (bool, error)
 	Release func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error
@@ -111,7 +111,7 @@
 	facts               *facts.Table
 	quarantine          *quarantine.Quarantine
 	throttle            *throttle.Throttle
-	paces               *pace.Watch
+	paces               *pace.Prober
 	relay               *relay.Relay
 	gossip              *gossip.Gossip
 	registry            *gossip.Registry
@@ -139,20 +139,20 @@
 	instance.facts = &facts.Table{}
 	instance.quarantine = &quarantine.Quarantine{Instance: settings.InstanceID, Facts: instance.facts, Log: log}
 	instance.throttle = &throttle.Throttle{
-		Instance: settings.InstanceID, Sender: throttle.SenderOf(settings.InstanceID, instance.incarnation), Facts: instance.facts, Log: log,
+		Instance: settings.InstanceID, SenderID: throttle.SenderID(settings.InstanceID, instance.incarnation), Facts: instance.facts, Log: log,
 	}
 	instance.keeper = &reservation.Keeper{
 		Instance: settings.InstanceID, Incarnation: instance.incarnation,
 		Reserve: adapter.Reserve, Release: adapter.Release, MaxHold: settings.MaxHold, Log: log,
 	}
-	instance.paces = &pace.Watch{Facts: instance.facts, Ask: adapter.Pace, Find: instance.findEndpoint, Mine: instance.ownsEndpoint, Log: log}
+	instance.paces = &pace.Prober{Facts: instance.facts, FetchSlowdown: adapter.Pace, FindEndpoint: instance.findEndpoint, OwnsEndpoint: instance.ownsEndpoint, Log: log}
 	instance.loads.Paces = instance.slowEngines
 	instance.startup = newStartup(instance.hasRouting, instance.hasRoutingAndEndpoints, instance.storeFailing)
 	instance.relay = &relay.Relay{
 		Instance: settings.InstanceID, DataCentre: settings.DataCentre, Log: log, Routing: instance.routing,
 		Endpoints: instance.cellEndpoints, AllEndpoints: instance.directory.Current, Book: instance.loads, Send: adapter.Send, Check: adapter.Check,
 		Served: &telemetry.Sampler{PerSecond: servedLogLinesPerSecond},
-		Keeper: instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, Doubt: instance.paces.Doubt, Stall: settings.StallTime, Routed: instance.startup.routingReady, Started: instance.startup.finished,
+		Keeper: instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, Doubt: instance.paces.ProbeOverdue, Stall: settings.StallTime, Routed: instance.startup.routingReady, Started: instance.startup.finished,
 		Budget: &relay.Budget{
 			Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow,
 			Instances: instance.estimateFleetSize,
@@ -202,7 +202,7 @@
 
 // slowEngines returns the slowdown factors of engines that are known to be slow.
 func (instance *Instance) slowEngines(now time.Time) map[peridotpath.EndpointKey]float64 {
-	paces := instance.paces.Slow(now)
+	paces := instance.paces.SlowEngines(now)
 	slow := make(map[peridotpath.EndpointKey]float64, len(paces))
 	for key, pace := range paces {
 		slow[key] = float64(pace)
@@ -232,7 +232,7 @@
 	}
 	adapter.Eras.Risen = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
 	instance.loads.Changed = instance.gossip.RequestDigest
-	instance.facts.Changed = instance.gossip.RequestDigest
+	instance.facts.OnChange = instance.gossip.RequestDigest
 	instance.registry = &gossip.Registry{
 		Store: adapter.Store, Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
 		DataCentre: settings.DataCentre, SetPeers: instance.gossip.SetPeers, Eras: adapter.Eras, Log: instance.Log,
@@ -240,7 +240,7 @@
 	instance.gossip.OnCellCountMismatch = instance.registry.RequestList
 	instance.routingFollower = &routing.Follower{
 		State: instance.routing, Key: adapter.RoutingKey, Decode: adapter.DecodeRouting, Check: adapter.Store.Check,
-		Eras: adapter.Eras, Ask: readings.AskRouting, Confirmed: instance.gossip.RequestDigest, Log: instance.Log,
+		Eras: adapter.Eras, Ask: readings.FetchRouting, Confirmed: instance.gossip.RequestDigest, Log: instance.Log,
 		Before: func(version peridotpath.RoutingVersion) int { return instance.gossip.Rank(uint64(version)) },
 		Pace: instance.pollPace(
 			func() bool { return instance.routing.Current() != nil && adapter.Eras.Settled() },
@@ -249,7 +249,7 @@
 	}
 	instance.endpointFollower = &directory.Follower{
 		Directory: instance.directory, List: instance.listEndpoints, Decode: adapter.DecodeEndpoints, Now: clock.SinceBoot,
-		Eras: adapter.Eras, FetchFromPeer: readings.AskEndpoints, OnConfirmed: instance.gossip.RequestDigest, Log: instance.Log,
+		Eras: adapter.Eras, FetchFromPeer: readings.FetchEndpoints, OnConfirmed: instance.gossip.RequestDigest, Log: instance.Log,
 		Pace: instance.pollPace(func() bool { return instance.directory.Current() != nil }, instance.directory.ContentHash),
 	}
 }
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -42,8 +42,8 @@
 		Routes: []rest.Route{{Method: http.MethodGet, Path: instance.Adapter.ReadyPath, Handler: instance.handleReady}},
 	}
 	peers := &readings.Server{
-		LastRouting: instance.routingFollower.Last, RoutingOf: instance.routingFollower.Of,
-		LastEndpoints: instance.endpointFollower.Last, EndpointsOf: instance.endpointFollower.ByContentHash,
+		NewestRouting: instance.routingFollower.Last, RoutingByVersion: instance.routingFollower.Of,
+		NewestEndpoints: instance.endpointFollower.Last, EndpointsByHash: instance.endpointFollower.ByContentHash,
 	}
 	instance.snapshotListener = &inbound.Listener{
 		Name: "readings", Address: settings.SnapshotAddress, MaxHeaderBytes: maxHeaderBytes,
--- a/peridotpath/instance/parts_test.go
+++ b/peridotpath/instance/parts_test.go
@@ -19,6 +19,6 @@
 		Store: &keyvalue.Store{}, Eras: &keyvalue.Eras{}, Ingress: func(IngressDependencies) http.Handler { return http.NotFoundHandler() },
 	}, zerolog.Nop())
 	is.True(one.incarnation != 0)
-	is.Equal(one.throttle.Sender, throttle.SenderOf("edge-1", one.incarnation))
-	is.True(one.throttle.Sender != throttle.SenderOf("edge-2", one.incarnation))
+	is.Equal(one.throttle.SenderID, throttle.SenderID("edge-1", one.incarnation))
+	is.True(one.throttle.SenderID != throttle.SenderID("edge-2", one.incarnation))
 }
--- a/peridotpath/pace/pace.go
+++ b/peridotpath/pace/pace.go
@@ -22,8 +22,8 @@
 	"peridotpath.example/peridotpath/facts"
 )
 
-// Pace is the ratio of an engine's processing time to the published one.
-type Pace float64
+// Slowdown is the ratio of an engine's processing time to the published one.
+type Slowdown float64
 
 const (
 	// probeInterval is the shortest time between two probes of an engine.
@@ -37,9 +37,9 @@
 	// dropped; an engine that is still slow is reported again.
 	maxQueuedProbes = 64
 	// slowThreshold is the lowest slowdown that counts as slow.
-	slowThreshold Pace = 1.1
+	slowThreshold Slowdown = 1.1
 	// maxSlowdown bounds the slowdown that an engine can report.
-	maxSlowdown Pace = 100
+	maxSlowdown Slowdown = 100
 	// reprobeTick is the interval at which engines known to be slow are checked for a due
 	// probe.
 	reprobeTick = 250 * time.Millisecond
@@ -50,16 +50,16 @@
 	probesFailedTotal = metrics.NewCounter("peridotpath_pace_unanswered_total")
 )
 
-// Watch probes engines for their slowdown. Set the exported fields before Run.
-type Watch struct {
+// Prober probes engines for their slowdown. Set the exported fields before Run.
+type Prober struct {
 	Facts *facts.Table
-	// Ask requests an engine's current slowdown.
-	Ask func(ctx context.Context, endpoint *peridotpath.Endpoint) (Pace, error)
-	// Find returns the engine with this key; nil if it is not in use.
-	Find func(endpoint peridotpath.EndpointKey) *peridotpath.Endpoint
-	// Mine reports whether this instance owns the repeated probes of a slow engine.
-	Mine func(endpoint peridotpath.EndpointKey) bool
-	Log  zerolog.Logger
+	// FetchSlowdown requests an engine's current slowdown.
+	FetchSlowdown func(ctx context.Context, endpoint *peridotpath.Endpoint) (Slowdown, error)
+	// FindEndpoint returns the engine with this key; nil if it is not in use.
+	FindEndpoint func(endpoint peridotpath.EndpointKey) *peridotpath.Endpoint
+	// OwnsEndpoint reports whether this instance owns the repeated probes of a slow engine.
+	OwnsEndpoint func(endpoint peridotpath.EndpointKey) bool
+	Log          zerolog.Logger
 
 	once  sync.Once
 	queue chan *peridotpath.Endpoint
@@ -69,33 +69,33 @@
 	probedAt map[peridotpath.EndpointKey]time.Time
 }
 
-func (watch *Watch) setUp() {
-	watch.once.Do(func() {
-		watch.queue = make(chan *peridotpath.Endpoint, maxQueuedProbes)
-		watch.probedAt = map[peridotpath.EndpointKey]time.Time{}
+func (prober *Prober) setUp() {
+	prober.once.Do(func() {
+		prober.queue = make(chan *peridotpath.Endpoint, maxQueuedProbes)
+		prober.probedAt = map[peridotpath.EndpointKey]time.Time{}
 	})
 }
 
-// Doubt queues probes of engines whose work is overdue. It never blocks.
-func (watch *Watch) Doubt(endpoints ...*peridotpath.Endpoint) {
-	watch.setUp()
+// ProbeOverdue queues probes of engines whose work is overdue. It never blocks.
+func (prober *Prober) ProbeOverdue(endpoints ...*peridotpath.Endpoint) {
+	prober.setUp()
 	for _, endpoint := range endpoints {
 		select {
-		case watch.queue <- endpoint:
+		case prober.queue <- endpoint:
 		default:
 			return
 		}
 	}
 }
 
-// Slow returns the slowdown of each engine known to be slow.
-func (watch *Watch) Slow(now time.Time) map[peridotpath.EndpointKey]Pace {
-	if watch == nil || !watch.Facts.Has(facts.KindPace) {
+// SlowEngines returns the slowdown of each engine known to be slow.
+func (prober *Prober) SlowEngines(now time.Time) map[peridotpath.EndpointKey]Slowdown {
+	if prober == nil || !prober.Facts.Has(facts.KindSlowdown) {
 		return nil
 	}
-	slow := map[peridotpath.EndpointKey]Pace{}
-	for _, fact := range watch.Facts.All(facts.KindPace, now) {
-		if slowdown := Pace(fact.Value); slowdown >= slowThreshold {
+	slow := map[peridotpath.EndpointKey]Slowdown{}
+	for _, fact := range prober.Facts.ByKind(facts.KindSlowdown, now) {
+		if slowdown := Slowdown(fact.Value); slowdown >= slowThreshold {
 			slow[peridotpath.EndpointKey(fact.Detail)] = min(slowdown, maxSlowdown)
 		}
 	}
@@ -103,20 +103,20 @@
 }
 
 // Run probes engines until ctx is cancelled.
-func (watch *Watch) Run(ctx context.Context) error {
-	watch.setUp()
+func (prober *Prober) Run(ctx context.Context) error {
+	prober.setUp()
 	slots := make(chan struct{}, maxConcurrentProbes)
 	var probes sync.WaitGroup
 	defer probes.Wait()
 	ticker := time.NewTicker(reprobeTick)
 	defer ticker.Stop()
 	startProbe := func(endpoint *peridotpath.Endpoint) {
-		if !watch.claimProbe(endpoint.Key(), time.Now()) {
+		if !prober.claimProbe(endpoint.Key(), time.Now()) {
 			return
 		}
 		slots <- struct{}{}
 		probes.Go(func() {
-			watch.probe(ctx, endpoint)
+			prober.probe(ctx, endpoint)
 			<-slots
 		})
 	}
@@ -124,10 +124,10 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case endpoint := <-watch.queue:
+		case endpoint := <-prober.queue:
 			startProbe(endpoint)
 		case now := <-ticker.C:
-			for _, endpoint := range watch.ownedSlowEngines(now) {
+			for _, endpoint := range prober.ownedSlowEngines(now) {
 				startProbe(endpoint)
 			}
 		}
@@ -136,50 +136,50 @@
 
 // claimProbe reports whether a probe of the engine is due, and records it as started. None
 // is due within probeInterval of the last probe by this or any other instance.
-func (watch *Watch) claimProbe(key peridotpath.EndpointKey, now time.Time) bool {
-	if fact, known := watch.Facts.Get(facts.KindPace, facts.SubjectOf(key), uint64(key), now); known && now.Sub(fact.At) < probeInterval {
+func (prober *Prober) claimProbe(key peridotpath.EndpointKey, now time.Time) bool {
+	if fact, known := prober.Facts.Get(facts.KindSlowdown, facts.EndpointSubject(key), uint64(key), now); known && now.Sub(fact.ObservedAt) < probeInterval {
 		return false
 	}
-	watch.mutex.Lock()
-	defer watch.mutex.Unlock()
-	if now.Sub(watch.probedAt[key]) < probeInterval {
+	prober.mutex.Lock()
+	defer prober.mutex.Unlock()
+	if now.Sub(prober.probedAt[key]) < probeInterval {
 		return false
 	}
-	maps.DeleteFunc(watch.probedAt, func(_ peridotpath.EndpointKey, at time.Time) bool { return now.Sub(at) > probeInterval })
-	watch.probedAt[key] = now
+	maps.DeleteFunc(prober.probedAt, func(_ peridotpath.EndpointKey, at time.Time) bool { return now.Sub(at) > probeInterval })
+	prober.probedAt[key] = now
 	return true
 }
 
 // ownedSlowEngines returns the slow engines that this instance probes repeatedly.
-func (watch *Watch) ownedSlowEngines(now time.Time) []*peridotpath.Endpoint {
+func (prober *Prober) ownedSlowEngines(now time.Time) []*peridotpath.Endpoint {
 	var owned []*peridotpath.Endpoint
-	for key := range watch.Slow(now) {
-		if endpoint := watch.Find(key); endpoint != nil && watch.Mine(key) {
+	for key := range prober.SlowEngines(now) {
+		if endpoint := prober.FindEndpoint(key); endpoint != nil && prober.OwnsEndpoint(key) {
 			owned = append(owned, endpoint)
 		}
 	}
 	return owned
 }
 
-func (watch *Watch) probe(ctx context.Context, endpoint *peridotpath.Endpoint) {
+func (prober *Prober) probe(ctx context.Context, endpoint *peridotpath.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	probesTotal.Inc()
-	slowdown, err := watch.Ask(ctx, endpoint)
+	slowdown, err := prober.FetchSlowdown(ctx, endpoint)
 	if err != nil {
 		probesFailedTotal.Inc()
-		watch.Log.Debug().Err(err).Str("endpoint", string(endpoint.ID)).Msg("pace_unanswered")
+		prober.Log.Debug().Err(err).Str("endpoint", string(endpoint.ID)).Msg("pace_unanswered")
 		return
 	}
 	now, key := time.Now(), endpoint.Key()
-	before := watch.Slow(now)[key]
+	before := prober.SlowEngines(now)[key]
 	if before < slowThreshold && slowdown < slowThreshold {
 		// The engine was not slow before either. Every fact is sent to all instances, so an
 		// unchanged state is not recorded.
 		return
 	}
-	watch.Facts.Learn(facts.Fact{Kind: facts.KindPace, Subject: facts.SubjectOf(key), Detail: uint64(key), Value: float64(slowdown), At: now})
+	prober.Facts.Observe(facts.Fact{Kind: facts.KindSlowdown, Subject: facts.EndpointSubject(key), Detail: uint64(key), Value: float64(slowdown), ObservedAt: now})
 	if (before >= slowThreshold) != (slowdown >= slowThreshold) {
-		watch.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("pace", float64(slowdown)).Float64("before", float64(before)).Msg("pace_changed")
+		prober.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("pace", float64(slowdown)).Float64("before", float64(before)).Msg("pace_changed")
 	}
 }
--- a/peridotpath/pace/pace_test.go
+++ b/peridotpath/pace/pace_test.go
@@ -20,11 +20,11 @@
 // fakeEngines answers probes with set slowdowns and counts the probes.
 type fakeEngines struct {
 	mutex     sync.Mutex
-	slowdowns map[peridotpath.EndpointID]pace.Pace
+	slowdowns map[peridotpath.EndpointID]pace.Slowdown
 	probes    map[peridotpath.EndpointID]int
 }
 
-func (fakeEngines *fakeEngines) probe(_ context.Context, endpoint *peridotpath.Endpoint) (pace.Pace, error) {
+func (fakeEngines *fakeEngines) probe(_ context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error) {
 	fakeEngines.mutex.Lock()
 	defer fakeEngines.mutex.Unlock()
 	fakeEngines.probes[endpoint.ID]++
@@ -35,7 +35,7 @@
 	return slowdown, nil
 }
 
-func (fakeEngines *fakeEngines) set(id peridotpath.EndpointID, slowdown pace.Pace) {
+func (fakeEngines *fakeEngines) set(id peridotpath.EndpointID, slowdown pace.Slowdown) {
 	fakeEngines.mutex.Lock()
 	defer fakeEngines.mutex.Unlock()
 	fakeEngines.slowdowns[id] = slowdown
@@ -52,18 +52,18 @@
 }
 
 // withProber runs a prober for the duration of scenario.
-func withProber(t *testing.T, isOwner bool, scenario func(is *is.I, engines *fakeEngines, prober *pace.Watch)) {
+func withProber(t *testing.T, isOwner bool, scenario func(is *is.I, engines *fakeEngines, prober *pace.Prober)) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		engines := &fakeEngines{slowdowns: map[peridotpath.EndpointID]pace.Pace{}, probes: map[peridotpath.EndpointID]int{}}
+		engines := &fakeEngines{slowdowns: map[peridotpath.EndpointID]pace.Slowdown{}, probes: map[peridotpath.EndpointID]int{}}
 		all := map[peridotpath.EndpointKey]*peridotpath.Endpoint{}
 		for i := range 3 {
 			all[endpoint(i).Key()] = endpoint(i)
 		}
-		prober := &pace.Watch{
-			Facts: &facts.Table{}, Ask: engines.probe, Log: zerolog.Nop(),
-			Find: func(key peridotpath.EndpointKey) *peridotpath.Endpoint { return all[key] },
-			Mine: func(peridotpath.EndpointKey) bool { return isOwner },
+		prober := &pace.Prober{
+			Facts: &facts.Table{}, FetchSlowdown: engines.probe, Log: zerolog.Nop(),
+			FindEndpoint: func(key peridotpath.EndpointKey) *peridotpath.Endpoint { return all[key] },
+			OwnsEndpoint: func(peridotpath.EndpointKey) bool { return isOwner },
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
@@ -77,18 +77,18 @@
 // Many requests are overdue at the same engines. Each engine is probed once, a slow one
 // repeatedly until it has recovered. No engine is probed while nothing is overdue.
 func TestOverdueEnginesAreProbed(t *testing.T) {
-	withProber(t, true, func(is *is.I, engines *fakeEngines, prober *pace.Watch) {
+	withProber(t, true, func(is *is.I, engines *fakeEngines, prober *pace.Prober) {
 		engines.set("engine-0", 1)
 		engines.set("engine-1", 3.6)
 		time.Sleep(3 * time.Second)
 		is.Equal(engines.probeCount("engine-0"), 0)
 		for range 20 {
-			prober.Doubt(endpoint(0), endpoint(1), endpoint(2))
+			prober.ProbeOverdue(endpoint(0), endpoint(1), endpoint(2))
 			time.Sleep(20 * time.Millisecond)
 		}
-		is.Equal(prober.Slow(time.Now()), map[peridotpath.EndpointKey]pace.Pace{endpoint(1).Key(): 3.6})
-		is.Equal(len(prober.Facts.All(facts.KindPace, time.Now())), 1) // an engine that is not slow is not gossiped
-		for number := range 3 {                                        // engine-2 does not answer
+		is.Equal(prober.SlowEngines(time.Now()), map[peridotpath.EndpointKey]pace.Slowdown{endpoint(1).Key(): 3.6})
+		is.Equal(len(prober.Facts.ByKind(facts.KindSlowdown, time.Now())), 1) // an engine that is not slow is not gossiped
+		for number := range 3 {                                               // engine-2 does not answer
 			is.Equal(engines.probeCount(endpoint(number).ID), 1)
 		}
 		time.Sleep(5 * time.Second)
@@ -96,7 +96,7 @@
 		is.Equal(engines.probeCount("engine-0"), 1)
 		engines.set("engine-1", 1)
 		time.Sleep(2 * time.Second)
-		is.Equal(len(prober.Slow(time.Now())), 0)
+		is.Equal(len(prober.SlowEngines(time.Now())), 0)
 		before := engines.probeCount("engine-1")
 		time.Sleep(5 * time.Second)
 		is.Equal(engines.probeCount("engine-1"), before)
@@ -106,13 +106,13 @@
 // The slowdown of an engine that another instance owns expires when that instance stops
 // reporting it.
 func TestSlowdownExpiresWithoutReports(t *testing.T) {
-	withProber(t, false, func(is *is.I, engines *fakeEngines, prober *pace.Watch) {
+	withProber(t, false, func(is *is.I, engines *fakeEngines, prober *pace.Prober) {
 		engines.set("engine-1", 3.6)
-		prober.Doubt(endpoint(1))
+		prober.ProbeOverdue(endpoint(1))
 		time.Sleep(time.Second)
-		is.Equal(len(prober.Slow(time.Now())), 1)
+		is.Equal(len(prober.SlowEngines(time.Now())), 1)
 		time.Sleep(3 * time.Second)
-		is.Equal(len(prober.Slow(time.Now())), 0)
+		is.Equal(len(prober.SlowEngines(time.Now())), 0)
 		is.Equal(engines.probeCount("engine-1"), 1)
 	})
 }
@@ -120,9 +120,9 @@
 // Overdue requests are reported faster than probes run. Reports do not block the request.
 func TestReportingOverdueEnginesNeverBlocks(t *testing.T) {
 	is := is.New(t)
-	prober := &pace.Watch{Facts: &facts.Table{}, Log: zerolog.Nop()}
+	prober := &pace.Prober{Facts: &facts.Table{}, Log: zerolog.Nop()}
 	for range 1000 {
-		prober.Doubt(endpoint(0))
+		prober.ProbeOverdue(endpoint(0))
 	}
-	is.Equal(len(prober.Slow(time.Now())), 0)
+	is.Equal(len(prober.SlowEngines(time.Now())), 0)
 }
--- a/peridotpath/quarantine/evidence.go
+++ b/peridotpath/quarantine/evidence.go
@@ -31,22 +31,22 @@
 		survived: map[peridotpath.Fingerprint]time.Time{},
 		terms:    map[peridotpath.Fingerprint]term{},
 	}
-	for _, fact := range quarantine.Facts.All(facts.KindSurvived, now) {
-		evidence.survived[peridotpath.Fingerprint(fact.Subject)] = fact.At
+	for _, fact := range quarantine.Facts.ByKind(facts.KindSurvived, now) {
+		evidence.survived[peridotpath.Fingerprint(fact.Subject)] = fact.ObservedAt
 	}
-	for _, fact := range quarantine.Facts.All(facts.KindBarred, now) {
-		until := fact.At.Add(time.Duration(min(fact.Value, maxQuarantine.Seconds()) * float64(time.Second)))
-		evidence.terms[peridotpath.Fingerprint(fact.Subject)] = term{from: fact.At, until: until}
+	for _, fact := range quarantine.Facts.ByKind(facts.KindQuarantined, now) {
+		until := fact.ObservedAt.Add(time.Duration(min(fact.Value, maxQuarantine.Seconds()) * float64(time.Second)))
+		evidence.terms[peridotpath.Fingerprint(fact.Subject)] = term{from: fact.ObservedAt, until: until}
 	}
-	for _, fact := range quarantine.Facts.All(facts.KindEnded, now) {
+	for _, fact := range quarantine.Facts.ByKind(facts.KindCrashed, now) {
 		content := peridotpath.Fingerprint(fact.Subject)
-		if !fact.At.After(evidence.survived[content]) {
+		if !fact.ObservedAt.After(evidence.survived[content]) {
 			continue
 		}
 		if evidence.crashes[content] == nil {
 			evidence.crashes[content] = map[peridotpath.EndpointKey]time.Time{}
 		}
-		evidence.crashes[content][peridotpath.EndpointKey(fact.Detail)] = fact.At
+		evidence.crashes[content][peridotpath.EndpointKey(fact.Detail)] = fact.ObservedAt
 	}
 	return evidence
 }
--- a/peridotpath/quarantine/quarantine.go
+++ b/peridotpath/quarantine/quarantine.go
@@ -53,40 +53,40 @@
 	mutex sync.Mutex
 }
 
-// Standing is the quarantine state of a request.
-type Standing int
+// State is the quarantine state of a request.
+type State int
 
 // The states.
 const (
 	// Clear: the request is sent without restriction.
-	Clear Standing = iota
+	Clear State = iota
 	// Suspected: endpoints have crashed under the request. One instance at a time sends it,
 	// as long as the request can wait for that.
 	Suspected
 	// OnTrial: the quarantine has ended. One instance at a time sends the request, as in
 	// the half-open state of a circuit breaker.
 	OnTrial
-	// Barred: the request is not sent until the quarantine ends.
-	Barred
+	// Quarantined: the request is not sent until the quarantine ends.
+	Quarantined
 )
 
-// Ended records that an endpoint crashed while it ran a request.
-func (quarantine *Quarantine) Ended(content peridotpath.Fingerprint, endpoint peridotpath.EndpointKey, now time.Time) {
+// RecordCrash records that an endpoint crashed while it ran a request.
+func (quarantine *Quarantine) RecordCrash(content peridotpath.Fingerprint, endpoint peridotpath.EndpointKey, now time.Time) {
 	telemetry.EndSeen()
-	quarantine.Facts.Learn(facts.Fact{
-		Kind: facts.KindEnded, Subject: facts.Subject(content), Detail: uint64(endpoint), At: now, From: quarantine.Instance,
+	quarantine.Facts.Observe(facts.Fact{
+		Kind: facts.KindCrashed, Subject: facts.Subject(content), Detail: uint64(endpoint), ObservedAt: now, Source: quarantine.Instance,
 	})
 }
 
-// Survived records that an endpoint ran a request without a crash. It is gossiped
+// RecordSurvival records that an endpoint ran a request without a crash. It is gossiped
 // only if there is evidence against the request.
-func (quarantine *Quarantine) Survived(content peridotpath.Fingerprint, now time.Time) {
+func (quarantine *Quarantine) RecordSurvival(content peridotpath.Fingerprint, now time.Time) {
 	subject := facts.Subject(content)
-	if !quarantine.Facts.Knows(subject) || !quarantine.hasEvidenceAgainst(content, now) {
+	if !quarantine.Facts.HasSubject(subject) || !quarantine.hasEvidenceAgainst(content, now) {
 		return
 	}
 	before, _ := quarantine.Facts.Get(facts.KindSurvived, subject, 0, now)
-	quarantine.Facts.Learn(facts.Fact{Kind: facts.KindSurvived, Subject: subject, Value: before.Value + 1, At: now, From: quarantine.Instance})
+	quarantine.Facts.Observe(facts.Fact{Kind: facts.KindSurvived, Subject: subject, Value: before.Value + 1, ObservedAt: now, Source: quarantine.Instance})
 }
 
 func (quarantine *Quarantine) hasEvidenceAgainst(content peridotpath.Fingerprint, now time.Time) bool {
@@ -95,26 +95,26 @@
 	return quarantined || len(evidence.crashes[content]) > 0
 }
 
-// Empty reports whether there is no evidence against any request. Requests need
+// HasNoEvidence reports whether there is no evidence against any request. Requests need
 // no fingerprint in that case.
-func (quarantine *Quarantine) Empty() bool {
-	return !quarantine.Facts.Has(facts.KindEnded) && !quarantine.Facts.Has(facts.KindBarred)
+func (quarantine *Quarantine) HasNoEvidence() bool {
+	return !quarantine.Facts.Has(facts.KindCrashed) && !quarantine.Facts.Has(facts.KindQuarantined)
 }
 
-// Look returns the state of a request and, if it is quarantined, the remaining time. It
+// Check returns the state of a request and, if it is quarantined, the remaining time. It
 // starts a quarantine if the evidence suffices.
-func (quarantine *Quarantine) Look(content peridotpath.Fingerprint, now time.Time) (Standing, time.Duration) {
-	if !quarantine.Facts.Knows(facts.Subject(content)) {
+func (quarantine *Quarantine) Check(content peridotpath.Fingerprint, now time.Time) (State, time.Duration) {
+	if !quarantine.Facts.HasSubject(facts.Subject(content)) {
 		return Clear, 0
 	}
 	evidence := quarantine.evidence(now)
 	current, hasTerm := evidence.term(content)
 	if hasTerm && now.Before(current.until) {
-		return Barred, current.until.Sub(now)
+		return Quarantined, current.until.Sub(now)
 	}
 	if next, quarantined := evidence.judge(content); quarantined {
 		quarantine.announce(content, next, len(evidence.crashes[content]))
-		return Barred, next.until.Sub(now)
+		return Quarantined, next.until.Sub(now)
 	}
 	switch {
 	case hasTerm:
@@ -130,22 +130,22 @@
 func (quarantine *Quarantine) announce(content peridotpath.Fingerprint, next term, crashes int) {
 	telemetry.Barred()
 	quarantine.Log.Warn().Stringer("content", content).Int("ends", crashes).Int64("span", next.duration().Milliseconds()).Msg("request_barred")
-	quarantine.Facts.Learn(facts.Fact{
-		Kind: facts.KindBarred, Subject: facts.Subject(content), Value: next.duration().Seconds(), At: next.from, From: quarantine.Instance,
+	quarantine.Facts.Observe(facts.Fact{
+		Kind: facts.KindQuarantined, Subject: facts.Subject(content), Value: next.duration().Seconds(), ObservedAt: next.from, Source: quarantine.Instance,
 	})
 }
 
-// Try reserves the next attempt at a suspected request. It returns false while
+// ReserveTrial reserves the next attempt at a suspected request. It returns false while
 // another attempt is in progress, and within evidenceDelay of the last crash, when other
 // requests that ran on the endpoint may not be known yet.
-func (quarantine *Quarantine) Try(content peridotpath.Fingerprint, now time.Time) bool {
+func (quarantine *Quarantine) ReserveTrial(content peridotpath.Fingerprint, now time.Time) bool {
 	quarantine.mutex.Lock()
 	defer quarantine.mutex.Unlock()
 	evidence := quarantine.evidence(now)
 	trial, known := quarantine.Facts.Get(facts.KindTrial, facts.Subject(content), 0, now)
-	if !evidence.isComplete(content) || known && now.Sub(trial.At) < trialTimeout && !evidence.isNewerThan(trial.At, content) {
+	if !evidence.isComplete(content) || known && now.Sub(trial.ObservedAt) < trialTimeout && !evidence.isNewerThan(trial.ObservedAt, content) {
 		return false
 	}
-	quarantine.Facts.Learn(facts.Fact{Kind: facts.KindTrial, Subject: facts.Subject(content), Value: trial.Value + 1, At: now, From: quarantine.Instance})
+	quarantine.Facts.Observe(facts.Fact{Kind: facts.KindTrial, Subject: facts.Subject(content), Value: trial.Value + 1, ObservedAt: now, Source: quarantine.Instance})
 	return true
 }
--- a/peridotpath/quarantine/quarantine_test.go
+++ b/peridotpath/quarantine/quarantine_test.go
@@ -37,13 +37,13 @@
 func (fixture *fixture) crash(endpoint peridotpath.EndpointKey, contents ...peridotpath.Fingerprint) {
 	fixture.now = fixture.now.Add(300 * time.Millisecond)
 	for _, content := range contents {
-		fixture.Ended(content, endpoint, fixture.now)
+		fixture.RecordCrash(content, endpoint, fixture.now)
 	}
 	fixture.advance(evidenceDelay)
 }
 
-func (fixture *fixture) state(content peridotpath.Fingerprint) quarantine.Standing {
-	state, _ := fixture.Look(content, fixture.now)
+func (fixture *fixture) state(content peridotpath.Fingerprint) quarantine.State {
+	state, _ := fixture.Check(content, fixture.now)
 	return state
 }
 
@@ -52,7 +52,7 @@
 func TestThirdCrashQuarantines(t *testing.T) {
 	is := is.New(t)
 	fixture := newFixture()
-	is.True(fixture.Empty())
+	is.True(fixture.HasNoEvidence())
 	fixture.crash(1, fatal)
 	is.Equal(fixture.state(fatal), quarantine.Clear)
 	fixture.crash(2, fatal)
@@ -60,8 +60,8 @@
 	fixture.crash(2, fatal) // the same endpoint counts once
 	is.Equal(fixture.state(fatal), quarantine.Suspected)
 	fixture.crash(3, fatal)
-	state, left := fixture.Look(fatal, fixture.now)
-	is.Equal(state, quarantine.Barred)
+	state, left := fixture.Check(fatal, fixture.now)
+	is.Equal(state, quarantine.Quarantined)
 	is.Equal(left, time.Minute-evidenceDelay)
 }
 
@@ -76,7 +76,7 @@
 	is.Equal(fixture.state(fatal), quarantine.Suspected) // undecided: both ran on the same endpoints
 	is.Equal(fixture.state(innocent), quarantine.Suspected)
 	fixture.crash(4, fatal)
-	is.Equal(fixture.state(fatal), quarantine.Barred)
+	is.Equal(fixture.state(fatal), quarantine.Quarantined)
 	fixture.crash(5, innocent) // an unrelated crash
 	is.Equal(fixture.state(innocent), quarantine.Suspected)
 }
@@ -89,7 +89,7 @@
 	for endpoint := range peridotpath.EndpointKey(20) {
 		fixture.crash(endpoint, innocent)
 		fixture.advance(10 * time.Millisecond)
-		fixture.Survived(innocent, fixture.now)
+		fixture.RecordSurvival(innocent, fixture.now)
 		is.Equal(fixture.state(innocent), quarantine.Clear)
 	}
 }
@@ -102,9 +102,9 @@
 	for endpoint := range peridotpath.EndpointKey(3) {
 		fixture.crash(endpoint, innocent)
 	}
-	is.Equal(fixture.state(innocent), quarantine.Barred)
+	is.Equal(fixture.state(innocent), quarantine.Quarantined)
 	fixture.advance(time.Millisecond)
-	fixture.Survived(innocent, fixture.now)
+	fixture.RecordSurvival(innocent, fixture.now)
 	is.Equal(fixture.state(innocent), quarantine.Clear)
 }
 
@@ -117,22 +117,22 @@
 		fixture.crash(endpoint, fatal)
 	}
 	fixture.crash(4, fatal) // the attempt was in flight when the quarantine began
-	state, left := fixture.Look(fatal, fixture.now)
-	is.Equal(state, quarantine.Barred)
+	state, left := fixture.Check(fatal, fixture.now)
+	is.Equal(state, quarantine.Quarantined)
 	is.True(left < time.Minute)
 
 	fixture.advance(time.Minute)
 	is.Equal(fixture.state(fatal), quarantine.OnTrial)
-	is.True(fixture.Try(fatal, fixture.now))
-	is.True(!fixture.Try(fatal, fixture.now)) // one at a time
+	is.True(fixture.ReserveTrial(fatal, fixture.now))
+	is.True(!fixture.ReserveTrial(fatal, fixture.now)) // one at a time
 	fixture.crash(5, fatal)
-	_, left = fixture.Look(fatal, fixture.now)
+	_, left = fixture.Check(fatal, fixture.now)
 	is.Equal(left, 2*time.Minute-evidenceDelay)
 
 	fixture.advance(2 * time.Minute)
-	is.True(fixture.Try(fatal, fixture.now))
+	is.True(fixture.ReserveTrial(fatal, fixture.now))
 	fixture.advance(time.Second)
-	fixture.Survived(fatal, fixture.now) // for example a new version of the model
+	fixture.RecordSurvival(fatal, fixture.now) // for example a new version of the model
 	is.Equal(fixture.state(fatal), quarantine.Clear)
 }
 
@@ -152,11 +152,11 @@
 	fixture := newFixture()
 	fixture.crash(1, fatal)
 	fixture.crash(2, fatal)
-	is.True(fixture.Try(fatal, fixture.now))
-	is.True(!fixture.Try(fatal, fixture.now))
+	is.True(fixture.ReserveTrial(fatal, fixture.now))
+	is.True(!fixture.ReserveTrial(fatal, fixture.now))
 	fixture.advance(4 * time.Second) // the instance of the first trial did not report a result
-	is.True(fixture.Try(fatal, fixture.now))
+	is.True(fixture.ReserveTrial(fatal, fixture.now))
 	fixture.advance(100 * time.Millisecond)
-	fixture.Survived(fatal, fixture.now)
+	fixture.RecordSurvival(fatal, fixture.now)
 	is.Equal(fixture.state(fatal), quarantine.Clear)
 }
--- a/peridotpath/readings/endpoints.go
+++ b/peridotpath/readings/endpoints.go
@@ -7,11 +7,11 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Endpoints is a snapshot of the endpoints' entries in the store.
-type Endpoints struct {
+// EndpointsSnapshot is a snapshot of the endpoints' entries in the store.
+type EndpointsSnapshot struct {
 	Entries []keyvalue.Entry
-	// Content is a hash of the entries. It identifies the snapshot.
-	Content uint64
+	// ContentHash is a hash of the entries. It identifies the snapshot.
+	ContentHash uint64
 	// Era is the store's epoch at the time of the read. It changes when the store is
 	// restored from an older copy.
 	Era keyvalue.Era
@@ -23,15 +23,15 @@
 // one changes per second, so that peers can be sent only the changes.
 const maxEndpointsSnapshots = 16
 
-// History holds the last snapshots of the endpoints, newest last. A peer that has
+// EndpointsHistory holds the last snapshots of the endpoints, newest last. A peer that has
 // one of them is sent only the changes: the list of a large fleet is long, and every instance
 // fetches it after each change.
-type History struct{ snapshots snapshots[Endpoints] }
+type EndpointsHistory struct{ snapshots snapshots[EndpointsSnapshot] }
 
 // Add appends a snapshot, or replaces the newest one if its content is the same.
-func (history *History) Add(snapshot Endpoints) {
-	history.snapshots.add(snapshot, maxEndpointsSnapshots, func(newest *Endpoints) bool {
-		if newest.Content != snapshot.Content {
+func (endpointsHistory *EndpointsHistory) Add(snapshot EndpointsSnapshot) {
+	endpointsHistory.snapshots.add(snapshot, maxEndpointsSnapshots, func(newest *EndpointsSnapshot) bool {
+		if newest.ContentHash != snapshot.ContentHash {
 			return false
 		}
 		*newest = snapshot
@@ -39,12 +39,14 @@
 	})
 }
 
-// Last returns the newest snapshot; false if there is none.
-func (history *History) Last() (Endpoints, bool) { return history.snapshots.newest() }
+// Newest returns the newest snapshot; false if there is none.
+func (endpointsHistory *EndpointsHistory) Newest() (EndpointsSnapshot, bool) {
+	return endpointsHistory.snapshots.newest()
+}
 
-// Of returns the snapshot with this content hash; false if it is not kept.
-func (history *History) Of(content uint64) (Endpoints, bool) {
-	return history.snapshots.find(func(snapshot *Endpoints) bool { return snapshot.Content == content })
+// ByHash returns the snapshot with this content hash; false if it is not kept.
+func (endpointsHistory *EndpointsHistory) ByHash(content uint64) (EndpointsSnapshot, bool) {
+	return endpointsHistory.snapshots.find(func(snapshot *EndpointsSnapshot) bool { return snapshot.ContentHash == content })
 }
 
 // diff returns the entries that were added or changed between before and after, and the
--- a/peridotpath/readings/endpoints_test.go
+++ b/peridotpath/readings/endpoints_test.go
@@ -38,15 +38,15 @@
 // A peer reads the endpoints repeatedly. Whichever snapshot a caller has, kept by the peer
 // or not, it has the peer's newest one after a fetch.
 func TestRandomSnapshotsReachTheCaller(t *testing.T) {
-	history := &readings.History{}
-	server := &readings.Server{LastEndpoints: history.Last, EndpointsOf: history.Of}
+	history := &readings.EndpointsHistory{}
+	server := &readings.Server{NewestEndpoints: history.Newest, EndpointsByHash: history.ByHash}
 	listener := httptest.NewServer(server.Handler())
 	defer listener.Close()
 	peer := netip.MustParseAddrPort(listener.Listener.Addr().String())
 	content := uint64(0)
 	soak.Check(t, 1, func(random *rapid.T) {
 		numbers := map[string]int{}
-		var have readings.Endpoints
+		var have readings.EndpointsSnapshot
 		for range rapid.IntRange(1, 40).Draw(random, "readings") {
 			key := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(random, "key")
 			if rapid.Bool().Draw(random, "gone") {
@@ -55,11 +55,11 @@
 				numbers[key] = rapid.IntRange(0, 2).Draw(random, "number")
 			}
 			content++
-			history.Add(readings.Endpoints{Entries: entriesOf(numbers), Content: content, Age: time.Second})
+			history.Add(readings.EndpointsSnapshot{Entries: entriesOf(numbers), ContentHash: content, Age: time.Second})
 			if rapid.IntRange(0, 9).Draw(random, "asks") > 0 {
 				continue
 			}
-			got, err := readings.AskEndpoints(t.Context(), peer, have)
+			got, err := readings.FetchEndpoints(t.Context(), peer, have)
 			if err != nil {
 				random.Fatal(err)
 			}
@@ -80,18 +80,18 @@
 		before[i] = keyvalue.Entry{Key: fmt.Sprint(i), Value: make([]byte, 150)}
 	}
 	after := append(slices.Clone(before[1:]), keyvalue.Entry{Key: "new", Value: []byte("x")})
-	history := &readings.History{}
-	history.Add(readings.Endpoints{Entries: before, Content: 1})
-	history.Add(readings.Endpoints{Entries: after, Content: 2})
-	server := &readings.Server{LastEndpoints: history.Last, EndpointsOf: history.Of}
+	history := &readings.EndpointsHistory{}
+	history.Add(readings.EndpointsSnapshot{Entries: before, ContentHash: 1})
+	history.Add(readings.EndpointsSnapshot{Entries: after, ContentHash: 2})
+	server := &readings.Server{NewestEndpoints: history.Newest, EndpointsByHash: history.ByHash}
 	recorder := &byteCounter{handler: server.Handler()}
 	listener := httptest.NewServer(recorder)
 	defer listener.Close()
 	peer := netip.MustParseAddrPort(listener.Listener.Addr().String())
-	got, err := readings.AskEndpoints(t.Context(), peer, readings.Endpoints{Entries: before, Content: 1})
+	got, err := readings.FetchEndpoints(t.Context(), peer, readings.EndpointsSnapshot{Entries: before, ContentHash: 1})
 	is.NoErr(err)
 	is.Equal(byKey(got.Entries), byKey(after))
-	is.Equal(got.Content, uint64(2))
+	is.Equal(got.ContentHash, uint64(2))
 	is.True(recorder.bytes < 200)
 }
 
@@ -112,19 +112,19 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	is := is.New(t)
-	history := &readings.History{}
-	_, ok := history.Last()
+	history := &readings.EndpointsHistory{}
+	_, ok := history.Newest()
 	is.True(!ok)
 	for content := range uint64(100) {
-		history.Add(readings.Endpoints{Content: content + 1})
-		history.Add(readings.Endpoints{Content: content + 1, Age: time.Second}) // read again, unchanged
+		history.Add(readings.EndpointsSnapshot{ContentHash: content + 1})
+		history.Add(readings.EndpointsSnapshot{ContentHash: content + 1, Age: time.Second}) // read again, unchanged
 	}
-	last, ok := history.Last()
+	last, ok := history.Newest()
 	is.True(ok)
-	is.Equal(last, readings.Endpoints{Content: 100, Age: time.Second})
+	is.Equal(last, readings.EndpointsSnapshot{ContentHash: 100, Age: time.Second})
 	keptCount := 0
 	for content := range uint64(101) {
-		if _, ok := history.Of(content); ok {
+		if _, ok := history.ByHash(content); ok {
 			keptCount++
 		}
 	}
--- a/peridotpath/readings/readings.go
+++ b/peridotpath/readings/readings.go
@@ -30,13 +30,13 @@
 // maxRoutingBytes bounds an unpacked routing. It is a multiple of what the store accepts.
 const maxRoutingBytes = 8 << 20
 
-// Server serves snapshots to peers. LastRouting and LastEndpoints return false before the
-// first read of the store, RoutingOf and EndpointsOf if that snapshot is not kept.
+// Server serves snapshots to peers. NewestRouting and NewestEndpoints return false before the
+// first read of the store, RoutingByVersion and EndpointsByHash if that snapshot is not kept.
 type Server struct {
-	LastRouting   func() (Routing, bool)
-	RoutingOf     func(version keyvalue.Version) (Routing, bool)
-	LastEndpoints func() (Endpoints, bool)
-	EndpointsOf   func(content uint64) (Endpoints, bool)
+	NewestRouting    func() (RoutingSnapshot, bool)
+	RoutingByVersion func(version keyvalue.Version) (RoutingSnapshot, bool)
+	NewestEndpoints  func() (EndpointsSnapshot, bool)
+	EndpointsByHash  func(content uint64) (EndpointsSnapshot, bool)
 
 	packed packedRoutings
 }
@@ -51,13 +51,13 @@
 
 // Routing sends the newest routing, as a difference to the caller's if that is kept here.
 func (service service) Routing(_ context.Context, query *wire.RoutingQuery) (*wire.RoutingReading, error) {
-	snapshot, ok := service.server.LastRouting()
+	snapshot, ok := service.server.NewestRouting()
 	if !ok {
 		return nil, twirp.NewError(twirp.Unavailable, "nothing was read yet")
 	}
-	var base Routing
+	var base RoutingSnapshot
 	if query.Have != 0 {
-		base, _ = service.server.RoutingOf(keyvalue.Version(query.Have))
+		base, _ = service.server.RoutingByVersion(keyvalue.Version(query.Have))
 	}
 	packed, err := service.server.packed.pack(snapshot, base)
 	if err != nil {
@@ -71,15 +71,15 @@
 // Endpoints sends the newest list of endpoints, as changes to the caller's if that is kept
 // here.
 func (service service) Endpoints(_ context.Context, query *wire.EndpointsQuery) (*wire.EndpointsReading, error) {
-	snapshot, ok := service.server.LastEndpoints()
+	snapshot, ok := service.server.NewestEndpoints()
 	if !ok {
 		return nil, twirp.NewError(twirp.Unavailable, "nothing was read yet")
 	}
 	response := &wire.EndpointsReading{
-		Age: clock.Micros(snapshot.Age), Read: true, Content: snapshot.Content, StoreEra: uint64(snapshot.Era),
+		Age: clock.Micros(snapshot.Age), Read: true, Content: snapshot.ContentHash, StoreEra: uint64(snapshot.Era),
 	}
 	entries := snapshot.Entries
-	if base, isKept := service.server.EndpointsOf(query.Content); isKept {
+	if base, isKept := service.server.EndpointsByHash(query.Content); isKept {
 		response.Since = query.Content
 		entries, response.Gone = diff(base.Entries, snapshot.Entries)
 	}
@@ -93,14 +93,14 @@
 	return wire.NewReadingsProtobufClient("http://"+peer.String(), httpClient{}, twirp.WithClientPathPrefix(PathPrefix))
 }
 
-// AskRouting fetches the routing from a peer. If the peer keeps the snapshot that this
+// FetchRouting fetches the routing from a peer. If the peer keeps the snapshot that this
 // instance has, only the difference is transferred.
-func AskRouting(ctx context.Context, peer netip.AddrPort, have Routing) (Routing, error) {
+func FetchRouting(ctx context.Context, peer netip.AddrPort, have RoutingSnapshot) (RoutingSnapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	response, err := client(peer).Routing(ctx, &wire.RoutingQuery{Have: uint64(have.Version)})
 	if err != nil {
-		return Routing{}, err
+		return RoutingSnapshot{}, err
 	}
 	var base []byte
 	if response.Since != 0 {
@@ -108,21 +108,21 @@
 	}
 	value, err := delta.Unpack(response.Packed, base, maxRoutingBytes)
 	if err != nil {
-		return Routing{}, err
+		return RoutingSnapshot{}, err
 	}
-	return Routing{Version: keyvalue.Version(response.StoreVersion), Value: value, Age: clock.FromMicros(response.Age)}, nil
+	return RoutingSnapshot{Version: keyvalue.Version(response.StoreVersion), Value: value, Age: clock.FromMicros(response.Age)}, nil
 }
 
-// AskEndpoints fetches the list of endpoints from a peer. If the peer keeps the snapshot
+// FetchEndpoints fetches the list of endpoints from a peer. If the peer keeps the snapshot
 // that this instance has, only the changes are transferred.
-func AskEndpoints(ctx context.Context, peer netip.AddrPort, have Endpoints) (Endpoints, error) {
+func FetchEndpoints(ctx context.Context, peer netip.AddrPort, have EndpointsSnapshot) (EndpointsSnapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	response, err := client(peer).Endpoints(ctx, &wire.EndpointsQuery{Content: have.Content})
+	response, err := client(peer).Endpoints(ctx, &wire.EndpointsQuery{Content: have.ContentHash})
 	if err != nil {
-		return Endpoints{}, err
+		return EndpointsSnapshot{}, err
 	}
-	snapshot := Endpoints{Age: clock.FromMicros(response.Age), Content: response.Content, Era: keyvalue.Era(response.StoreEra)}
+	snapshot := EndpointsSnapshot{Age: clock.FromMicros(response.Age), ContentHash: response.Content, Era: keyvalue.Era(response.StoreEra)}
 	for _, entry := range response.Entries {
 		snapshot.Entries = append(snapshot.Entries, keyvalue.Entry{Key: entry.Key, Value: entry.Value})
 	}
--- a/peridotpath/readings/readings_test.go
+++ b/peridotpath/readings/readings_test.go
@@ -18,28 +18,28 @@
 func TestFetchFromPeer(t *testing.T) {
 	is := is.New(t)
 	hasRead := false
-	routing := readings.Routing{Version: 5, Value: []byte("{}"), Age: 70 * time.Millisecond}
-	endpoints := readings.Endpoints{
-		Entries: []keyvalue.Entry{{Key: "one", Value: []byte("1")}}, Content: 7, Age: 90 * time.Millisecond,
+	routing := readings.RoutingSnapshot{Version: 5, Value: []byte("{}"), Age: 70 * time.Millisecond}
+	endpoints := readings.EndpointsSnapshot{
+		Entries: []keyvalue.Entry{{Key: "one", Value: []byte("1")}}, ContentHash: 7, Age: 90 * time.Millisecond,
 	}
 	server := &readings.Server{
-		LastRouting:   func() (readings.Routing, bool) { return routing, hasRead },
-		LastEndpoints: func() (readings.Endpoints, bool) { return endpoints, hasRead },
-		EndpointsOf:   func(uint64) (readings.Endpoints, bool) { return readings.Endpoints{}, false },
+		NewestRouting:   func() (readings.RoutingSnapshot, bool) { return routing, hasRead },
+		NewestEndpoints: func() (readings.EndpointsSnapshot, bool) { return endpoints, hasRead },
+		EndpointsByHash: func(uint64) (readings.EndpointsSnapshot, bool) { return readings.EndpointsSnapshot{}, false },
 	}
 	listener := httptest.NewServer(server.Handler())
 	defer listener.Close()
 	peer := netip.MustParseAddrPort(listener.Listener.Addr().String())
-	_, err := readings.AskRouting(t.Context(), peer, readings.Routing{})
+	_, err := readings.FetchRouting(t.Context(), peer, readings.RoutingSnapshot{})
 	is.True(err != nil) // no snapshot yet
-	_, err = readings.AskEndpoints(t.Context(), peer, readings.Endpoints{})
+	_, err = readings.FetchEndpoints(t.Context(), peer, readings.EndpointsSnapshot{})
 	is.True(err != nil)
 
 	hasRead = true
-	gotRouting, err := readings.AskRouting(t.Context(), peer, readings.Routing{})
+	gotRouting, err := readings.FetchRouting(t.Context(), peer, readings.RoutingSnapshot{})
 	is.NoErr(err)
 	is.Equal(gotRouting, routing)
-	gotEndpoints, err := readings.AskEndpoints(t.Context(), peer, readings.Endpoints{})
+	gotEndpoints, err := readings.FetchEndpoints(t.Context(), peer, readings.EndpointsSnapshot{})
 	is.NoErr(err)
 	is.Equal(gotEndpoints, endpoints)
 }
@@ -49,7 +49,7 @@
 // a snapshot that is kept receives only the difference, any other the whole routing.
 func TestRoutingIsSentAsDifference(t *testing.T) {
 	is := is.New(t)
-	var routings readings.Routings
+	var routings readings.RoutingHistory
 	document := func(target string) []byte {
 		text := []byte(target)
 		for i := range 1000 {
@@ -57,25 +57,25 @@
 		}
 		return text
 	}
-	before := readings.Routing{Version: 5, Value: document("one")}
-	after := readings.Routing{Version: 9, Value: document("other")}
+	before := readings.RoutingSnapshot{Version: 5, Value: document("one")}
+	after := readings.RoutingSnapshot{Version: 9, Value: document("other")}
 	routings.Add(before)
 	routings.Add(after)
 	routings.Add(before) // out of order; the newest stays
-	peer, sent := countedPeer(t, &readings.Server{LastRouting: routings.Last, RoutingOf: routings.Of})
+	peer, sent := countedPeer(t, &readings.Server{NewestRouting: routings.Newest, RoutingByVersion: routings.ByVersion})
 	tests := map[string]struct {
-		have     readings.Routing
+		have     readings.RoutingSnapshot
 		maxBytes int
 	}{
-		"has nothing":              {readings.Routing{}, len(after.Value) / 2},
+		"has nothing":              {readings.RoutingSnapshot{}, len(after.Value) / 2},
 		"has the one before":       {before, 200},
-		"has one that is not kept": {readings.Routing{Version: 3, Value: []byte("x")}, len(after.Value) / 2},
+		"has one that is not kept": {readings.RoutingSnapshot{Version: 3, Value: []byte("x")}, len(after.Value) / 2},
 		"has the newest":           {after, 200},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			got, err := readings.AskRouting(t.Context(), peer, test.have)
+			got, err := readings.FetchRouting(t.Context(), peer, test.have)
 			is.NoErr(err)
 			is.Equal(got, after)
 			if *sent > test.maxBytes {
@@ -107,19 +107,19 @@
 // the others read the store, all at once and repeatedly.
 func TestEndpointsAreCompressed(t *testing.T) {
 	is := is.New(t)
-	var list readings.Endpoints
+	var list readings.EndpointsSnapshot
 	for i := range 3000 {
 		list.Entries = append(list.Entries, keyvalue.Entry{
 			Key:   fmt.Sprintf("endpoints/%010x", i*2654435761),
 			Value: fmt.Appendf(nil, `{"service":"llm","address":"10.%d.%d.%d:8263","data_centre":"a","slots":10,"state":"live","incarnation":%d}`, i%5, i/5%64, i/320, 1700000000000+i*7919),
 		})
 	}
-	list.Content, list.Age = 7, 90*time.Millisecond
+	list.ContentHash, list.Age = 7, 90*time.Millisecond
 	peer, sent := countedPeer(t, &readings.Server{
-		LastEndpoints: func() (readings.Endpoints, bool) { return list, true },
-		EndpointsOf:   func(uint64) (readings.Endpoints, bool) { return readings.Endpoints{}, false },
+		NewestEndpoints: func() (readings.EndpointsSnapshot, bool) { return list, true },
+		EndpointsByHash: func(uint64) (readings.EndpointsSnapshot, bool) { return readings.EndpointsSnapshot{}, false },
 	})
-	got, err := readings.AskEndpoints(t.Context(), peer, readings.Endpoints{})
+	got, err := readings.FetchEndpoints(t.Context(), peer, readings.EndpointsSnapshot{})
 	is.NoErr(err)
 	is.Equal(got, list)
 	wholeBytes := 0
--- a/peridotpath/readings/routing.go
+++ b/peridotpath/readings/routing.go
@@ -10,15 +10,15 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Routing is a snapshot of the routing document in the store.
-type Routing struct {
+// RoutingSnapshot is a snapshot of the routing document in the store.
+type RoutingSnapshot struct {
 	// Version is the store's version of the document.
 	Version keyvalue.Version
-	// Number is the version that operators gave the document. It takes precedence
+	// RoutingVersion is the version that operators gave the document. It takes precedence
 	// over the store's: a store that was restored from an older copy may briefly return an
 	// earlier document than before.
-	Number peridotpath.RoutingVersion
-	Value  []byte
+	RoutingVersion peridotpath.RoutingVersion
+	Value          []byte
 	// Age is the time since the snapshot was last confirmed to be the newest.
 	Age time.Duration
 }
@@ -27,25 +27,27 @@
 // once, so that peers can be sent only the difference.
 const maxRoutingSnapshots = 8
 
-// Routings holds the last snapshots of the routing, newest last. A whole routing is
+// RoutingHistory holds the last snapshots of the routing, newest last. A whole routing is
 // hundreds of kilobytes. If every instance of a large fleet fetched it whole after each
 // change, the links of the serving instances would be saturated for seconds, and the
 // gossip of load reports would queue behind it.
-type Routings struct{ snapshots snapshots[Routing] }
+type RoutingHistory struct{ snapshots snapshots[RoutingSnapshot] }
 
 // Add appends a snapshot unless the same or a newer one is kept.
-func (routings *Routings) Add(snapshot Routing) {
-	routings.snapshots.add(snapshot, maxRoutingSnapshots, func(newest *Routing) bool {
-		return cmp.Or(cmp.Compare(newest.Number, snapshot.Number), cmp.Compare(newest.Version, snapshot.Version)) >= 0
+func (routingHistory *RoutingHistory) Add(snapshot RoutingSnapshot) {
+	routingHistory.snapshots.add(snapshot, maxRoutingSnapshots, func(newest *RoutingSnapshot) bool {
+		return cmp.Or(cmp.Compare(newest.RoutingVersion, snapshot.RoutingVersion), cmp.Compare(newest.Version, snapshot.Version)) >= 0
 	})
 }
 
-// Last returns the newest snapshot; false if there is none.
-func (routings *Routings) Last() (Routing, bool) { return routings.snapshots.newest() }
+// Newest returns the newest snapshot; false if there is none.
+func (routingHistory *RoutingHistory) Newest() (RoutingSnapshot, bool) {
+	return routingHistory.snapshots.newest()
+}
 
-// Of returns the snapshot with this store version; false if it is not kept.
-func (routings *Routings) Of(version keyvalue.Version) (Routing, bool) {
-	return routings.snapshots.find(func(snapshot *Routing) bool { return snapshot.Version == version })
+// ByVersion returns the snapshot with this store version; false if it is not kept.
+func (routingHistory *RoutingHistory) ByVersion(version keyvalue.Version) (RoutingSnapshot, bool) {
+	return routingHistory.snapshots.find(func(snapshot *RoutingSnapshot) bool { return snapshot.Version == version })
 }
 
 // packedRoutings caches the newest routing, packed whole and as a difference to earlier ones.
@@ -57,7 +59,7 @@
 }
 
 // pack returns the snapshot, packed as a difference to base.
-func (packed *packedRoutings) pack(snapshot, base Routing) ([]byte, error) {
+func (packed *packedRoutings) pack(snapshot, base RoutingSnapshot) ([]byte, error) {
 	packed.mutex.Lock()
 	defer packed.mutex.Unlock()
 	if packed.version != snapshot.Version {
--- a/peridotpath/relay/crash_test.go
+++ b/peridotpath/relay/crash_test.go
@@ -204,10 +204,10 @@
 		fixture := newFixture(script.send, nil, testEndpoint(0), testEndpoint(1))
 		content := facts.Subject(peridotpath.FingerprintOf("desk", "host", http.MethodPost, "/look/x", []byte("body")))
 		for endpoint := range uint64(2) {
-			fixture.facts.Learn(facts.Fact{Kind: facts.KindEnded, Subject: content, Detail: endpoint, At: time.Now()})
+			fixture.facts.Observe(facts.Fact{Kind: facts.KindCrashed, Subject: content, Detail: endpoint, ObservedAt: time.Now()})
 		}
 		time.Sleep(200 * time.Millisecond)
-		fixture.facts.Learn(facts.Fact{Kind: facts.KindTrial, Subject: content, Value: 1, At: time.Now()})
+		fixture.facts.Observe(facts.Fact{Kind: facts.KindTrial, Subject: content, Value: 1, ObservedAt: time.Now()})
 		outcome := fixture.ask(t.Context(), "look", func(request *relay.Request) { request.Body = []byte("body") })
 		if len(script.calls) != 2 || !outcome.result.Code.NotRun() {
 			t.Errorf("%d calls, %v; want both endpoints tried and none to have run it", len(script.calls), outcome.result)
--- a/peridotpath/relay/engine_test.go
+++ b/peridotpath/relay/engine_test.go
@@ -184,10 +184,10 @@
 }
 
 // pace is what an engine says of itself.
-func (engines *fakeEngines) pace(_ context.Context, endpoint *peridotpath.Endpoint) (pace.Pace, error) {
+func (engines *fakeEngines) pace(_ context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
-	return pace.Pace(max(engines.engines[endpoint.ID].slow, 1)), nil
+	return pace.Slowdown(max(engines.engines[endpoint.ID].slow, 1)), nil
 }
 
 func (engine *fakeEngine) writers() (int, peridotpath.Tokens) {
--- a/peridotpath/relay/fixture_test.go
+++ b/peridotpath/relay/fixture_test.go
@@ -89,7 +89,7 @@
 	fixture.relay = &relay.Relay{
 		Instance: "edge-1", DataCentre: "a", Log: zerolog.Nop(), Routing: fixture.routing,
 		Endpoints: fixture.directory.Current, AllEndpoints: fixture.directory.Current, Book: fixture.book, Send: send, Quarantine: keeper,
-		Throttle: &throttle.Throttle{Sender: rand.Uint64(), Facts: fixture.facts, Log: zerolog.Nop()},
+		Throttle: &throttle.Throttle{SenderID: rand.Uint64(), Facts: fixture.facts, Log: zerolog.Nop()},
 		Check:    func(context.Context, *peridotpath.Endpoint) error { return nil },
 		Served:   &telemetry.Sampler{PerSecond: 10},
 		Budget:   &relay.Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, Instances: func() int { return 1 }},
--- a/peridotpath/relay/fleet_test.go
+++ b/peridotpath/relay/fleet_test.go
@@ -33,7 +33,7 @@
 		one := makeOne(i)
 		one.relay.Instance = peridotpath.InstanceID(fmt.Sprintf("edge-%d", i))
 		one.book.Changed = func() { fleet.changed(i) }
-		one.facts.Changed = func() { fleet.changed(i) }
+		one.facts.OnChange = func() { fleet.changed(i) }
 		fleet.relays = append(fleet.relays, one)
 	}
 	return fleet
@@ -81,12 +81,12 @@
 	report := placement.Report{
 		Peer: one.relay.Instance, Incarnation: 1, Sequence: sequence, Flights: one.book.Own(), Waits: one.book.OwnWaits(),
 	}
-	told := one.facts.Tell(time.Now(), false)
+	told := one.facts.TakeDue(time.Now(), false)
 	time.AfterFunc(fleet.lag/2, func() {
 		for i, other := range fleet.relays {
 			if i != number && !fleet.loses(number, i) {
 				other.book.HearPeer(report, time.Now())
-				other.facts.Hear(told, false)
+				other.facts.Receive(told, false)
 			}
 		}
 	})
--- a/peridotpath/relay/limit.go
+++ b/peridotpath/relay/limit.go
@@ -14,9 +14,9 @@
 	case answer.Elsewhere || !answer.NotRun && !answer.Genuine:
 		// It is not this endpoint's.
 	case answer.Limit != nil:
-		exchange.relay.Throttle.Named(writer, *answer.Limit, now)
+		exchange.relay.Throttle.RecordLimit(writer, *answer.Limit, now)
 	case answer.NoLimit:
-		exchange.relay.Throttle.Unnamed(writer, exchange.sentAt, now)
+		exchange.relay.Throttle.RecordNoLimit(writer, exchange.sentAt, now)
 	}
 }
 
@@ -24,12 +24,12 @@
 // named. It notes when the first that does not will.
 func (exchange *exchange) limits(now time.Time) func(peridotpath.EndpointKey) bool {
 	throttle := exchange.relay.Throttle
-	if throttle.Idle() {
+	if throttle.HasNoLimits() {
 		return func(peridotpath.EndpointKey) bool { return true }
 	}
 	contenders := exchange.relay.Book.View(now).Unheard()
 	return func(key peridotpath.EndpointKey) bool {
-		wait := throttle.Wait(key, contenders, now)
+		wait := throttle.TimeUntilAllowed(key, contenders, now)
 		if wait > 0 && (exchange.limited == 0 || wait < exchange.limited) {
 			exchange.limited = wait
 		}
@@ -48,12 +48,12 @@
 // take counts the plan against what its endpoints have named, and reports whether they
 // still take it.
 func (exchange *exchange) take(plan *placement.Plan, now time.Time) bool {
-	if exchange.relay.Throttle.Idle() {
+	if exchange.relay.Throttle.HasNoLimits() {
 		return true
 	}
 	keys := []peridotpath.EndpointKey{plan.Writer.Key()}
 	for _, helper := range plan.Helpers {
 		keys = append(keys, helper.Key())
 	}
-	return exchange.relay.Throttle.Take(keys, now)
+	return exchange.relay.Throttle.TakeTokens(keys, now)
 }
--- a/peridotpath/relay/slow_test.go
+++ b/peridotpath/relay/slow_test.go
@@ -26,9 +26,9 @@
 func watchPaces(ctx context.Context, fleet *fleet, engines *fakeEngines, endpoints []peridotpath.Endpoint) *sync.WaitGroup {
 	var all sync.WaitGroup
 	for _, one := range fleet.relays {
-		watch := &pace.Watch{
-			Facts: one.facts, Ask: engines.pace, Log: zerolog.Nop(),
-			Find: func(key peridotpath.EndpointKey) *peridotpath.Endpoint {
+		watch := &pace.Prober{
+			Facts: one.facts, FetchSlowdown: engines.pace, Log: zerolog.Nop(),
+			FindEndpoint: func(key peridotpath.EndpointKey) *peridotpath.Endpoint {
 				for i := range endpoints {
 					if endpoints[i].Key() == key {
 						return &endpoints[i]
@@ -36,12 +36,12 @@
 				}
 				return nil
 			},
-			Mine: func(key peridotpath.EndpointKey) bool { return one.book.Chosen(one.relay.Instance, key) },
+			OwnsEndpoint: func(key peridotpath.EndpointKey) bool { return one.book.Chosen(one.relay.Instance, key) },
 		}
-		one.relay.Doubt = watch.Doubt
+		one.relay.Doubt = watch.ProbeOverdue
 		one.book.Paces = func(now time.Time) map[peridotpath.EndpointKey]float64 {
 			slow := map[peridotpath.EndpointKey]float64{}
-			for key, pace := range watch.Slow(now) {
+			for key, pace := range watch.SlowEngines(now) {
 				slow[key] = float64(pace)
 			}
 			return slow
--- a/peridotpath/relay/start_test.go
+++ b/peridotpath/relay/start_test.go
@@ -65,7 +65,7 @@
 func (fixture *fixture) bar(target string) {
 	content := peridotpath.FingerprintOf("desk", "host", http.MethodPost, target, nil)
 	for endpoint := range peridotpath.EndpointKey(3) {
-		fixture.relay.Quarantine.Ended(content, endpoint+1, time.Now())
+		fixture.relay.Quarantine.RecordCrash(content, endpoint+1, time.Now())
 		time.Sleep(time.Second)
 	}
 }
--- a/peridotpath/relay/suspect.go
+++ b/peridotpath/relay/suspect.go
@@ -27,7 +27,7 @@
 // and one whose bar is over when no other attempt is under way.
 func (exchange *exchange) awaitTrial(ctx context.Context) *peridotpath.Result {
 	decider := exchange.relay.Quarantine
-	if decider.Empty() {
+	if decider.HasNoEvidence() {
 		return nil
 	}
 	content := exchange.fingerprint()
@@ -36,11 +36,11 @@
 	}
 	for {
 		now := time.Now()
-		standing, left := decider.Look(content, now)
+		standing, left := decider.Check(content, now)
 		switch {
-		case standing == quarantine.Barred:
+		case standing == quarantine.Quarantined:
 			return exchange.refusal(peridotpath.CodeQuarantined, left)
-		case standing == quarantine.Clear, decider.Try(content, now):
+		case standing == quarantine.Clear, decider.ReserveTrial(content, now):
 			return nil
 		case standing == quarantine.OnTrial:
 			return exchange.refusal(peridotpath.CodeQuarantined, trialReturn)
@@ -56,10 +56,10 @@
 // barred refuses a request that is barred, also one that was barred while it waited.
 func (exchange *exchange) barred() *peridotpath.Result {
 	decider := exchange.relay.Quarantine
-	if decider.Empty() {
+	if decider.HasNoEvidence() {
 		return nil
 	}
-	if standing, left := decider.Look(exchange.fingerprint(), time.Now()); standing == quarantine.Barred {
+	if standing, left := decider.Check(exchange.fingerprint(), time.Now()); standing == quarantine.Quarantined {
 		return exchange.refusal(peridotpath.CodeQuarantined, left)
 	}
 	return nil
@@ -70,7 +70,7 @@
 	if !exchange.writingSince.IsZero() && now.Sub(exchange.writingSince) > earlyRun {
 		return
 	}
-	exchange.relay.Quarantine.Ended(exchange.fingerprint(), exchange.plan.Writer.Key(), now)
+	exchange.relay.Quarantine.RecordCrash(exchange.fingerprint(), exchange.plan.Writer.Key(), now)
 }
 
 // noteProgress notes an event of the attempt, and that its endpoint goes on with it.
@@ -87,7 +87,7 @@
 // noteSurvival notes that the attempt's endpoint runs the request and goes on.
 func (exchange *exchange) noteSurvival() {
 	exchange.survived = true
-	if decider := exchange.relay.Quarantine; !decider.Empty() {
-		decider.Survived(exchange.fingerprint(), time.Now())
+	if decider := exchange.relay.Quarantine; !decider.HasNoEvidence() {
+		decider.RecordSurvival(exchange.fingerprint(), time.Now())
 	}
 }
--- a/peridotpath/routing/era_test.go
+++ b/peridotpath/routing/era_test.go
@@ -136,8 +136,8 @@
 		follower.Check = store.eras.Guard(&keyvalue.Store{Check: store.check}).Check
 		newer, err := keyvalue.VersionOf(3, 60)
 		is.NoErr(err)
-		follower.Ask = func(context.Context, netip.AddrPort, readings.Routing) (readings.Routing, error) {
-			return readings.Routing{Version: newer, Value: []byte{9}, Age: 700 * time.Millisecond}, nil
+		follower.Ask = func(context.Context, netip.AddrPort, readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
+			return readings.RoutingSnapshot{Version: newer, Value: []byte{9}, Age: 700 * time.Millisecond}, nil
 		}
 		store.write(4, 50, 8)
 		// It finds instances' entries of the era before.
--- a/peridotpath/routing/fleet_test.go
+++ b/peridotpath/routing/fleet_test.go
@@ -126,7 +126,7 @@
 		behind := i / dataCentres
 		fleet.followers = append(fleet.followers, &routing.Follower{
 			State: state, Key: "routing", Decode: decodeBig, Check: fleet.store.check, Eras: &keyvalue.Eras{}, Log: zerolog.Nop(),
-			Ask: func(ctx context.Context, peer netip.AddrPort, have readings.Routing) (readings.Routing, error) {
+			Ask: func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
 				return fleet.ask(ctx, peer, have)
 			},
 			Confirmed: func() { fleet.tell(i, dataCentres) },
@@ -158,14 +158,14 @@
 		for i, follower := range fleet.followers {
 			if i != from {
 				near := i%dataCentres == from%dataCentres
-				follower.HearPeer(readings.Peer{Address: addressOf(from), Near: near}, version, asked)
+				follower.HearPeer(readings.Peer{Address: addressOf(from), InSameDataCentre: near}, version, asked)
 			}
 		}
 	})
 }
 
 // ask lets a peer answer over its link, within the time that an asker waits.
-func (fleet *manyFollowers) ask(ctx context.Context, peer netip.AddrPort, have readings.Routing) (readings.Routing, error) {
+func (fleet *manyFollowers) ask(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer cancel()
 	bytes := peer.Addr().As4()
@@ -187,7 +187,7 @@
 }
 
 // pack returns the length of a reading packed for whoever has base.
-func (fleet *manyFollowers) pack(reading, base readings.Routing) (int, error) {
+func (fleet *manyFollowers) pack(reading, base readings.RoutingSnapshot) (int, error) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	key := [2]keyvalue.Version{reading.Version, base.Version}
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -27,7 +27,7 @@
 	// Eras are those of the store.
 	Eras *keyvalue.Eras
 	// Ask asks a peer for what it has read.
-	Ask  func(ctx context.Context, peer netip.AddrPort, have readings.Routing) (readings.Routing, error)
+	Ask  func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error)
 	Pace clock.Pace
 	// Before returns how many instances nearby are to ask a far one for that version
 	// before this one does.
@@ -37,9 +37,9 @@
 	Log       zerolog.Logger
 
 	failed atomic.Bool
-	newer  readings.Newer
+	newer  readings.NewerPeers
 	// read holds what was put in force.
-	read readings.Routings
+	read readings.RoutingHistory
 
 	mutex sync.Mutex
 	// looked is the store's version at the last look.
@@ -93,8 +93,8 @@
 	case table != nil && table.Routing.Version == version:
 		follower.State.Confirm(version, confirmed)
 	case table == nil && version > 0, table != nil && table.Routing.Version < version:
-		follower.newer.Note(peer)
-		if peer.Near {
+		follower.newer.Set(peer)
+		if peer.InSameDataCentre {
 			follower.Pace.Wake()
 		} else {
 			time.AfterFunc(time.Duration(follower.Before(version))*farTurn, follower.Pace.Wake)
@@ -103,19 +103,19 @@
 }
 
 // Last returns what was read last, for peers; false before the first reading.
-func (follower *Follower) Last() (readings.Routing, bool) {
-	reading, read := follower.read.Last()
+func (follower *Follower) Last() (readings.RoutingSnapshot, bool) {
+	reading, read := follower.read.Newest()
 	table := follower.State.Current()
-	if !read || table == nil || table.Routing.Version != reading.Number {
-		return readings.Routing{}, false
+	if !read || table == nil || table.Routing.Version != reading.RoutingVersion {
+		return readings.RoutingSnapshot{}, false
 	}
 	reading.Age = follower.State.Age()
 	return reading, true
 }
 
 // Of returns the reading of that version, for peers; false where it is not kept.
-func (follower *Follower) Of(version keyvalue.Version) (readings.Routing, bool) {
-	return follower.read.Of(version)
+func (follower *Follower) Of(version keyvalue.Version) (readings.RoutingSnapshot, bool) {
+	return follower.read.ByVersion(version)
 }
 
 // Failing reports whether the last look at the store failed.
@@ -149,17 +149,17 @@
 // askPeer asks one peer, and reports whether what it has is in force now.
 func (follower *Follower) askPeer(ctx context.Context, peer readings.Peer) bool {
 	asked := follower.State.Now()
-	have, _ := follower.read.Last()
+	have, _ := follower.read.Newest()
 	reading, err := follower.Ask(ctx, peer.Address, have)
 	if err == nil {
 		follower.Eras.Heard(reading.Version.Era(), 0, false)
 		err = follower.apply(reading.Version, reading.Value, asked-reading.Age)
 	}
 	if err != nil {
-		follower.Log.Info().Err(err).Stringer("peer", peer.Address).Bool("near", peer.Near).Msg("peer_not_read")
+		follower.Log.Info().Err(err).Stringer("peer", peer.Address).Bool("near", peer.InSameDataCentre).Msg("peer_not_read")
 		return false
 	}
-	if !peer.Near {
+	if !peer.InSameDataCentre {
 		follower.Confirmed()
 	}
 	return true
@@ -225,7 +225,7 @@
 	follower.mutex.Lock()
 	follower.looked = max(follower.looked, version)
 	follower.mutex.Unlock()
-	follower.read.Add(readings.Routing{Version: version, Number: routing.Version, Value: value})
+	follower.read.Add(readings.RoutingSnapshot{Version: version, RoutingVersion: routing.Version, Value: value})
 	follower.State.Apply(routing, asked)
 	return nil
 }
--- a/peridotpath/routing/state_test.go
+++ b/peridotpath/routing/state_test.go
@@ -131,12 +131,12 @@
 	return keyvalue.Entry{Key: key, Version: store.version, Value: []byte{byte(store.routing)}}, true, nil
 }
 
-var peer = readings.Peer{Address: netip.MustParseAddrPort("10.0.0.1:99"), Near: true}
+var peer = readings.Peer{Address: netip.MustParseAddrPort("10.0.0.1:99"), InSameDataCentre: true}
 
 var errNoPeer = errors.New("no such peer")
 
-func noPeer(context.Context, netip.AddrPort, readings.Routing) (readings.Routing, error) {
-	return readings.Routing{}, errNoPeer
+func noPeer(context.Context, netip.AddrPort, readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
+	return readings.RoutingSnapshot{}, errNoPeer
 }
 
 func decode(value []byte) (*peridotpath.Routing, error) {
@@ -203,8 +203,8 @@
 		is := is.New(t)
 		store := &fakeStore{version: 1, routing: 1}
 		follower, state := newFollower(store)
-		follower.Ask = func(context.Context, netip.AddrPort, readings.Routing) (readings.Routing, error) {
-			return readings.Routing{Version: 2, Number: 2, Value: []byte{2}, Age: 300 * time.Millisecond}, nil
+		follower.Ask = func(context.Context, netip.AddrPort, readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
+			return readings.RoutingSnapshot{Version: 2, RoutingVersion: 2, Value: []byte{2}, Age: 300 * time.Millisecond}, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
@@ -218,7 +218,7 @@
 		is.Equal(state.Age(), 400*time.Millisecond) // the peer's age counts on
 		last, ok := follower.Last()
 		is.True(ok)
-		is.Equal(last, readings.Routing{Version: 2, Number: 2, Value: []byte{2}, Age: 400 * time.Millisecond})
+		is.Equal(last, readings.RoutingSnapshot{Version: 2, RoutingVersion: 2, Value: []byte{2}, Age: 400 * time.Millisecond})
 		cancel()
 		is.True(errors.Is(<-ended, context.Canceled))
 	})
@@ -254,9 +254,9 @@
 		far := readings.Peer{Address: netip.MustParseAddrPort("10.9.0.1:99")}
 		asked := make(chan netip.AddrPort, 10)
 		follower, state := newFollower(store)
-		follower.Ask = func(_ context.Context, peer netip.AddrPort, have readings.Routing) (readings.Routing, error) {
+		follower.Ask = func(_ context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
 			asked <- peer
-			return readings.Routing{Version: have.Version + 1, Value: []byte{byte(have.Version + 1)}}, nil
+			return readings.RoutingSnapshot{Version: have.Version + 1, Value: []byte{byte(have.Version + 1)}}, nil
 		}
 		follower.Before = func(peridotpath.RoutingVersion) int { return 2 }
 		ctx, cancel := context.WithCancel(t.Context())
--- a/peridotpath/throttle/throttle.go
+++ b/peridotpath/throttle/throttle.go
@@ -38,10 +38,10 @@
 // the exported fields before use.
 type Throttle struct {
 	Instance peridotpath.InstanceID
-	// Sender identifies this start of the instance.
-	Sender uint64
-	Facts  *facts.Table
-	Log    zerolog.Logger
+	// SenderID identifies this start of the instance.
+	SenderID uint64
+	Facts    *facts.Table
+	Log      zerolog.Logger
 
 	mutex   sync.Mutex
 	buckets map[peridotpath.EndpointKey]*bucket
@@ -60,13 +60,13 @@
 	peerSent map[uint64]float64
 }
 
-// SenderOf returns the ID of one start of an instance.
-func SenderOf(instance peridotpath.InstanceID, incarnation peridotpath.Incarnation) uint64 {
+// SenderID returns the ID of one start of an instance.
+func SenderID(instance peridotpath.InstanceID, incarnation peridotpath.Incarnation) uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s/%d", instance, incarnation))
 }
 
-// Named records the limit that an endpoint reported in a response.
-func (throttle *Throttle) Named(endpoint *peridotpath.Endpoint, limit peridotpath.Rate, now time.Time) {
+// RecordLimit records the limit that an endpoint reported in a response.
+func (throttle *Throttle) RecordLimit(endpoint *peridotpath.Endpoint, limit peridotpath.Rate, now time.Time) {
 	before, known := throttle.limit(endpoint.Key(), now)
 	if !known || before != limit {
 		throttle.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("limit", float64(limit)).Float64("before", float64(before)).Msg("limit_changed")
@@ -74,14 +74,14 @@
 	throttle.publishLimit(endpoint.Key(), limit, now)
 }
 
-// Unnamed records a response without a limit. It ends the endpoint's limit, unless
+// RecordNoLimit records a response without a limit. It ends the endpoint's limit, unless
 // the request was sent before the limit was reported.
-func (throttle *Throttle) Unnamed(endpoint *peridotpath.Endpoint, sentAt, now time.Time) {
-	if throttle.Idle() {
+func (throttle *Throttle) RecordNoLimit(endpoint *peridotpath.Endpoint, sentAt, now time.Time) {
+	if throttle.HasNoLimits() {
 		return
 	}
-	reported, known := throttle.Facts.Get(facts.KindLimit, facts.SubjectOf(endpoint.Key()), 0, now)
-	if !known || peridotpath.Rate(reported.Value) >= noLimit || !sentAt.After(reported.At) {
+	reported, known := throttle.Facts.Get(facts.KindRateLimit, facts.EndpointSubject(endpoint.Key()), 0, now)
+	if !known || peridotpath.Rate(reported.Value) >= noLimit || !sentAt.After(reported.ObservedAt) {
 		return
 	}
 	throttle.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("before", reported.Value).Msg("limit_ended")
@@ -89,26 +89,26 @@
 }
 
 func (throttle *Throttle) publishLimit(endpoint peridotpath.EndpointKey, limit peridotpath.Rate, now time.Time) {
-	throttle.Facts.Learn(facts.Fact{
-		Kind: facts.KindLimit, Subject: facts.SubjectOf(endpoint), Value: float64(limit), At: now, From: throttle.Instance,
+	throttle.Facts.Observe(facts.Fact{
+		Kind: facts.KindRateLimit, Subject: facts.EndpointSubject(endpoint), Value: float64(limit), ObservedAt: now, Source: throttle.Instance,
 	})
 }
 
 // limit returns an endpoint's limit; false if it has none.
 func (throttle *Throttle) limit(endpoint peridotpath.EndpointKey, now time.Time) (peridotpath.Rate, bool) {
-	fact, known := throttle.Facts.Get(facts.KindLimit, facts.SubjectOf(endpoint), 0, now)
+	fact, known := throttle.Facts.Get(facts.KindRateLimit, facts.EndpointSubject(endpoint), 0, now)
 	limit := peridotpath.Rate(fact.Value)
 	return limit, known && limit < noLimit
 }
 
-// Idle reports whether no limit of any endpoint is stored.
-func (throttle *Throttle) Idle() bool { return !throttle.Facts.Has(facts.KindLimit) }
+// HasNoLimits reports whether no limit of any endpoint is stored.
+func (throttle *Throttle) HasNoLimits() bool { return !throttle.Facts.Has(facts.KindRateLimit) }
 
-// Wait returns the time until a request may be sent to an endpoint; zero if
+// TimeUntilAllowed returns the time until a request may be sent to an endpoint; zero if
 // one may be sent now. Contenders is the estimated number of competing requests elsewhere
 // that have not been gossiped yet; a request is then admitted with a probability of
 // 1/(1+contenders).
-func (throttle *Throttle) Wait(endpoint peridotpath.EndpointKey, contenders float64, now time.Time) time.Duration {
+func (throttle *Throttle) TimeUntilAllowed(endpoint peridotpath.EndpointKey, contenders float64, now time.Time) time.Duration {
 	throttle.mutex.Lock()
 	defer throttle.mutex.Unlock()
 	bucket := throttle.refilledBucket(endpoint, now)
@@ -123,10 +123,10 @@
 	return 0
 }
 
-// Take deducts a token for a request from each of its endpoints: the first, the
+// TakeTokens deducts a token for a request from each of its endpoints: the first, the
 // primary, and its helpers. It returns false and deducts nothing if the primary's bucket has no
 // token left; helpers may go into debt.
-func (throttle *Throttle) Take(endpoints []peridotpath.EndpointKey, now time.Time) bool {
+func (throttle *Throttle) TakeTokens(endpoints []peridotpath.EndpointKey, now time.Time) bool {
 	throttle.mutex.Lock()
 	defer throttle.mutex.Unlock()
 	for i, endpoint := range endpoints {
@@ -139,8 +139,8 @@
 		}
 		bucket.tokens--
 		bucket.ownSent++
-		throttle.Facts.Learn(facts.Fact{
-			Kind: facts.KindSent, Subject: facts.SubjectOf(endpoint), Detail: throttle.Sender, Value: bucket.ownSent, At: now, From: throttle.Instance,
+		throttle.Facts.Observe(facts.Fact{
+			Kind: facts.KindRequestsSent, Subject: facts.EndpointSubject(endpoint), Detail: throttle.SenderID, Value: bucket.ownSent, ObservedAt: now, Source: throttle.Instance,
 		})
 	}
 	return true
@@ -164,8 +164,8 @@
 	known.rate = max(limit, minRate)
 	known.tokens += now.Sub(known.filledAt).Seconds() * float64(known.rate)
 	known.filledAt = now
-	for _, sent := range throttle.Facts.About(facts.KindSent, facts.SubjectOf(endpoint), now) {
-		if sent.Detail != throttle.Sender {
+	for _, sent := range throttle.Facts.BySubject(facts.KindRequestsSent, facts.EndpointSubject(endpoint), now) {
+		if sent.Detail != throttle.SenderID {
 			known.deductPeer(&sent)
 		}
 	}
@@ -178,7 +178,7 @@
 	before, known := bucket.peerSent[sent.Detail]
 	if !known {
 		before = sent.Value
-		if sent.At.After(bucket.createdAt) {
+		if sent.ObservedAt.After(bucket.createdAt) {
 			before--
 		}
 	}
--- a/peridotpath/throttle/throttle_test.go
+++ b/peridotpath/throttle/throttle_test.go
@@ -27,7 +27,7 @@
 	for i := range count {
 		table := &facts.Table{}
 		fleet.tables = append(fleet.tables, table)
-		fleet.throttles = append(fleet.throttles, &throttle.Throttle{Sender: uint64(i), Facts: table, Log: zerolog.Nop()})
+		fleet.throttles = append(fleet.throttles, &throttle.Throttle{SenderID: uint64(i), Facts: table, Log: zerolog.Nop()})
 	}
 	return fleet
 }
@@ -35,10 +35,10 @@
 // gossip sends every instance's facts to all others.
 func (fleet *fleet) gossip() {
 	for i, table := range fleet.tables {
-		sent := table.Tell(fleet.now, true)
+		sent := table.TakeDue(fleet.now, true)
 		for j, other := range fleet.tables {
 			if i != j {
-				other.Hear(sent, false)
+				other.Receive(sent, false)
 			}
 		}
 	}
@@ -48,7 +48,7 @@
 // was sent.
 func (fleet *fleet) trySend(instance int) bool {
 	sender := fleet.throttles[instance]
-	return sender.Wait(limitedEndpoint.Key(), 0, fleet.now) == 0 && sender.Take([]peridotpath.EndpointKey{limitedEndpoint.Key()}, fleet.now)
+	return sender.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) == 0 && sender.TakeTokens([]peridotpath.EndpointKey{limitedEndpoint.Key()}, fleet.now)
 }
 
 // sendFor lets every instance try to send every 50 ms, and returns the number of requests
@@ -70,7 +70,7 @@
 func TestEndpointWithoutLimitIsNotThrottled(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(1)
-	is.True(fleet.throttles[0].Idle())
+	is.True(fleet.throttles[0].HasNoLimits())
 	is.True(fleet.trySend(0))
 	is.True(fleet.trySend(0))
 }
@@ -89,13 +89,13 @@
 	for _, test := range tests {
 		is := is.New(t)
 		fleet := newFleet(8)
-		fleet.throttles[3].Named(limitedEndpoint, test.limit, fleet.now)
+		fleet.throttles[3].RecordLimit(limitedEndpoint, test.limit, fleet.now)
 		fleet.gossip()
 		sent := fleet.sendFor(10 * time.Second)
 		if sent < test.minSent || sent > test.maxSent {
 			t.Errorf("limit %v: sent %d in 10 s, want %d to %d", test.limit, sent, test.minSent, test.maxSent)
 		}
-		is.True(!fleet.throttles[0].Idle())
+		is.True(!fleet.throttles[0].HasNoLimits())
 	}
 }
 
@@ -103,7 +103,7 @@
 func TestOneInstanceMayUseTheWholeLimit(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(8)
-	fleet.throttles[0].Named(limitedEndpoint, 2, fleet.now)
+	fleet.throttles[0].RecordLimit(limitedEndpoint, 2, fleet.now)
 	fleet.gossip()
 	sent := 0
 	for range 200 {
@@ -121,39 +121,39 @@
 func TestOvershootDelaysLaterRequests(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(4)
-	fleet.throttles[0].Named(limitedEndpoint, 1, fleet.now)
+	fleet.throttles[0].RecordLimit(limitedEndpoint, 1, fleet.now)
 	fleet.gossip()
 	for i := range fleet.throttles {
-		fleet.throttles[i].Wait(limitedEndpoint.Key(), 0, fleet.now) // creates the bucket
+		fleet.throttles[i].TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) // creates the bucket
 	}
 	fleet.now = fleet.now.Add(time.Second)
 	for i := range fleet.throttles {
 		is.True(fleet.trySend(i))
 	}
 	fleet.gossip()
-	is.Equal(fleet.throttles[2].Wait(limitedEndpoint.Key(), 0, fleet.now), 4*time.Second)
+	is.Equal(fleet.throttles[2].TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now), 4*time.Second)
 }
 
 func TestLimitChangesAndEnds(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(2)
 	one, two := fleet.throttles[0], fleet.throttles[1]
-	one.Named(limitedEndpoint, 1, fleet.now)
+	one.RecordLimit(limitedEndpoint, 1, fleet.now)
 	fleet.gossip()
-	is.True(one.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
-	is.True(two.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(one.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(two.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 	// The response to a request sent before the limit was reported does not end it.
-	one.Unnamed(limitedEndpoint, fleet.now.Add(-time.Second), fleet.now.Add(time.Second))
+	one.RecordNoLimit(limitedEndpoint, fleet.now.Add(-time.Second), fleet.now.Add(time.Second))
 	fleet.gossip()
-	is.True(two.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(two.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 
 	fleet.now = fleet.now.Add(2 * time.Second)
-	two.Named(limitedEndpoint, 100, fleet.now)
+	two.RecordLimit(limitedEndpoint, 100, fleet.now)
 	fleet.gossip()
 	fleet.now = fleet.now.Add(100 * time.Millisecond)
-	is.Equal(one.Wait(limitedEndpoint.Key(), 0, fleet.now), time.Duration(0))
+	is.Equal(one.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now), time.Duration(0))
 
-	two.Unnamed(limitedEndpoint, fleet.now, fleet.now.Add(50*time.Millisecond))
+	two.RecordNoLimit(limitedEndpoint, fleet.now, fleet.now.Add(50*time.Millisecond))
 	fleet.now = fleet.now.Add(100 * time.Millisecond)
 	fleet.gossip()
 	for range 50 {
@@ -161,18 +161,18 @@
 	}
 	is.True(fleet.trySend(1))
 	fleet.now = fleet.now.Add(time.Second)
-	one.Named(limitedEndpoint, 1, fleet.now) // a new limit
+	one.RecordLimit(limitedEndpoint, 1, fleet.now) // a new limit
 	fleet.gossip()
-	is.True(two.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(two.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 }
 
 // A limit does not apply to another incarnation of the endpoint.
 func TestOtherEndpointsAreNotLimited(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(1)
-	fleet.throttles[0].Named(limitedEndpoint, 0, fleet.now)
-	is.Equal(fleet.throttles[0].Wait(limitedEndpoint.Key()+1, 0, fleet.now), time.Duration(0))
-	is.True(fleet.throttles[0].Take([]peridotpath.EndpointKey{limitedEndpoint.Key() + 1}, fleet.now))
+	fleet.throttles[0].RecordLimit(limitedEndpoint, 0, fleet.now)
+	is.Equal(fleet.throttles[0].TimeUntilAllowed(limitedEndpoint.Key()+1, 0, fleet.now), time.Duration(0))
+	is.True(fleet.throttles[0].TakeTokens([]peridotpath.EndpointKey{limitedEndpoint.Key() + 1}, fleet.now))
 }
 
 // Prefill that an endpoint does as a helper counts against its limit.
@@ -180,18 +180,18 @@
 	is := is.New(t)
 	fleet := newFleet(1)
 	one := fleet.throttles[0]
-	one.Named(limitedEndpoint, 1, fleet.now)
-	is.True(one.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	one.RecordLimit(limitedEndpoint, 1, fleet.now)
+	is.True(one.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 	fleet.now = fleet.now.Add(time.Second)
-	is.True(one.Take([]peridotpath.EndpointKey{limitedEndpoint.Key() + 1, limitedEndpoint.Key()}, fleet.now))
-	is.True(one.Wait(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(one.TakeTokens([]peridotpath.EndpointKey{limitedEndpoint.Key() + 1, limitedEndpoint.Key()}, fleet.now))
+	is.True(one.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 }
 
 // A limit expires when no response from the endpoint confirms it.
 func TestUnconfirmedLimitExpires(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(1)
-	fleet.throttles[0].Named(limitedEndpoint, 0, fleet.now)
+	fleet.throttles[0].RecordLimit(limitedEndpoint, 0, fleet.now)
 	fleet.now = fleet.now.Add(2 * time.Minute)
-	is.Equal(fleet.throttles[0].Wait(limitedEndpoint.Key(), 0, fleet.now), time.Duration(0))
+	is.Equal(fleet.throttles[0].TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now), time.Duration(0))
 }
