--- /dev/null
+++ b/peridotpath/placement/cost.go
@@ -0,0 +1,126 @@
+package placement
+
+import "time"
+
+// Costs are fractions of a request's value. The cost of a plan is the value that it is
+// expected to lose, of the request itself and of others on the same engines.
+const (
+	// LateLoss is the fraction of its value that an answer loses when it misses its
+	// latency target.
+	LateLoss = 0.75
+	// surelyMetShare and surelyMissedShare are shares of the target. A predicted time
+	// below the first counts as met, one above the second as missed, and the cost grows
+	// linearly between them. The first leaves room for errors of the prediction.
+	surelyMetShare    = 0.6
+	surelyMissedShare = 1.1
+	// latencySlopeCost prefers the sooner of two plans that both meet or both miss the
+	// target.
+	latencySlopeCost = 0.02
+	// remoteCost is the cost of another data centre: traffic between them is charged.
+	remoteCost = 0.008
+	// ejectedCost keeps requests away from an endpoint that is ejected.
+	ejectedCost = 0.9
+	// idleEngineCost is the cost of placing the first decoding request on an engine. An
+	// engine that decodes nothing can prefill long prompts at any time; packing decoding
+	// requests keeps such engines available.
+	idleEngineCost = 0.03
+	// freeSlotCost is the cost per free share of an engine's slots when a decoding
+	// request is placed there. It fills some engines up and leaves others to long
+	// prompts.
+	freeSlotCost = 0.03
+	// rankCost makes all instances try the engines in the same order.
+	rankCost = 0.002
+	// jitterCost spreads the decoding requests of instances that have not yet received
+	// each other's reports. It is as large as idleEngineCost and freeSlotCost, which
+	// concentrate them, and smaller than the cost of a full engine.
+	jitterCost = 0.03
+	// maxITLShare is the share of the ITL target that an iteration may take.
+	maxITLShare = 0.9
+	// overtakingCost is the fraction of its value that a waiting prompt loses per second
+	// of prefill that overtakes it.
+	overtakingCost = 0.2
+	// minIdleEngineConfidence is the lower bound of the confidence that scales
+	// idleEngineCost. Without it, a burst of short prompts leaves no engine on which a
+	// long prompt can be prefilled.
+	minIdleEngineConfidence = 0.5
+)
+
+// ttftCost is the fraction of its value that an answer is expected to lose by the
+// time of its first event.
+func ttftCost(ttft, target time.Duration) float64 {
+	if target <= 0 {
+		return 0
+	}
+	share := float64(ttft) / float64(target)
+	missed := min(max((share-surelyMetShare)/(surelyMissedShare-surelyMetShare), 0), 1)
+	return LateLoss*missed + latencySlopeCost*share
+}
+
+// itlRiskCost is the fraction of its value that the answer is expected to lose where
+// pending prefill on the primary will delay one of its events beyond the ITL target.
+func itlRiskCost(work Work, primary *engine) float64 {
+	if work.PauseAim == 0 {
+		return 0
+	}
+	if primary.load.LongestRead+primary.iteration > time.Duration(maxITLShare*float64(work.PauseAim)) {
+		return LateLoss / 2
+	}
+	return 0
+}
+
+// interferenceCost is the value that the requests of an engine lose when prefill of the
+// given duration is added to its backlog. The whole backlog falls between two events
+// of each of them.
+func interferenceCost(at *engine, prefill time.Duration) float64 {
+	before := at.iteration + at.load.Backlog
+	after := before + prefill
+	cost := 0.0
+	for _, itl := range at.load.itlTargets {
+		limit := time.Duration(maxITLShare * float64(itl.target))
+		if itl.target > 0 && before <= limit && after > limit {
+			cost += LateLoss * itl.value
+		}
+	}
+	return cost
+}
+
+// helperOvertakingCost is the value that prompts lose which wait for prefill on the
+// engine that also decodes them: engines prefill helper parts of other prompts first.
+func helperOvertakingCost(at *engine, prefill time.Duration) float64 {
+	return overtakingCost * prefill.Seconds() * at.load.prefillingValue
+}
+
+// confidence is how far the snapshot can be relied on, from 0 to 1. It is 1 where no
+// peer dispatches a request before this instance receives its report, 1/2 where one
+// does, near 0 where two do, and it grows from 0 while this instance starts to receive
+// reports.
+//
+// It matters in a burst of short prompts at hundreds of instances, and when all clients
+// reconnect after all instances have restarted. Each instance then places requests by
+// reports that are milliseconds old or missing. All pick the same best engine, and it
+// exceeds its batch size before any of them receives the others' reports.
+func (view *View) confidence() float64 {
+	square := view.unreported * view.unreported
+	return view.observedShare / (1 + square*square)
+}
+
+// engineCost is the cost of an engine as the primary, apart from latency. Occupancy, the
+// first decoding request and the rank are scaled by the confidence in the snapshot, the
+// second by at least minIdleEngineConfidence. As confidence falls, jitter takes over and
+// keeps instances from choosing the same engine.
+func engineCost(work Work, primary *engine) float64 {
+	cost := rankCost*primary.confidence*primary.rank + jitterCost*(1-primary.confidence)*primary.jitter
+	if primary.Endpoint.DataCentre != work.DataCentre {
+		cost += remoteCost
+	}
+	if primary.Suspect {
+		cost += ejectedCost
+	}
+	if primary.load.Taken() == 0 {
+		cost += idleEngineCost * max(primary.confidence, minIdleEngineConfidence)
+	}
+	if free := primary.slots - primary.load.Taken(); free > 0 {
+		cost += freeSlotCost * primary.confidence * float64(free) / float64(primary.slots)
+	}
+	return cost
+}
--- /dev/null
+++ b/peridotpath/placement/load_tracker.go
@@ -0,0 +1,269 @@
+package placement
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"peridotpath.example/peridotpath"
+)
+
+type (
+	// FlightNumber identifies an in-flight request within its instance.
+	FlightNumber uint64
+
+	// Part is the share of a prompt that one endpoint prefills.
+	Part struct {
+		Endpoint peridotpath.EndpointKey
+		// Reading is the predicted prefill time of this share.
+		Reading time.Duration
+		// Memory is the KV cache that the request holds at the endpoint until it ends.
+		Memory peridotpath.Tokens
+	}
+
+	// Flight is one request that was sent and has not ended. Its first part is at
+	// the primary, the engine that decodes the answer.
+	Flight struct {
+		Number FlightNumber
+		Parts  []Part
+		Prompt peridotpath.Tokens
+		// PauseAim is the inter-token latency target.
+		PauseAim time.Duration
+		// Sent is the time of dispatch on this instance's monotonic clock.
+		Sent time.Time
+		// Writing is set once the first event of the answer has arrived.
+		Writing bool
+	}
+)
+
+// peerExpiry is the age after which a peer's report is dropped. Peers report every
+// 250 ms. The requests of a crashed instance end with its connections.
+const peerExpiry = 2 * time.Second
+
+// Book tracks the in-flight and queued requests of this instance and its peers.
+type Book struct {
+	// Changed, when set, is called after each change of this instance's requests.
+	Changed func()
+	// Paces, when set, returns the slowdown factor of each engine known to be slow.
+	Paces func(now time.Time) map[peridotpath.EndpointKey]float64
+
+	mutex sync.Mutex
+	// startedAt is the time of this instance's first load snapshot.
+	startedAt  time.Time
+	lastNumber FlightNumber
+	local      map[FlightNumber]*Flight
+	// queued are this instance's requests in the prefill queue.
+	lastQueued WaitNumber
+	queued     map[WaitNumber]*Wait
+	peers      map[peridotpath.InstanceID]*peerLoad
+	ejections  map[peridotpath.EndpointKey]ejectionState
+	// slowdowns is the ratio of observed to predicted prefill time per endpoint.
+	slowdowns map[peridotpath.EndpointKey]float64
+	// reportLag is the moving average of a peer request's age when it is first reported.
+	reportLag time.Duration
+}
+
+type peerLoad struct {
+	incarnation peridotpath.Incarnation
+	sequence    uint64
+	receivedAt  time.Time
+	inFlight    []Flight
+	queued      []Wait
+	ejections   []Suspicion
+	// lastNumber is the highest request number reported so far.
+	lastNumber FlightNumber
+}
+
+// Begin adds a request that is about to be sent and returns its number.
+func (tracker *Book) Begin(request Flight) FlightNumber {
+	tracker.mutex.Lock()
+	if tracker.local == nil {
+		tracker.local = map[FlightNumber]*Flight{}
+	}
+	tracker.lastNumber++
+	request.Number = tracker.lastNumber
+	tracker.local[request.Number] = &request
+	tracker.mutex.Unlock()
+	tracker.notifyChanged()
+	return request.Number
+}
+
+// Writing records the first event of a request's answer.
+func (tracker *Book) Writing(number FlightNumber) {
+	tracker.mutex.Lock()
+	if request := tracker.local[number]; request != nil {
+		request.Writing = true
+	}
+	tracker.mutex.Unlock()
+	tracker.notifyChanged()
+}
+
+// Waits reports whether one of this instance's requests has had no event yet.
+func (tracker *Book) Waits(number FlightNumber) bool {
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	request := tracker.local[number]
+	return request != nil && !request.Writing
+}
+
+// End removes a request that has ended or was abandoned.
+func (tracker *Book) End(number FlightNumber) {
+	tracker.mutex.Lock()
+	delete(tracker.local, number)
+	tracker.mutex.Unlock()
+	tracker.notifyChanged()
+}
+
+func (tracker *Book) notifyChanged() {
+	if tracker.Changed != nil {
+		tracker.Changed()
+	}
+}
+
+// Own returns this instance's in-flight requests, oldest first.
+func (tracker *Book) Own() []Flight {
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	requests := make([]Flight, 0, len(tracker.local))
+	for _, request := range tracker.local {
+		requests = append(requests, *request)
+	}
+	slices.SortFunc(requests, func(a, b Flight) int { return cmp.Compare(a.Number, b.Number) })
+	return requests
+}
+
+// Report is the full state that a peer sends about its requests.
+type Report struct {
+	Peer peridotpath.InstanceID
+	// Incarnation orders the runs of a peer; reports of an earlier run are dropped.
+	Incarnation peridotpath.Incarnation
+	// Sequence orders the reports of one run; reports out of order are dropped.
+	Sequence   uint64
+	Flights    []Flight
+	Waits      []Wait
+	Suspicions []Suspicion
+}
+
+// HearPeer replaces what is stored for a peer with a newer report.
+func (tracker *Book) HearPeer(report Report, now time.Time) {
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	if tracker.peers == nil {
+		tracker.peers = map[peridotpath.InstanceID]*peerLoad{}
+	}
+	previous := tracker.peers[report.Peer]
+	if previous != nil && (report.Incarnation < previous.incarnation || report.Incarnation == previous.incarnation && report.Sequence <= previous.sequence) {
+		return
+	}
+	current := &peerLoad{
+		incarnation: report.Incarnation, sequence: report.Sequence, receivedAt: now, inFlight: report.Flights, queued: report.Waits,
+		ejections: report.Suspicions,
+	}
+	if previous != nil && previous.incarnation == report.Incarnation {
+		current.lastNumber = previous.lastNumber
+		tracker.updateReportLag(previous.lastNumber, report.Flights, now)
+	}
+	for i := range report.Flights {
+		current.lastNumber = max(current.lastNumber, report.Flights[i].Number)
+	}
+	tracker.peers[report.Peer] = current
+}
+
+const (
+	// reportLagGain is the weight of a new sample in the moving average. A sample
+	// counts at most maxReportLag, because a lost datagram does not show the usual lag.
+	reportLagGain = 0.05
+	maxReportLag  = 100 * time.Millisecond
+	// networkDelay is the part of the lag that a request's age does not include:
+	// the delivery time of a datagram, which another instance may have forwarded.
+	networkDelay = 4 * time.Millisecond
+)
+
+// updateReportLag adds the ages of newly reported requests to the moving average.
+func (tracker *Book) updateReportLag(lastNumber FlightNumber, requests []Flight, now time.Time) {
+	for i := range requests {
+		if requests[i].Number <= lastNumber {
+			continue
+		}
+		sample := min(networkDelay+max(now.Sub(requests[i].Sent), 0), maxReportLag)
+		tracker.reportLag += time.Duration(reportLagGain * float64(sample-tracker.reportLag))
+	}
+}
+
+// Chosen reports whether this instance owns an endpoint, by rendezvous hashing over
+// the live instances. After a membership change there may briefly be two owners or none.
+func (tracker *Book) Chosen(self peridotpath.InstanceID, endpoint peridotpath.EndpointKey) bool {
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	ownScore := rendezvousScore(self, endpoint)
+	for id := range tracker.peers {
+		if rendezvousScore(id, endpoint) < ownScore {
+			return false
+		}
+	}
+	return true
+}
+
+func rendezvousScore(instance peridotpath.InstanceID, endpoint peridotpath.EndpointKey) uint64 {
+	return xxhash.Sum64String(fmt.Sprintf("%s %d", instance, endpoint))
+}
+
+// Peers returns the number of peers with an unexpired report.
+func (tracker *Book) Peers(now time.Time) int {
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	return len(tracker.unexpiredPeers(now))
+}
+
+// unexpiredPeers drops expired reports and returns the others.
+func (tracker *Book) unexpiredPeers(now time.Time) map[peridotpath.InstanceID]*peerLoad {
+	for id, peer := range tracker.peers {
+		if now.Sub(peer.receivedAt) > peerExpiry {
+			delete(tracker.peers, id)
+		}
+	}
+	return tracker.peers
+}
+
+// Bounds and gain of the moving average of an endpoint's slowdown.
+const (
+	slowdownGain = 0.3
+	maxSlowdown  = 20.0
+	// minSlowdown is the factor below which an endpoint counts as not slow.
+	minSlowdown = 1.05
+	// predictionTolerance is the ratio of observed to predicted time below which
+	// the difference is not attributed to the endpoint.
+	predictionTolerance = 1.5
+)
+
+// Observe compares the observed time to a first event with the predicted one and
+// updates the endpoint's slowdown.
+func (tracker *Book) Observe(endpoint peridotpath.EndpointKey, predicted, observed time.Duration) {
+	if predicted <= 0 {
+		return
+	}
+	ratio := min(max(float64(observed)/float64(predicted), 1/maxSlowdown), maxSlowdown)
+	if ratio < predictionTolerance {
+		ratio = min(ratio, 1)
+	}
+	tracker.mutex.Lock()
+	defer tracker.mutex.Unlock()
+	if tracker.slowdowns == nil {
+		tracker.slowdowns = map[peridotpath.EndpointKey]float64{}
+	}
+	previous := tracker.slowdowns[endpoint]
+	if previous == 0 {
+		previous = 1
+	}
+	slowdown := max(1, previous+slowdownGain*(ratio-previous))
+	if slowdown < minSlowdown {
+		// Only slow endpoints are stored, so that removed endpoints take no memory.
+		delete(tracker.slowdowns, endpoint)
+		return
+	}
+	tracker.slowdowns[endpoint] = slowdown
+}
--- a/peridotpath/placement/memory.go
+++ b/peridotpath/placement/memory.go
@@ -9,53 +9,54 @@
 )
 
 const (
-	// maxHolders bounds the helpers that hold a part of a prompt's memory: every
-	// one of them can fail, and with it the prompt.
-	maxHolders = 6
-	// memoryTolerance is how much of an engine's memory may be promised. Answers
-	// longer than predicted would take the rest and push out whole requests.
-	memoryTolerance = 0.97
+	// maxKVHelpers bounds the helpers that hold a part of a prompt's KV cache: the
+	// failure of any one of them fails the prompt.
+	maxKVHelpers = 6
+	// maxKVShare is the share of an engine's KV cache that may be allocated. Answers
+	// longer than predicted would use up the rest and cause whole requests to be
+	// evicted.
+	maxKVShare = 0.97
 )
 
-// fits reports whether the engine has memory for the whole request.
-func fits(model Model, work Work, writer *option) bool {
-	return work.Prompt+work.Answer <= free(model, writer)
+// fits reports whether the engine has KV cache for the whole request.
+func fits(model Model, work Work, primary *engine) bool {
+	return work.Prompt+work.Answer <= freeKV(model, primary)
 }
 
-// free is the memory of an engine that is promised to nobody.
-func free(model Model, at *option) peridotpath.Tokens {
-	return peridotpath.Tokens(memoryTolerance*float64(model.Rates.KVTokens)) - at.load.Memory
+// freeKV is the unallocated KV cache of an engine.
+func freeKV(model Model, at *engine) peridotpath.Tokens {
+	return peridotpath.Tokens(maxKVShare*float64(model.Rates.KVTokens)) - at.load.Memory
 }
 
-// share spreads the memory of a prompt that no engine can hold: in even parts
-// over the writer and as few helpers as have room. It reports whether they have.
-func (plan *Plan) share(model Model, work Work, writer *option, readers []*option) bool {
-	need := work.Prompt + work.Answer
-	var holders []*option
-	for _, reader := range readers {
-		if slices.Contains(plan.Helpers, reader.Endpoint) {
-			holders = append(holders, reader)
+// splitKV divides the KV cache of a prompt that fits on no engine into equal parts, on
+// the primary and the fewest helpers that have room. It reports whether they have.
+func (plan *Plan) splitKV(model Model, work Work, primary *engine, engines []*engine) bool {
+	total := work.Prompt + work.Answer
+	var helpers []*engine
+	for _, engine := range engines {
+		if slices.Contains(plan.Helpers, engine.Endpoint) {
+			helpers = append(helpers, engine)
 		}
 	}
-	slices.SortStableFunc(holders, func(a, b *option) int { return cmp.Compare(free(model, b), free(model, a)) })
-	for count := 1; count <= min(len(holders), maxHolders); count++ {
-		part := need/peridotpath.Tokens(1+count) + 1
-		if free(model, writer) >= part && free(model, holders[count-1]) >= part {
-			plan.hold(holders, count, part)
+	slices.SortStableFunc(helpers, func(a, b *engine) int { return cmp.Compare(freeKV(model, b), freeKV(model, a)) })
+	for count := 1; count <= min(len(helpers), maxKVHelpers); count++ {
+		part := total/peridotpath.Tokens(1+count) + 1
+		if freeKV(model, primary) >= part && freeKV(model, helpers[count-1]) >= part {
+			plan.setKVHelpers(helpers, count, part)
 			return true
 		}
 	}
 	return false
 }
 
-// hold notes which helpers hold a part of the memory; these go first.
-func (plan *Plan) hold(holders []*option, count int, part peridotpath.Tokens) {
+// setKVHelpers makes the first count helpers hold a part of the KV cache each.
+func (plan *Plan) setKVHelpers(helpers []*engine, count int, part peridotpath.Tokens) {
 	plan.Helpers = plan.Helpers[:0]
 	plan.Reserve = nil
-	for i, holder := range holders {
-		plan.Helpers = append(plan.Helpers, holder.Endpoint)
+	for i, helper := range helpers {
+		plan.Helpers = append(plan.Helpers, helper.Endpoint)
 		if i < count {
-			plan.Reserve = append(plan.Reserve, reservation.Need{Endpoint: holder.Endpoint, Tokens: part})
+			plan.Reserve = append(plan.Reserve, reservation.Need{Endpoint: helper.Endpoint, Tokens: part})
 		}
 	}
 	plan.Memory = part
--- a/peridotpath/placement/model.go
+++ b/peridotpath/placement/model.go
@@ -1,6 +1,13 @@
-// Package placement decides which endpoints a request goes to. It knows how an
-// engine works from the rates that its service publishes, and how busy each one
-// is from what this instance and its peers have sent there. It does no I/O.
+// Package placement chooses the endpoints that run a request. It predicts prefill and
+// decode times from the rates that a service publishes for its engines, and the load of
+// each engine from the in-flight requests of this instance and, by gossip, of its peers.
+// Among the feasible plans it takes the one that minimises the expected value lost to
+// missed TTFT and ITL targets, of the request itself and of requests on the same engines.
+//
+// It matters under mixed load, where the prefill of long prompts delays short requests
+// on the same engine (head-of-line blocking). Long prompts are queued across all
+// instances and split over several engines; short requests are packed onto the others.
+// Outlier ejection keeps requests away from endpoints that failed. The package does no I/O.
 package placement
 
 import (
@@ -10,52 +17,52 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Model predicts an engine's work from its service's rates.
+// Model predicts the times of an engine from its service's rates. Engines use
+// continuous batching with chunked prefill.
 type Model struct {
 	Rates *peridotpath.EngineRates
 }
 
 const pairsPerMillion = 1e6
 
-// ReadTime returns how long one engine takes to read a prompt when it does
-// nothing else. It grows with the square of the prompt's length.
+// ReadTime returns the prefill time of a prompt on one idle engine. It grows
+// with the square of the prompt's length.
 func (model Model) ReadTime(prompt peridotpath.Tokens) time.Duration {
 	rates := model.Rates
 	tokens := float64(prompt)
-	read := tokens / rates.ReadPerSecond * float64(time.Second)
-	pairs := tokens * tokens / 2 / pairsPerMillion * float64(rates.PerMillionPairs)
+	linear := tokens / rates.ReadPerSecond * float64(time.Second)
+	quadratic := tokens * tokens / 2 / pairsPerMillion * float64(rates.PerMillionPairs)
 	steps := math.Ceil(tokens/float64(rates.Chunk)) * float64(rates.Step)
-	return time.Duration(read + pairs + steps)
+	return time.Duration(linear + quadratic + steps)
 }
 
-// Pass returns how long a pass takes that only writes: the pause between two
-// events of each of its writers.
-func (model Model) Pass(writers int, context peridotpath.Tokens) time.Duration {
-	if writers == 0 {
+// Pass returns the duration of an iteration without prefill, which is the time
+// between two events of each decoding request.
+func (model Model) Pass(decoding int, context peridotpath.Tokens) time.Duration {
+	if decoding == 0 {
 		return 0
 	}
 	rates := model.Rates
-	step := rates.Step + time.Duration(writers)*rates.StepPerWriter +
+	step := rates.Step + time.Duration(decoding)*rates.StepPerWriter +
 		time.Duration(float64(context)/1000*float64(rates.StepPerContextK))
 	return time.Duration(rates.StepsPerPass) * step
 }
 
-// WriteTime returns how long an answer takes on an engine whose passes take
-// that long.
-func (model Model) WriteTime(answer peridotpath.Tokens, pass time.Duration) time.Duration {
-	passes := (int64(answer) + int64(model.Rates.StepsPerPass) - 1) / int64(model.Rates.StepsPerPass)
-	return time.Duration(passes) * pass
+// WriteTime returns the decode time of an answer at the given iteration time.
+func (model Model) WriteTime(answer peridotpath.Tokens, iteration time.Duration) time.Duration {
+	iterations := (int64(answer) + int64(model.Rates.StepsPerPass) - 1) / int64(model.Rates.StepsPerPass)
+	return time.Duration(iterations) * iteration
 }
 
-// valueUnit is the prompt, in tokens, whose answer counts as 1, and
-// valueExponent how value grows with length: between the same for all lengths, by
-// which long work would starve, and one by tokens, by which short work would.
+// valueUnitTokens is the prompt length whose answer has the value 1. valueExponent is
+// how value grows with length. An equal value for all lengths (0) would starve long
+// prompts, and a value per token (1) would starve short ones.
 const (
-	valueUnit     = 5000
-	valueExponent = 0.75
+	valueUnitTokens = 5000
+	valueExponent   = 0.75
 )
 
-// Value weighs a request against others when not all can be on time.
+// Value weighs a request against others when not all can meet their targets.
 func Value(prompt peridotpath.Tokens) float64 {
-	return math.Pow(max(float64(prompt), 1)/valueUnit, valueExponent)
+	return math.Pow(max(float64(prompt), 1)/valueUnitTokens, valueExponent)
 }
--- a/peridotpath/placement/plain.go
+++ b/peridotpath/placement/plain.go
@@ -1,30 +1,30 @@
 package placement
 
-// queueFactor bounds what may be sent to a plain endpoint at a time, in slots.
-// Beyond it a request would wait for more than one other to end, and the
-// endpoint turns requests away when its short queue is full.
-const queueFactor = 3
+// maxLoadFactor bounds the concurrent requests of a plain endpoint, in multiples of its
+// slots. Above it a request would wait for more than one other to end, and the endpoint
+// rejects requests when its short queue is full.
+const maxLoadFactor = 3
 
-// PlanPlain chooses the endpoint of a plain service with the fewest requests
-// for its slots. It returns false where all have as much as they can take.
+// PlanPlain chooses the endpoint of a plain service with the fewest requests per slot
+// (weighted least-request). It returns false where all are at their limit.
 func PlanPlain(work Work, candidates []Candidate, view View) (Plan, bool) {
 	best, found := Plan{}, false
 	for i := range candidates {
 		candidate := &candidates[i]
 		load := view.At(candidate.Key)
 		slots := max(candidate.Endpoint.Slots, 1)
-		if load.Taken() >= queueFactor*slots {
+		if load.Taken() >= maxLoadFactor*slots {
 			continue
 		}
-		loss := float64(load.Taken()) / float64(slots)
+		cost := float64(load.Taken()) / float64(slots)
 		if candidate.Suspect {
-			loss += suspectLoss
+			cost += ejectedCost
 		}
 		if candidate.Endpoint.DataCentre != work.DataCentre {
-			loss += farLoss
+			cost += remoteCost
 		}
-		if !found || loss < best.Loss {
-			best, found = Plan{Writer: candidate.Endpoint, Loss: loss}, true
+		if !found || cost < best.Loss {
+			best, found = Plan{Writer: candidate.Endpoint, Loss: cost}, true
 		}
 	}
 	return best, found
--- a/peridotpath/placement/plan.go
+++ b/peridotpath/placement/plan.go
@@ -11,22 +11,22 @@
 	"peridotpath.example/peridotpath/reservation"
 )
 
-// Work is a request as the planner sees it.
+// Work is what the planner needs to know of a request.
 type Work struct {
+	// Prompt is the prompt's length, Answer the predicted length of the answer.
 	Prompt, Answer peridotpath.Tokens
-	// AnswerAim and PauseAim are when the first event and each next one are due.
+	// AnswerAim is the TTFT target, PauseAim the ITL target.
 	AnswerAim, PauseAim time.Duration
-	// Waited is how long the request has been here, Left the time until the
-	// caller stops waiting.
+	// Waited is the time since the request's arrival, Left the time to its deadline.
 	Waited, Left time.Duration
-	// Patience is the time until the caller leaves if no event has come; zero
+	// Patience is the time until the client times out if no event arrives; zero
 	// where that is not known.
 	Patience time.Duration
 	// DataCentre is the instance's own.
 	DataCentre peridotpath.DataCentre
 }
 
-// LastStart is the time until the caller leaves if the answer has not begun.
+// LastStart is the time until the client disconnects if the answer has not begun.
 func (work *Work) LastStart() time.Duration {
 	if work.Patience > 0 {
 		return min(work.Left, work.Patience)
@@ -34,36 +34,39 @@
 	return work.Left
 }
 
-// Candidate is an endpoint that may take a request.
+// Candidate is an endpoint that may run a request.
 type Candidate struct {
 	Endpoint *peridotpath.Endpoint
 	Key      peridotpath.EndpointKey
-	// Suspect says that it failed just now; it is taken when there is no other.
+	// Suspect is set while the endpoint is ejected. It is used only when no other can be.
 	Suspect bool
 }
 
-// Plan is where a request goes.
+// Plan is the placement of a request.
 type Plan struct {
-	// Writer answers the request and reads the first part of the prompt, Helpers
-	// read the others.
-	Writer  *peridotpath.Endpoint
+	// Writer is the primary: it prefills the first part of the prompt and decodes
+	// the answer.
+	Writer *peridotpath.Endpoint
+	// Helpers prefill the other parts.
 	Helpers []*peridotpath.Endpoint
-	// Reserve is the memory that is to be reserved at helpers, in the order of
-	// Helpers, where the writer cannot hold the whole; empty otherwise.
+	// Reserve is the KV cache to reserve at helpers, in their order, where the
+	// primary cannot hold it all; empty otherwise.
 	Reserve []reservation.Need
-	// Memory is what the writer holds.
+	// Memory is the KV cache that the primary holds.
 	Memory peridotpath.Tokens
-	// Reading is how long each part takes, FirstEvent when the first event is due.
-	Reading    time.Duration
+	// Reading is the prefill time of each part.
+	Reading time.Duration
+	// FirstEvent is the time from dispatch to the first event.
 	FirstEvent time.Duration
-	// Ready is when the last of the engines begins to read.
+	// Ready is the time until the last of the engines starts its prefill.
 	Ready time.Duration
-	// Harm is what others lose by it; Loss is what the planner expects to lose, of what the request is worth
-	// and of what others are.
-	Harm, Loss float64
+	// Harm is the value that other requests are expected to lose.
+	Harm float64
+	// Loss is the value that the request and others are expected to lose.
+	Loss float64
 }
 
-// Flight returns the plan as a request under way.
+// Flight returns the in-flight request that results from the plan.
 func (plan *Plan) Flight(work Work, now time.Time) Flight {
 	parts := make([]Part, 0, 1+len(plan.Helpers))
 	parts = append(parts, Part{Endpoint: plan.Writer.Key(), Reading: plan.Reading, Memory: plan.Memory})
@@ -78,77 +81,77 @@
 }
 
 const (
-	// maxHelpers is how many engines may help one to read a prompt.
+	// maxHelpers bounds the helpers that prefill parts of one prompt.
 	maxHelpers = 16
-	// maxWriters bounds the engines that are tried as the one that answers a prompt
-	// that is spread: those with least against them. Each costs a plan for every
-	// number of helpers, and one that waits for its turn is planned for a hundred
-	// times a second.
-	maxWriters = 16
-	// suspectCost puts such an endpoint behind all others, in seconds.
-	suspectCost = 60
-	// spreadLeast is the reading time from which a prompt is spread: shorter ones
-	// fit into the pauses of those who write at the same engine.
-	spreadLeast = 100 * time.Millisecond
-	// answerTrust is how much of the time that an answer would take, if it were as
-	// long as its caller thinks, must be left: such estimates are right in the
-	// middle and often twice too long.
-	answerTrust = 0.5
+	// maxPrimaries bounds the engines that are tried as the primary of a split prompt,
+	// in order of cost. Each one takes a plan per number of helpers, and a queued prompt
+	// is planned a hundred times a second.
+	maxPrimaries = 16
+	// ejectedPenaltySeconds ranks ejected engines behind all others.
+	ejectedPenaltySeconds = 60
+	// minSplitPrefill is the prefill time from which a prompt is split. Shorter prefill
+	// fits between two events of the requests that decode on the same engine.
+	minSplitPrefill = 100 * time.Millisecond
+	// minDecodeShare is the share of the estimated decode time that must remain before
+	// the deadline. The estimate uses the answer length that the client expects, whose
+	// median is right, but which is often twice too long.
+	minDecodeShare = 0.5
 )
 
-// option is a candidate with what is known of it.
-type option struct {
+// engine is a candidate with its load.
+type engine struct {
 	Candidate
 	load *Load
-	// slots is how many requests the engine runs at once.
-	slots int
-	pass  time.Duration
-	// ready is when it could begin to read.
-	ready time.Duration
-	// rank is the engine's place in an order that all instances agree on, chance one
-	// that only this plan has, from 0 to 1.
-	rank, chance float64
-	// trust is how far what is known of the load may be relied on, from 0 to 1.
-	trust float64
-	// cost orders those that could read a part of the prompt at hand.
-	cost float64
+	// slots is the engine's maximum batch size.
+	slots     int
+	iteration time.Duration
+	// prefillDelay is the time until the engine can start a new prefill.
+	prefillDelay time.Duration
+	// rank is the engine's position in an order common to all instances, jitter a
+	// random position for this plan only. Both are from 0 to 1.
+	rank, jitter float64
+	// confidence is how far the load can be relied on, from 0 to 1.
+	confidence float64
+	// prefillCost is the sort key of engines for a part of the prompt.
+	prefillCost float64
 }
 
-// delay is how much longer than others the engine takes for a reading of that span.
-func (option *option) delay(span time.Duration) time.Duration {
-	return time.Duration((option.load.Pace - 1) * float64(span))
+// extraPrefill is the additional time that a prefill takes because the engine is slow.
+func (engine *engine) extraPrefill(prefill time.Duration) time.Duration {
+	return time.Duration((engine.load.Pace - 1) * float64(prefill))
 }
 
-// PlanPrompt chooses the engines for a prompt: those where the loss is least
-// that it and those already there will have by being late. It returns false
-// where no engine can take it before the caller stops waiting.
+// PlanPrompt chooses the engines for a prompt. It minimises the value that the prompt
+// and the requests already on the engines are expected to lose by missed latency
+// targets. It returns false where no engine can run the prompt before the client
+// disconnects.
 //
-// The load that it is made for is one where short and long prompts come at
-// once. A long prompt read at one engine keeps everything there waiting for
-// seconds, first events and events alike; spread over the engines that write
-// little it takes a fraction of a second, and short prompts keep to the others.
+// It is designed for short and long prompts that arrive together. A long prompt that
+// one engine prefills delays everything there for seconds, first events and later ones.
+// Split across the engines with few decoding requests it takes a fraction of a second,
+// and short prompts use the other engines.
 func PlanPrompt(model Model, work Work, candidates []Candidate, view View) (Plan, bool) {
-	options := makeOptions(model, candidates, view)
-	whole := model.ReadTime(work.Prompt)
-	readers := orderReaders(options, whole)
-	around := surroundings{arrivals: view.arrivals, readers: readers}
+	engines := newEngines(model, candidates, view)
+	prefill := model.ReadTime(work.Prompt)
+	byPrefillCost := sortByPrefillCost(engines, prefill)
+	fleet := fleetState{shortValuePerSecond: view.shortValuePerSecond, engines: byPrefillCost}
 	best, found := Plan{}, false
-	shared := noneFits(model, work, options)
+	split := noneFits(model, work, engines)
 	tried := 0
-	for _, writer := range orderWriters(work, whole, readers) {
-		if !shared && !fits(model, work, writer) {
+	for _, primary := range sortByPrimaryCost(work, prefill, byPrefillCost) {
+		if !split && !fits(model, work, primary) {
 			continue
 		}
-		if tried++; whole >= spreadLeast && tried > maxWriters {
+		if tried++; prefill >= minSplitPrefill && tried > maxPrimaries {
 			break
 		}
-		plan := bestSpread(model, work, whole, writer, around)
+		plan := bestPlan(model, work, prefill, primary, fleet)
 		plan.Memory = work.Prompt + work.Answer
-		if shared && !plan.share(model, work, writer, readers) {
+		if split && !plan.splitKV(model, work, primary, byPrefillCost) {
 			continue
 		}
-		writing := model.WriteTime(work.Answer, max(writer.pass, model.Pass(1, work.Prompt)))
-		if !inTime(plan, work, writing) {
+		decode := model.WriteTime(work.Answer, max(primary.iteration, model.Pass(1, work.Prompt)))
+		if !isFeasible(plan, work, decode) {
 			continue
 		}
 		if !found || plan.Loss < best.Loss {
@@ -158,146 +161,145 @@
 	return best, found
 }
 
-// inTime reports whether the plan's answer begins before its caller leaves and can
-// end before the caller's time is over. Prompts that are late anyway lose nothing
-// more by being later, so that without the first of these all of them went to the
-// few engines where nobody else could be harmed, and most callers left unanswered.
-func inTime(plan Plan, work Work, writing time.Duration) bool {
+// isFeasible reports whether the plan's answer begins before the client times out and
+// can end before the deadline. A prompt that already misses its target costs little more
+// when it is later still. Without the first check all such prompts went to the few
+// engines where they interfered with no other request, and most clients timed out.
+func isFeasible(plan Plan, work Work, decode time.Duration) bool {
 	if work.Patience > 0 && plan.FirstEvent > work.Patience {
 		return false
 	}
-	return plan.FirstEvent+time.Duration(answerTrust*float64(writing)) <= work.Left
+	return plan.FirstEvent+time.Duration(minDecodeShare*float64(decode)) <= work.Left
 }
 
-// orderReaders returns the engines in the order in which they should read a part
-// of the prompt: those first at which a part as long as a third of the whole
-// begins soonest and does least harm, those that failed a moment ago last.
-func orderReaders(options []option, whole time.Duration) []*option {
-	readers := make([]*option, len(options))
-	for i := range options {
-		option := &options[i]
-		option.cost = option.ready.Seconds() + option.delay(whole/3).Seconds() + harm(option, whole/3) + overtaken(option, whole/3)
-		if option.Suspect {
-			option.cost += suspectCost
+// sortByPrefillCost returns the engines in the order in which they are used for a part
+// of the prompt. The cost is that of a part of a third of the prompt: the time until it
+// starts plus the value that others lose by it. Ejected engines come last.
+func sortByPrefillCost(engines []engine, prefill time.Duration) []*engine {
+	sorted := make([]*engine, len(engines))
+	for i := range engines {
+		engine := &engines[i]
+		engine.prefillCost = engine.prefillDelay.Seconds() + engine.extraPrefill(prefill/3).Seconds() + interferenceCost(engine, prefill/3) + helperOvertakingCost(engine, prefill/3)
+		if engine.Suspect {
+			engine.prefillCost += ejectedPenaltySeconds
 		}
-		readers[i] = option
+		sorted[i] = engine
 	}
-	slices.SortStableFunc(readers, func(a, b *option) int { return cmp.Compare(a.cost, b.cost) })
-	return readers
+	slices.SortStableFunc(sorted, func(a, b *engine) int { return cmp.Compare(a.prefillCost, b.prefillCost) })
+	return sorted
 }
 
-// orderWriters returns the engines in the order of what speaks against each as
-// the one that answers.
-func orderWriters(work Work, whole time.Duration, readers []*option) []*option {
-	worth := Value(work.Prompt)
-	against := make(map[*option]float64, len(readers))
-	for _, reader := range readers {
-		first := work.Waited + reader.ready + whole/3 + reader.delay(whole/3)
-		against[reader] = harm(reader, whole/3) + worth*(lateness(first, work.AnswerAim)+pauseRisk(work, reader)+placeLoss(work, reader))
+// sortByPrimaryCost returns the engines in ascending order of their cost as the primary.
+func sortByPrimaryCost(work Work, prefill time.Duration, engines []*engine) []*engine {
+	value := Value(work.Prompt)
+	costs := make(map[*engine]float64, len(engines))
+	for _, engine := range engines {
+		ttft := work.Waited + engine.prefillDelay + prefill/3 + engine.extraPrefill(prefill/3)
+		costs[engine] = interferenceCost(engine, prefill/3) + value*(ttftCost(ttft, work.AnswerAim)+itlRiskCost(work, engine)+engineCost(work, engine))
 	}
-	writers := slices.Clone(readers)
-	slices.SortStableFunc(writers, func(a, b *option) int { return cmp.Compare(against[a], against[b]) })
-	return writers
+	sorted := slices.Clone(engines)
+	slices.SortStableFunc(sorted, func(a, b *engine) int { return cmp.Compare(costs[a], costs[b]) })
+	return sorted
 }
 
-func noneFits(model Model, work Work, options []option) bool {
-	for i := range options {
-		if fits(model, work, &options[i]) {
+func noneFits(model Model, work Work, engines []engine) bool {
+	for i := range engines {
+		if fits(model, work, &engines[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func makeOptions(model Model, candidates []Candidate, view View) []option {
-	options := make([]option, 0, len(candidates))
-	trust := view.trust()
+func newEngines(model Model, candidates []Candidate, view View) []engine {
+	engines := make([]engine, 0, len(candidates))
+	confidence := view.confidence()
 	for _, candidate := range candidates {
 		load := view.At(candidate.Key)
-		pass := load.slowed(model.Pass(load.Writers, load.Context))
-		ready := time.Duration(float64(load.Backlog)*load.Slow) + pass/2
-		options = append(options, option{
-			Candidate: candidate, load: load, slots: model.Rates.BatchSize, pass: pass, ready: ready,
-			chance: rand.Float64(), trust: trust,
+		iteration := load.slowed(model.Pass(load.Writers, load.Context))
+		prefillDelay := time.Duration(float64(load.Backlog)*load.Slow) + iteration/2
+		engines = append(engines, engine{
+			Candidate: candidate, load: load, slots: model.Rates.BatchSize, iteration: iteration, prefillDelay: prefillDelay,
+			jitter: rand.Float64(), confidence: confidence,
 		})
 	}
-	slices.SortFunc(options, func(a, b option) int { return cmp.Compare(a.Key, b.Key) })
-	for i := range options {
-		options[i].rank = float64(i) / float64(len(options))
+	slices.SortFunc(engines, func(a, b engine) int { return cmp.Compare(a.Key, b.Key) })
+	for i := range engines {
+		engines[i].rank = float64(i) / float64(len(engines))
 	}
-	return options
+	return engines
 }
 
-// surroundings is what a plan is made among.
-type surroundings struct {
-	// arrivals is the worth of the short prompts that come in a second.
-	arrivals float64
-	// readers are all engines, in the order in which they should read a part.
-	readers []*option
+// fleetState is the state of a service's engines for which a plan is made.
+type fleetState struct {
+	// shortValuePerSecond is the value of the short prompts that arrive in a second.
+	shortValuePerSecond float64
+	// engines are all engines, in the order in which they are used for a part.
+	engines []*engine
 }
 
-// bestSpread returns the best plan with that writer: alone, or with as many
-// helpers as lose least.
-func bestSpread(model Model, work Work, whole time.Duration, writer *option, around surroundings) Plan {
-	best := spread(model, work, whole, writer, nil)
-	if whole < spreadLeast {
+// bestPlan returns the plan with the lowest cost for that primary, with no helper or
+// with any number of them up to maxHelpers.
+func bestPlan(model Model, work Work, prefill time.Duration, primary *engine, fleet fleetState) Plan {
+	best := newPlan(model, work, prefill, primary, nil)
+	if prefill < minSplitPrefill {
 		return best
 	}
-	left := around.room()
-	left.less(writer)
-	best.crowd(around.arrivals, left)
-	helpers := make([]*option, 0, maxHelpers)
-	for _, reader := range around.readers {
-		if reader == writer || reader.Suspect {
+	remaining := fleet.headroom()
+	remaining.exclude(primary)
+	best.addCrowdingCost(fleet.shortValuePerSecond, remaining)
+	helpers := make([]*engine, 0, maxHelpers)
+	for _, engine := range fleet.engines {
+		if engine == primary || engine.Suspect {
 			continue
 		}
 		if len(helpers) == maxHelpers {
 			break
 		}
-		helpers = append(helpers, reader)
-		left.less(reader)
-		plan := spread(model, work, whole, writer, helpers)
-		if plan.crowd(around.arrivals, left); plan.Loss < best.Loss {
+		helpers = append(helpers, engine)
+		remaining.exclude(engine)
+		plan := newPlan(model, work, prefill, primary, helpers)
+		if plan.addCrowdingCost(fleet.shortValuePerSecond, remaining); plan.Loss < best.Loss {
 			best = plan
 		}
 	}
 	return best
 }
 
-func spread(model Model, work Work, whole time.Duration, writer *option, helpers []*option) Plan {
-	share := whole / time.Duration(1+len(helpers))
-	ready, slow := writer.ready, writer.load.Slow
-	harmed := harm(writer, share)
+// newPlan returns the plan that splits the prefill evenly across the primary and helpers.
+func newPlan(model Model, work Work, prefill time.Duration, primary *engine, helpers []*engine) Plan {
+	part := prefill / time.Duration(1+len(helpers))
+	prefillDelay, slowdown := primary.prefillDelay, primary.load.Slow
+	interference := interferenceCost(primary, part)
 	for _, helper := range helpers {
-		ready = max(ready, helper.ready)
-		slow = max(slow, helper.load.Slow)
-		harmed += harm(helper, share) + overtaken(helper, share)
+		prefillDelay = max(prefillDelay, helper.prefillDelay)
+		slowdown = max(slowdown, helper.load.Slow)
+		interference += interferenceCost(helper, part) + helperOvertakingCost(helper, part)
 	}
-	reading := time.Duration(float64(share) * slow)
-	if writer.load.Writers > 0 {
-		// Each step that reads a chunk writes as well.
+	partPrefill := time.Duration(float64(part) * slowdown)
+	if primary.load.Writers > 0 {
+		// Each step that prefills a chunk also decodes.
 		steps := math.Ceil(float64(work.Prompt) / float64(1+len(helpers)) / float64(model.Rates.Chunk))
-		reading += time.Duration(steps * float64(writer.pass) / float64(model.Rates.StepsPerPass))
+		partPrefill += time.Duration(steps * float64(primary.iteration) / float64(model.Rates.StepsPerPass))
 	}
-	first := ready + reading + writer.load.slowed(model.Pass(writer.load.Writers+1, writer.load.Context+work.Prompt))
-	first += writer.slotWait(model, work)
-	plan := Plan{Writer: writer.Endpoint, Reading: reading, FirstEvent: first, Ready: ready, Harm: harmed}
-	worth := Value(work.Prompt)
-	plan.Loss = harmed + worth*(lateness(work.Waited+first, work.AnswerAim)+pauseRisk(work, writer))
-	plan.Loss += placeLoss(work, writer) * worth
+	firstEvent := prefillDelay + partPrefill + primary.load.slowed(model.Pass(primary.load.Writers+1, primary.load.Context+work.Prompt))
+	firstEvent += primary.slotWait(model, work)
+	plan := Plan{Writer: primary.Endpoint, Reading: partPrefill, FirstEvent: firstEvent, Ready: prefillDelay, Harm: interference}
+	value := Value(work.Prompt)
+	plan.Loss = interference + value*(ttftCost(work.Waited+firstEvent, work.AnswerAim)+itlRiskCost(work, primary))
+	plan.Loss += engineCost(work, primary) * value
 	for _, helper := range helpers {
 		plan.Helpers = append(plan.Helpers, helper.Endpoint)
 	}
 	return plan
 }
 
-// SoonestFree returns when the first of the endpoints will have read what waits
-// there and has a slot free: before that, a request that came back would be refused
-// again.
+// SoonestFree returns the time until the first of the endpoints has finished its prefill
+// backlog and has a free slot. A retry before that would be rejected again.
 func SoonestFree(model Model, work Work, candidates []Candidate, view View) time.Duration {
 	soonest := time.Duration(math.MaxInt64)
-	for _, option := range makeOptions(model, candidates, view) {
-		soonest = min(soonest, option.load.Backlog+option.slotWait(model, work))
+	for _, engine := range newEngines(model, candidates, view) {
+		soonest = min(soonest, engine.load.Backlog+engine.slotWait(model, work))
 	}
 	if soonest == math.MaxInt64 {
 		return 0
--- a/peridotpath/placement/slots.go
+++ b/peridotpath/placement/slots.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// leastSlotWait is how long a request waits at least where all slots are taken, for
-// each that waits before it: some answers are longer than their callers thought.
-const leastSlotWait = 100 * time.Millisecond
+// minSlotWait is the lower bound of the wait for a slot, per request in excess of the
+// engine's slots: some answers are longer than predicted.
+const minSlotWait = 100 * time.Millisecond
 
-// slotWait is how long a request waits at the engine until one of those that take its
-// slots has ended, if their answers are about as long as its own.
+// slotWait predicts how long a request waits at the engine for a slot. It assumes that
+// the answers in progress have the same length as the request's own.
 //
-// The load that this is made for is the return of all callers at once, when those that
-// take the slots have all just begun: none of them ends for as long as an answer takes.
-// Reckoned as if one ended every moment, several times as many were sent as there are
-// slots, and their callers left before their answers had begun.
-func (option *option) slotWait(model Model, work Work) time.Duration {
-	over := option.load.Taken() + 1 - option.slots
-	if over <= 0 || option.slots <= 0 {
-		// A service that does not say how many its engines run at once has no such wait.
+// It matters when all clients reconnect at once. All slots are then taken by requests
+// that have just started, and none ends for a whole decode time. A prediction that slots
+// free up continuously sent several times as many requests as there are slots, and their
+// clients disconnected before the first event.
+func (engine *engine) slotWait(model Model, work Work) time.Duration {
+	excess := engine.load.Taken() + 1 - engine.slots
+	if excess <= 0 || engine.slots <= 0 {
+		// A service that does not publish its batch size has no such wait.
 		return 0
 	}
-	stay := model.WriteTime(work.Answer, max(option.pass, model.Pass(1, work.Prompt)))
-	least := time.Duration(over) * leastSlotWait
-	generation, place := (over-1)/option.slots, (over-1)%option.slots
-	wait := option.load.untilEnd(place, stay) + time.Duration(generation)*stay
-	return max(least, wait)
+	decode := model.WriteTime(work.Answer, max(engine.iteration, model.Pass(1, work.Prompt)))
+	lowerBound := time.Duration(excess) * minSlotWait
+	batches, position := (excess-1)/engine.slots, (excess-1)%engine.slots
+	wait := engine.load.untilFree(position, decode) + time.Duration(batches)*decode
+	return max(lowerBound, wait)
 }
 
-// untilEnd is the time until as many of those at the engine have ended and one more,
-// if each of them stays that long once it writes.
-func (load *Load) untilEnd(before int, stay time.Duration) time.Duration {
-	if before >= len(load.ages) {
-		return load.Backlog + stay
+// untilFree is the time until position+1 of the decoding requests have ended, if each
+// decodes for the given time.
+func (load *Load) untilFree(position int, decode time.Duration) time.Duration {
+	if position >= len(load.decodingAges) {
+		return load.Backlog + decode
 	}
-	ages := slices.Sorted(slices.Values(load.ages))
-	return max(stay-ages[len(ages)-1-before], 0)
+	ages := slices.Sorted(slices.Values(load.decodingAges))
+	return max(decode-ages[len(ages)-1-position], 0)
 }
