--- a/peridotpath/reservation/keeper.go
+++ b/peridotpath/reservation/keeper.go
@@ -1,5 +1,8 @@
-// Package reservation keeps memory of engines reserved for prompts that no engine
-// can hold alone, and makes sure that every reservation ends.
+// Package reservation reserves KV cache on engines for prompts whose KV cache is split
+// over several of them, because no engine can hold it alone. Under memory pressure it
+// acquires all parts or none, which avoids deadlock between prompts. Reservations are
+// leases: they are renewed while in use, expire by their TTL when the instance crashes,
+// and releases are repeated while an earlier call without an answer may still take effect.
 package reservation
 
 import (
@@ -19,88 +22,90 @@
 var Error = errs.Class("reservation")
 
 const (
-	// Hold is how long a reservation lasts that is not renewed. Engines must have
-	// their memory back four seconds after its last use; when this instance dies
-	// nobody else gives it back.
+	// Hold is the TTL of a reservation. Engines must regain their memory within four
+	// seconds of its last use, and when this instance crashes only the TTL frees it.
 	Hold = 3500 * time.Millisecond
-	// renewEvery leaves two renewals that may be lost before a hold ends.
-	renewEvery = time.Second
-	// orderTimeout bounds one order. Engines answer within milliseconds; one that
-	// does not may carry the order out much later.
-	orderTimeout = 400 * time.Millisecond
-	// lateFor is how long after an order without an answer it may still be carried
-	// out: engines were seen to do so for up to twelve seconds. A reservation that
-	// begins after its release would stand for its whole hold, unused.
-	lateFor = 14 * time.Second
-	// releaseEvery is the time between two releases of what may begin late.
-	releaseEvery = 700 * time.Millisecond
+	// renewInterval allows two lost renewals within the TTL.
+	renewInterval = time.Second
+	// callTimeout bounds one call to an engine. Engines answer within milliseconds; a
+	// call that times out may still take effect much later.
+	callTimeout = 400 * time.Millisecond
+	// lateEffectWindow is how long a call without an answer may still take effect; delays
+	// of up to 12 s occur. A reservation that starts after its release would keep the
+	// memory unused for its whole TTL.
+	lateEffectWindow = 14 * time.Second
+	// releaseInterval is the time between two releases of a reservation that may still
+	// start late.
+	releaseInterval = 700 * time.Millisecond
 )
 
-// Need is memory to be reserved at an endpoint.
+// Need is an amount of KV cache to reserve at an endpoint.
 type Need struct {
 	Endpoint *peridotpath.Endpoint
 	Tokens   peridotpath.Tokens
 }
 
-// Ticket is one reservation.
+// Ticket is a reservation at one endpoint.
 type Ticket struct {
 	ID   string
 	Need Need
 
-	// unsure says that an order about it got no answer.
-	unsure  atomic.Bool
-	renewed time.Time
+	// outcomeUnknown is set when a call to reserve or renew got no answer.
+	outcomeUnknown atomic.Bool
+	renewedAt      time.Time
 }
 
-// Keeper holds this instance's reservations. Set the exported fields before Run.
+// Keeper acquires, renews and releases this instance's reservations. Set the exported
+// fields before Run.
 type Keeper struct {
 	Instance    peridotpath.InstanceID
 	Incarnation peridotpath.Incarnation
-	// Reserve makes or renews a reservation; it returns false where the memory is
-	// not free. Release ends one. An error leaves open whether they were done.
-	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, hold time.Duration) (bool, error)
+	// Reserve creates or renews a reservation. It returns false where the endpoint has
+	// too little free memory. After an error the outcome is unknown.
+	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, ttl time.Duration) (bool, error)
+	// Release ends a reservation. After an error the outcome is unknown.
 	Release func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error
-	// MaxHold is the longest hold that engines allow; zero for any.
+	// MaxHold is the longest TTL that engines accept; zero for no bound.
 	MaxHold time.Duration
 	Log     zerolog.Logger
 
-	last  atomic.Uint64
-	mutex sync.Mutex
-	held  map[string]*Ticket
-	// ending is released again and again until the time given.
-	ending map[string]*ending
-	orders sync.WaitGroup
+	lastID atomic.Uint64
+	mutex  sync.Mutex
+	active map[string]*Ticket
+	// releasing are the reservations whose release is repeated until it is certain.
+	releasing map[string]*pendingRelease
+	calls     sync.WaitGroup
 }
 
-type ending struct {
-	ticket *Ticket
-	until  time.Time
-	next   time.Time
+type pendingRelease struct {
+	reservation *Ticket
+	expiresAt   time.Time
+	nextAttempt time.Time
 }
 
-// NotFree is the endpoint that had no memory for a reservation.
+// NotFree is the failure to reserve memory at an endpoint.
 type NotFree struct {
 	Endpoint peridotpath.EndpointKey
 	cause    error
 }
 
-// Error says which endpoint it was.
+// Error returns the endpoint and the cause.
 func (notFree *NotFree) Error() string {
-	return fmt.Sprintf("reservation: no memory at endpoint %x: %v", uint64(notFree.Endpoint), notFree.cause)
+	return fmt.Sprintf("reservation: no memory reserved at endpoint %x: %v", uint64(notFree.Endpoint), notFree.cause)
 }
 
-// Take reserves all that is needed or nothing; two prompts that each held half
-// of their memory would wait for each other.
+// Take reserves all of the memory or none. Two prompts that each held a part would
+// otherwise deadlock.
 func (keeper *Keeper) Take(ctx context.Context, needs []Need) ([]*Ticket, error) {
-	tickets := make([]*Ticket, len(needs))
+	reservations := make([]*Ticket, len(needs))
 	failures := make(chan error, len(needs))
 	for i, need := range needs {
-		ticket := &Ticket{ID: keeper.newID(), Need: need, renewed: time.Now()}
-		tickets[i] = ticket
-		keeper.orders.Add(1)
+		reservation := &Ticket{ID: keeper.newID(), Need: need, renewedAt: time.Now()}
+		reservations[i] = reservation
+		keeper.calls.Add(1)
 		go func() {
-			defer keeper.orders.Done()
-			failures <- keeper.reserve(ctx, ticket)
+			defer keeper.calls.Done()
+			failures <- keeper.reserve(ctx, reservation)
 		}()
 	}
 	var failure error
@@ -110,81 +115,81 @@
 		}
 	}
 	if failure != nil {
-		keeper.End(tickets)
+		keeper.End(reservations)
 		return nil, failure
 	}
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	if keeper.held == nil {
-		keeper.held = map[string]*Ticket{}
+	if keeper.active == nil {
+		keeper.active = map[string]*Ticket{}
 	}
-	for _, ticket := range tickets {
-		keeper.held[ticket.ID] = ticket
+	for _, reservation := range reservations {
+		keeper.active[reservation.ID] = reservation
 	}
-	return tickets, nil
+	return reservations, nil
 }
 
-// newID names a reservation that no other start of any instance uses, so that
-// two requests never share one.
+// newID returns an id that is unique over all instances and their incarnations, so that
+// two requests never share a reservation.
 func (keeper *Keeper) newID() string {
-	return fmt.Sprintf("%s-%x-%d", keeper.Instance, uint64(keeper.Incarnation), keeper.last.Add(1))
+	return fmt.Sprintf("%s-%x-%d", keeper.Instance, uint64(keeper.Incarnation), keeper.lastID.Add(1))
 }
 
-func (keeper *Keeper) hold() time.Duration {
+func (keeper *Keeper) ttl() time.Duration {
 	if keeper.MaxHold > 0 {
 		return min(Hold, keeper.MaxHold)
 	}
 	return Hold
 }
 
-func (keeper *Keeper) reserve(ctx context.Context, ticket *Ticket) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+func (keeper *Keeper) reserve(ctx context.Context, reservation *Ticket) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	done, err := keeper.Reserve(ctx, ticket.Need.Endpoint, ticket.ID, ticket.Need.Tokens, keeper.hold())
+	reserved, err := keeper.Reserve(ctx, reservation.Need.Endpoint, reservation.ID, reservation.Need.Tokens, keeper.ttl())
 	if err != nil {
-		ticket.unsure.Store(true)
+		reservation.outcomeUnknown.Store(true)
 	}
-	if err == nil && done {
+	if err == nil && reserved {
 		return nil
 	}
-	return &NotFree{Endpoint: ticket.Need.Endpoint.Key(), cause: err}
+	return &NotFree{Endpoint: reservation.Need.Endpoint.Key(), cause: err}
 }
 
-// End gives reservations back. It does not wait.
-func (keeper *Keeper) End(tickets []*Ticket) {
-	if len(tickets) == 0 {
+// End queues reservations for release and returns at once.
+func (keeper *Keeper) End(reservations []*Ticket) {
+	if len(reservations) == 0 {
 		return
 	}
 	now := time.Now()
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	if keeper.ending == nil {
-		keeper.ending = map[string]*ending{}
+	if keeper.releasing == nil {
+		keeper.releasing = map[string]*pendingRelease{}
 	}
-	for _, ticket := range tickets {
-		delete(keeper.held, ticket.ID)
-		keeper.ending[ticket.ID] = &ending{ticket: ticket, until: now.Add(lateFor), next: now}
+	for _, reservation := range reservations {
+		delete(keeper.active, reservation.ID)
+		keeper.releasing[reservation.ID] = &pendingRelease{reservation: reservation, expiresAt: now.Add(lateEffectWindow), nextAttempt: now}
 	}
 }
 
-// Held counts the reservations in use.
+// Held returns the number of reservations in use.
 func (keeper *Keeper) Held() int {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	return len(keeper.held)
+	return len(keeper.active)
 }
 
-// step is the time between two looks at what is due.
-const step = 20 * time.Millisecond
+// pollInterval is the time between two checks for due renewals and releases.
+const pollInterval = 20 * time.Millisecond
 
-// Run renews and releases until ctx ends.
+// Run renews and releases reservations until ctx ends.
 func (keeper *Keeper) Run(ctx context.Context) error {
-	ticker := time.NewTicker(step)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			keeper.orders.Wait()
+			keeper.calls.Wait()
 			return ctx.Err()
 		case now := <-ticker.C:
 			keeper.renewDue(ctx, now)
@@ -196,16 +201,16 @@
 func (keeper *Keeper) renewDue(ctx context.Context, now time.Time) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	for _, ticket := range keeper.held {
-		if now.Sub(ticket.renewed) < renewEvery {
+	for _, reservation := range keeper.active {
+		if now.Sub(reservation.renewedAt) < renewInterval {
 			continue
 		}
-		ticket.renewed = now
-		keeper.orders.Add(1)
+		reservation.renewedAt = now
+		keeper.calls.Add(1)
 		go func() {
-			defer keeper.orders.Done()
-			if err := keeper.reserve(ctx, ticket); err != nil {
-				keeper.Log.Warn().Str("ticket", ticket.ID).Str("endpoint", string(ticket.Need.Endpoint.ID)).
+			defer keeper.calls.Done()
+			if err := keeper.reserve(ctx, reservation); err != nil {
+				keeper.Log.Warn().Str("ticket", reservation.ID).Str("endpoint", string(reservation.Need.Endpoint.ID)).
 					Err(err).Msg("reservation_not_renewed")
 			}
 		}()
@@ -215,63 +220,63 @@
 func (keeper *Keeper) releaseDue(ctx context.Context, now time.Time) {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	for id, entry := range keeper.ending {
-		if now.After(entry.until) {
-			keeper.Log.Warn().Str("ticket", id).Str("endpoint", string(entry.ticket.Need.Endpoint.ID)).
+	for id, release := range keeper.releasing {
+		if now.After(release.expiresAt) {
+			keeper.Log.Warn().Str("ticket", id).Str("endpoint", string(release.reservation.Need.Endpoint.ID)).
 				Msg("reservation_left_to_lapse")
-			delete(keeper.ending, id)
+			delete(keeper.releasing, id)
 			continue
 		}
-		if now.Before(entry.next) {
+		if now.Before(release.nextAttempt) {
 			continue
 		}
-		entry.next = now.Add(releaseEvery)
-		keeper.orders.Add(1)
+		release.nextAttempt = now.Add(releaseInterval)
+		keeper.calls.Add(1)
 		go func() {
-			defer keeper.orders.Done()
-			keeper.release(ctx, entry)
+			defer keeper.calls.Done()
+			keeper.release(ctx, release)
 		}()
 	}
 }
 
-// release ends one reservation. Where an order about it is unanswered it goes on
-// being released, since that order may come after this one.
-func (keeper *Keeper) release(ctx context.Context, entry *ending) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+// release ends one reservation. If the outcome of an earlier call is unknown, the release
+// is repeated, since that call may take effect after this one.
+func (keeper *Keeper) release(ctx context.Context, release *pendingRelease) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := keeper.Release(ctx, entry.ticket.Need.Endpoint, entry.ticket.ID)
+	err := keeper.Release(ctx, release.reservation.Need.Endpoint, release.reservation.ID)
 	if err != nil {
-		// It is sent again until it is answered; only the last failure is logged.
+		// The release is retried; a failure is logged only when it expires.
 		return
 	}
-	if entry.ticket.unsure.Load() {
+	if release.reservation.outcomeUnknown.Load() {
 		return
 	}
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	delete(keeper.ending, entry.ticket.ID)
+	delete(keeper.releasing, release.reservation.ID)
 }
 
-// Close gives everything back and waits until it is done or ctx ends.
+// Close releases all reservations and waits for completion or the end of ctx.
 func (keeper *Keeper) Close(ctx context.Context) {
 	keeper.mutex.Lock()
-	tickets := make([]*Ticket, 0, len(keeper.held))
-	for _, ticket := range keeper.held {
-		tickets = append(tickets, ticket)
+	reservations := make([]*Ticket, 0, len(keeper.active))
+	for _, reservation := range keeper.active {
+		reservations = append(reservations, reservation)
 	}
 	keeper.mutex.Unlock()
-	keeper.End(tickets)
-	for ctx.Err() == nil && keeper.unreleased() {
-		time.Sleep(step)
+	keeper.End(reservations)
+	for ctx.Err() == nil && keeper.hasPendingRelease() {
+		time.Sleep(pollInterval)
 	}
 }
 
-// unreleased reports whether a release is still to be sent that is sure to count.
-func (keeper *Keeper) unreleased() bool {
+// hasPendingRelease reports whether a reservation with a known outcome is not yet released.
+func (keeper *Keeper) hasPendingRelease() bool {
 	keeper.mutex.Lock()
 	defer keeper.mutex.Unlock()
-	for _, entry := range keeper.ending {
-		if !entry.ticket.unsure.Load() {
+	for _, release := range keeper.releasing {
+		if !release.reservation.outcomeUnknown.Load() {
 			return true
 		}
 	}
--- a/peridotpath/reservation/keeper_test.go
+++ b/peridotpath/reservation/keeper_test.go
@@ -20,15 +20,15 @@
 	"peridotpath.example/peridotpath/reservation"
 )
 
-// fakeEngine holds reservations as engines do: for a hold's time from the
-// arrival of the order, under an id, within its memory.
+// fakeEngine holds reservations by id within its memory, each for its TTL from the
+// arrival of the call.
 type fakeEngine struct {
 	mutex  sync.Mutex
 	memory peridotpath.Tokens
 	held   map[string]holding
-	// lateBy, when set, says how much later an order is carried out, unanswered.
-	lateBy func(operation string) time.Duration
-	orders int
+	// effectDelay, when set, returns how much later a call takes effect, without an answer.
+	effectDelay func(operation string) time.Duration
+	calls       int
 }
 
 type holding struct {
@@ -36,56 +36,56 @@
 	until  time.Time
 }
 
-func (engine *fakeEngine) sweep() {
+func (engine *fakeEngine) removeExpired() {
 	maps.DeleteFunc(engine.held, func(_ string, holding holding) bool { return !time.Now().Before(holding.until) })
 }
 
-func (engine *fakeEngine) orderCount() int {
+func (engine *fakeEngine) callCount() int {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	return engine.orders
+	return engine.calls
 }
 
-func (engine *fakeEngine) names() []string {
+func (engine *fakeEngine) heldIDs() []string {
 	engine.mutex.Lock()
 	defer engine.mutex.Unlock()
-	engine.sweep()
+	engine.removeExpired()
 	return slices.Sorted(maps.Keys(engine.held))
 }
 
 var errNoAnswer = errors.New("no answer")
 
-// order carries an order out, or does so later and leaves it unanswered.
-func (engine *fakeEngine) order(ctx context.Context, operation string, do func()) error {
+// call applies a change, at once or after the delay and without an answer.
+func (engine *fakeEngine) call(ctx context.Context, operation string, apply func()) error {
 	engine.mutex.Lock()
-	engine.orders++
-	late := time.Duration(0)
-	if engine.lateBy != nil {
-		late = engine.lateBy(operation)
+	engine.calls++
+	delay := time.Duration(0)
+	if engine.effectDelay != nil {
+		delay = engine.effectDelay(operation)
 	}
 	engine.mutex.Unlock()
-	carryOut := func() {
+	applyLocked := func() {
 		engine.mutex.Lock()
 		defer engine.mutex.Unlock()
-		engine.sweep()
-		do()
+		engine.removeExpired()
+		apply()
 	}
-	if late > 0 {
-		time.AfterFunc(late, carryOut)
+	if delay > 0 {
+		time.AfterFunc(delay, applyLocked)
 		<-ctx.Done()
 		return errNoAnswer
 	}
-	carryOut()
+	applyLocked()
 	return nil
 }
 
-func keeperOf(engines map[peridotpath.EndpointID]*fakeEngine) *reservation.Keeper {
+func newKeeper(engines map[peridotpath.EndpointID]*fakeEngine) *reservation.Keeper {
 	return &reservation.Keeper{
 		Instance: "edge-1", Incarnation: 5, Log: zerolog.Nop(),
-		Reserve: func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, hold time.Duration) (bool, error) {
+		Reserve: func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, ttl time.Duration) (bool, error) {
 			engine := engines[endpoint.ID]
-			var done atomic.Bool
-			err := engine.order(ctx, "reserve", func() {
+			var reserved atomic.Bool
+			err := engine.call(ctx, "reserve", func() {
 				sum := tokens
 				for other, holding := range engine.held {
 					if other != id {
@@ -93,15 +93,15 @@
 					}
 				}
 				if sum <= engine.memory {
-					done.Store(true)
-					engine.held[id] = holding{tokens: tokens, until: time.Now().Add(hold)}
+					reserved.Store(true)
+					engine.held[id] = holding{tokens: tokens, until: time.Now().Add(ttl)}
 				}
 			})
-			return done.Load(), err
+			return reserved.Load(), err
 		},
 		Release: func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error {
 			engine := engines[endpoint.ID]
-			return engine.order(ctx, "release", func() { delete(engine.held, id) })
+			return engine.call(ctx, "release", func() { delete(engine.held, id) })
 		},
 	}
 }
@@ -116,7 +116,7 @@
 	return engines, needs
 }
 
-// run runs the keeper until the test ends.
+// run starts the keeper and returns a function that stops it.
 func run(t *testing.T, keeper *reservation.Keeper) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -129,91 +129,89 @@
 	}
 }
 
-// A volume is read for twelve seconds, longer than a reservation lasts. Its
-// memory is kept by renewals, and free a moment after its end.
-func TestKeptWhileInUse(t *testing.T) {
+// A prefill takes twelve seconds, longer than the TTL of a reservation. Renewals keep the
+// memory reserved, and it is free within 100 ms of the end.
+func TestRenewedWhileInUse(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines, needs := twoEngines()
-		keeper := keeperOf(engines)
+		keeper := newKeeper(engines)
 		defer run(t, keeper)()
-		tickets, err := keeper.Take(t.Context(), needs)
+		reservations, err := keeper.Take(t.Context(), needs)
 		is.NoErr(err)
-		is.Equal(len(tickets), 2)
+		is.Equal(len(reservations), 2)
 		time.Sleep(12 * time.Second)
-		is.Equal(len(engines["one"].names()), 1)
-		is.Equal(len(engines["two"].names()), 1)
-		keeper.End(tickets)
+		is.Equal(len(engines["one"].heldIDs()), 1)
+		is.Equal(len(engines["two"].heldIDs()), 1)
+		keeper.End(reservations)
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(len(engines["one"].names())+len(engines["two"].names()), 0)
+		is.Equal(len(engines["one"].heldIDs())+len(engines["two"].heldIDs()), 0)
 		is.Equal(keeper.Held(), 0)
 	})
 }
 
-// Two volumes want the memory of the same two engines, which have it for one.
-// If each kept half, both would wait for each other: who does not get all gives
-// back what it has.
+// One of two engines has too little memory. The reservation on the other is released:
+// two prompts that each kept a part would deadlock.
 func TestAllOrNothing(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines, needs := twoEngines()
 		engines["two"].memory = 100
-		keeper := keeperOf(engines)
+		keeper := newKeeper(engines)
 		defer run(t, keeper)()
 		_, err := keeper.Take(t.Context(), needs)
 		var notFree *reservation.NotFree
 		is.True(errors.As(err, &notFree))
 		is.Equal(notFree.Endpoint, needs[1].Endpoint.Key())
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(len(engines["one"].names()), 0)
+		is.Equal(len(engines["one"].heldIDs()), 0)
 	})
 }
 
-// An engine leaves an order unanswered and reserves eight seconds later, long
-// after the request went elsewhere. Unless it is released then, the memory stays
-// set aside for nobody.
-func TestOrderCarriedOutLate(t *testing.T) {
+// A call to reserve times out and takes effect eight seconds later, long after the request
+// was sent elsewhere. Unless it is released then, the memory stays reserved but unused.
+func TestReservationThatTakesEffectLate(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines, needs := twoEngines()
-		late := 8 * time.Second
-		engines["two"].lateBy = func(operation string) time.Duration {
+		delay := 8 * time.Second
+		engines["two"].effectDelay = func(operation string) time.Duration {
 			if operation == "reserve" {
-				return late
+				return delay
 			}
 			return 0
 		}
-		keeper := keeperOf(engines)
+		keeper := newKeeper(engines)
 		defer run(t, keeper)()
 		_, err := keeper.Take(t.Context(), needs)
 		is.True(err != nil)
-		time.Sleep(late + time.Second)
-		is.Equal(len(engines["two"].names()), 0)
-		before := engines["two"].orderCount()
+		time.Sleep(delay + time.Second)
+		is.Equal(len(engines["two"].heldIDs()), 0)
+		before := engines["two"].callCount()
 		time.Sleep(time.Minute)
-		is.True(engines["two"].orderCount()-before < 20) // and it is not released for ever
+		is.True(engines["two"].callCount()-before < 20) // and the release is not repeated forever
 	})
 }
 
-// The instance dies: nobody renews, and the memory is free within four seconds
-// of its last use.
-func TestInstanceDies(t *testing.T) {
+// After an instance crashes nothing is renewed, and the memory is free within four
+// seconds of its last use.
+func TestInstanceCrash(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines, needs := twoEngines()
-		keeper := keeperOf(engines)
+		keeper := newKeeper(engines)
 		stop := run(t, keeper)
 		_, err := keeper.Take(t.Context(), needs)
 		is.NoErr(err)
 		time.Sleep(5 * time.Second)
 		stop()
 		time.Sleep(4 * time.Second)
-		is.Equal(len(engines["one"].names())+len(engines["two"].names()), 0)
+		is.Equal(len(engines["one"].heldIDs())+len(engines["two"].heldIDs()), 0)
 	})
 }
 
-// Whatever is taken, ended, answered or carried out late, everything is free
-// within the time for late orders and one hold, and no id is used twice.
+// For any sequence of reservations, releases and delayed calls, all memory is free within
+// the window for late effects and one TTL, and no id is used twice.
 func TestEveryReservationEnds(t *testing.T) {
 	soak.Check(t, 1, func(random *rapid.T) {
 		delays := rapid.SliceOfN(rapid.IntRange(0, 12), 40, 40).Draw(random, "delays")
@@ -223,43 +221,43 @@
 			var next atomic.Int64
 			for _, engine := range engines {
 				engine.memory = 5000
-				engine.lateBy = func(string) time.Duration {
+				engine.effectDelay = func(string) time.Duration {
 					delay := delays[int(next.Add(1))%len(delays)]
 					return time.Duration(max(delay-6, 0)) * time.Second
 				}
 			}
-			keeper := keeperOf(engines)
+			keeper := newKeeper(engines)
 			stop := run(t, keeper)
 			seen := map[string]bool{}
-			var taken [][]*reservation.Ticket
+			var held [][]*reservation.Ticket
 			for _, step := range steps {
 				switch {
-				case step == 0 && len(taken) > 0:
-					keeper.End(taken[0])
-					taken = taken[1:]
+				case step == 0 && len(held) > 0:
+					keeper.End(held[0])
+					held = held[1:]
 				case step == 1:
 					time.Sleep(700 * time.Millisecond)
 				default:
-					tickets, err := keeper.Take(t.Context(), needs)
+					reservations, err := keeper.Take(t.Context(), needs)
 					if err != nil {
 						continue
 					}
-					for _, ticket := range tickets {
-						if seen[ticket.ID] {
-							t.Errorf("%s is used twice", ticket.ID)
+					for _, reserved := range reservations {
+						if seen[reserved.ID] {
+							t.Errorf("%s is used twice", reserved.ID)
 						}
-						seen[ticket.ID] = true
+						seen[reserved.ID] = true
 					}
-					taken = append(taken, tickets)
+					held = append(held, reservations)
 				}
 			}
-			for _, tickets := range taken {
-				keeper.End(tickets)
+			for _, reservations := range held {
+				keeper.End(reservations)
 			}
 			time.Sleep(30 * time.Second)
 			for id, engine := range engines {
-				if names := engine.names(); len(names) > 0 {
-					t.Errorf("engine %s still holds %v", id, names)
+				if ids := engine.heldIDs(); len(ids) > 0 {
+					t.Errorf("engine %s still holds %v", id, ids)
 				}
 			}
 			stop()
