--- a/peridotpath/cell/cell.go
+++ b/peridotpath/cell/cell.go
@@ -1,11 +1,11 @@
-// Package cell divides a large fleet into cells that place requests side by
-// side: the instances of a cell tell each other what they send, and send it to
-// the cell's endpoints.
+// Package cell shards a large fleet into cells by hash. The instances of a cell gossip
+// their in-flight requests only among themselves and send them only to the cell's
+// endpoints.
 //
-// The load that it is made for is a fleet of hundreds of instances. Each of them
-// would hear every request of all others, and all long prompts would stand in
-// one line, though they go to different endpoints. In cells, what an instance
-// hears and goes through stays that of a small fleet, however large the whole is.
+// It matters for fleets of hundreds of instances. Without cells, each instance receives
+// the requests of all others, and all long prompts share one prefill queue although they
+// use different endpoints. With cells, the gossip and planning work of an instance stays
+// that of a small fleet at any fleet size.
 package cell
 
 import (
@@ -17,54 +17,55 @@
 )
 
 const (
-	// maxInstances is how many instances a cell has at most, on average: each hears
+	// maxInstancesPerCell bounds the mean number of instances in a cell: each receives
 	// every request of its cell.
-	maxInstances = 100
-	// leastEndpoints is how many endpoints of a service a cell has at least, on
-	// average; cells share a service that has fewer. Prompts are spread over up to
-	// 17 engines.
-	leastEndpoints = 24
+	maxInstancesPerCell = 100
+	// minEndpointsPerCell is the minimum mean number of a service's endpoints in a cell.
+	// Cells share the endpoints of a smaller service. The prefill of a prompt is split
+	// across up to 17 engines.
+	minEndpointsPerCell = 24
 )
 
-// Cell is one part of a fleet. The zero value is the whole.
+// Cell is one shard of a fleet. The zero value is the whole fleet.
 type Cell struct {
-	// parts is the number of cells less one, a mask of hashes; index is this one.
-	parts, index uint64
+	// mask is the number of cells minus one and selects the bits of a hash that are the
+	// cell's index.
+	mask, index uint64
 }
 
-// Of returns the cell of an instance in a fleet of so many. The number of cells
-// is a power of two: when it doubles, each cell becomes two and nothing else moves.
-func Of(instance netip.AddrPort, fleet int) Cell {
+// Of returns the cell of an instance in a fleet of the given size. The number of cells is
+// a power of two: when it doubles, each cell splits in two and no member changes otherwise.
+func Of(instance netip.AddrPort, fleetSize int) Cell {
 	count := 1
-	for fleet > count*maxInstances {
+	for fleetSize > count*maxInstancesPerCell {
 		count *= 2
 	}
-	parts := uint64(count - 1)
-	return Cell{parts: parts, index: hash(instance) & parts}
+	mask := uint64(count - 1)
+	return Cell{mask: mask, index: hashAddress(instance) & mask}
 }
 
 // Count returns the number of cells.
-func (cell Cell) Count() int { return int(cell.parts) + 1 }
+func (cell Cell) Count() int { return int(cell.mask) + 1 }
 
 // HasInstance reports whether the instance belongs to the cell.
 func (cell Cell) HasInstance(instance netip.AddrPort) bool {
-	return cell.parts == 0 || hash(instance)&cell.parts == cell.index
+	return cell.mask == 0 || hashAddress(instance)&cell.mask == cell.index
 }
 
-// IndexOf returns which of the cells the instance belongs to, from 0 to Count less one.
-func (cell Cell) IndexOf(instance netip.AddrPort) int { return int(hash(instance) & cell.parts) }
+// IndexOf returns the index of the instance's cell, from 0 to the number of cells minus one.
+func (cell Cell) IndexOf(instance netip.AddrPort) int { return int(hashAddress(instance) & cell.mask) }
 
-// HasEndpoint reports whether an endpoint of a service that has so many is used
-// in the cell. Several cells share what is too few for one each.
-func (cell Cell) HasEndpoint(key peridotpath.EndpointKey, ofService int) bool {
-	groups := cell.parts + 1
-	for groups > 1 && uint64(ofService) < groups*leastEndpoints {
+// HasEndpoint reports whether the cell uses an endpoint of a service with the given number
+// of endpoints. Several cells share the endpoints of a small service.
+func (cell Cell) HasEndpoint(key peridotpath.EndpointKey, serviceEndpoints int) bool {
+	groups := cell.mask + 1
+	for groups > 1 && uint64(serviceEndpoints) < groups*minEndpointsPerCell {
 		groups /= 2
 	}
 	return uint64(key)&(groups-1) == cell.index&(groups-1)
 }
 
-// hash is that of the address, which an instance keeps when it starts again.
-func hash(instance netip.AddrPort) uint64 {
+// hashAddress hashes the address, which an instance keeps across restarts.
+func hashAddress(instance netip.AddrPort) uint64 {
 	return xxhash.Sum64String(instance.String())
 }
--- a/peridotpath/cell/cell_test.go
+++ b/peridotpath/cell/cell_test.go
@@ -19,8 +19,9 @@
 	return endpoint.Key()
 }
 
-// A fleet that one cell carries is not divided: every instance knows everything.
-func TestSmallFleetIsWhole(t *testing.T) {
+// A fleet within the limit of one cell is not divided: every instance belongs to it and
+// uses every endpoint.
+func TestSmallFleetIsOneCell(t *testing.T) {
 	is := is.New(t)
 	for _, fleet := range []int{0, 1, 8, 75, 100} {
 		whole := cell.Of(address(1), fleet)
@@ -31,8 +32,8 @@
 	}
 }
 
-// Every instance and every endpoint belongs to one cell, cells are about as large
-// as each other, and all instances of a cell agree on who belongs to it.
+// Every instance and every endpoint belongs to exactly one cell, cells have similar sizes,
+// and all instances of a cell agree on its members.
 func TestLargeFleetIsDivided(t *testing.T) {
 	for _, test := range []struct{ fleet, cells int }{{101, 2}, {300, 4}, {530, 8}, {1000, 16}} {
 		is := is.New(t)
@@ -45,7 +46,7 @@
 			sizes[own]++
 		}
 		is.Equal(len(sizes), test.cells)
-		held := 0
+		assigned := 0
 		for own, size := range sizes {
 			want := test.fleet / test.cells
 			is.True(size > want/2 && size < want*2)
@@ -62,13 +63,13 @@
 			}
 			is.Equal(members, size)
 			is.True(engines > endpoints/test.cells*2/3 && engines < endpoints/test.cells*3/2)
-			held += engines
+			assigned += engines
 		}
-		is.Equal(held, endpoints)
+		is.Equal(assigned, endpoints)
 	}
 }
 
-// A service with a few endpoints is used by several cells, and none is left out.
+// Several cells share the endpoints of a small service, and every endpoint is used.
 func TestSmallServiceIsShared(t *testing.T) {
 	is := is.New(t)
 	const fleet, endpoints = 1000, 50
