--- a/peridotpath/config.go
+++ b/peridotpath/config.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// Config is the operators' whole configuration as one Instance sees it. It is
-// read without locks and never changed in place; a change makes a new one.
+// Config is the whole configuration set by operators, as one Instance has received it.
+// It is immutable and read without locks (copy-on-write).
 type Config struct {
 	Profiles  []Profile  `json:"profiles"`
 	Customers []Customer `json:"customers"`
@@ -12,7 +12,7 @@
 	customers customerIndex
 }
 
-// Defaults fills what was left out.
+// Defaults sets fields that were omitted.
 func (config *Config) Defaults() {
 	for i := range config.Profiles {
 		config.Profiles[i].Defaults()
@@ -22,7 +22,7 @@
 	}
 }
 
-// Validate returns every fault by field. Names, aliases and keys are unique.
+// Validate returns all faults by field. Names, aliases and keys must be unique.
 func (config *Config) Validate() Faults {
 	var faults Faults
 	names := map[string]string{}
@@ -46,7 +46,7 @@
 	return faults
 }
 
-// checkUnique adds a fault when value was seen before, and remembers its path.
+// checkUnique adds a fault when value was seen before, and records its path otherwise.
 func checkUnique(faults *Faults, seen map[string]string, path, value string) {
 	if first, ok := seen[value]; ok {
 		faults.Add(path, "repeats %s", first)
@@ -55,7 +55,7 @@
 	seen[value] = path
 }
 
-// Index builds the look-up tables. Call it once, before the Config is shared.
+// Index builds the lookup tables. It must be called once, before the Config is shared.
 func (config *Config) Index() {
 	config.indexProfiles()
 	config.customers = customerIndex{}
@@ -73,8 +73,8 @@
 	}
 }
 
-// ReplaceProfiles returns an indexed copy with other profiles. The customers'
-// look-up table is shared with config.
+// ReplaceProfiles returns an indexed copy with other profiles. The copy shares the
+// customers' lookup table with config.
 func (config *Config) ReplaceProfiles(profiles []Profile) *Config {
 	next := *config
 	next.Profiles = profiles
@@ -82,10 +82,10 @@
 	return &next
 }
 
-// ReplaceCustomers returns an indexed copy without the customers of before and
-// with those of after. Its cost grows with the two lists, not with the number
-// of customers, so Customers, the plain list, is nil in the copy. Each customer
-// must be an allocation of its own: the index holds on to some of either list.
+// ReplaceCustomers returns an indexed copy without the customers of before and with those
+// of after. Its cost depends on the two lists and not on the number of customers, so
+// Config.Customers, the plain list, is nil in the copy. Each customer must be allocated
+// separately, because the index keeps pointers into both lists.
 func (config *Config) ReplaceCustomers(before, after []*Customer) *Config {
 	next := *config
 	next.Customers = nil
--- a/peridotpath/customer.go
+++ b/peridotpath/customer.go
@@ -5,33 +5,33 @@
 	"encoding/hex"
 )
 
-// Customer is one calling organisation, known by its API key.
+// Customer is an organisation that sends requests, identified by its API key.
 type Customer struct {
 	ID CustomerID `json:"id"`
-	// KeySHA256 is the hex SHA-256 of the API key; the key itself is kept nowhere.
+	// KeySHA256 is the hex SHA-256 of the API key; the key itself is not stored.
 	KeySHA256 string `json:"key_sha256"`
-	// Weight is the Customer's share against others that want the same endpoints.
+	// Weight is the Customer's share of endpoints relative to other customers.
 	Weight int `json:"weight"`
-	// MaxRequestsPerS bounds the request rate over all instances.
+	// MaxRequestsPerS limits the request rate over all instances.
 	MaxRequestsPerS int `json:"max_requests_per_s"`
-	// MaxConcurrent bounds the requests running or waiting over all instances.
+	// MaxConcurrent limits the requests that run or are queued, over all instances.
 	MaxConcurrent int `json:"max_concurrent"`
 }
 
-// HashKey returns the form of an API key that a Customer holds.
+// HashKey returns the hash of an API key as a Customer stores it.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Defaults fills every field that was left zero.
+// Defaults sets every field that is zero.
 func (customer *Customer) Defaults() {
 	SetDefault(&customer.Weight, 1)
 	SetDefault(&customer.MaxRequestsPerS, 100)
 	SetDefault(&customer.MaxConcurrent, 200)
 }
 
-// Validate returns every fault, each path under prefix.
+// Validate returns all faults, with their paths below prefix.
 func (customer *Customer) Validate(prefix string) Faults {
 	var faults Faults
 	CheckName(&faults, prefix+".id", string(customer.ID))
--- a/peridotpath/customer_index.go
+++ b/peridotpath/customer_index.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// indexBuckets is the number of values of a key hash's first byte.
+// indexBuckets is one bucket for each value of the first byte of a key's hash.
 const indexBuckets = 256
 
-// customerIndex finds customers by hashed key. Buckets are never changed in
-// place, so copies of an index share those that a change did not touch.
+// customerIndex finds customers by hashed key. Buckets are immutable, so copies of an
+// index share the buckets that a change did not affect.
 type customerIndex [indexBuckets][]*Customer
 
-// bucketOf returns the bucket of a hashed key. Keys that are not hexadecimal,
-// which Validate refuses, share the first.
+// bucketOf returns the bucket of a hashed key. Hashes that are not hexadecimal fail
+// validation and are all in the first bucket.
 func bucketOf(hash string) int {
 	if len(hash) < 2 {
 		return 0
@@ -27,10 +27,10 @@
 	return int(first)
 }
 
-// compareByKey orders by key and then by id. Two customers can hold one key for
-// a while when two operators add it at the same time to different documents,
-// which one compare-and-swap can't prevent. Every instance then gives the key
-// to the lower id, whatever the order in which the documents arrived.
+// compareByKey orders by key and then by id. Two customers can temporarily have the same
+// key when two operators add it to different documents at the same time, which a
+// compare-and-swap of one document cannot prevent. Every instance then resolves the key
+// to the lower id, in whichever order the documents arrive.
 func compareByKey(a, b *Customer) int {
 	if order := strings.Compare(a.KeySHA256, b.KeySHA256); order != 0 {
 		return order
@@ -50,7 +50,7 @@
 	return bucket[at]
 }
 
-// add puts customers into an index that nobody else reads yet.
+// add inserts customers into an index that is not shared yet.
 func (index *customerIndex) add(customers []Customer) {
 	for i := range customers {
 		bucket := bucketOf(customers[i].KeySHA256)
@@ -63,26 +63,26 @@
 
 // replace rebuilds the buckets in which before and after differ.
 func (index *customerIndex) replace(before, after []*Customer) {
-	for bucket := range touched(before, after) {
+	for bucket := range changedBuckets(before, after) {
 		index[bucket] = rebuild(index[bucket], bucket, before, after)
 	}
 }
 
-// touched returns the buckets whose customers are not the same in both lists.
-func touched(before, after []*Customer) map[int]bool {
+// changedBuckets returns the buckets whose customers differ between the lists.
+func changedBuckets(before, after []*Customer) map[int]bool {
 	old := make(map[CustomerID]*Customer, len(before))
 	for _, customer := range before {
 		old[customer.ID] = customer
 	}
 	buckets := map[int]bool{}
 	for _, customer := range after {
-		previous, known := old[customer.ID]
+		previous, existed := old[customer.ID]
 		delete(old, customer.ID)
-		if known && *previous == *customer {
+		if existed && *previous == *customer {
 			continue
 		}
 		buckets[bucketOf(customer.KeySHA256)] = true
-		if known {
+		if existed {
 			buckets[bucketOf(previous.KeySHA256)] = true
 		}
 	}
@@ -94,13 +94,13 @@
 
 // rebuild returns a copy of one bucket without before and with after.
 func rebuild(current []*Customer, bucket int, before, after []*Customer) []*Customer {
-	gone := make(map[CustomerID]bool, len(before))
+	removed := make(map[CustomerID]bool, len(before))
 	for _, customer := range before {
-		gone[customer.ID] = true
+		removed[customer.ID] = true
 	}
 	next := make([]*Customer, 0, len(current)+1)
 	for _, customer := range current {
-		if !gone[customer.ID] {
+		if !removed[customer.ID] {
 			next = append(next, customer)
 		}
 	}
--- a/peridotpath/customer_index_test.go
+++ b/peridotpath/customer_index_test.go
@@ -10,8 +10,8 @@
 	"peridotpath.example/peridotpath/internal/soak"
 )
 
-// drawDocument returns customers of one of two documents, with keys that they
-// may share with others and ids that sort differently from the documents.
+// drawDocument returns customers of one of two documents. Keys may repeat within and
+// across documents, and the ids do not sort by document.
 func drawDocument(t *rapid.T, document int) []*peridotpath.Customer {
 	var customers []*peridotpath.Customer
 	for i := range 4 {
@@ -27,21 +27,21 @@
 	return customers
 }
 
-// An index that was changed document by document finds the same customers as
-// one that was built as a whole, also where two customers hold one key, and the
-// indexes that it came from go on finding what they found.
-func TestReplaceCustomersFindsWhatIndexFinds(t *testing.T) {
+// An index that is updated document by document finds the same customers as one built from
+// all customers, also where two customers have the same key. Earlier indexes keep their
+// results.
+func TestReplaceCustomersMatchesIndex(t *testing.T) {
 	soak.Check(t, 3, func(t *rapid.T) {
 		config := &peridotpath.Config{}
 		config.Index()
 		var documents [2][]*peridotpath.Customer
 		for range rapid.IntRange(1, 10).Draw(t, "changes") {
 			document := rapid.IntRange(0, 1).Draw(t, "document")
-			before, old := finds(config), config
+			before, old := lookups(config), config
 			after := drawDocument(t, document)
 			config = config.ReplaceCustomers(documents[document], after)
 			documents[document] = after
-			if have := finds(old); have != before {
+			if have := lookups(old); have != before {
 				t.Fatalf("the old index finds %s, not %s", have, before)
 			}
 			whole := &peridotpath.Config{}
@@ -51,14 +51,14 @@
 				}
 			}
 			whole.Index()
-			if have, want := finds(config), finds(whole); have != want {
+			if have, want := lookups(config), lookups(whole); have != want {
 				t.Fatalf("have %s, want %s", have, want)
 			}
 		}
 	})
 }
 
-func finds(config *peridotpath.Config) string {
+func lookups(config *peridotpath.Config) string {
 	text := ""
 	for key := range 6 {
 		found := config.CustomerByKey(fmt.Sprint(key))
--- a/peridotpath/doc.go
+++ b/peridotpath/doc.go
@@ -1,6 +1,6 @@
 // Package peridotpath holds the domain types that the programs share.
 //
-// Each concept has a file of its own: its type, its defaults, and a Validate
-// that reports every fault at once, by field. Nothing in this package does
-// input or output; the packages below it speak to one peer each.
+// Each concept has a file of its own with its type, its defaults, and a Validate that
+// returns all faults at once, by field. The package does no I/O; the packages below it
+// communicate with one kind of peer each.
 package peridotpath
--- a/peridotpath/endpoint.go
+++ b/peridotpath/endpoint.go
@@ -8,16 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind tells model engines from plain services.
+// Kind is the type of back end.
 type Kind string
 
-// The kinds of Endpoint.
+// The kinds of Endpoint: a model engine, and a replica of a plain service.
 const (
 	KindEngine Kind = "engine"
 	KindPlain  Kind = "plain"
 )
 
-// State is what the membership list says of a member.
+// State is the state of a member in the membership list.
 type State string
 
 // The states of a member.
@@ -34,47 +34,47 @@
 	DataCentre DataCentre     `json:"data_centre"`
 	Address    netip.AddrPort `json:"address"`
 	State      State          `json:"state"`
-	// KVTokens is the engine's KV memory. Zero for a plain service.
+	// KVTokens is the capacity of the engine's KV cache; zero for a plain service.
 	KVTokens Tokens `json:"kv_tokens,omitempty"`
-	// Incarnation tells two starts under the same id apart; zero where unknown.
+	// Incarnation distinguishes runs with the same id; zero where unknown.
 	Incarnation Incarnation `json:"incarnation,omitempty"`
-	// Slots is how many requests it runs at once; zero where unknown.
+	// Slots is the number of requests that it runs concurrently; zero where unknown.
 	Slots int `json:"slots,omitempty"`
-	// ChecksFencing says that the engine refuses orders with an old fencing number.
+	// ChecksFencing is set where the engine rejects calls with a stale fencing token.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
 }
 
-// EndpointKey names one incarnation of an Endpoint in few bytes.
+// EndpointKey is a 64-bit hash that identifies one incarnation of an Endpoint.
 type EndpointKey uint64
 
-// Key returns the key of this incarnation. What is known of an earlier one
-// under the same id, its load above all, says nothing of this one.
+// Key returns the key of this incarnation. It differs from that of an earlier incarnation
+// with the same id, whose load and other state do not apply to this one.
 func (endpoint *Endpoint) Key() EndpointKey {
 	digest := xxhash.New()
 	fmt.Fprintf(digest, "%s/%d", endpoint.ID, endpoint.Incarnation)
 	return EndpointKey(digest.Sum64())
 }
 
-// Load is an Endpoint's report about itself. It arrives with a lag.
+// Load is an Endpoint's report of its own load. It is received with a delay.
 type Load struct {
-	// AsOf is when the Endpoint took the figures, on the reader's clock.
+	// AsOf is when the Endpoint took the sample, on the receiver's clock.
 	AsOf time.Time `json:"-"`
-	// Running counts requests past admission on the endpoint.
+	// Running is the number of requests that the endpoint has admitted.
 	Running int `json:"running"`
-	// Waiting counts requests in the endpoint's own queue.
+	// Waiting is the number of requests in the endpoint's own queue.
 	Waiting int `json:"waiting"`
-	// PrefillTokens is the prompt work that is still ahead of a new request.
+	// PrefillTokens is the prefill backlog ahead of a new request.
 	PrefillTokens Tokens `json:"prefill_tokens"`
-	// KVUsed is the KV memory in use or promised.
+	// KVUsed is the KV cache in use or reserved.
 	KVUsed Tokens `json:"kv_used"`
-	// KVTokens is the KV memory in all.
+	// KVTokens is the capacity of the KV cache.
 	KVTokens Tokens `json:"kv_tokens"`
-	// PrefillPerS is the prompt tokens processed in a second, alone.
+	// PrefillPerS is the prefill rate of a prompt that runs alone, in tokens per second.
 	PrefillPerS Tokens `json:"prefill_per_s"`
-	// DecodePerS is the answer tokens one request gets in a second.
+	// DecodePerS is the decode rate of one request, in tokens per second.
 	DecodePerS Tokens `json:"decode_per_s"`
-	// Leaving says that the Endpoint takes no new work.
+	// Leaving is set where the Endpoint accepts no new requests.
 	Leaving bool `json:"leaving,omitempty"`
-	// Revision of the report; a report with a lower one is late and is dropped.
+	// Revision orders the reports; one with a lower revision is out of order and dropped.
 	Revision uint64 `json:"revision"`
 }
--- a/peridotpath/fault.go
+++ b/peridotpath/fault.go
@@ -5,15 +5,15 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a document or a settings file.
+// Fault is one validation error in a document or a settings file.
 type Fault struct {
-	// Path leads to the field, in the names of the JSON form: "profiles[2].deadline_ms".
+	// Path is the path of the field by its JSON names, for example "profiles[2].deadline_ms".
 	Path string `json:"path"`
-	// Message says what is wrong and what is allowed.
+	// Message states the error and the allowed values.
 	Message string `json:"message"`
 }
 
-// Faults collects all faults of one document. As an error it lists every one.
+// Faults are all faults of one document. As an error it lists all of them.
 type Faults []Fault
 
 // Add appends one fault.
@@ -28,8 +28,8 @@
 	}
 }
 
-// Merge returns the faults with those of more whose paths have none yet: a value
-// that couldn't be read needs no second fault for being absent.
+// Merge adds the faults of more whose paths have none yet. A value that failed to parse
+// then has no second fault for being absent.
 func (faults Faults) Merge(more Faults) Faults {
 	seen := map[string]bool{}
 	for _, fault := range faults {
@@ -43,7 +43,7 @@
 	return faults
 }
 
-// Error lists the faults, one a line.
+// Error lists the faults, one per line.
 func (faults Faults) Error() string {
 	lines := make([]string, 0, len(faults))
 	for _, fault := range faults {
@@ -52,7 +52,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// OrNil returns nil when there is no fault, so that callers can compare with nil.
+// OrNil returns nil when there is no fault, so that callers can compare the error with nil.
 func (faults Faults) OrNil() error {
 	if len(faults) == 0 {
 		return nil
--- a/peridotpath/fingerprint.go
+++ b/peridotpath/fingerprint.go
@@ -6,20 +6,21 @@
 	"encoding/hex"
 )
 
-// Fingerprint names what a request asks for and who asks it: the same for each try
-// of a caller, whatever its id and its headers.
+// Fingerprint identifies a request by its content and its customer. It is the same for
+// all retries of a client, independent of request id and headers.
 type Fingerprint [16]byte
 
 // String returns the fingerprint as logs write it.
 func (fingerprint Fingerprint) String() string { return hex.EncodeToString(fingerprint[:]) }
 
-// FingerprintOf returns the fingerprint of a request. The customer is part of it, and
-// the hash is a cryptographic one, so that no caller can make a request that is taken
-// for somebody else's.
+// FingerprintOf returns the fingerprint of a request. It includes the customer and uses a
+// cryptographic hash, so that no client can construct a request that matches another
+// customer's.
 func FingerprintOf(customer CustomerID, host Host, method, target string, body []byte) Fingerprint {
 	digest := sha256.New()
 	for _, part := range []string{string(customer), string(host), method, target} {
-		// A part's length comes before it, so that no two lists of parts read the same.
+		// Each part is prefixed with its length, so that different lists of parts never
+		// encode to the same bytes.
 		digest.Write(binary.BigEndian.AppendUint64(nil, uint64(len(part))))
 		digest.Write([]byte(part))
 	}
--- a/peridotpath/fingerprint_test.go
+++ b/peridotpath/fingerprint_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// BenchmarkFingerprintOf is for a prompt of a million tokens.
+// BenchmarkFingerprintOf hashes a prompt of one million tokens.
 func BenchmarkFingerprintOf(b *testing.B) {
 	body := bytes.Repeat([]byte("abcde "), 1_000_000)
 	b.SetBytes(int64(len(body)))
--- a/peridotpath/id.go
+++ b/peridotpath/id.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Identifiers. All are opaque to the code that carries them.
+// Identifiers. All are opaque strings.
 type (
-	// InstanceID names one of the system's own processes.
+	// InstanceID identifies an Instance, one peridotd process.
 	InstanceID string
-	// DataCentre names the data centre that an Instance or Endpoint stands in.
+	// DataCentre names the data centre of an Instance or Endpoint.
 	DataCentre string
-	// CustomerID names a Customer.
+	// CustomerID identifies a Customer.
 	CustomerID string
-	// EndpointID names an Endpoint.
+	// EndpointID identifies an Endpoint.
 	EndpointID string
 	// Service names a group of interchangeable endpoints, such as "claims-llm".
 	Service string
 	// ProfileName names a Profile.
 	ProfileName string
-	// RequestID names one request of one caller through every process.
+	// RequestID identifies one client request in every process that handles it.
 	RequestID string
 )
 
@@ -26,22 +26,21 @@
 	Tokens int64
 	// Bytes counts bytes.
 	Bytes int64
-	// Rate is requests a second.
+	// Rate is requests per second.
 	Rate float64
-	// Millis is a span in milliseconds, as settings and documents write it.
+	// Millis is a duration in milliseconds, the unit of settings and documents.
 	Millis int64
-	// Revision numbers the accepted states of one configuration document;
-	// it only grows.
+	// Revision numbers the accepted states of one configuration document. It is
+	// monotonic.
 	Revision uint64
-	// Incarnation tells two runs of the same Instance apart; a later run has a
-	// higher number.
+	// Incarnation distinguishes runs of the same Instance or Endpoint; a later run of
+	// an Instance has a higher number.
 	Incarnation uint64
-	// FencingNumber orders the holders of one lease; a later holder has a
-	// higher number.
+	// FencingNumber is the fencing token of a lease; a later holder has a higher one.
 	FencingNumber uint64
 )
 
-// Duration returns the span as a time.Duration.
+// Duration returns the duration as a time.Duration.
 func (millis Millis) Duration() time.Duration {
 	return time.Duration(millis) * time.Millisecond
 }
--- a/peridotpath/length_class.go
+++ b/peridotpath/length_class.go
@@ -1,33 +1,33 @@
 package peridotpath
 
-// LengthClass groups prompts by length. Decisions and metrics use the class,
-// never the exact length, so that series stay few.
+// LengthClass groups prompts by length. Metrics are labelled with the class and not with
+// the exact length, which bounds their cardinality.
 type LengthClass uint8
 
-// The classes, shortest first. Bounds are in tokens, upper bound exclusive.
+// The classes, shortest first, with their bounds in tokens.
 const (
 	Short         LengthClass = iota // below 8,000
 	Medium                           // 8,000 to 99,999
-	Long                             // 100,000 up to what one engine holds
-	Oversize                         // more than one engine holds
-	LengthClasses                    // how many classes there are
+	Long                             // 100,000 up to the KV cache of one engine
+	Oversize                         // more than the KV cache of one engine
+	LengthClasses                    // the number of classes
 )
 
 const (
-	// ShortBelow is the first length that is no longer Short.
+	// ShortBelow is the exclusive upper bound of Short.
 	ShortBelow Tokens = 8_000
-	// LongFrom is the first length that is Long.
+	// LongFrom is the lower bound of Long.
 	LongFrom Tokens = 100_000
-	// MaxPrompt is the longest prompt that is accepted at all.
+	// MaxPrompt is the longest prompt that any profile accepts.
 	MaxPrompt Tokens = 1_100_000
 )
 
-// ClassOf returns the class of a prompt that needs the given tokens of KV
-// cache, where one engine holds at most engineHolds. A zero engineHolds means
-// not yet known, and no prompt is Oversize.
-func ClassOf(prompt, engineHolds Tokens) LengthClass {
+// ClassOf returns the class of a prompt that needs the given tokens of KV cache, where one
+// engine has a capacity of engineCapacity. While the capacity is unknown it is zero, and
+// no prompt is Oversize.
+func ClassOf(prompt, engineCapacity Tokens) LengthClass {
 	switch {
-	case engineHolds > 0 && prompt > engineHolds:
+	case engineCapacity > 0 && prompt > engineCapacity:
 		return Oversize
 	case prompt >= LongFrom:
 		return Long
@@ -38,7 +38,7 @@
 	}
 }
 
-// String returns the class as metrics and logs write it.
+// String returns the name of the class in metrics and logs.
 func (class LengthClass) String() string {
 	names := [...]string{"short", "medium", "long", "oversize"}
 	if int(class) < len(names) {
--- a/peridotpath/profile.go
+++ b/peridotpath/profile.go
@@ -2,28 +2,28 @@
 
 import "fmt"
 
-// Profile says how one class of work is treated. Operators write profiles;
-// a caller picks one by name or by a model alias.
+// Profile is the policy for one class of requests. Operators define profiles; a client
+// selects one by its name or by a model alias.
 type Profile struct {
 	Name    ProfileName `json:"name"`
 	Service Service     `json:"service"`
-	// Aliases are model names that pick this profile.
+	// Aliases are model names that select this profile.
 	Aliases []string `json:"aliases,omitempty"`
-	// Idempotent work may be run again when an attempt failed.
+	// Idempotent is set where a request may be retried after a failed attempt.
 	Idempotent bool `json:"idempotent"`
-	// Priority orders work on the engines; higher goes first.
+	// Priority orders requests on the engines; higher runs first.
 	Priority int `json:"priority"`
-	// DeadlineMS is the time from arrival within which a request finishes or fails.
+	// DeadlineMS is the time from a request's arrival to its end, successful or not.
 	DeadlineMS Millis `json:"deadline_ms"`
-	// MaxPromptTokens refuses longer prompts.
+	// MaxPromptTokens is the longest prompt that is accepted.
 	MaxPromptTokens Tokens `json:"max_prompt_tokens"`
-	// MaxOutputTokens bounds the answer where the caller sets no bound.
+	// MaxOutputTokens limits the answer where the request sets no limit.
 	MaxOutputTokens Tokens `json:"max_output_tokens"`
-	// MaxAttempts bounds the attempts of one request, the first included.
+	// MaxAttempts limits the attempts of one request, including the first.
 	MaxAttempts int `json:"max_attempts"`
-	// MaxQueueMS bounds the time a request waits for a place.
+	// MaxQueueMS limits the time that a request is queued.
 	MaxQueueMS Millis `json:"max_queue_ms"`
-	// MaxQueued bounds the requests of this profile that wait on one Instance.
+	// MaxQueued limits the requests of this profile that are queued on one Instance.
 	MaxQueued int `json:"max_queued"`
 }
 
@@ -35,7 +35,7 @@
 	MaxQueuedCap   = 10_000
 )
 
-// Defaults fills every field that was left zero.
+// Defaults sets every field that is zero.
 func (profile *Profile) Defaults() {
 	SetDefault(&profile.DeadlineMS, 60_000)
 	SetDefault(&profile.MaxPromptTokens, MaxPrompt)
@@ -45,7 +45,7 @@
 	SetDefault(&profile.MaxQueued, 200)
 }
 
-// Validate returns every fault, each path under prefix.
+// Validate returns all faults, with their paths below prefix.
 func (profile *Profile) Validate(prefix string) Faults {
 	var faults Faults
 	CheckName(&faults, prefix+".name", string(profile.Name))
@@ -63,7 +63,7 @@
 	return faults
 }
 
-// SetDefault sets *field when it is the zero value of its type.
+// SetDefault sets *field to value if it is zero.
 func SetDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
@@ -71,7 +71,7 @@
 	}
 }
 
-const maxNameLength = 64
+const maxNameBytes = 64
 
 // CheckName adds a fault unless name is 1 to 64 letters, digits, '-', '_', '.' or '/'.
 func CheckName(faults *Faults, path, name string) {
@@ -79,8 +79,8 @@
 		faults.Add(path, "is missing")
 		return
 	}
-	if len(name) > maxNameLength {
-		faults.Add(path, "is %d bytes long, at most %d are allowed", len(name), maxNameLength)
+	if len(name) > maxNameBytes {
+		faults.Add(path, "is %d bytes long, at most %d are allowed", len(name), maxNameBytes)
 	}
 	for _, r := range name {
 		letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z'
--- a/peridotpath/request_kind.go
+++ b/peridotpath/request_kind.go
@@ -1,19 +1,19 @@
 package peridotpath
 
-// RequestKind groups requests by what may be done when one fails midway.
+// RequestKind groups requests by how they may be retried after a partial failure.
 type RequestKind uint8
 
 // The kinds.
 const (
-	KindStream     RequestKind = iota // an event stream, which may go on elsewhere
+	KindStream     RequestKind = iota // an event stream, which another endpoint may continue
 	KindRepeatable                    // may run more than once
-	KindOnce                          // may run once
-	RequestKinds                      // how many kinds there are
+	KindOnce                          // must not run more than once
+	RequestKinds                      // the number of kinds
 )
 
 var requestKindNames = [RequestKinds]string{"stream", "repeatable", "once"}
 
-// String returns the kind's name as in logs and metrics.
+// String returns the name of the kind in logs and metrics.
 func (kind RequestKind) String() string {
 	if kind >= RequestKinds {
 		return "unknown"
--- a/peridotpath/request_kind_test.go
+++ b/peridotpath/request_kind_test.go
@@ -15,8 +15,8 @@
 		want  peridotpath.RequestKind
 	}{
 		{"stream", peridotpath.Route{Streaming: true, Resumable: true}, peridotpath.KindStream},
-		{"stream that starts anew", peridotpath.Route{Streaming: true, Idempotent: true}, peridotpath.KindStream},
-		{"stream that cannot go on", peridotpath.Route{Streaming: true}, peridotpath.KindOnce},
+		{"stream that is restarted", peridotpath.Route{Streaming: true, Idempotent: true}, peridotpath.KindStream},
+		{"stream that cannot be resumed", peridotpath.Route{Streaming: true}, peridotpath.KindOnce},
 		{"lookup", peridotpath.Route{Idempotent: true}, peridotpath.KindRepeatable},
 		{"payment", peridotpath.Route{}, peridotpath.KindOnce},
 	} {
--- a/peridotpath/result.go
+++ b/peridotpath/result.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Code numbers one result that a caller may see. Codes are stable: clients
-// and alerts match on them. docs/CODES.md has the table; a test holds it to
-// this file. 1xxx is the caller's fault, 2xxx a limit, 3xxx the endpoints',
-// 4xxx an outcome of an attempt, 5xxx the platform's or our own.
+// Code is a result code that clients receive. Codes are stable: clients and alerts match
+// on them. A test checks that docs/CODES.md lists them as they are here. 1xxx are client
+// errors, 2xxx limits, 3xxx endpoint failures, 4xxx outcomes of an attempt, 5xxx failures
+// of the platform or of this system.
 type Code int
 
 // The codes.
 const (
 	CodeOK Code = 0
 
-	CodeBadRequest        Code = 1001 // body is not the JSON we take
+	CodeBadRequest        Code = 1001 // the body is not a valid request
 	CodeBodyTooLarge      Code = 1002
 	CodeBodyIncomplete    Code = 1003
 	CodeUnauthorized      Code = 1004
@@ -26,11 +26,11 @@
 	CodeBadDeadline       Code = 1008
 	CodeBadCursor         Code = 1009
 	CodeBadIdempotencyKey Code = 1010
-	CodeKeyReused         Code = 1011 // same key, another body
+	CodeKeyReused         Code = 1011 // same key with a different body
 	CodeHeaderTooLarge    Code = 1012
 
 	CodeRateLimited      Code = 2001
-	CodeTooManyRequests  Code = 2002 // concurrency share used up
+	CodeTooManyRequests  Code = 2002 // the concurrency limit is reached
 	CodeQueueFull        Code = 2003
 	CodeCannotFinish     Code = 2004 // predicted to miss the deadline
 	CodeBodyMemory       Code = 2005
@@ -41,15 +41,15 @@
 	CodeNoEndpoint      Code = 3001
 	CodeEndpointRefused Code = 3002
 	CodeEndpointFailed  Code = 3003
-	CodeBadAnswer       Code = 3004 // garbage or an empty success
+	CodeBadAnswer       Code = 3004 // a malformed or empty successful answer
 	CodeStreamCut       Code = 3005
-	CodeNoMemory        Code = 3006 // no endpoint or group holds the prompt
-	CodeQuarantined     Code = 3007 // endpoints ended while they ran this very request
-	CodeLimited         Code = 3008 // all endpoints that are left take no more for now
+	CodeNoMemory        Code = 3006 // no endpoint or group has KV cache for the prompt
+	CodeQuarantined     Code = 3007 // endpoints terminated while they ran this request
+	CodeLimited         Code = 3008 // every remaining endpoint is at the limit it reported
 
 	CodeDeadline       Code = 4001
-	CodeOutcomeUnknown Code = 4002 // may have run; never run again
-	CodeAnswerGone     Code = 4003 // ran, the answer is no longer held
+	CodeOutcomeUnknown Code = 4002 // may have run; must not be retried
+	CodeAnswerGone     Code = 4003 // ran, but its answer is no longer stored
 	CodeCallerGone     Code = 4004
 	CodeKeyRunning     Code = 4005 // an earlier request with the key may still run
 
@@ -59,7 +59,7 @@
 	CodeInternal     Code = 5004
 )
 
-// codeInfo is what is fixed about a code.
+// codeInfo holds the constant properties of a code.
 type codeInfo struct {
 	status  int
 	name    string
@@ -112,7 +112,7 @@
 	CodeInternal:     {http.StatusInternalServerError, "internal", false, "a fault of this system"},
 }
 
-// Codes returns every code, in no order.
+// Codes returns all codes in unspecified order.
 func Codes() []Code {
 	all := make([]Code, 0, len(codes))
 	for code := range codes {
@@ -121,24 +121,24 @@
 	return all
 }
 
-// Status returns the HTTP status that goes with the code.
+// Status returns the HTTP status of the code.
 func (code Code) Status() int { return codes[code].status }
 
-// String returns the code's name as logs and metrics write it.
+// String returns the name of the code in logs and metrics.
 func (code Code) String() string { return codes[code].name }
 
-// Message returns the sentence that callers see.
+// Message returns the message that clients receive.
 func (code Code) Message() string { return codes[code].message }
 
-// NotRun reports that a request that ended with this code certainly ran nowhere.
+// NotRun reports whether a request with this code is known not to have run anywhere.
 func (code Code) NotRun() bool { return codes[code].notRun }
 
-// Result is a typed failure of a request.
+// Result is the error with which a request fails.
 type Result struct {
 	Code Code
-	// RetryAfter is when the caller may come back; zero says nothing.
+	// RetryAfter is the time after which the client may retry; zero where unspecified.
 	RetryAfter time.Duration
-	// Detail adds to the code's message; may be empty.
+	// Detail supplements the message of the code; it may be empty.
 	Detail string
 }
 
--- a/peridotpath/result_test.go
+++ b/peridotpath/result_test.go
@@ -11,8 +11,8 @@
 	"peridotpath.example/peridotpath"
 )
 
-// TestCodesAreDocumented holds docs/CODES.md to the codes: operators and callers
-// look numbers up there, and act on whether the request may have run.
+// TestCodesAreDocumented checks that docs/CODES.md lists every code with its properties:
+// operators and clients rely on it, for example on whether a request may have run.
 func TestCodesAreDocumented(t *testing.T) {
 	is := is.New(t)
 	text, err := os.ReadFile("../docs/CODES.md")
@@ -36,29 +36,27 @@
 	}
 }
 
-// TestRefusalsSayWhenToComeBack holds the codes to what they promise: a code
-// that says "not run" is never a success, and one that may have run never
-// invites a second run by its status alone.
-func TestRefusalsSayWhenToComeBack(t *testing.T) {
+// TestStatusMatchesNotRun checks that a code for "not run" is never a success, and that the
+// status of a code for a request that may have run does not invite a retry.
+func TestStatusMatchesNotRun(t *testing.T) {
 	for _, code := range peridotpath.Codes() {
 		if code.NotRun() && code.Status() < 400 {
 			t.Errorf("%d %s: not run with status %d", int(code), code, code.Status())
 		}
 		if !code.NotRun() && (code.Status() == 503 || code.Status() == 429) {
-			t.Errorf("%d %s may have run, but its status %d invites clients to repeat", int(code), code, code.Status())
+			t.Errorf("%d %s may have run, but its status %d invites clients to retry", int(code), code, code.Status())
 		}
 	}
 }
 
-// TestClientLibrariesDoNotRepeatWhatMayHaveRun: an airline's program uses an
-// ordinary client library, which repeats a request by itself on 408, 409, 429
-// and everything from 500 on. With 502 for an unknown outcome it sent the
-// acknowledgement again, and the couple got two.
-func TestClientLibrariesDoNotRepeatWhatMayHaveRun(t *testing.T) {
+// TestRequestsThatMayHaveRunAreNotRetried checks the statuses against common client
+// libraries, which retry on 408, 409, 429 and 5xx. With status 502 for an unknown outcome
+// a library retried a request that had run, and it ran twice.
+func TestRequestsThatMayHaveRunAreNotRetried(t *testing.T) {
 	for _, code := range []peridotpath.Code{peridotpath.CodeOutcomeUnknown, peridotpath.CodeAnswerGone, peridotpath.CodeKeyReused} {
 		status := code.Status()
 		if status == 408 || status == 409 || status == 429 || status >= 500 {
-			t.Errorf("%d %s has status %d, which client libraries repeat", int(code), code, status)
+			t.Errorf("%d %s has status %d, which client libraries retry", int(code), code, status)
 		}
 	}
 }
--- a/peridotpath/route.go
+++ b/peridotpath/route.go
@@ -8,112 +8,111 @@
 type (
 	// RouteName names a Route.
 	RouteName string
-	// Host is the host name that a caller asks, without a port.
+	// Host is the host name that a request is addressed to, without a port.
 	Host string
-	// APIKey is what a caller proves its Customer with.
+	// APIKey is the secret that authenticates a Customer.
 	APIKey string
-	// RoutingVersion numbers the accepted states of the operators' routing; it
-	// grows, in steps of any size.
+	// RoutingVersion numbers the accepted states of the routing configuration. It is
+	// monotonic but may have gaps.
 	RoutingVersion uint64
 )
 
-// Backend is one service that a Route may use, with its share of the requests.
+// Backend is a service to which a Route sends a weighted share of its requests.
 type Backend struct {
 	Service Service
 	Weight  int
 }
 
-// Route says what becomes of the requests to one host under one path prefix.
+// Route is the policy for requests to one host and path prefix.
 type Route struct {
 	Name       RouteName
 	Host       Host
 	PathPrefix string
-	// Backends are never empty; weights may be zero.
+	// Backends has at least one entry; weights may be zero.
 	Backends []Backend
-	// Streaming says that answers are event streams.
+	// Streaming is set where answers are event streams.
 	Streaming bool
-	// Idempotent says that a request may run more than once.
+	// Idempotent is set where a request may run more than once.
 	Idempotent bool
-	// Resumable says that a broken stream may go on at another endpoint.
+	// Resumable is set where another endpoint may continue an interrupted stream.
 	Resumable bool
-	// Public says that requests need no key.
+	// Public is set where requests need no API key.
 	Public bool
-	// MaxAttempts bounds the endpoints that one request is sent to.
+	// MaxAttempts limits the number of endpoints that one request is sent to.
 	MaxAttempts int
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	// Timeout is the longest that a caller is kept waiting for the whole answer.
+	// Timeout limits the time to the end of the answer.
 	Timeout time.Duration
-	// AnswerAim is the time within which the answer, or a stream's first event,
-	// is worth all it can be.
+	// AnswerAim is the TTFT target: the time within which the first event of a stream,
+	// or the answer of another request, has its full value.
 	AnswerAim time.Duration
-	// PauseAim is the longest pause between a stream's events that callers take
-	// for fluent; zero for answers that are no streams.
+	// PauseAim is the ITL target (inter-token latency): the longest acceptable time
+	// between two events of a stream; zero for other answers.
 	PauseAim time.Duration
-	// Silence is how long callers wait for an event of a stream, the first or a
-	// next one, before they leave; zero where that is not known.
+	// Silence is the idle timeout of clients: how long they wait for the first or next
+	// event of a stream before they disconnect; zero where unknown.
 	Silence time.Duration
 }
 
-// Repeatable reports whether a request may run at a second endpoint after it
-// may have run at a first.
+// Repeatable reports whether a request may be sent to a second endpoint although it may
+// have run on a first one.
 func (route *Route) Repeatable() bool {
 	return route.Idempotent || route.Streaming && route.Resumable
 }
 
-// EngineRates are the figures by which a model engine works, as its service
-// publishes them. An engine works in passes: one that holds writers does
-// StepsPerPass steps, and each step reads at most Chunk tokens of prompts.
+// EngineRates are the performance parameters of a model engine, as its service publishes
+// them. An engine uses continuous batching with chunked prefill: an iteration with decoding
+// requests has StepsPerPass steps, and each step prefills at most one chunk.
 type EngineRates struct {
-	// BatchSize is how many requests an engine runs at once.
+	// BatchSize is the number of requests that an engine runs concurrently.
 	BatchSize int
-	// KVTokens is the memory of one engine.
+	// KVTokens is the capacity of the KV cache of one engine.
 	KVTokens Tokens
-	// StepsPerPass is how many tokens each writer gets in a pass, which its
-	// caller sees as one event.
+	// StepsPerPass is the number of tokens that each decoding request produces in an
+	// iteration. The client receives them as one event.
 	StepsPerPass int
-	// Step, StepPerWriter and StepPerContextK make up the time of one step:
-	// alone, for each writer, and for each 1,000 tokens of a writer's context.
+	// Step is the base time of one step. StepPerWriter is added for each decoding
+	// request, and StepPerContextK for each 1,000 tokens of their context.
 	Step, StepPerWriter, StepPerContextK time.Duration
-	// ReadPerSecond is how many prompt tokens are read in a second, before what
-	// pairs of tokens cost.
+	// ReadPerSecond is the prefill rate in tokens per second, without the quadratic
+	// cost of attention.
 	ReadPerSecond float64
-	// PerMillionPairs is the time that a million pairs of a token and an earlier
-	// one take on top.
+	// PerMillionPairs is the quadratic cost of attention in prefill: the additional
+	// time for a million pairs of a token and an earlier one.
 	PerMillionPairs time.Duration
-	// Chunk is the most prompt tokens that one step reads.
+	// Chunk is the maximum number of prompt tokens that one step prefills.
 	Chunk Tokens
 }
 
-// ServiceSpec is what the routing says of one service.
+// ServiceSpec is the routing configuration of one service.
 type ServiceSpec struct {
 	Name Service
 	// Engine is nil for a plain service.
 	Engine *EngineRates
 }
 
-// KeyHolder is the Customer that an API key stands for.
+// KeyHolder is the Customer that an API key authenticates.
 type KeyHolder struct {
 	Customer CustomerID
-	// Priority takes the place of the route's where HasPriority is set.
+	// Priority overrides that of the route where HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
 
-// Routing is one accepted state of what operators decide about requests. It is
-// not changed once made.
+// Routing is one accepted state of the operators' routing configuration. It is immutable.
 type Routing struct {
 	Version  RoutingVersion
 	Routes   []Route
 	Services map[Service]ServiceSpec
-	// Keys is nil where requests need none.
+	// Keys is nil where requests need no key.
 	Keys map[APIKey]KeyHolder
-	// MaxBody bounds a request's body, MaxHeader its headers; zero for no bound of
-	// the operators'.
+	// MaxBody limits the size of a request's body, MaxHeader that of its headers; zero
+	// where operators set no limit.
 	MaxBody, MaxHeader Bytes
 }
 
-// NormalHost returns the host of a request's authority in the form of a Route.
+// NormalHost returns the host of a request's authority in lower case and without the port.
 func NormalHost(authority string) Host {
 	host, _, _ := strings.Cut(authority, ":")
 	return Host(strings.ToLower(host))
