--- a/peridotpath/reservation/keeper.go
+++ b/peridotpath/reservation/manager.go
@@ -90,22 +90,22 @@
 }
 
 // Error returns the endpoint and the cause.
-func (notFree *NotFree) Error() string {
-	return fmt.Sprintf("reservation: no memory reserved at endpoint %x: %v", uint64(notFree.Endpoint), notFree.cause)
+func (reserveError *NotFree) Error() string {
+	return fmt.Sprintf("reservation: no memory reserved at endpoint %x: %v", uint64(reserveError.Endpoint), reserveError.cause)
 }
 
 // Take reserves all of the memory or none. Two prompts that each held a part would
 // otherwise deadlock.
-func (keeper *Keeper) Take(ctx context.Context, needs []Need) ([]*Ticket, error) {
+func (manager *Keeper) Take(ctx context.Context, needs []Need) ([]*Ticket, error) {
 	reservations := make([]*Ticket, len(needs))
 	failures := make(chan error, len(needs))
 	for i, need := range needs {
-		reservation := &Ticket{ID: keeper.newID(), Need: need, renewedAt: time.Now()}
+		reservation := &Ticket{ID: manager.newID(), Need: need, renewedAt: time.Now()}
 		reservations[i] = reservation
-		keeper.calls.Add(1)
+		manager.calls.Add(1)
 		go func() {
-			defer keeper.calls.Done()
-			failures <- keeper.reserve(ctx, reservation)
+			defer manager.calls.Done()
+			failures <- manager.reserve(ctx, reservation)
 		}()
 	}
 	var failure error
@@ -115,37 +115,37 @@
 		}
 	}
 	if failure != nil {
-		keeper.End(reservations)
+		manager.End(reservations)
 		return nil, failure
 	}
-	keeper.mutex.Lock()
-	defer keeper.mutex.Unlock()
-	if keeper.active == nil {
-		keeper.active = map[string]*Ticket{}
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	if manager.active == nil {
+		manager.active = map[string]*Ticket{}
 	}
 	for _, reservation := range reservations {
-		keeper.active[reservation.ID] = reservation
+		manager.active[reservation.ID] = reservation
 	}
 	return reservations, nil
 }
 
 // newID returns an id that is unique over all instances and their incarnations, so that
 // two requests never share a reservation.
-func (keeper *Keeper) newID() string {
-	return fmt.Sprintf("%s-%x-%d", keeper.Instance, uint64(keeper.Incarnation), keeper.lastID.Add(1))
+func (manager *Keeper) newID() string {
+	return fmt.Sprintf("%s-%x-%d", manager.Instance, uint64(manager.Incarnation), manager.lastID.Add(1))
 }
 
-func (keeper *Keeper) ttl() time.Duration {
-	if keeper.MaxHold > 0 {
-		return min(Hold, keeper.MaxHold)
+func (manager *Keeper) ttl() time.Duration {
+	if manager.MaxHold > 0 {
+		return min(Hold, manager.MaxHold)
 	}
 	return Hold
 }
 
-func (keeper *Keeper) reserve(ctx context.Context, reservation *Ticket) error {
+func (manager *Keeper) reserve(ctx context.Context, reservation *Ticket) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reserved, err := keeper.Reserve(ctx, reservation.Need.Endpoint, reservation.ID, reservation.Need.Tokens, keeper.ttl())
+	reserved, err := manager.Reserve(ctx, reservation.Need.Endpoint, reservation.ID, reservation.Need.Tokens, manager.ttl())
 	if err != nil {
 		reservation.outcomeUnknown.Store(true)
 	}
@@ -156,95 +156,95 @@
 }
 
 // End queues reservations for release and returns at once.
-func (keeper *Keeper) End(reservations []*Ticket) {
+func (manager *Keeper) End(reservations []*Ticket) {
 	if len(reservations) == 0 {
 		return
 	}
 	now := time.Now()
-	keeper.mutex.Lock()
-	defer keeper.mutex.Unlock()
-	if keeper.releasing == nil {
-		keeper.releasing = map[string]*pendingRelease{}
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	if manager.releasing == nil {
+		manager.releasing = map[string]*pendingRelease{}
 	}
 	for _, reservation := range reservations {
-		delete(keeper.active, reservation.ID)
-		keeper.releasing[reservation.ID] = &pendingRelease{reservation: reservation, expiresAt: now.Add(lateEffectWindow), nextAttempt: now}
+		delete(manager.active, reservation.ID)
+		manager.releasing[reservation.ID] = &pendingRelease{reservation: reservation, expiresAt: now.Add(lateEffectWindow), nextAttempt: now}
 	}
 }
 
 // Held returns the number of reservations in use.
-func (keeper *Keeper) Held() int {
-	keeper.mutex.Lock()
-	defer keeper.mutex.Unlock()
-	return len(keeper.active)
+func (manager *Keeper) Held() int {
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	return len(manager.active)
 }
 
 // pollInterval is the time between two checks for due renewals and releases.
 const pollInterval = 20 * time.Millisecond
 
 // Run renews and releases reservations until ctx ends.
-func (keeper *Keeper) Run(ctx context.Context) error {
+func (manager *Keeper) Run(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			keeper.calls.Wait()
+			manager.calls.Wait()
 			return ctx.Err()
 		case now := <-ticker.C:
-			keeper.renewDue(ctx, now)
-			keeper.releaseDue(ctx, now)
+			manager.renewDue(ctx, now)
+			manager.releaseDue(ctx, now)
 		}
 	}
 }
 
-func (keeper *Keeper) renewDue(ctx context.Context, now time.Time) {
-	keeper.mutex.Lock()
-	defer keeper.mutex.Unlock()
-	for _, reservation := range keeper.active {
+func (manager *Keeper) renewDue(ctx context.Context, now time.Time) {
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	for _, reservation := range manager.active {
 		if now.Sub(reservation.renewedAt) < renewInterval {
 			continue
 		}
 		reservation.renewedAt = now
-		keeper.calls.Add(1)
+		manager.calls.Add(1)
 		go func() {
-			defer keeper.calls.Done()
-			if err := keeper.reserve(ctx, reservation); err != nil {
-				keeper.Log.Warn().Str("ticket", reservation.ID).Str("endpoint", string(reservation.Need.Endpoint.ID)).
+			defer manager.calls.Done()
+			if err := manager.reserve(ctx, reservation); err != nil {
+				manager.Log.Warn().Str("ticket", reservation.ID).Str("endpoint", string(reservation.Need.Endpoint.ID)).
 					Err(err).Msg("reservation_not_renewed")
 			}
 		}()
 	}
 }
 
-func (keeper *Keeper) releaseDue(ctx context.Context, now time.Time) {
-	keeper.mutex.Lock()
-	defer keeper.mutex.Unlock()
-	for id, release := range keeper.releasing {
+func (manager *Keeper) releaseDue(ctx context.Context, now time.Time) {
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	for id, release := range manager.releasing {
 		if now.After(release.expiresAt) {
-			keeper.Log.Warn().Str("ticket", id).Str("endpoint", string(release.reservation.Need.Endpoint.ID)).
+			manager.Log.Warn().Str("ticket", id).Str("endpoint", string(release.reservation.Need.Endpoint.ID)).
 				Msg("reservation_left_to_lapse")
-			delete(keeper.releasing, id)
+			delete(manager.releasing, id)
 			continue
 		}
 		if now.Before(release.nextAttempt) {
 			continue
 		}
 		release.nextAttempt = now.Add(releaseInterval)
-		keeper.calls.Add(1)
+		manager.calls.Add(1)
 		go func() {
-			defer keeper.calls.Done()
-			keeper.release(ctx, release)
+			defer manager.calls.Done()
+			manager.release(ctx, release)
 		}()
 	}
 }
 
 // release ends one reservation. If the outcome of an earlier call is unknown, the release
 // is repeated, since that call may take effect after this one.
-func (keeper *Keeper) release(ctx context.Context, release *pendingRelease) {
+func (manager *Keeper) release(ctx context.Context, release *pendingRelease) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := keeper.Release(ctx, release.reservation.Need.Endpoint, release.reservation.ID)
+	err := manager.Release(ctx, release.reservation.Need.Endpoint, release.reservation.ID)
 	if err != nil {
 		// The release is retried; a failure is logged only when it expires.
 		return
@@ -252,30 +252,30 @@
 	if release.reservation.outcomeUnknown.Load() {
 		return
 	}
-	keeper.mutex.Lock()
-	defer keeper.mutex.Unlock()
-	delete(keeper.releasing, release.reservation.ID)
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	delete(manager.releasing, release.reservation.ID)
 }
 
 // Close releases all reservations and waits for completion or the end of ctx.
-func (keeper *Keeper) Close(ctx context.Context) {
-	keeper.mutex.Lock()
-	reservations := make([]*Ticket, 0, len(keeper.active))
-	for _, reservation := range keeper.active {
+func (manager *Keeper) Close(ctx context.Context) {
+	manager.mutex.Lock()
+	reservations := make([]*Ticket, 0, len(manager.active))
+	for _, reservation := range manager.active {
 		reservations = append(reservations, reservation)
 	}
-	keeper.mutex.Unlock()
-	keeper.End(reservations)
-	for ctx.Err() == nil && keeper.hasPendingRelease() {
+	manager.mutex.Unlock()
+	manager.End(reservations)
+	for ctx.Err() == nil && manager.hasPendingRelease() {
 		time.Sleep(pollInterval)
 	}
 }
 
 // hasPendingRelease reports whether a reservation with a known outcome is not yet released.
-func (keeper *Keeper) hasPendingRelease() bool {
-	keeper.mutex.Lock()
-	defer keeper.mutex.Unlock()
-	for _, release := range keeper.releasing {
+func (manager *Keeper) hasPendingRelease() bool {
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	for _, release := range manager.releasing {
 		if !release.reservation.outcomeUnknown.Load() {
 			return true
 		}
--- a/peridotpath/reservation/keeper_test.go
+++ b/peridotpath/reservation/manager_test.go
@@ -116,11 +116,11 @@
 	return engines, needs
 }
 
-// run starts the keeper and returns a function that stops it.
-func run(t *testing.T, keeper *reservation.Keeper) (stop func()) {
+// run starts the manager and returns a function that stops it.
+func run(t *testing.T, manager *reservation.Keeper) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- keeper.Run(ctx) }()
+	go func() { ended <- manager.Run(ctx) }()
 	return func() {
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
@@ -135,18 +135,18 @@
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines, needs := twoEngines()
-		keeper := newKeeper(engines)
-		defer run(t, keeper)()
-		reservations, err := keeper.Take(t.Context(), needs)
+		manager := newKeeper(engines)
+		defer run(t, manager)()
+		reservations, err := manager.Take(t.Context(), needs)
 		is.NoErr(err)
 		is.Equal(len(reservations), 2)
 		time.Sleep(12 * time.Second)
 		is.Equal(len(engines["one"].heldIDs()), 1)
 		is.Equal(len(engines["two"].heldIDs()), 1)
-		keeper.End(reservations)
+		manager.End(reservations)
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(len(engines["one"].heldIDs())+len(engines["two"].heldIDs()), 0)
-		is.Equal(keeper.Held(), 0)
+		is.Equal(manager.Held(), 0)
 	})
 }
 
@@ -157,12 +157,12 @@
 		is := is.New(t)
 		engines, needs := twoEngines()
 		engines["two"].memory = 100
-		keeper := newKeeper(engines)
-		defer run(t, keeper)()
-		_, err := keeper.Take(t.Context(), needs)
-		var notFree *reservation.NotFree
-		is.True(errors.As(err, &notFree))
-		is.Equal(notFree.Endpoint, needs[1].Endpoint.Key())
+		manager := newKeeper(engines)
+		defer run(t, manager)()
+		_, err := manager.Take(t.Context(), needs)
+		var reserveError *reservation.NotFree
+		is.True(errors.As(err, &reserveError))
+		is.Equal(reserveError.Endpoint, needs[1].Endpoint.Key())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(len(engines["one"].heldIDs()), 0)
 	})
@@ -181,9 +181,9 @@
 			}
 			return 0
 		}
-		keeper := newKeeper(engines)
-		defer run(t, keeper)()
-		_, err := keeper.Take(t.Context(), needs)
+		manager := newKeeper(engines)
+		defer run(t, manager)()
+		_, err := manager.Take(t.Context(), needs)
 		is.True(err != nil)
 		time.Sleep(delay + time.Second)
 		is.Equal(len(engines["two"].heldIDs()), 0)
@@ -199,9 +199,9 @@
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines, needs := twoEngines()
-		keeper := newKeeper(engines)
-		stop := run(t, keeper)
-		_, err := keeper.Take(t.Context(), needs)
+		manager := newKeeper(engines)
+		stop := run(t, manager)
+		_, err := manager.Take(t.Context(), needs)
 		is.NoErr(err)
 		time.Sleep(5 * time.Second)
 		stop()
@@ -226,19 +226,19 @@
 					return time.Duration(max(delay-6, 0)) * time.Second
 				}
 			}
-			keeper := newKeeper(engines)
-			stop := run(t, keeper)
+			manager := newKeeper(engines)
+			stop := run(t, manager)
 			seen := map[string]bool{}
 			var held [][]*reservation.Ticket
 			for _, step := range steps {
 				switch {
 				case step == 0 && len(held) > 0:
-					keeper.End(held[0])
+					manager.End(held[0])
 					held = held[1:]
 				case step == 1:
 					time.Sleep(700 * time.Millisecond)
 				default:
-					reservations, err := keeper.Take(t.Context(), needs)
+					reservations, err := manager.Take(t.Context(), needs)
 					if err != nil {
 						continue
 					}
@@ -252,7 +252,7 @@
 				}
 			}
 			for _, reservations := range held {
-				keeper.End(reservations)
+				manager.End(reservations)
 			}
 			time.Sleep(30 * time.Second)
 			for id, engine := range engines {
