--- a/peridotpath/placement/cost.go
+++ b/peridotpath/placement/cost.go
@@ -99,9 +99,9 @@
 // reconnect after all instances have restarted. Each instance then places requests by
 // reports that are milliseconds old or missing. All pick the same best engine, and it
 // exceeds its batch size before any of them receives the others' reports.
-func (view *View) confidence() float64 {
-	square := view.unreported * view.unreported
-	return view.observedShare / (1 + square*square)
+func (snapshot *View) confidence() float64 {
+	square := snapshot.unreported * snapshot.unreported
+	return snapshot.observedShare / (1 + square*square)
 }
 
 // engineCost is the cost of an engine as the primary, apart from latency. Occupancy, the
--- a/peridotpath/placement/load.go
+++ b/peridotpath/placement/load.go
@@ -93,68 +93,68 @@
 	if tracker.startedAt.IsZero() {
 		tracker.startedAt = now
 	}
-	view := View{loads: map[peridotpath.EndpointKey]*Load{}}
+	snapshot := View{loads: map[peridotpath.EndpointKey]*Load{}}
 	for _, request := range tracker.local {
-		view.add(request, now)
+		snapshot.add(request, now)
 	}
 	for _, peer := range tracker.unexpiredPeers(now) {
 		for i := range peer.inFlight {
-			view.add(&peer.inFlight[i], now)
+			snapshot.add(&peer.inFlight[i], now)
 			if now.Sub(peer.inFlight[i].Sent) < arrivalWindow {
-				view.unreported++
+				snapshot.unreported++
 			}
 		}
 	}
 	for key, slowdown := range tracker.slowdowns {
-		view.load(key).Slow = slowdown
+		snapshot.load(key).Slow = slowdown
 	}
 	if tracker.Paces != nil {
 		for key, slowdown := range tracker.Paces(now) {
-			load := view.load(key)
+			load := snapshot.load(key)
 			load.Slow, load.Pace = slowdown, slowdown
 		}
 	}
-	for _, load := range view.loads {
+	for _, load := range snapshot.loads {
 		load.computeBacklog(now)
 	}
 	elapsed := now.Sub(tracker.startedAt)
-	view.observedShare = min(float64(elapsed)/float64(arrivalWindow), 1)
+	snapshot.observedShare = min(float64(elapsed)/float64(arrivalWindow), 1)
 	window := min(max(elapsed, minArrivalWindow), arrivalWindow)
-	view.shortValuePerSecond /= window.Seconds()
-	view.unreported *= float64(tracker.reportLag) / float64(window)
-	return view
+	snapshot.shortValuePerSecond /= window.Seconds()
+	snapshot.unreported *= float64(tracker.reportLag) / float64(window)
+	return snapshot
 }
 
 // Unheard returns the estimated number of peers' requests that are in flight but not
 // yet reported here.
-func (view View) Unheard() float64 { return view.unreported }
+func (snapshot View) Unheard() float64 { return snapshot.unreported }
 
 // All returns the endpoints that have any load.
-func (view View) All() iter.Seq2[peridotpath.EndpointKey, *Load] { return maps.All(view.loads) }
+func (snapshot View) All() iter.Seq2[peridotpath.EndpointKey, *Load] { return maps.All(snapshot.loads) }
 
 // At returns the load of an endpoint, which is zero for an unknown one.
-func (view View) At(key peridotpath.EndpointKey) *Load {
-	if load := view.loads[key]; load != nil {
+func (snapshot View) At(key peridotpath.EndpointKey) *Load {
+	if load := snapshot.loads[key]; load != nil {
 		return load
 	}
 	return &Load{Slow: 1, Pace: 1}
 }
 
-func (view *View) load(key peridotpath.EndpointKey) *Load {
-	load := view.loads[key]
+func (snapshot *View) load(key peridotpath.EndpointKey) *Load {
+	load := snapshot.loads[key]
 	if load == nil {
 		load = &Load{Slow: 1, Pace: 1}
-		view.loads[key] = load
+		snapshot.loads[key] = load
 	}
 	return load
 }
 
-func (view *View) add(request *Flight, now time.Time) {
+func (snapshot *View) add(request *Flight, now time.Time) {
 	if len(request.Parts) > 0 && request.Parts[0].Reading < minSplitPrefill && now.Sub(request.Sent) < arrivalWindow {
-		view.shortValuePerSecond += Value(request.Prompt)
+		snapshot.shortValuePerSecond += Value(request.Prompt)
 	}
 	for i, part := range request.Parts {
-		load := view.load(part.Endpoint)
+		load := snapshot.load(part.Endpoint)
 		load.Memory += part.Memory
 		if i == 0 {
 			load.itlTargets = append(load.itlTargets, itlTarget{target: request.PauseAim, value: Value(request.Prompt)})
--- a/peridotpath/placement/load_tracker.go
+++ b/peridotpath/placement/load_tracker.go
@@ -40,7 +40,7 @@
 	}
 )
 
-// peerExpiry is the age after which a peer's report is dropped. Peers report every
+// peerExpiry is the age after which a peer's report is dropped. A peer reports every
 // 250 ms. The requests of a crashed instance end with its connections.
 const peerExpiry = 2 * time.Second
 
--- a/peridotpath/placement/plain.go
+++ b/peridotpath/placement/plain.go
@@ -7,11 +7,11 @@
 
 // PlanPlain chooses the endpoint of a plain service with the fewest requests per slot
 // (weighted least-request). It returns false where all are at their limit.
-func PlanPlain(work Work, candidates []Candidate, view View) (Plan, bool) {
+func PlanPlain(work Work, candidates []Candidate, snapshot View) (Plan, bool) {
 	best, found := Plan{}, false
 	for i := range candidates {
 		candidate := &candidates[i]
-		load := view.At(candidate.Key)
+		load := snapshot.At(candidate.Key)
 		slots := max(candidate.Endpoint.Slots, 1)
 		if load.Taken() >= maxLoadFactor*slots {
 			continue
--- a/peridotpath/placement/plan.go
+++ b/peridotpath/placement/plan.go
@@ -13,12 +13,18 @@
 
 // Work is what the planner needs to know of a request.
 type Work struct {
-	// Prompt is the prompt's length, Answer the predicted length of the answer.
-	Prompt, Answer peridotpath.Tokens
-	// AnswerAim is the TTFT target, PauseAim the ITL target.
-	AnswerAim, PauseAim time.Duration
-	// Waited is the time since the request's arrival, Left the time to its deadline.
-	Waited, Left time.Duration
+	// Prompt is the length of the prompt.
+	Prompt peridotpath.Tokens
+	// Answer is the expected length of the answer.
+	Answer peridotpath.Tokens
+	// AnswerAim is the TTFT target.
+	AnswerAim time.Duration
+	// PauseAim is the ITL target.
+	PauseAim time.Duration
+	// Waited is the time since the request's arrival.
+	Waited time.Duration
+	// Left is the time until the request's deadline.
+	Left time.Duration
 	// Patience is the time until the client times out if no event arrives; zero
 	// where that is not known.
 	Patience time.Duration
@@ -130,11 +136,11 @@
 // one engine prefills delays everything there for seconds, first events and later ones.
 // Split across the engines with few decoding requests it takes a fraction of a second,
 // and short prompts use the other engines.
-func PlanPrompt(model Model, work Work, candidates []Candidate, view View) (Plan, bool) {
-	engines := newEngines(model, candidates, view)
+func PlanPrompt(model Model, work Work, candidates []Candidate, snapshot View) (Plan, bool) {
+	engines := newEngines(model, candidates, snapshot)
 	prefill := model.ReadTime(work.Prompt)
 	byPrefillCost := sortByPrefillCost(engines, prefill)
-	fleet := fleetState{shortValuePerSecond: view.shortValuePerSecond, engines: byPrefillCost}
+	fleet := fleetState{shortValuePerSecond: snapshot.shortValuePerSecond, engines: byPrefillCost}
 	best, found := Plan{}, false
 	split := noneFits(model, work, engines)
 	tried := 0
@@ -211,11 +217,11 @@
 	return true
 }
 
-func newEngines(model Model, candidates []Candidate, view View) []engine {
+func newEngines(model Model, candidates []Candidate, snapshot View) []engine {
 	engines := make([]engine, 0, len(candidates))
-	confidence := view.confidence()
+	confidence := snapshot.confidence()
 	for _, candidate := range candidates {
-		load := view.At(candidate.Key)
+		load := snapshot.At(candidate.Key)
 		iteration := load.slowed(model.Pass(load.Writers, load.Context))
 		prefillDelay := time.Duration(float64(load.Backlog)*load.Slow) + iteration/2
 		engines = append(engines, engine{
@@ -296,9 +302,9 @@
 
 // SoonestFree returns the time until the first of the endpoints has finished its prefill
 // backlog and has a free slot. A retry before that would be rejected again.
-func SoonestFree(model Model, work Work, candidates []Candidate, view View) time.Duration {
+func SoonestFree(model Model, work Work, candidates []Candidate, snapshot View) time.Duration {
 	soonest := time.Duration(math.MaxInt64)
-	for _, engine := range newEngines(model, candidates, view) {
+	for _, engine := range newEngines(model, candidates, snapshot) {
 		soonest = min(soonest, engine.load.Backlog+engine.slotWait(model, work))
 	}
 	if soonest == math.MaxInt64 {
--- a/peridotpath/placement/plan_test.go
+++ b/peridotpath/placement/plan_test.go
@@ -168,14 +168,14 @@
 	is := is.New(t)
 	tracker, all := &placement.Book{}, candidates(3)
 	all[0].Suspect, all[1].Suspect = true, true
-	view := tracker.View(time.Now())
-	plan, _ := placement.PlanPrompt(model, shortWork(), all, view)
+	snapshot := tracker.View(time.Now())
+	plan, _ := placement.PlanPrompt(model, shortWork(), all, snapshot)
 	is.Equal(plan.Writer.ID, all[2].Endpoint.ID)
-	plan, _ = placement.PlanPlain(shortWork(), all, view)
+	plan, _ = placement.PlanPlain(shortWork(), all, snapshot)
 	is.Equal(plan.Writer.ID, all[2].Endpoint.ID)
-	plan, found := placement.PlanPrompt(model, shortWork(), all[:2], view)
+	plan, found := placement.PlanPrompt(model, shortWork(), all[:2], snapshot)
 	is.True(found && plan.Writer != nil) // an ejected endpoint is used when there is no other
-	plan, _ = placement.PlanPrompt(model, longWork(210_000), all, view)
+	plan, _ = placement.PlanPrompt(model, longWork(210_000), all, snapshot)
 	is.Equal(len(plan.Helpers), 0) // an unreachable helper would delay the whole prefill
 }
 
