--- /dev/null
+++ b/peridotpath/reservation/manager.go
@@ -0,0 +1,284 @@
+// Package reservation reserves KV cache on engines for prompts whose KV cache is split
+// over several of them, because no engine can hold it alone. Under memory pressure it
+// acquires all parts or none, which avoids deadlock between prompts. Reservations are
+// leases: they are renewed while in use, expire by their TTL when the instance crashes,
+// and releases are repeated while an earlier call without an answer may still take effect.
+package reservation
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/rs/zerolog"
+	"github.com/zeebo/errs"
+
+	"peridotpath.example/peridotpath"
+)
+
+// Error is the class of this package's errors.
+var Error = errs.Class("reservation")
+
+const (
+	// Hold is the TTL of a reservation. Engines must regain their memory within four
+	// seconds of its last use, and when this instance crashes only the TTL frees it.
+	Hold = 3500 * time.Millisecond
+	// renewInterval allows two lost renewals within the TTL.
+	renewInterval = time.Second
+	// callTimeout bounds one call to an engine. Engines answer within milliseconds; a
+	// call that times out may still take effect much later.
+	callTimeout = 400 * time.Millisecond
+	// lateEffectWindow is how long a call without an answer may still take effect; delays
+	// of up to 12 s occur. A reservation that starts after its release would keep the
+	// memory unused for its whole TTL.
+	lateEffectWindow = 14 * time.Second
+	// releaseInterval is the time between two releases of a reservation that may still
+	// start late.
+	releaseInterval = 700 * time.Millisecond
+)
+
+// Need is an amount of KV cache to reserve at an endpoint.
+type Need struct {
+	Endpoint *peridotpath.Endpoint
+	Tokens   peridotpath.Tokens
+}
+
+// Ticket is a reservation at one endpoint.
+type Ticket struct {
+	ID   string
+	Need Need
+
+	// outcomeUnknown is set when a call to reserve or renew got no answer.
+	outcomeUnknown atomic.Bool
+	renewedAt      time.Time
+}
+
+// Keeper acquires, renews and releases this instance's reservations. Set the exported
+// fields before Run.
+type Keeper struct {
+	Instance    peridotpath.InstanceID
+	Incarnation peridotpath.Incarnation
+	// Reserve creates or renews a reservation. It returns false where the endpoint has
+	// too little free memory. After an error the outcome is unknown.
+	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, ttl time.Duration) (bool, error)
+	// Release ends a reservation. After an error the outcome is unknown.
+	Release func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error
+	// MaxHold is the longest TTL that engines accept; zero for no bound.
+	MaxHold time.Duration
+	Log     zerolog.Logger
+
+	lastID atomic.Uint64
+	mutex  sync.Mutex
+	active map[string]*Ticket
+	// releasing are the reservations whose release is repeated until it is certain.
+	releasing map[string]*pendingRelease
+	calls     sync.WaitGroup
+}
+
+type pendingRelease struct {
+	reservation *Ticket
+	expiresAt   time.Time
+	nextAttempt time.Time
+}
+
+// NotFree is the failure to reserve memory at an endpoint.
+type NotFree struct {
+	Endpoint peridotpath.EndpointKey
+	cause    error
+}
+
+// Error returns the endpoint and the cause.
+func (reserveError *NotFree) Error() string {
+	return fmt.Sprintf("reservation: no memory reserved at endpoint %x: %v", uint64(reserveError.Endpoint), reserveError.cause)
+}
+
+// Take reserves all of the memory or none. Two prompts that each held a part would
+// otherwise deadlock.
+func (manager *Keeper) Take(ctx context.Context, needs []Need) ([]*Ticket, error) {
+	reservations := make([]*Ticket, len(needs))
+	failures := make(chan error, len(needs))
+	for i, need := range needs {
+		reservation := &Ticket{ID: manager.newID(), Need: need, renewedAt: time.Now()}
+		reservations[i] = reservation
+		manager.calls.Add(1)
+		go func() {
+			defer manager.calls.Done()
+			failures <- manager.reserve(ctx, reservation)
+		}()
+	}
+	var failure error
+	for range needs {
+		if err := <-failures; err != nil {
+			failure = err
+		}
+	}
+	if failure != nil {
+		manager.End(reservations)
+		return nil, failure
+	}
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	if manager.active == nil {
+		manager.active = map[string]*Ticket{}
+	}
+	for _, reservation := range reservations {
+		manager.active[reservation.ID] = reservation
+	}
+	return reservations, nil
+}
+
+// newID returns an id that is unique over all instances and their incarnations, so that
+// two requests never share a reservation.
+func (manager *Keeper) newID() string {
+	return fmt.Sprintf("%s-%x-%d", manager.Instance, uint64(manager.Incarnation), manager.lastID.Add(1))
+}
+
+func (manager *Keeper) ttl() time.Duration {
+	if manager.MaxHold > 0 {
+		return min(Hold, manager.MaxHold)
+	}
+	return Hold
+}
+
+func (manager *Keeper) reserve(ctx context.Context, reservation *Ticket) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	reserved, err := manager.Reserve(ctx, reservation.Need.Endpoint, reservation.ID, reservation.Need.Tokens, manager.ttl())
+	if err != nil {
+		reservation.outcomeUnknown.Store(true)
+	}
+	if err == nil && reserved {
+		return nil
+	}
+	return &NotFree{Endpoint: reservation.Need.Endpoint.Key(), cause: err}
+}
+
+// End queues reservations for release and returns at once.
+func (manager *Keeper) End(reservations []*Ticket) {
+	if len(reservations) == 0 {
+		return
+	}
+	now := time.Now()
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	if manager.releasing == nil {
+		manager.releasing = map[string]*pendingRelease{}
+	}
+	for _, reservation := range reservations {
+		delete(manager.active, reservation.ID)
+		manager.releasing[reservation.ID] = &pendingRelease{reservation: reservation, expiresAt: now.Add(lateEffectWindow), nextAttempt: now}
+	}
+}
+
+// Held returns the number of reservations in use.
+func (manager *Keeper) Held() int {
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	return len(manager.active)
+}
+
+// pollInterval is the time between two checks for due renewals and releases.
+const pollInterval = 20 * time.Millisecond
+
+// Run renews and releases reservations until ctx ends.
+func (manager *Keeper) Run(ctx context.Context) error {
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			manager.calls.Wait()
+			return ctx.Err()
+		case now := <-ticker.C:
+			manager.renewDue(ctx, now)
+			manager.releaseDue(ctx, now)
+		}
+	}
+}
+
+func (manager *Keeper) renewDue(ctx context.Context, now time.Time) {
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	for _, reservation := range manager.active {
+		if now.Sub(reservation.renewedAt) < renewInterval {
+			continue
+		}
+		reservation.renewedAt = now
+		manager.calls.Add(1)
+		go func() {
+			defer manager.calls.Done()
+			if err := manager.reserve(ctx, reservation); err != nil {
+				manager.Log.Warn().Str("ticket", reservation.ID).Str("endpoint", string(reservation.Need.Endpoint.ID)).
+					Err(err).Msg("reservation_not_renewed")
+			}
+		}()
+	}
+}
+
+func (manager *Keeper) releaseDue(ctx context.Context, now time.Time) {
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	for id, release := range manager.releasing {
+		if now.After(release.expiresAt) {
+			manager.Log.Warn().Str("ticket", id).Str("endpoint", string(release.reservation.Need.Endpoint.ID)).
+				Msg("reservation_left_to_lapse")
+			delete(manager.releasing, id)
+			continue
+		}
+		if now.Before(release.nextAttempt) {
+			continue
+		}
+		release.nextAttempt = now.Add(releaseInterval)
+		manager.calls.Add(1)
+		go func() {
+			defer manager.calls.Done()
+			manager.release(ctx, release)
+		}()
+	}
+}
+
+// release ends one reservation. If the outcome of an earlier call is unknown, the release
+// is repeated, since that call may take effect after this one.
+func (manager *Keeper) release(ctx context.Context, release *pendingRelease) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	err := manager.Release(ctx, release.reservation.Need.Endpoint, release.reservation.ID)
+	if err != nil {
+		// The release is retried; a failure is logged only when it expires.
+		return
+	}
+	if release.reservation.outcomeUnknown.Load() {
+		return
+	}
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	delete(manager.releasing, release.reservation.ID)
+}
+
+// Close releases all reservations and waits for completion or the end of ctx.
+func (manager *Keeper) Close(ctx context.Context) {
+	manager.mutex.Lock()
+	reservations := make([]*Ticket, 0, len(manager.active))
+	for _, reservation := range manager.active {
+		reservations = append(reservations, reservation)
+	}
+	manager.mutex.Unlock()
+	manager.End(reservations)
+	for ctx.Err() == nil && manager.hasPendingRelease() {
+		time.Sleep(pollInterval)
+	}
+}
+
+// hasPendingRelease reports whether a reservation with a known outcome is not yet released.
+func (manager *Keeper) hasPendingRelease() bool {
+	manager.mutex.Lock()
+	defer manager.mutex.Unlock()
+	for _, release := range manager.releasing {
+		if !release.reservation.outcomeUnknown.Load() {
+			return true
+		}
+	}
+	return false
+}
