--- a/peridotctl/losses.go
+++ b/peridotctl/losses.go
@@ -76,7 +76,7 @@
 		if cause = lateCause(line); cause == "" {
 			return
 		}
-		part = placement.LateLoss
+		part = placement.MissedTargetCost
 	}
 	key := lossKey{cause: cause, kind: line.Pairs["kind"] + " " + line.Pairs["length"]}
 	row := losses.byCause[key]
@@ -107,7 +107,7 @@
 	if prompt <= 0 {
 		return 1
 	}
-	return placement.Value(peridotpath.Tokens(prompt))
+	return placement.PromptValue(peridotpath.Tokens(prompt))
 }
 
 // lateCause says why an answer was late; empty for one that was not.
--- a/peridotpath/gossip/gossip.go
+++ b/peridotpath/gossip/gossip.go
@@ -78,7 +78,7 @@
 	// SnapshotPort is the port on which peers may fetch the snapshot of the store that this
 	// instance holds.
 	SnapshotPort uint16
-	Loads        *placement.Book
+	Loads        *placement.LoadTracker
 	// Facts holds the facts that all instances share.
 	Facts *facts.Table
 	// Clock returns the time since boot, which advances while the machine is suspended.
@@ -274,13 +274,13 @@
 		Endpoints: fresh.EndpointsHash, EndpointsAge: clock.Micros(fresh.EndpointsAge), Cells: uint32(cells),
 		Era: uint64(fresh.Era), EraAge: clock.Micros(fresh.EraAge), EraDated: fresh.EraAgeKnown,
 	}
-	for _, request := range gossip.Loads.Own() {
+	for _, request := range gossip.Loads.LocalInFlight() {
 		digest.Flights = append(digest.Flights, encodeInFlight(&request, now))
 	}
-	for _, queued := range gossip.Loads.OwnWaits() {
+	for _, queued := range gossip.Loads.LocalQueued() {
 		digest.Waits = append(digest.Waits, encodeQueuedPrompt(&queued, now))
 	}
-	for _, ejection := range gossip.Loads.OwnSuspicions(now) {
+	for _, ejection := range gossip.Loads.LocalEjections(now) {
 		digest.Suspicions = append(digest.Suspicions, &wire.Suspicion{
 			Endpoint: uint64(ejection.Endpoint), Left: clock.Micros(ejection.Until.Sub(now)),
 		})
@@ -338,7 +338,7 @@
 	}
 	near := peer.dataCentre == gossip.DataCentre
 	echo, mustForward := digest.Echo, digest.HandOn
-	gossip.Loads.HearPeer(decodeReport(digest, now), now)
+	gossip.Loads.ApplyPeerReport(decodeReport(digest, now), now)
 	if mustForward {
 		gossip.forward(conn, digest)
 	}
--- a/peridotpath/gossip/gossip_test.go
+++ b/peridotpath/gossip/gossip_test.go
@@ -44,7 +44,7 @@
 // node is an instance that gossips, with what it receives.
 type node struct {
 	gossip   *gossip.Gossip
-	loads    *placement.Book
+	loads    *placement.LoadTracker
 	facts    *facts.Table
 	received chan receivedFreshness
 	// cellMismatches counts the digests with another number of cells.
@@ -54,7 +54,7 @@
 // start runs a node until the test ends.
 func start(t *testing.T, id peridotpath.InstanceID, dataCentre peridotpath.DataCentre, fresh gossip.Freshness) *node {
 	t.Helper()
-	node := &node{loads: &placement.Book{}, facts: &facts.Table{}, received: make(chan receivedFreshness, 1000)}
+	node := &node{loads: &placement.LoadTracker{}, facts: &facts.Table{}, received: make(chan receivedFreshness, 1000)}
 	node.gossip = &gossip.Gossip{
 		Instance: id, Incarnation: 1, Address: freeAddress(t), DataCentre: dataCentre, SnapshotPort: 99, Loads: node.loads, Facts: node.facts, Clock: clock.SinceBoot, Log: zerolog.Nop(),
 		LocalFreshness: func() gossip.Freshness { return fresh },
@@ -65,7 +65,7 @@
 		},
 	}
 	node.gossip.OnCellCountMismatch = func() { node.cellMismatches.Add(1) }
-	node.loads.Changed = node.gossip.RequestDigest
+	node.loads.OnChange = node.gossip.RequestDigest
 	node.facts.OnChange = node.gossip.RequestDigest
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -98,28 +98,28 @@
 	fresh := gossip.Freshness{RoutingVersion: 7, RoutingAge: 300 * time.Millisecond, EndpointsHash: 9, EndpointsAge: 200 * time.Millisecond}
 	one, two := start(t, "one", "a", fresh), start(t, "two", "a", gossip.Freshness{})
 	one.gossip.SetPeers([]gossip.Peer{{Address: two.gossip.Address, DataCentre: "a"}})
-	request := one.loads.Begin(placement.Flight{
-		Parts:  []placement.Part{{Endpoint: 5, Reading: time.Second, Memory: 70_000}, {Endpoint: 6, Reading: time.Second, Memory: 30_000}},
-		Prompt: 100_000, PauseAim: 800 * time.Millisecond, Sent: time.Now(),
+	request := one.loads.AddInFlight(placement.InFlight{
+		Parts:        []placement.PrefillPart{{Endpoint: 5, PrefillTime: time.Second, ReservedKV: 70_000}, {Endpoint: 6, PrefillTime: time.Second, ReservedKV: 30_000}},
+		PromptTokens: 100_000, ITLTarget: 800 * time.Millisecond, SentAt: time.Now(),
 	})
-	one.loads.Join(placement.NewWait(time.Now(), 3*time.Second))
-	one.loads.Failed(8, time.Now())
+	one.loads.Join(placement.NewQueuedPrompt(time.Now(), 3*time.Second))
+	one.loads.EjectFailed(8, time.Now())
 	eventually(t, "the load is received", func() bool {
-		load := two.loads.View(time.Now()).At(6)
-		return load.Memory == 30_000 && load.Backlog > 500*time.Millisecond
+		load := two.loads.Snapshot(time.Now()).At(6)
+		return load.ReservedKV == 30_000 && load.PrefillBacklog > 500*time.Millisecond
 	})
-	is.Equal(two.loads.View(time.Now()).At(5).Waiting, 1)
-	eventually(t, "the ejection is received", func() bool { return two.loads.Suspects(time.Now())[8] })
-	queued := two.loads.Join(placement.NewWait(time.Now().Add(time.Second), 3*time.Second))
-	count, prefill := two.loads.Ahead(queued, "two", time.Now())
+	is.Equal(two.loads.Snapshot(time.Now()).At(5).Prefilling, 1)
+	eventually(t, "the ejection is received", func() bool { return two.loads.EjectedEndpoints(time.Now())[8] })
+	queued := two.loads.Join(placement.NewQueuedPrompt(time.Now().Add(time.Second), 3*time.Second))
+	count, prefill := two.loads.QueuedAhead(queued, "two", time.Now())
 	is.Equal(count, 1)
 	is.Equal(prefill, 3*time.Second)
 
-	one.loads.Writing(request)
-	eventually(t, "prefill has ended", func() bool { return two.loads.View(time.Now()).At(6).Backlog == 0 })
-	is.Equal(two.loads.View(time.Now()).At(6).Memory, peridotpath.Tokens(30_000)) // the KV cache is still held
-	one.loads.End(request)
-	eventually(t, "the request has ended", func() bool { return two.loads.View(time.Now()).At(6).Memory == 0 })
+	one.loads.MarkDecoding(request)
+	eventually(t, "prefill has ended", func() bool { return two.loads.Snapshot(time.Now()).At(6).PrefillBacklog == 0 })
+	is.Equal(two.loads.Snapshot(time.Now()).At(6).ReservedKV, peridotpath.Tokens(30_000)) // the KV cache is still held
+	one.loads.RemoveInFlight(request)
+	eventually(t, "the request has ended", func() bool { return two.loads.Snapshot(time.Now()).At(6).ReservedKV == 0 })
 
 	// two sends digests as well, so that one returns an echo of its clock.
 	got := <-two.received
@@ -142,38 +142,38 @@
 		node.gossip.SetPeers(append(all, gossip.Peer{Address: remote.gossip.Address, DataCentre: "b"}))
 	}
 	remote.gossip.SetPeers(all[:1])
-	remote.loads.Begin(placement.Flight{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}, Sent: time.Now()})
+	remote.loads.AddInFlight(placement.InFlight{Parts: []placement.PrefillPart{{Endpoint: 5, ReservedKV: 10}}, SentAt: time.Now()})
 	for _, node := range near {
-		eventually(t, "the load is received", func() bool { return node.loads.View(time.Now()).At(5).Memory == 10 })
+		eventually(t, "the load is received", func() bool { return node.loads.Snapshot(time.Now()).At(5).ReservedKV == 10 })
 	}
-	eventually(t, "all peers are known", func() bool { return near[2].loads.Peers(time.Now()) == 3 })
+	eventually(t, "all peers are known", func() bool { return near[2].loads.LivePeerCount(time.Now()) == 3 })
 }
 
 // A digest that arrives out of order or twice is dropped.
 func TestOutdatedDigestIsDropped(t *testing.T) {
 	is := is.New(t)
-	loads := &placement.Book{}
+	loads := &placement.LoadTracker{}
 	now := time.Now()
-	requests := []placement.Flight{{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}}}
-	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 4, Flights: requests}, now)
-	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 3}, now)
-	is.Equal(loads.View(now).At(5).Memory, peridotpath.Tokens(10))
-	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 2, Sequence: 1}, now) // restarted
-	is.Equal(loads.View(now).At(5).Memory, peridotpath.Tokens(0))
-	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 5, Flights: requests}, now)
-	is.Equal(loads.View(now).At(5).Memory, peridotpath.Tokens(0))
+	requests := []placement.InFlight{{Parts: []placement.PrefillPart{{Endpoint: 5, ReservedKV: 10}}}}
+	loads.ApplyPeerReport(placement.PeerReport{Peer: "one", Incarnation: 1, Sequence: 4, InFlight: requests}, now)
+	loads.ApplyPeerReport(placement.PeerReport{Peer: "one", Incarnation: 1, Sequence: 3}, now)
+	is.Equal(loads.Snapshot(now).At(5).ReservedKV, peridotpath.Tokens(10))
+	loads.ApplyPeerReport(placement.PeerReport{Peer: "one", Incarnation: 2, Sequence: 1}, now) // restarted
+	is.Equal(loads.Snapshot(now).At(5).ReservedKV, peridotpath.Tokens(0))
+	loads.ApplyPeerReport(placement.PeerReport{Peer: "one", Incarnation: 1, Sequence: 5, InFlight: requests}, now)
+	is.Equal(loads.Snapshot(now).At(5).ReservedKV, peridotpath.Tokens(0))
 }
 
 // A peer dies with in-flight requests. Endpoints drop these with their connections, so
 // their load must expire.
 func TestDeadPeerExpires(t *testing.T) {
 	is := is.New(t)
-	loads := &placement.Book{}
+	loads := &placement.LoadTracker{}
 	now := time.Now()
-	loads.HearPeer(placement.Report{Peer: "one", Incarnation: 1, Sequence: 1, Flights: []placement.Flight{{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}}}}, now)
-	is.Equal(loads.Peers(now.Add(time.Second)), 1)
-	is.Equal(loads.Peers(now.Add(3*time.Second)), 0)
-	is.Equal(loads.View(now.Add(3*time.Second)).At(5).Memory, peridotpath.Tokens(0))
+	loads.ApplyPeerReport(placement.PeerReport{Peer: "one", Incarnation: 1, Sequence: 1, InFlight: []placement.InFlight{{Parts: []placement.PrefillPart{{Endpoint: 5, ReservedKV: 10}}}}}, now)
+	is.Equal(loads.LivePeerCount(now.Add(time.Second)), 1)
+	is.Equal(loads.LivePeerCount(now.Add(3*time.Second)), 0)
+	is.Equal(loads.Snapshot(now.Add(3*time.Second)).At(5).ReservedKV, peridotpath.Tokens(0))
 }
 
 // A digest that stood in a buffer for 500 ms must not make an old snapshot look fresh, or a
@@ -214,8 +214,8 @@
 		_, _ = conn.Write(datagram)
 	}
 	two.gossip.SetPeers([]gossip.Peer{{Address: one.gossip.Address, DataCentre: "a"}})
-	two.loads.Begin(placement.Flight{Parts: []placement.Part{{Endpoint: 5, Memory: 10}}, Sent: time.Now()})
-	eventually(t, "digests are received", func() bool { return one.loads.View(time.Now()).At(5).Memory == 10 })
+	two.loads.AddInFlight(placement.InFlight{Parts: []placement.PrefillPart{{Endpoint: 5, ReservedKV: 10}}, SentAt: time.Now()})
+	eventually(t, "digests are received", func() bool { return one.loads.Snapshot(time.Now()).At(5).ReservedKV == 10 })
 	if len(one.received) > 0 {
 		t.Error("an echo that lies in the future was accepted")
 	}
--- a/peridotpath/gossip/report_test.go
+++ b/peridotpath/gossip/report_test.go
@@ -51,14 +51,14 @@
 		for _, fact := range table.TakeDue(now, true) {
 			decider.Check(peridotpath.Fingerprint(fact.Subject), now)
 		}
-		loads := &placement.Book{}
-		loads.HearPeer(decodeReport(digest, now), now)
-		for _, load := range loads.View(now).All() {
-			if load.Backlog < 0 || load.Taken() < 0 {
+		loads := &placement.LoadTracker{}
+		loads.ApplyPeerReport(decodeReport(digest, now), now)
+		for _, load := range loads.Snapshot(now).All() {
+			if load.PrefillBacklog < 0 || load.RequestCount() < 0 {
 				t.Errorf("load %+v", load)
 			}
 		}
-		loads.Suspects(now)
-		loads.Ahead(loads.Join(placement.NewWait(now, time.Second)), "b", now)
+		loads.EjectedEndpoints(now)
+		loads.QueuedAhead(loads.Join(placement.NewQueuedPrompt(now, time.Second)), "b", now)
 	})
 }
--- a/peridotpath/instance/cell.go
+++ b/peridotpath/instance/cell.go
@@ -32,5 +32,5 @@
 // estimateFleetSize returns the approximate number of instances: those in the own cell
 // times the number of cells, which are of about the same size.
 func (instance *Instance) estimateFleetSize() int {
-	return (1 + instance.loads.Peers(time.Now())) * instance.gossip.Cell().Count()
+	return (1 + instance.loads.LivePeerCount(time.Now())) * instance.gossip.Cell().Count()
 }
--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -49,7 +49,7 @@
 	// Check probes whether an engine is alive, Pace how slow it is.
 	Check relay.Checker
 	Pace  func(ctx context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error)
-	// Reserve and Release are the calls of a reservation.Keeper.
+	// Reserve and Release are the calls of a reservation.Manager.
 	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, hold time.Duration) (bool, error)
 	Release func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error
 	// Ingress returns the handler of requests from callers.
@@ -104,10 +104,10 @@
 	Log      zerolog.Logger
 
 	incarnation         peridotpath.Incarnation
-	keeper              *reservation.Keeper
+	keeper              *reservation.Manager
 	routing             *routing.State
 	directory           *directory.Directory
-	loads               *placement.Book
+	loads               *placement.LoadTracker
 	facts               *facts.Table
 	quarantine          *quarantine.Quarantine
 	throttle            *throttle.Throttle
@@ -135,18 +135,18 @@
 	instance := &Instance{Settings: settings, Adapter: adapter, Log: log, incarnation: peridotpath.Incarnation(time.Now().UnixNano())}
 	instance.routing = &routing.State{Now: clock.SinceBoot, KeyLifetime: settings.KeyLifetime - keyExpiryMargin, Log: log}
 	instance.directory = &directory.Directory{Log: log}
-	instance.loads = &placement.Book{}
+	instance.loads = &placement.LoadTracker{}
 	instance.facts = &facts.Table{}
 	instance.quarantine = &quarantine.Quarantine{Instance: settings.InstanceID, Facts: instance.facts, Log: log}
 	instance.throttle = &throttle.Throttle{
 		Instance: settings.InstanceID, SenderID: throttle.SenderID(settings.InstanceID, instance.incarnation), Facts: instance.facts, Log: log,
 	}
-	instance.keeper = &reservation.Keeper{
+	instance.keeper = &reservation.Manager{
 		Instance: settings.InstanceID, Incarnation: instance.incarnation,
-		Reserve: adapter.Reserve, Release: adapter.Release, MaxHold: settings.MaxHold, Log: log,
+		Reserve: adapter.Reserve, Release: adapter.Release, MaxTTL: settings.MaxHold, Log: log,
 	}
 	instance.paces = &pace.Prober{Facts: instance.facts, FetchSlowdown: adapter.Pace, FindEndpoint: instance.findEndpoint, OwnsEndpoint: instance.ownsEndpoint, Log: log}
-	instance.loads.Paces = instance.slowEngines
+	instance.loads.ReportedSlowdowns = instance.slowEngines
 	instance.startup = newStartup(instance.hasRouting, instance.hasRoutingAndEndpoints, instance.storeFailing)
 	instance.relay = &relay.Relay{
 		Instance: settings.InstanceID, DataCentre: settings.DataCentre, Log: log, Routing: instance.routing,
@@ -170,8 +170,8 @@
 		RoutingAge:     func() float64 { return instance.routing.Age().Seconds() },
 		EndpointsAge:   func() float64 { return instance.endpointFollower.Age().Seconds() },
 		RoutingVersion: func() float64 { return float64(instance.routing.Version()) },
-		Peers:          func() float64 { return float64(instance.loads.Peers(time.Now())) },
-		Reservations:   func() float64 { return float64(instance.keeper.Held()) },
+		Peers:          func() float64 { return float64(instance.loads.LivePeerCount(time.Now())) },
+		Reservations:   func() float64 { return float64(instance.keeper.ActiveCount()) },
 		Active:         func() float64 { return float64(instance.activeRequests.Load()) },
 	})
 }
@@ -197,7 +197,7 @@
 
 // ownsEndpoint reports whether this instance is the one that probes the pace of an engine.
 func (instance *Instance) ownsEndpoint(endpoint peridotpath.EndpointKey) bool {
-	return instance.loads.Chosen(instance.Settings.InstanceID, endpoint)
+	return instance.loads.IsOwner(instance.Settings.InstanceID, endpoint)
 }
 
 // slowEngines returns the slowdown factors of engines that are known to be slow.
@@ -231,7 +231,7 @@
 		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness, Log: instance.Log,
 	}
 	adapter.Eras.Risen = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
-	instance.loads.Changed = instance.gossip.RequestDigest
+	instance.loads.OnChange = instance.gossip.RequestDigest
 	instance.facts.OnChange = instance.gossip.RequestDigest
 	instance.registry = &gossip.Registry{
 		Store: adapter.Store, Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
@@ -260,7 +260,7 @@
 	limit := float64(instance.Settings.MaxPropagationDelay)
 	return clock.Pace{
 		Least: time.Duration(minPollAgeShare * limit), Spread: time.Duration(pollSpreadShare * limit), Retry: pollRetryPause, Gap: minPollGap,
-		Others: func() int { return instance.loads.Peers(time.Now()) },
+		Others: func() int { return instance.loads.LivePeerCount(time.Now()) },
 		Known:  hasSnapshot, Before: func() int { return min(instance.gossip.Rank(content()), maxPollRank) },
 	}
 }
--- a/peridotpath/placement/cost.go
+++ b/peridotpath/placement/cost.go
@@ -5,9 +5,9 @@
 // Costs are fractions of a request's value. The cost of a plan is the value that it is
 // expected to lose, of the request itself and of others on the same engines.
 const (
-	// LateLoss is the fraction of its value that an answer loses when it misses its
+	// MissedTargetCost is the fraction of its value that an answer loses when it misses its
 	// latency target.
-	LateLoss = 0.75
+	MissedTargetCost = 0.75
 	// surelyMetShare and surelyMissedShare are shares of the target. A predicted time
 	// below the first counts as met, one above the second as missed, and the cost grows
 	// linearly between them. The first leaves room for errors of the prediction.
@@ -53,17 +53,17 @@
 	}
 	share := float64(ttft) / float64(target)
 	missed := min(max((share-surelyMetShare)/(surelyMissedShare-surelyMetShare), 0), 1)
-	return LateLoss*missed + latencySlopeCost*share
+	return MissedTargetCost*missed + latencySlopeCost*share
 }
 
 // itlRiskCost is the fraction of its value that the answer is expected to lose where
 // pending prefill on the primary will delay one of its events beyond the ITL target.
 func itlRiskCost(work Work, primary *engine) float64 {
-	if work.PauseAim == 0 {
+	if work.ITLTarget == 0 {
 		return 0
 	}
-	if primary.load.LongestRead+primary.iteration > time.Duration(maxITLShare*float64(work.PauseAim)) {
-		return LateLoss / 2
+	if primary.load.LongestPrefill+primary.iteration > time.Duration(maxITLShare*float64(work.ITLTarget)) {
+		return MissedTargetCost / 2
 	}
 	return 0
 }
@@ -72,13 +72,13 @@
 // given duration is added to its backlog. The whole backlog falls between two events
 // of each of them.
 func interferenceCost(at *engine, prefill time.Duration) float64 {
-	before := at.iteration + at.load.Backlog
+	before := at.iteration + at.load.PrefillBacklog
 	after := before + prefill
 	cost := 0.0
 	for _, itl := range at.load.itlTargets {
 		limit := time.Duration(maxITLShare * float64(itl.target))
 		if itl.target > 0 && before <= limit && after > limit {
-			cost += LateLoss * itl.value
+			cost += MissedTargetCost * itl.value
 		}
 	}
 	return cost
@@ -99,7 +99,7 @@
 // reconnect after all instances have restarted. Each instance then places requests by
 // reports that are milliseconds old or missing. All pick the same best engine, and it
 // exceeds its batch size before any of them receives the others' reports.
-func (snapshot *View) confidence() float64 {
+func (snapshot *LoadSnapshot) confidence() float64 {
 	square := snapshot.unreported * snapshot.unreported
 	return snapshot.observedShare / (1 + square*square)
 }
@@ -113,13 +113,13 @@
 	if primary.Endpoint.DataCentre != work.DataCentre {
 		cost += remoteCost
 	}
-	if primary.Suspect {
+	if primary.IsEjected {
 		cost += ejectedCost
 	}
-	if primary.load.Taken() == 0 {
+	if primary.load.RequestCount() == 0 {
 		cost += idleEngineCost * max(primary.confidence, minIdleEngineConfidence)
 	}
-	if free := primary.slots - primary.load.Taken(); free > 0 {
+	if free := primary.slots - primary.load.RequestCount(); free > 0 {
 		cost += freeSlotCost * primary.confidence * float64(free) / float64(primary.slots)
 	}
 	return cost
--- a/peridotpath/placement/ejection.go
+++ b/peridotpath/placement/ejection.go
@@ -29,9 +29,9 @@
 	gossiped bool
 }
 
-// Failed ejects an endpoint after a failure: no connection, no answer, or a malformed
+// EjectFailed ejects an endpoint after a failure: no connection, no answer, or a malformed
 // one. Peers receive the ejection, so that they need not fail there as well.
-func (tracker *Book) Failed(key peridotpath.EndpointKey, now time.Time) {
+func (tracker *LoadTracker) EjectFailed(key peridotpath.EndpointKey, now time.Time) {
 	tracker.mutex.Lock()
 	ejection := tracker.ejections[key]
 	ejection.until = now.Add(min(baseEjectionTime<<min(ejection.failures, 10), maxEjectionTime))
@@ -42,8 +42,8 @@
 	tracker.notifyChanged()
 }
 
-// Full ejects an endpoint that rejected a request because it is full.
-func (tracker *Book) Full(key peridotpath.EndpointKey, now time.Time) {
+// EjectFull ejects an endpoint that rejected a request because it is full.
+func (tracker *LoadTracker) EjectFull(key peridotpath.EndpointKey, now time.Time) {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	ejection := tracker.ejections[key]
@@ -53,8 +53,8 @@
 	tracker.setEjection(key, ejection)
 }
 
-// Works ends an endpoint's ejection after a valid answer, unless it was only full.
-func (tracker *Book) Works(key peridotpath.EndpointKey) {
+// ClearEjection ends an endpoint's ejection after a valid answer, unless it was only full.
+func (tracker *LoadTracker) ClearEjection(key peridotpath.EndpointKey) {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	if ejection, ok := tracker.ejections[key]; ok && ejection.failures > 0 {
@@ -62,7 +62,7 @@
 	}
 }
 
-func (tracker *Book) setEjection(key peridotpath.EndpointKey, ejection ejectionState) {
+func (tracker *LoadTracker) setEjection(key peridotpath.EndpointKey, ejection ejectionState) {
 	for otherKey, other := range tracker.ejections {
 		// Expired long ago: the endpoint works again or was removed.
 		if ejection.until.Sub(other.until) > ejectionMemory {
@@ -75,27 +75,27 @@
 	tracker.ejections[key] = ejection
 }
 
-// Suspicion is the ejection of an endpoint as instances exchange it.
-type Suspicion struct {
+// Ejection is the ejection of an endpoint as instances exchange it.
+type Ejection struct {
 	Endpoint peridotpath.EndpointKey
 	Until    time.Time
 }
 
-// OwnSuspicions returns the ejections that this instance sends to its peers.
-func (tracker *Book) OwnSuspicions(now time.Time) []Suspicion {
+// LocalEjections returns the ejections that this instance sends to its peers.
+func (tracker *LoadTracker) LocalEjections(now time.Time) []Ejection {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
-	var ejections []Suspicion
+	var ejections []Ejection
 	for key, ejection := range tracker.ejections {
 		if ejection.gossiped && now.Before(ejection.until) {
-			ejections = append(ejections, Suspicion{Endpoint: key, Until: ejection.until})
+			ejections = append(ejections, Ejection{Endpoint: key, Until: ejection.until})
 		}
 	}
 	return ejections
 }
 
-// Suspects returns the endpoints that this instance or a peer has ejected.
-func (tracker *Book) Suspects(now time.Time) map[peridotpath.EndpointKey]bool {
+// EjectedEndpoints returns the endpoints that this instance or a peer has ejected.
+func (tracker *LoadTracker) EjectedEndpoints(now time.Time) map[peridotpath.EndpointKey]bool {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	ejected := map[peridotpath.EndpointKey]bool{}
--- a/peridotpath/placement/headroom.go
+++ b/peridotpath/placement/headroom.go
@@ -20,7 +20,7 @@
 	var total headroom
 	for _, engine := range fleet.engines {
 		total.freeSlots += engine.shortPromptSlots()
-		total.decoding += engine.load.Writers
+		total.decoding += engine.load.Decoding
 	}
 	return total
 }
@@ -28,7 +28,7 @@
 // exclude subtracts an engine.
 func (headroom *headroom) exclude(engine *engine) {
 	headroom.freeSlots -= engine.shortPromptSlots()
-	headroom.decoding -= engine.load.Writers
+	headroom.decoding -= engine.load.Decoding
 }
 
 // shortPromptSlots is the number of short prompts that the engine can accept now. It is
@@ -37,7 +37,7 @@
 	if engine.prefillDelay > maxShortPromptDelay {
 		return 0
 	}
-	return max(engine.slots-engine.load.Taken(), 0)
+	return max(engine.slots-engine.load.RequestCount(), 0)
 }
 
 // addCrowdingCost adds the value that short prompts lose which arrive before the plan's
@@ -50,9 +50,9 @@
 //
 // A slot counts as the value 1, that of a short prompt of the usual length.
 func (plan *Plan) addCrowdingCost(shortValuePerSecond float64, remaining headroom) {
-	duration := plan.FirstEvent.Seconds()
+	duration := plan.TimeToFirstEvent.Seconds()
 	slots := float64(remaining.freeSlots) + float64(remaining.decoding)*duration/shortDecodeTime.Seconds()
-	cost := LateLoss * max(0, shortValuePerSecond*duration-slots)
-	plan.Harm += cost
-	plan.Loss += cost
+	cost := MissedTargetCost * max(0, shortValuePerSecond*duration-slots)
+	plan.InterferenceCost += cost
+	plan.Cost += cost
 }
--- a/peridotpath/placement/load.go
+++ b/peridotpath/placement/load.go
@@ -12,23 +12,23 @@
 
 // Load is the load of one endpoint, as far as this instance knows it.
 type Load struct {
-	// Backlog is the time until all prompts sent to the endpoint have been prefilled.
-	Backlog time.Duration
-	// LongestRead is the longest single part whose prefill is pending.
-	LongestRead time.Duration
-	// Writers is the number of decoding requests.
-	Writers int
+	// PrefillBacklog is the time until all prompts sent to the endpoint have been prefilled.
+	PrefillBacklog time.Duration
+	// LongestPrefill is the longest single part whose prefill is pending.
+	LongestPrefill time.Duration
+	// Decoding is the number of decoding requests.
+	Decoding int
 	// Context is the number of tokens in the context of decoding requests.
 	Context peridotpath.Tokens
-	// Waiting is the number of requests whose answer has not begun.
-	Waiting int
-	// Memory is the KV cache that requests hold or will hold.
-	Memory peridotpath.Tokens
-	// Slow is the ratio of actual to predicted prefill time; 1 or more.
-	Slow float64
-	// Pace is the endpoint's own report of how much slower it is than its published
+	// Prefilling is the number of requests whose answer has not begun.
+	Prefilling int
+	// ReservedKV is the KV cache that requests hold or will hold.
+	ReservedKV peridotpath.Tokens
+	// PrefillSlowdown is the ratio of actual to predicted prefill time; 1 or more.
+	PrefillSlowdown float64
+	// ReportedSlowdown is the endpoint's own report of how much slower it is than its published
 	// rates; 1 where it reports none.
-	Pace float64
+	ReportedSlowdown float64
 
 	// decodingAges are the times since dispatch of the decoding requests.
 	decodingAges []time.Duration
@@ -55,18 +55,18 @@
 // slowed returns the time that the endpoint takes for what takes the given time at its
 // published rates.
 func (load *Load) slowed(duration time.Duration) time.Duration {
-	return time.Duration(float64(duration) * load.Pace)
+	return time.Duration(float64(duration) * load.ReportedSlowdown)
 }
 
-// Taken returns the number of requests at the endpoint.
-func (load *Load) Taken() int { return load.Writers + load.Waiting }
+// RequestCount returns the number of requests at the endpoint.
+func (load *Load) RequestCount() int { return load.Decoding + load.Prefilling }
 
 // overduePrefillShare is the remaining share of a prefill that has exceeded its predicted
 // time without a first event. How much longer it will take is unknown.
 const overduePrefillShare = 0.125
 
-// View is the load of every endpoint at one moment.
-type View struct {
+// LoadSnapshot is the load of every endpoint at one moment.
+type LoadSnapshot struct {
 	loads map[peridotpath.EndpointKey]*Load
 	// shortValuePerSecond is the value of the short prompts that all instances
 	// dispatch in a second.
@@ -86,32 +86,32 @@
 	minArrivalWindow = 500 * time.Millisecond
 )
 
-// View returns the load of every endpoint that has any.
-func (tracker *Book) View(now time.Time) View {
+// Snapshot returns the load of every endpoint that has any.
+func (tracker *LoadTracker) Snapshot(now time.Time) LoadSnapshot {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	if tracker.startedAt.IsZero() {
 		tracker.startedAt = now
 	}
-	snapshot := View{loads: map[peridotpath.EndpointKey]*Load{}}
+	snapshot := LoadSnapshot{loads: map[peridotpath.EndpointKey]*Load{}}
 	for _, request := range tracker.local {
 		snapshot.add(request, now)
 	}
 	for _, peer := range tracker.unexpiredPeers(now) {
 		for i := range peer.inFlight {
 			snapshot.add(&peer.inFlight[i], now)
-			if now.Sub(peer.inFlight[i].Sent) < arrivalWindow {
+			if now.Sub(peer.inFlight[i].SentAt) < arrivalWindow {
 				snapshot.unreported++
 			}
 		}
 	}
 	for key, slowdown := range tracker.slowdowns {
-		snapshot.load(key).Slow = slowdown
+		snapshot.load(key).PrefillSlowdown = slowdown
 	}
-	if tracker.Paces != nil {
-		for key, slowdown := range tracker.Paces(now) {
+	if tracker.ReportedSlowdowns != nil {
+		for key, slowdown := range tracker.ReportedSlowdowns(now) {
 			load := snapshot.load(key)
-			load.Slow, load.Pace = slowdown, slowdown
+			load.PrefillSlowdown, load.ReportedSlowdown = slowdown, slowdown
 		}
 	}
 	for _, load := range snapshot.loads {
@@ -125,56 +125,58 @@
 	return snapshot
 }
 
-// Unheard returns the estimated number of peers' requests that are in flight but not
+// UnreportedRequests returns the estimated number of peers' requests that are in flight but not
 // yet reported here.
-func (snapshot View) Unheard() float64 { return snapshot.unreported }
+func (snapshot LoadSnapshot) UnreportedRequests() float64 { return snapshot.unreported }
 
 // All returns the endpoints that have any load.
-func (snapshot View) All() iter.Seq2[peridotpath.EndpointKey, *Load] { return maps.All(snapshot.loads) }
+func (snapshot LoadSnapshot) All() iter.Seq2[peridotpath.EndpointKey, *Load] {
+	return maps.All(snapshot.loads)
+}
 
 // At returns the load of an endpoint, which is zero for an unknown one.
-func (snapshot View) At(key peridotpath.EndpointKey) *Load {
+func (snapshot LoadSnapshot) At(key peridotpath.EndpointKey) *Load {
 	if load := snapshot.loads[key]; load != nil {
 		return load
 	}
-	return &Load{Slow: 1, Pace: 1}
+	return &Load{PrefillSlowdown: 1, ReportedSlowdown: 1}
 }
 
-func (snapshot *View) load(key peridotpath.EndpointKey) *Load {
+func (snapshot *LoadSnapshot) load(key peridotpath.EndpointKey) *Load {
 	load := snapshot.loads[key]
 	if load == nil {
-		load = &Load{Slow: 1, Pace: 1}
+		load = &Load{PrefillSlowdown: 1, ReportedSlowdown: 1}
 		snapshot.loads[key] = load
 	}
 	return load
 }
 
-func (snapshot *View) add(request *Flight, now time.Time) {
-	if len(request.Parts) > 0 && request.Parts[0].Reading < minSplitPrefill && now.Sub(request.Sent) < arrivalWindow {
-		snapshot.shortValuePerSecond += Value(request.Prompt)
+func (snapshot *LoadSnapshot) add(request *InFlight, now time.Time) {
+	if len(request.Parts) > 0 && request.Parts[0].PrefillTime < minSplitPrefill && now.Sub(request.SentAt) < arrivalWindow {
+		snapshot.shortValuePerSecond += PromptValue(request.PromptTokens)
 	}
 	for i, part := range request.Parts {
 		load := snapshot.load(part.Endpoint)
-		load.Memory += part.Memory
+		load.ReservedKV += part.ReservedKV
 		if i == 0 {
-			load.itlTargets = append(load.itlTargets, itlTarget{target: request.PauseAim, value: Value(request.Prompt)})
-			if request.Writing {
-				load.Writers++
-				load.decodingAges = append(load.decodingAges, now.Sub(request.Sent))
-				load.Context += part.Memory
+			load.itlTargets = append(load.itlTargets, itlTarget{target: request.ITLTarget, value: PromptValue(request.PromptTokens)})
+			if request.Decoding {
+				load.Decoding++
+				load.decodingAges = append(load.decodingAges, now.Sub(request.SentAt))
+				load.Context += part.ReservedKV
 			} else {
-				load.Waiting++
-				load.prefillingValue += Value(request.Prompt)
+				load.Prefilling++
+				load.prefillingValue += PromptValue(request.PromptTokens)
 			}
 		}
 		// A helper that holds a part of the KV cache attends to it in each step.
-		if i > 0 && request.Writing {
-			load.Context += part.Memory
+		if i > 0 && request.Decoding {
+			load.Context += part.ReservedKV
 		}
 		// The parts of a prompt finish at about the same time, so the first event
 		// ends the prefill of all of them.
-		if !request.Writing {
-			load.pending = append(load.pending, pendingPrefill{sent: request.Sent, duration: part.Reading, isPrimary: i == 0})
+		if !request.Decoding {
+			load.pending = append(load.pending, pendingPrefill{sent: request.SentAt, duration: part.PrefillTime, isPrimary: i == 0})
 		}
 	}
 }
@@ -201,7 +203,7 @@
 		if earliest := now.Add(time.Duration(overduePrefillShare * float64(prefill.duration))); end.Before(earliest) {
 			end = earliest
 		}
-		load.LongestRead = max(load.LongestRead, prefill.duration)
+		load.LongestPrefill = max(load.LongestPrefill, prefill.duration)
 	}
-	load.Backlog = max(0, end.Sub(now))
+	load.PrefillBacklog = max(0, end.Sub(now))
 }
--- a/peridotpath/placement/load_tracker.go
+++ b/peridotpath/placement/load_tracker.go
@@ -13,30 +13,30 @@
 )
 
 type (
-	// FlightNumber identifies an in-flight request within its instance.
-	FlightNumber uint64
+	// InFlightNumber identifies an in-flight request within its instance.
+	InFlightNumber uint64
 
-	// Part is the share of a prompt that one endpoint prefills.
-	Part struct {
+	// PrefillPart is the share of a prompt that one endpoint prefills.
+	PrefillPart struct {
 		Endpoint peridotpath.EndpointKey
-		// Reading is the predicted prefill time of this share.
-		Reading time.Duration
-		// Memory is the KV cache that the request holds at the endpoint until it ends.
-		Memory peridotpath.Tokens
+		// PrefillTime is the predicted prefill time of this share.
+		PrefillTime time.Duration
+		// ReservedKV is the KV cache that the request holds at the endpoint until it ends.
+		ReservedKV peridotpath.Tokens
 	}
 
-	// Flight is one request that was sent and has not ended. Its first part is at
+	// InFlight is one request that was sent and has not ended. Its first part is at
 	// the primary, the engine that decodes the answer.
-	Flight struct {
-		Number FlightNumber
-		Parts  []Part
-		Prompt peridotpath.Tokens
-		// PauseAim is the inter-token latency target.
-		PauseAim time.Duration
-		// Sent is the time of dispatch on this instance's monotonic clock.
-		Sent time.Time
-		// Writing is set once the first event of the answer has arrived.
-		Writing bool
+	InFlight struct {
+		Number       InFlightNumber
+		Parts        []PrefillPart
+		PromptTokens peridotpath.Tokens
+		// ITLTarget is the inter-token latency target.
+		ITLTarget time.Duration
+		// SentAt is the time of dispatch on this instance's monotonic clock.
+		SentAt time.Time
+		// Decoding is set once the first event of the answer has arrived.
+		Decoding bool
 	}
 )
 
@@ -44,21 +44,21 @@
 // 250 ms. The requests of a crashed instance end with its connections.
 const peerExpiry = 2 * time.Second
 
-// Book tracks the in-flight and queued requests of this instance and its peers.
-type Book struct {
-	// Changed, when set, is called after each change of this instance's requests.
-	Changed func()
-	// Paces, when set, returns the slowdown factor of each engine known to be slow.
-	Paces func(now time.Time) map[peridotpath.EndpointKey]float64
+// LoadTracker tracks the in-flight and queued requests of this instance and its peers.
+type LoadTracker struct {
+	// OnChange, when set, is called after each change of this instance's requests.
+	OnChange func()
+	// ReportedSlowdowns, when set, returns the slowdown factor of each engine known to be slow.
+	ReportedSlowdowns func(now time.Time) map[peridotpath.EndpointKey]float64
 
 	mutex sync.Mutex
 	// startedAt is the time of this instance's first load snapshot.
 	startedAt  time.Time
-	lastNumber FlightNumber
-	local      map[FlightNumber]*Flight
+	lastNumber InFlightNumber
+	local      map[InFlightNumber]*InFlight
 	// queued are this instance's requests in the prefill queue.
-	lastQueued WaitNumber
-	queued     map[WaitNumber]*Wait
+	lastQueued QueuedPromptNumber
+	queued     map[QueuedPromptNumber]*QueuedPrompt
 	peers      map[peridotpath.InstanceID]*peerLoad
 	ejections  map[peridotpath.EndpointKey]ejectionState
 	// slowdowns is the ratio of observed to predicted prefill time per endpoint.
@@ -71,18 +71,18 @@
 	incarnation peridotpath.Incarnation
 	sequence    uint64
 	receivedAt  time.Time
-	inFlight    []Flight
-	queued      []Wait
-	ejections   []Suspicion
+	inFlight    []InFlight
+	queued      []QueuedPrompt
+	ejections   []Ejection
 	// lastNumber is the highest request number reported so far.
-	lastNumber FlightNumber
+	lastNumber InFlightNumber
 }
 
-// Begin adds a request that is about to be sent and returns its number.
-func (tracker *Book) Begin(request Flight) FlightNumber {
+// AddInFlight adds a request that is about to be sent and returns its number.
+func (tracker *LoadTracker) AddInFlight(request InFlight) InFlightNumber {
 	tracker.mutex.Lock()
 	if tracker.local == nil {
-		tracker.local = map[FlightNumber]*Flight{}
+		tracker.local = map[InFlightNumber]*InFlight{}
 	}
 	tracker.lastNumber++
 	request.Number = tracker.lastNumber
@@ -92,64 +92,64 @@
 	return request.Number
 }
 
-// Writing records the first event of a request's answer.
-func (tracker *Book) Writing(number FlightNumber) {
+// MarkDecoding records the first event of a request's answer.
+func (tracker *LoadTracker) MarkDecoding(number InFlightNumber) {
 	tracker.mutex.Lock()
 	if request := tracker.local[number]; request != nil {
-		request.Writing = true
+		request.Decoding = true
 	}
 	tracker.mutex.Unlock()
 	tracker.notifyChanged()
 }
 
-// Waits reports whether one of this instance's requests has had no event yet.
-func (tracker *Book) Waits(number FlightNumber) bool {
+// AwaitsFirstEvent reports whether one of this instance's requests has had no event yet.
+func (tracker *LoadTracker) AwaitsFirstEvent(number InFlightNumber) bool {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	request := tracker.local[number]
-	return request != nil && !request.Writing
+	return request != nil && !request.Decoding
 }
 
-// End removes a request that has ended or was abandoned.
-func (tracker *Book) End(number FlightNumber) {
+// RemoveInFlight removes a request that has ended or was abandoned.
+func (tracker *LoadTracker) RemoveInFlight(number InFlightNumber) {
 	tracker.mutex.Lock()
 	delete(tracker.local, number)
 	tracker.mutex.Unlock()
 	tracker.notifyChanged()
 }
 
-func (tracker *Book) notifyChanged() {
-	if tracker.Changed != nil {
-		tracker.Changed()
+func (tracker *LoadTracker) notifyChanged() {
+	if tracker.OnChange != nil {
+		tracker.OnChange()
 	}
 }
 
-// Own returns this instance's in-flight requests, oldest first.
-func (tracker *Book) Own() []Flight {
+// LocalInFlight returns this instance's in-flight requests, oldest first.
+func (tracker *LoadTracker) LocalInFlight() []InFlight {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
-	requests := make([]Flight, 0, len(tracker.local))
+	requests := make([]InFlight, 0, len(tracker.local))
 	for _, request := range tracker.local {
 		requests = append(requests, *request)
 	}
-	slices.SortFunc(requests, func(a, b Flight) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(requests, func(a, b InFlight) int { return cmp.Compare(a.Number, b.Number) })
 	return requests
 }
 
-// Report is the full state that a peer sends about its requests.
-type Report struct {
+// PeerReport is the full state that a peer sends about its requests.
+type PeerReport struct {
 	Peer peridotpath.InstanceID
 	// Incarnation orders the runs of a peer; reports of an earlier run are dropped.
 	Incarnation peridotpath.Incarnation
 	// Sequence orders the reports of one run; reports out of order are dropped.
-	Sequence   uint64
-	Flights    []Flight
-	Waits      []Wait
-	Suspicions []Suspicion
+	Sequence  uint64
+	InFlight  []InFlight
+	Queued    []QueuedPrompt
+	Ejections []Ejection
 }
 
-// HearPeer replaces what is stored for a peer with a newer report.
-func (tracker *Book) HearPeer(report Report, now time.Time) {
+// ApplyPeerReport replaces what is stored for a peer with a newer report.
+func (tracker *LoadTracker) ApplyPeerReport(report PeerReport, now time.Time) {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	if tracker.peers == nil {
@@ -160,15 +160,15 @@
 		return
 	}
 	current := &peerLoad{
-		incarnation: report.Incarnation, sequence: report.Sequence, receivedAt: now, inFlight: report.Flights, queued: report.Waits,
-		ejections: report.Suspicions,
+		incarnation: report.Incarnation, sequence: report.Sequence, receivedAt: now, inFlight: report.InFlight, queued: report.Queued,
+		ejections: report.Ejections,
 	}
 	if previous != nil && previous.incarnation == report.Incarnation {
 		current.lastNumber = previous.lastNumber
-		tracker.updateReportLag(previous.lastNumber, report.Flights, now)
+		tracker.updateReportLag(previous.lastNumber, report.InFlight, now)
 	}
-	for i := range report.Flights {
-		current.lastNumber = max(current.lastNumber, report.Flights[i].Number)
+	for i := range report.InFlight {
+		current.lastNumber = max(current.lastNumber, report.InFlight[i].Number)
 	}
 	tracker.peers[report.Peer] = current
 }
@@ -184,19 +184,19 @@
 )
 
 // updateReportLag adds the ages of newly reported requests to the moving average.
-func (tracker *Book) updateReportLag(lastNumber FlightNumber, requests []Flight, now time.Time) {
+func (tracker *LoadTracker) updateReportLag(lastNumber InFlightNumber, requests []InFlight, now time.Time) {
 	for i := range requests {
 		if requests[i].Number <= lastNumber {
 			continue
 		}
-		sample := min(networkDelay+max(now.Sub(requests[i].Sent), 0), maxReportLag)
+		sample := min(networkDelay+max(now.Sub(requests[i].SentAt), 0), maxReportLag)
 		tracker.reportLag += time.Duration(reportLagGain * float64(sample-tracker.reportLag))
 	}
 }
 
-// Chosen reports whether this instance owns an endpoint, by rendezvous hashing over
+// IsOwner reports whether this instance owns an endpoint, by rendezvous hashing over
 // the live instances. After a membership change there may briefly be two owners or none.
-func (tracker *Book) Chosen(self peridotpath.InstanceID, endpoint peridotpath.EndpointKey) bool {
+func (tracker *LoadTracker) IsOwner(self peridotpath.InstanceID, endpoint peridotpath.EndpointKey) bool {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	ownScore := rendezvousScore(self, endpoint)
@@ -212,15 +212,15 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s %d", instance, endpoint))
 }
 
-// Peers returns the number of peers with an unexpired report.
-func (tracker *Book) Peers(now time.Time) int {
+// LivePeerCount returns the number of peers with an unexpired report.
+func (tracker *LoadTracker) LivePeerCount(now time.Time) int {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	return len(tracker.unexpiredPeers(now))
 }
 
 // unexpiredPeers drops expired reports and returns the others.
-func (tracker *Book) unexpiredPeers(now time.Time) map[peridotpath.InstanceID]*peerLoad {
+func (tracker *LoadTracker) unexpiredPeers(now time.Time) map[peridotpath.InstanceID]*peerLoad {
 	for id, peer := range tracker.peers {
 		if now.Sub(peer.receivedAt) > peerExpiry {
 			delete(tracker.peers, id)
@@ -240,9 +240,9 @@
 	predictionTolerance = 1.5
 )
 
-// Observe compares the observed time to a first event with the predicted one and
+// ObserveFirstEvent compares the observed time to a first event with the predicted one and
 // updates the endpoint's slowdown.
-func (tracker *Book) Observe(endpoint peridotpath.EndpointKey, predicted, observed time.Duration) {
+func (tracker *LoadTracker) ObserveFirstEvent(endpoint peridotpath.EndpointKey, predicted, observed time.Duration) {
 	if predicted <= 0 {
 		return
 	}
--- a/peridotpath/placement/memory.go
+++ b/peridotpath/placement/memory.go
@@ -20,18 +20,18 @@
 
 // fits reports whether the engine has KV cache for the whole request.
 func fits(model Model, work Work, primary *engine) bool {
-	return work.Prompt+work.Answer <= freeKV(model, primary)
+	return work.PromptTokens+work.AnswerTokens <= freeKV(model, primary)
 }
 
 // freeKV is the unallocated KV cache of an engine.
 func freeKV(model Model, at *engine) peridotpath.Tokens {
-	return peridotpath.Tokens(maxKVShare*float64(model.Rates.KVTokens)) - at.load.Memory
+	return peridotpath.Tokens(maxKVShare*float64(model.Rates.KVTokens)) - at.load.ReservedKV
 }
 
 // splitKV divides the KV cache of a prompt that fits on no engine into equal parts, on
 // the primary and the fewest helpers that have room. It reports whether they have.
 func (plan *Plan) splitKV(model Model, work Work, primary *engine, engines []*engine) bool {
-	total := work.Prompt + work.Answer
+	total := work.PromptTokens + work.AnswerTokens
 	var helpers []*engine
 	for _, engine := range engines {
 		if slices.Contains(plan.Helpers, engine.Endpoint) {
@@ -52,12 +52,12 @@
 // setKVHelpers makes the first count helpers hold a part of the KV cache each.
 func (plan *Plan) setKVHelpers(helpers []*engine, count int, part peridotpath.Tokens) {
 	plan.Helpers = plan.Helpers[:0]
-	plan.Reserve = nil
+	plan.HelperReservations = nil
 	for i, helper := range helpers {
 		plan.Helpers = append(plan.Helpers, helper.Endpoint)
 		if i < count {
-			plan.Reserve = append(plan.Reserve, reservation.Need{Endpoint: helper.Endpoint, Tokens: part})
+			plan.HelperReservations = append(plan.HelperReservations, reservation.MemoryRequest{Endpoint: helper.Endpoint, Tokens: part})
 		}
 	}
-	plan.Memory = part
+	plan.PrimaryKV = part
 }
--- a/peridotpath/placement/model.go
+++ b/peridotpath/placement/model.go
@@ -25,32 +25,32 @@
 
 const pairsPerMillion = 1e6
 
-// ReadTime returns the prefill time of a prompt on one idle engine. It grows
+// PrefillTime returns the prefill time of a prompt on one idle engine. It grows
 // with the square of the prompt's length.
-func (model Model) ReadTime(prompt peridotpath.Tokens) time.Duration {
+func (model Model) PrefillTime(prompt peridotpath.Tokens) time.Duration {
 	rates := model.Rates
 	tokens := float64(prompt)
-	linear := tokens / rates.ReadPerSecond * float64(time.Second)
+	linear := tokens / rates.PrefillPerSecond * float64(time.Second)
 	quadratic := tokens * tokens / 2 / pairsPerMillion * float64(rates.PerMillionPairs)
 	steps := math.Ceil(tokens/float64(rates.Chunk)) * float64(rates.Step)
 	return time.Duration(linear + quadratic + steps)
 }
 
-// Pass returns the duration of an iteration without prefill, which is the time
+// IterationTime returns the duration of an iteration without prefill, which is the time
 // between two events of each decoding request.
-func (model Model) Pass(decoding int, context peridotpath.Tokens) time.Duration {
+func (model Model) IterationTime(decoding int, context peridotpath.Tokens) time.Duration {
 	if decoding == 0 {
 		return 0
 	}
 	rates := model.Rates
-	step := rates.Step + time.Duration(decoding)*rates.StepPerWriter +
+	step := rates.Step + time.Duration(decoding)*rates.StepPerSequence +
 		time.Duration(float64(context)/1000*float64(rates.StepPerContextK))
-	return time.Duration(rates.StepsPerPass) * step
+	return time.Duration(rates.StepsPerIteration) * step
 }
 
-// WriteTime returns the decode time of an answer at the given iteration time.
-func (model Model) WriteTime(answer peridotpath.Tokens, iteration time.Duration) time.Duration {
-	iterations := (int64(answer) + int64(model.Rates.StepsPerPass) - 1) / int64(model.Rates.StepsPerPass)
+// DecodeTime returns the decode time of an answer at the given iteration time.
+func (model Model) DecodeTime(answer peridotpath.Tokens, iteration time.Duration) time.Duration {
+	iterations := (int64(answer) + int64(model.Rates.StepsPerIteration) - 1) / int64(model.Rates.StepsPerIteration)
 	return time.Duration(iterations) * iteration
 }
 
@@ -62,7 +62,7 @@
 	valueExponent   = 0.75
 )
 
-// Value weighs a request against others when not all can meet their targets.
-func Value(prompt peridotpath.Tokens) float64 {
+// PromptValue weighs a request against others when not all can meet their targets.
+func PromptValue(prompt peridotpath.Tokens) float64 {
 	return math.Pow(max(float64(prompt), 1)/valueUnitTokens, valueExponent)
 }
--- a/peridotpath/placement/plain.go
+++ b/peridotpath/placement/plain.go
@@ -7,24 +7,24 @@
 
 // PlanPlain chooses the endpoint of a plain service with the fewest requests per slot
 // (weighted least-request). It returns false where all are at their limit.
-func PlanPlain(work Work, candidates []Candidate, snapshot View) (Plan, bool) {
+func PlanPlain(work Work, candidates []Candidate, snapshot LoadSnapshot) (Plan, bool) {
 	best, found := Plan{}, false
 	for i := range candidates {
 		candidate := &candidates[i]
 		load := snapshot.At(candidate.Key)
 		slots := max(candidate.Endpoint.Slots, 1)
-		if load.Taken() >= maxLoadFactor*slots {
+		if load.RequestCount() >= maxLoadFactor*slots {
 			continue
 		}
-		cost := float64(load.Taken()) / float64(slots)
-		if candidate.Suspect {
+		cost := float64(load.RequestCount()) / float64(slots)
+		if candidate.IsEjected {
 			cost += ejectedCost
 		}
 		if candidate.Endpoint.DataCentre != work.DataCentre {
 			cost += remoteCost
 		}
-		if !found || cost < best.Loss {
-			best, found = Plan{Writer: candidate.Endpoint, Loss: cost}, true
+		if !found || cost < best.Cost {
+			best, found = Plan{Writer: candidate.Endpoint, Cost: cost}, true
 		}
 	}
 	return best, found
--- a/peridotpath/placement/plan.go
+++ b/peridotpath/placement/plan.go
@@ -13,39 +13,39 @@
 
 // Work is what the planner needs to know of a request.
 type Work struct {
-	// Prompt is the length of the prompt.
-	Prompt peridotpath.Tokens
-	// Answer is the expected length of the answer.
-	Answer peridotpath.Tokens
-	// AnswerAim is the TTFT target.
-	AnswerAim time.Duration
-	// PauseAim is the ITL target.
-	PauseAim time.Duration
+	// PromptTokens is the length of the prompt.
+	PromptTokens peridotpath.Tokens
+	// AnswerTokens is the expected length of the answer.
+	AnswerTokens peridotpath.Tokens
+	// TTFTTarget is the TTFT target.
+	TTFTTarget time.Duration
+	// ITLTarget is the ITL target.
+	ITLTarget time.Duration
 	// Waited is the time since the request's arrival.
 	Waited time.Duration
-	// Left is the time until the request's deadline.
-	Left time.Duration
-	// Patience is the time until the client times out if no event arrives; zero
+	// TimeLeft is the time until the request's deadline.
+	TimeLeft time.Duration
+	// ClientTimeout is the time until the client times out if no event arrives; zero
 	// where that is not known.
-	Patience time.Duration
+	ClientTimeout time.Duration
 	// DataCentre is the instance's own.
 	DataCentre peridotpath.DataCentre
 }
 
-// LastStart is the time until the client disconnects if the answer has not begun.
-func (work *Work) LastStart() time.Duration {
-	if work.Patience > 0 {
-		return min(work.Left, work.Patience)
+// FirstEventTimeout is the time until the client disconnects if the answer has not begun.
+func (work *Work) FirstEventTimeout() time.Duration {
+	if work.ClientTimeout > 0 {
+		return min(work.TimeLeft, work.ClientTimeout)
 	}
-	return work.Left
+	return work.TimeLeft
 }
 
 // Candidate is an endpoint that may run a request.
 type Candidate struct {
 	Endpoint *peridotpath.Endpoint
 	Key      peridotpath.EndpointKey
-	// Suspect is set while the endpoint is ejected. It is used only when no other can be.
-	Suspect bool
+	// IsEjected is set while the endpoint is ejected. It is used only when no other can be.
+	IsEjected bool
 }
 
 // Plan is the placement of a request.
@@ -55,35 +55,35 @@
 	Writer *peridotpath.Endpoint
 	// Helpers prefill the other parts.
 	Helpers []*peridotpath.Endpoint
-	// Reserve is the KV cache to reserve at helpers, in their order, where the
+	// HelperReservations is the KV cache to reserve at helpers, in their order, where the
 	// primary cannot hold it all; empty otherwise.
-	Reserve []reservation.Need
-	// Memory is the KV cache that the primary holds.
-	Memory peridotpath.Tokens
-	// Reading is the prefill time of each part.
-	Reading time.Duration
-	// FirstEvent is the time from dispatch to the first event.
-	FirstEvent time.Duration
-	// Ready is the time until the last of the engines starts its prefill.
-	Ready time.Duration
-	// Harm is the value that other requests are expected to lose.
-	Harm float64
-	// Loss is the value that the request and others are expected to lose.
-	Loss float64
+	HelperReservations []reservation.MemoryRequest
+	// PrimaryKV is the KV cache that the primary holds.
+	PrimaryKV peridotpath.Tokens
+	// PrefillTime is the prefill time of each part.
+	PrefillTime time.Duration
+	// TimeToFirstEvent is the time from dispatch to the first event.
+	TimeToFirstEvent time.Duration
+	// PrefillDelay is the time until the last of the engines starts its prefill.
+	PrefillDelay time.Duration
+	// InterferenceCost is the value that other requests are expected to lose.
+	InterferenceCost float64
+	// Cost is the value that the request and others are expected to lose.
+	Cost float64
 }
 
-// Flight returns the in-flight request that results from the plan.
-func (plan *Plan) Flight(work Work, now time.Time) Flight {
-	parts := make([]Part, 0, 1+len(plan.Helpers))
-	parts = append(parts, Part{Endpoint: plan.Writer.Key(), Reading: plan.Reading, Memory: plan.Memory})
+// InFlight returns the in-flight request that results from the plan.
+func (plan *Plan) InFlight(work Work, now time.Time) InFlight {
+	parts := make([]PrefillPart, 0, 1+len(plan.Helpers))
+	parts = append(parts, PrefillPart{Endpoint: plan.Writer.Key(), PrefillTime: plan.PrefillTime, ReservedKV: plan.PrimaryKV})
 	for i, helper := range plan.Helpers {
-		part := Part{Endpoint: helper.Key(), Reading: plan.Reading}
-		if i < len(plan.Reserve) {
-			part.Memory = plan.Reserve[i].Tokens
+		part := PrefillPart{Endpoint: helper.Key(), PrefillTime: plan.PrefillTime}
+		if i < len(plan.HelperReservations) {
+			part.ReservedKV = plan.HelperReservations[i].Tokens
 		}
 		parts = append(parts, part)
 	}
-	return Flight{Parts: parts, Prompt: work.Prompt, PauseAim: work.PauseAim, Sent: now}
+	return InFlight{Parts: parts, PromptTokens: work.PromptTokens, ITLTarget: work.ITLTarget, SentAt: now}
 }
 
 const (
@@ -124,7 +124,7 @@
 
 // extraPrefill is the additional time that a prefill takes because the engine is slow.
 func (engine *engine) extraPrefill(prefill time.Duration) time.Duration {
-	return time.Duration((engine.load.Pace - 1) * float64(prefill))
+	return time.Duration((engine.load.ReportedSlowdown - 1) * float64(prefill))
 }
 
 // PlanPrompt chooses the engines for a prompt. It minimises the value that the prompt
@@ -136,9 +136,9 @@
 // one engine prefills delays everything there for seconds, first events and later ones.
 // Split across the engines with few decoding requests it takes a fraction of a second,
 // and short prompts use the other engines.
-func PlanPrompt(model Model, work Work, candidates []Candidate, snapshot View) (Plan, bool) {
+func PlanPrompt(model Model, work Work, candidates []Candidate, snapshot LoadSnapshot) (Plan, bool) {
 	engines := newEngines(model, candidates, snapshot)
-	prefill := model.ReadTime(work.Prompt)
+	prefill := model.PrefillTime(work.PromptTokens)
 	byPrefillCost := sortByPrefillCost(engines, prefill)
 	fleet := fleetState{shortValuePerSecond: snapshot.shortValuePerSecond, engines: byPrefillCost}
 	best, found := Plan{}, false
@@ -152,15 +152,15 @@
 			break
 		}
 		plan := bestPlan(model, work, prefill, primary, fleet)
-		plan.Memory = work.Prompt + work.Answer
+		plan.PrimaryKV = work.PromptTokens + work.AnswerTokens
 		if split && !plan.splitKV(model, work, primary, byPrefillCost) {
 			continue
 		}
-		decode := model.WriteTime(work.Answer, max(primary.iteration, model.Pass(1, work.Prompt)))
+		decode := model.DecodeTime(work.AnswerTokens, max(primary.iteration, model.IterationTime(1, work.PromptTokens)))
 		if !isFeasible(plan, work, decode) {
 			continue
 		}
-		if !found || plan.Loss < best.Loss {
+		if !found || plan.Cost < best.Cost {
 			best, found = plan, true
 		}
 	}
@@ -172,10 +172,10 @@
 // when it is later still. Without the first check all such prompts went to the few
 // engines where they interfered with no other request, and most clients timed out.
 func isFeasible(plan Plan, work Work, decode time.Duration) bool {
-	if work.Patience > 0 && plan.FirstEvent > work.Patience {
+	if work.ClientTimeout > 0 && plan.TimeToFirstEvent > work.ClientTimeout {
 		return false
 	}
-	return plan.FirstEvent+time.Duration(minDecodeShare*float64(decode)) <= work.Left
+	return plan.TimeToFirstEvent+time.Duration(minDecodeShare*float64(decode)) <= work.TimeLeft
 }
 
 // sortByPrefillCost returns the engines in the order in which they are used for a part
@@ -186,7 +186,7 @@
 	for i := range engines {
 		engine := &engines[i]
 		engine.prefillCost = engine.prefillDelay.Seconds() + engine.extraPrefill(prefill/3).Seconds() + interferenceCost(engine, prefill/3) + helperOvertakingCost(engine, prefill/3)
-		if engine.Suspect {
+		if engine.IsEjected {
 			engine.prefillCost += ejectedPenaltySeconds
 		}
 		sorted[i] = engine
@@ -197,11 +197,11 @@
 
 // sortByPrimaryCost returns the engines in ascending order of their cost as the primary.
 func sortByPrimaryCost(work Work, prefill time.Duration, engines []*engine) []*engine {
-	value := Value(work.Prompt)
+	value := PromptValue(work.PromptTokens)
 	costs := make(map[*engine]float64, len(engines))
 	for _, engine := range engines {
 		ttft := work.Waited + engine.prefillDelay + prefill/3 + engine.extraPrefill(prefill/3)
-		costs[engine] = interferenceCost(engine, prefill/3) + value*(ttftCost(ttft, work.AnswerAim)+itlRiskCost(work, engine)+engineCost(work, engine))
+		costs[engine] = interferenceCost(engine, prefill/3) + value*(ttftCost(ttft, work.TTFTTarget)+itlRiskCost(work, engine)+engineCost(work, engine))
 	}
 	sorted := slices.Clone(engines)
 	slices.SortStableFunc(sorted, func(a, b *engine) int { return cmp.Compare(costs[a], costs[b]) })
@@ -217,13 +217,13 @@
 	return true
 }
 
-func newEngines(model Model, candidates []Candidate, snapshot View) []engine {
+func newEngines(model Model, candidates []Candidate, snapshot LoadSnapshot) []engine {
 	engines := make([]engine, 0, len(candidates))
 	confidence := snapshot.confidence()
 	for _, candidate := range candidates {
 		load := snapshot.At(candidate.Key)
-		iteration := load.slowed(model.Pass(load.Writers, load.Context))
-		prefillDelay := time.Duration(float64(load.Backlog)*load.Slow) + iteration/2
+		iteration := load.slowed(model.IterationTime(load.Decoding, load.Context))
+		prefillDelay := time.Duration(float64(load.PrefillBacklog)*load.PrefillSlowdown) + iteration/2
 		engines = append(engines, engine{
 			Candidate: candidate, load: load, slots: model.Rates.BatchSize, iteration: iteration, prefillDelay: prefillDelay,
 			jitter: rand.Float64(), confidence: confidence,
@@ -256,7 +256,7 @@
 	best.addCrowdingCost(fleet.shortValuePerSecond, remaining)
 	helpers := make([]*engine, 0, maxHelpers)
 	for _, engine := range fleet.engines {
-		if engine == primary || engine.Suspect {
+		if engine == primary || engine.IsEjected {
 			continue
 		}
 		if len(helpers) == maxHelpers {
@@ -265,7 +265,7 @@
 		helpers = append(helpers, engine)
 		remaining.exclude(engine)
 		plan := newPlan(model, work, prefill, primary, helpers)
-		if plan.addCrowdingCost(fleet.shortValuePerSecond, remaining); plan.Loss < best.Loss {
+		if plan.addCrowdingCost(fleet.shortValuePerSecond, remaining); plan.Cost < best.Cost {
 			best = plan
 		}
 	}
@@ -275,37 +275,37 @@
 // newPlan returns the plan that splits the prefill evenly across the primary and helpers.
 func newPlan(model Model, work Work, prefill time.Duration, primary *engine, helpers []*engine) Plan {
 	part := prefill / time.Duration(1+len(helpers))
-	prefillDelay, slowdown := primary.prefillDelay, primary.load.Slow
+	prefillDelay, slowdown := primary.prefillDelay, primary.load.PrefillSlowdown
 	interference := interferenceCost(primary, part)
 	for _, helper := range helpers {
 		prefillDelay = max(prefillDelay, helper.prefillDelay)
-		slowdown = max(slowdown, helper.load.Slow)
+		slowdown = max(slowdown, helper.load.PrefillSlowdown)
 		interference += interferenceCost(helper, part) + helperOvertakingCost(helper, part)
 	}
 	partPrefill := time.Duration(float64(part) * slowdown)
-	if primary.load.Writers > 0 {
+	if primary.load.Decoding > 0 {
 		// Each step that prefills a chunk also decodes.
-		steps := math.Ceil(float64(work.Prompt) / float64(1+len(helpers)) / float64(model.Rates.Chunk))
-		partPrefill += time.Duration(steps * float64(primary.iteration) / float64(model.Rates.StepsPerPass))
+		steps := math.Ceil(float64(work.PromptTokens) / float64(1+len(helpers)) / float64(model.Rates.Chunk))
+		partPrefill += time.Duration(steps * float64(primary.iteration) / float64(model.Rates.StepsPerIteration))
 	}
-	firstEvent := prefillDelay + partPrefill + primary.load.slowed(model.Pass(primary.load.Writers+1, primary.load.Context+work.Prompt))
+	firstEvent := prefillDelay + partPrefill + primary.load.slowed(model.IterationTime(primary.load.Decoding+1, primary.load.Context+work.PromptTokens))
 	firstEvent += primary.slotWait(model, work)
-	plan := Plan{Writer: primary.Endpoint, Reading: partPrefill, FirstEvent: firstEvent, Ready: prefillDelay, Harm: interference}
-	value := Value(work.Prompt)
-	plan.Loss = interference + value*(ttftCost(work.Waited+firstEvent, work.AnswerAim)+itlRiskCost(work, primary))
-	plan.Loss += engineCost(work, primary) * value
+	plan := Plan{Writer: primary.Endpoint, PrefillTime: partPrefill, TimeToFirstEvent: firstEvent, PrefillDelay: prefillDelay, InterferenceCost: interference}
+	value := PromptValue(work.PromptTokens)
+	plan.Cost = interference + value*(ttftCost(work.Waited+firstEvent, work.TTFTTarget)+itlRiskCost(work, primary))
+	plan.Cost += engineCost(work, primary) * value
 	for _, helper := range helpers {
 		plan.Helpers = append(plan.Helpers, helper.Endpoint)
 	}
 	return plan
 }
 
-// SoonestFree returns the time until the first of the endpoints has finished its prefill
+// TimeToFreeSlot returns the time until the first of the endpoints has finished its prefill
 // backlog and has a free slot. A retry before that would be rejected again.
-func SoonestFree(model Model, work Work, candidates []Candidate, snapshot View) time.Duration {
+func TimeToFreeSlot(model Model, work Work, candidates []Candidate, snapshot LoadSnapshot) time.Duration {
 	soonest := time.Duration(math.MaxInt64)
 	for _, engine := range newEngines(model, candidates, snapshot) {
-		soonest = min(soonest, engine.load.Backlog+engine.slotWait(model, work))
+		soonest = min(soonest, engine.load.PrefillBacklog+engine.slotWait(model, work))
 	}
 	if soonest == math.MaxInt64 {
 		return 0
--- a/peridotpath/placement/plan_test.go
+++ b/peridotpath/placement/plan_test.go
@@ -15,9 +15,9 @@
 
 // rates are those of a large model as its service publishes them.
 var rates = peridotpath.EngineRates{
-	BatchSize: 16, KVTokens: 450_000, StepsPerPass: 46, Chunk: 2048,
-	Step: 925 * time.Microsecond, StepPerWriter: 4830 * time.Nanosecond, StepPerContextK: 2540 * time.Nanosecond,
-	ReadPerSecond: 256_000, PerMillionPairs: 91_700 * time.Nanosecond,
+	BatchSize: 16, KVTokens: 450_000, StepsPerIteration: 46, Chunk: 2048,
+	Step: 925 * time.Microsecond, StepPerSequence: 4830 * time.Nanosecond, StepPerContextK: 2540 * time.Nanosecond,
+	PrefillPerSecond: 256_000, PerMillionPairs: 91_700 * time.Nanosecond,
 }
 
 var model = placement.Model{Rates: &rates}
@@ -33,32 +33,32 @@
 
 func shortWork() placement.Work {
 	return placement.Work{
-		Prompt: 5_000, Answer: 1_600, AnswerAim: 300 * time.Millisecond, PauseAim: 200 * time.Millisecond,
-		Left: 10 * time.Second, DataCentre: "a",
+		PromptTokens: 5_000, AnswerTokens: 1_600, TTFTTarget: 300 * time.Millisecond, ITLTarget: 200 * time.Millisecond,
+		TimeLeft: 10 * time.Second, DataCentre: "a",
 	}
 }
 
 func longWork(prompt peridotpath.Tokens) placement.Work {
 	return placement.Work{
-		Prompt: prompt, Answer: 800, AnswerAim: 3 * time.Second, PauseAim: 800 * time.Millisecond,
-		Left: 15 * time.Second, DataCentre: "a",
+		PromptTokens: prompt, AnswerTokens: 800, TTFTTarget: 3 * time.Second, ITLTarget: 800 * time.Millisecond,
+		TimeLeft: 15 * time.Second, DataCentre: "a",
 	}
 }
 
 // addDecoding adds a short request that is decoding at a candidate.
-func addDecoding(tracker *placement.Book, at placement.Candidate) {
-	number := tracker.Begin(placement.Flight{
-		Parts:  []placement.Part{{Endpoint: at.Key, Memory: 6_600}},
-		Prompt: 5_000, PauseAim: 200 * time.Millisecond, Sent: time.Now(),
+func addDecoding(tracker *placement.LoadTracker, at placement.Candidate) {
+	number := tracker.AddInFlight(placement.InFlight{
+		Parts:        []placement.PrefillPart{{Endpoint: at.Key, ReservedKV: 6_600}},
+		PromptTokens: 5_000, ITLTarget: 200 * time.Millisecond, SentAt: time.Now(),
 	})
-	tracker.Writing(number)
+	tracker.MarkDecoding(number)
 }
 
 // addPrefilling adds a long prompt whose prefill is pending at a candidate.
-func addPrefilling(tracker *placement.Book, at placement.Candidate, span time.Duration) {
-	tracker.Begin(placement.Flight{
-		Parts:  []placement.Part{{Endpoint: at.Key, Reading: span, Memory: 200_000}},
-		Prompt: 200_000, PauseAim: 800 * time.Millisecond, Sent: time.Now(),
+func addPrefilling(tracker *placement.LoadTracker, at placement.Candidate, span time.Duration) {
+	tracker.AddInFlight(placement.InFlight{
+		Parts:        []placement.PrefillPart{{Endpoint: at.Key, PrefillTime: span, ReservedKV: 200_000}},
+		PromptTokens: 200_000, ITLTarget: 800 * time.Millisecond, SentAt: time.Now(),
 	})
 }
 
@@ -71,14 +71,14 @@
 		{210_000, 2938 * time.Millisecond}, {1_000_000, 50209 * time.Millisecond},
 	}
 	for _, test := range tests {
-		if have := model.ReadTime(test.prompt); have.Round(time.Millisecond) != test.want {
+		if have := model.PrefillTime(test.prompt); have.Round(time.Millisecond) != test.want {
 			t.Errorf("ReadTime(%d): have %v, want %v", test.prompt, have, test.want)
 		}
 	}
-	if have := model.Pass(0, 0); have != 0 {
+	if have := model.IterationTime(0, 0); have != 0 {
 		t.Errorf("Pass without decoding requests: %v", have)
 	}
-	if have := model.Pass(10, 60_000).Round(time.Millisecond); have != 52*time.Millisecond {
+	if have := model.IterationTime(10, 60_000).Round(time.Millisecond); have != 52*time.Millisecond {
 		t.Errorf("Pass of ten decoding requests: %v", have)
 	}
 }
@@ -86,20 +86,20 @@
 // A short prompt must not queue behind the prefill of a long one.
 func TestShortPromptAvoidsPrefillingEngines(t *testing.T) {
 	is := is.New(t)
-	tracker, all := &placement.Book{}, candidates(4)
+	tracker, all := &placement.LoadTracker{}, candidates(4)
 	for _, candidate := range all[:3] {
 		addPrefilling(tracker, candidate, 2*time.Second)
 	}
-	plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.View(time.Now()))
+	plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.Snapshot(time.Now()))
 	is.True(found)
 	is.Equal(plan.Writer.ID, all[3].Endpoint.ID)
 	is.Equal(len(plan.Helpers), 0)
 }
 
 // warmTracker returns the tracker of an instance that has received reports for a minute.
-func warmTracker() *placement.Book {
-	tracker := &placement.Book{}
-	tracker.View(time.Now().Add(-time.Minute))
+func warmTracker() *placement.LoadTracker {
+	tracker := &placement.LoadTracker{}
+	tracker.Snapshot(time.Now().Add(-time.Minute))
 	return tracker
 }
 
@@ -110,7 +110,7 @@
 	tracker, all := warmTracker(), candidates(6)
 	used := map[peridotpath.EndpointID]int{}
 	for range 8 {
-		plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.View(time.Now()))
+		plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.Snapshot(time.Now()))
 		is.True(found)
 		used[plan.Writer.ID]++
 		for _, candidate := range all {
@@ -125,7 +125,7 @@
 // The prefill of a long prompt is split across the engines without decoding requests.
 func TestLongPromptIsSplitAcrossIdleEngines(t *testing.T) {
 	is := is.New(t)
-	tracker, all := &placement.Book{}, candidates(8)
+	tracker, all := &placement.LoadTracker{}, candidates(8)
 	busy := map[peridotpath.EndpointID]bool{}
 	for _, candidate := range all[:3] {
 		busy[candidate.Endpoint.ID] = true
@@ -133,42 +133,42 @@
 			addDecoding(tracker, candidate)
 		}
 	}
-	plan, found := placement.PlanPrompt(model, longWork(210_000), all, tracker.View(time.Now()))
+	plan, found := placement.PlanPrompt(model, longWork(210_000), all, tracker.Snapshot(time.Now()))
 	is.True(found)
 	is.Equal(len(plan.Helpers), 4)
 	for _, endpoint := range append(plan.Helpers, plan.Writer) {
 		is.True(!busy[endpoint.ID])
 	}
-	is.Equal(plan.Harm, 0.0)
-	is.True(plan.FirstEvent < time.Second)
-	is.Equal(len(plan.Reserve), 0)
+	is.Equal(plan.InterferenceCost, 0.0)
+	is.True(plan.TimeToFirstEvent < time.Second)
+	is.Equal(len(plan.HelperReservations), 0)
 }
 
 // A prompt that exceeds the KV cache of every engine is held by several.
 func TestKVCacheIsSplit(t *testing.T) {
 	is := is.New(t)
-	tracker, all := &placement.Book{}, candidates(8)
+	tracker, all := &placement.LoadTracker{}, candidates(8)
 	work := longWork(1_000_000)
-	work.Left = time.Minute
-	plan, found := placement.PlanPrompt(model, work, all, tracker.View(time.Now()))
+	work.TimeLeft = time.Minute
+	plan, found := placement.PlanPrompt(model, work, all, tracker.Snapshot(time.Now()))
 	is.True(found)
-	held := plan.Memory
-	for i, need := range plan.Reserve {
+	held := plan.PrimaryKV
+	for i, need := range plan.HelperReservations {
 		is.Equal(need.Endpoint, plan.Helpers[i])
 		held += need.Tokens
 	}
-	is.True(held >= work.Prompt+work.Answer)
-	is.True(plan.Memory <= rates.KVTokens)
+	is.True(held >= work.PromptTokens+work.AnswerTokens)
+	is.True(plan.PrimaryKV <= rates.KVTokens)
 
-	_, found = placement.PlanPrompt(model, work, all[:2], tracker.View(time.Now()))
+	_, found = placement.PlanPrompt(model, work, all[:2], tracker.Snapshot(time.Now()))
 	is.True(!found) // two engines cannot hold it
 }
 
 func TestEjectedEndpointsAreAvoided(t *testing.T) {
 	is := is.New(t)
-	tracker, all := &placement.Book{}, candidates(3)
-	all[0].Suspect, all[1].Suspect = true, true
-	snapshot := tracker.View(time.Now())
+	tracker, all := &placement.LoadTracker{}, candidates(3)
+	all[0].IsEjected, all[1].IsEjected = true, true
+	snapshot := tracker.Snapshot(time.Now())
 	plan, _ := placement.PlanPrompt(model, shortWork(), all, snapshot)
 	is.Equal(plan.Writer.ID, all[2].Endpoint.ID)
 	plan, _ = placement.PlanPlain(shortWork(), all, snapshot)
@@ -181,13 +181,13 @@
 
 func TestPlainUsesLeastLoadedEndpoint(t *testing.T) {
 	is := is.New(t)
-	tracker, all := &placement.Book{}, candidates(3)
+	tracker, all := &placement.LoadTracker{}, candidates(3)
 	for i, count := range []int{4, 2, 3} {
 		for range count {
 			addDecoding(tracker, all[i])
 		}
 	}
-	plan, found := placement.PlanPlain(placement.Work{DataCentre: "a"}, all, tracker.View(time.Now()))
+	plan, found := placement.PlanPlain(placement.Work{DataCentre: "a"}, all, tracker.Snapshot(time.Now()))
 	is.True(found)
 	is.Equal(plan.Writer.ID, all[1].Endpoint.ID)
 	for range 20 {
@@ -195,29 +195,29 @@
 			addDecoding(tracker, candidate)
 		}
 	}
-	_, found = placement.PlanPlain(placement.Work{}, all, tracker.View(time.Now()))
+	_, found = placement.PlanPlain(placement.Work{}, all, tracker.Snapshot(time.Now()))
 	is.True(!found)
 }
 
 // Each failure in a row ejects an endpoint for longer; a valid answer ends the ejection.
 func TestEjectionDuration(t *testing.T) {
 	is := is.New(t)
-	tracker, now := &placement.Book{}, time.Now()
-	tracker.Failed(5, now)
-	is.True(tracker.Suspects(now.Add(400 * time.Millisecond))[5])
-	is.True(!tracker.Suspects(now.Add(600 * time.Millisecond))[5])
-	tracker.Failed(5, now)
-	is.True(tracker.Suspects(now.Add(900 * time.Millisecond))[5])
-	is.Equal(len(tracker.OwnSuspicions(now)), 1)
-	tracker.Works(5)
-	is.True(!tracker.Suspects(now)[5])
-	tracker.Full(6, now)
-	is.True(tracker.Suspects(now.Add(100 * time.Millisecond))[6])
-	is.Equal(len(tracker.OwnSuspicions(now)), 0) // a full endpoint reports it to each instance itself
+	tracker, now := &placement.LoadTracker{}, time.Now()
+	tracker.EjectFailed(5, now)
+	is.True(tracker.EjectedEndpoints(now.Add(400 * time.Millisecond))[5])
+	is.True(!tracker.EjectedEndpoints(now.Add(600 * time.Millisecond))[5])
+	tracker.EjectFailed(5, now)
+	is.True(tracker.EjectedEndpoints(now.Add(900 * time.Millisecond))[5])
+	is.Equal(len(tracker.LocalEjections(now)), 1)
+	tracker.ClearEjection(5)
+	is.True(!tracker.EjectedEndpoints(now)[5])
+	tracker.EjectFull(6, now)
+	is.True(tracker.EjectedEndpoints(now.Add(100 * time.Millisecond))[6])
+	is.Equal(len(tracker.LocalEjections(now)), 0) // a full endpoint reports it to each instance itself
 	for range 100 {
-		tracker.Failed(7, now)
+		tracker.EjectFailed(7, now)
 	}
-	is.True(!tracker.Suspects(now.Add(5 * time.Second))[7])
+	is.True(!tracker.EjectedEndpoints(now.Add(5 * time.Second))[7])
 }
 
 // All instances order the queued prompts in the same way, so that exactly one prompt is
@@ -226,22 +226,22 @@
 	soak.Check(t, 1, func(random *rapid.T) {
 		now := time.Unix(1000, 0)
 		ids := []peridotpath.InstanceID{"a", "b", "c"}
-		trackers := map[peridotpath.InstanceID]*placement.Book{}
-		var own = map[peridotpath.InstanceID][]placement.WaitNumber{}
+		trackers := map[peridotpath.InstanceID]*placement.LoadTracker{}
+		var own = map[peridotpath.InstanceID][]placement.QueuedPromptNumber{}
 		for _, id := range ids {
-			trackers[id] = &placement.Book{}
+			trackers[id] = &placement.LoadTracker{}
 			for range rapid.IntRange(0, 4).Draw(random, "count") {
 				// At least 10 ms apart: network delay may reorder closer ones.
 				due := now.Add(time.Duration(rapid.IntRange(0, 50).Draw(random, "due")) * 10 * time.Millisecond)
-				number := trackers[id].Join(placement.Wait{Due: due, Reading: time.Second})
-				trackers[id].Mark(number, rapid.Bool().Draw(random, "late"), false)
+				number := trackers[id].Join(placement.QueuedPrompt{Due: due, PrefillTime: time.Second})
+				trackers[id].UpdateQueued(number, rapid.Bool().Draw(random, "late"), false)
 				own[id] = append(own[id], number)
 			}
 		}
 		for _, id := range ids {
 			for _, other := range ids {
 				if other != id {
-					trackers[id].HearPeer(placement.Report{Peer: other, Incarnation: 1, Sequence: 1, Waits: trackers[other].OwnWaits()}, now)
+					trackers[id].ApplyPeerReport(placement.PeerReport{Peer: other, Incarnation: 1, Sequence: 1, Queued: trackers[other].LocalQueued()}, now)
 				}
 			}
 		}
@@ -249,7 +249,7 @@
 		for _, id := range ids {
 			for _, number := range own[id] {
 				all++
-				if ahead, _ := trackers[id].Ahead(number, id, now); ahead == 0 {
+				if ahead, _ := trackers[id].QueuedAhead(number, id, now); ahead == 0 {
 					first++
 				}
 			}
@@ -263,20 +263,20 @@
 // The KV cache that plans allocate on an engine never exceeds its capacity.
 func TestKVCacheIsNotOvercommitted(t *testing.T) {
 	soak.Check(t, 1, func(random *rapid.T) {
-		tracker, all := &placement.Book{}, candidates(6)
+		tracker, all := &placement.LoadTracker{}, candidates(6)
 		for range rapid.IntRange(1, 12).Draw(random, "count") {
 			work := longWork(peridotpath.Tokens(rapid.IntRange(1_000, 1_000_000).Draw(random, "prompt")))
-			work.Left = time.Hour
-			plan, found := placement.PlanPrompt(model, work, all, tracker.View(time.Now()))
+			work.TimeLeft = time.Hour
+			plan, found := placement.PlanPrompt(model, work, all, tracker.Snapshot(time.Now()))
 			if found {
-				tracker.Begin(plan.Flight(work, time.Now()))
+				tracker.AddInFlight(plan.InFlight(work, time.Now()))
 			}
 		}
 		// Summed independently of the snapshot that the plans are based on.
 		held := map[peridotpath.EndpointKey]peridotpath.Tokens{}
-		for _, flight := range tracker.Own() {
+		for _, flight := range tracker.LocalInFlight() {
 			for _, part := range flight.Parts {
-				held[part.Endpoint] += part.Memory
+				held[part.Endpoint] += part.ReservedKV
 			}
 		}
 		for _, candidate := range all {
@@ -294,14 +294,14 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, count := range []int{14, 69, 300} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			tracker, all := &placement.Book{}, candidates(count)
+			tracker, all := &placement.LoadTracker{}, candidates(count)
 			for i, candidate := range all {
 				for range i % 12 {
 					addDecoding(tracker, candidate)
 				}
 			}
 			for b.Loop() {
-				placement.PlanPrompt(model, longWork(210_000), all, tracker.View(time.Now()))
+				placement.PlanPrompt(model, longWork(210_000), all, tracker.Snapshot(time.Now()))
 			}
 		})
 	}
@@ -314,7 +314,7 @@
 func TestPlanStartsBeforeClientTimeout(t *testing.T) {
 	is := is.New(t)
 	all := candidates(2)
-	tracker := &placement.Book{}
+	tracker := &placement.LoadTracker{}
 	addPrefilling(tracker, all[0], 3*time.Second)
 	for range 6 {
 		addDecoding(tracker, all[1])
@@ -322,13 +322,13 @@
 	addPrefilling(tracker, all[1], 140*time.Millisecond)
 	work := shortWork()
 	work.Waited = 400 * time.Millisecond
-	work.Patience = 1600 * time.Millisecond
-	plan, found := placement.PlanPrompt(model, work, all, tracker.View(time.Now()))
+	work.ClientTimeout = 1600 * time.Millisecond
+	plan, found := placement.PlanPrompt(model, work, all, tracker.Snapshot(time.Now()))
 	is.True(found)
 	is.Equal(plan.Writer.ID, all[1].Endpoint.ID)
-	is.True(plan.FirstEvent <= work.Patience)
+	is.True(plan.TimeToFirstEvent <= work.ClientTimeout)
 	// Without a plan that starts before the client timeout, PlanPrompt finds none.
-	_, found = placement.PlanPrompt(model, work, all[:1], tracker.View(time.Now()))
+	_, found = placement.PlanPrompt(model, work, all[:1], tracker.Snapshot(time.Now()))
 	is.True(!found)
 }
 
@@ -345,14 +345,14 @@
 	for range 10 {
 		addDecoding(tracker, all[1])
 	}
-	plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.View(time.Now()))
+	plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.Snapshot(time.Now()))
 	is.True(found)
 	is.Equal(plan.Writer.ID, all[1].Endpoint.ID)
 	// When the slots of that engine are taken, another is used.
 	for range 6 {
 		addDecoding(tracker, all[1])
 	}
-	plan, found = placement.PlanPrompt(model, shortWork(), all, tracker.View(time.Now()))
+	plan, found = placement.PlanPrompt(model, shortWork(), all, tracker.Snapshot(time.Now()))
 	is.True(found)
 	is.Equal(plan.Writer.ID, all[0].Endpoint.ID)
 }
@@ -365,18 +365,18 @@
 func TestLongPromptLeavesSlotsForShortOnes(t *testing.T) {
 	is := is.New(t)
 	all := candidates(15)
-	tracker := &placement.Book{}
+	tracker := &placement.LoadTracker{}
 	sent := time.Now()
-	tracker.View(sent)
+	tracker.Snapshot(sent)
 	for i := range 20 {
 		at := all[i%2]
-		tracker.Begin(placement.Flight{
-			Parts:  []placement.Part{{Endpoint: at.Key, Reading: 20 * time.Millisecond, Memory: 5_600}},
-			Prompt: 5_000, PauseAim: 200 * time.Millisecond, Sent: sent,
+		tracker.AddInFlight(placement.InFlight{
+			Parts:        []placement.PrefillPart{{Endpoint: at.Key, PrefillTime: 20 * time.Millisecond, ReservedKV: 5_600}},
+			PromptTokens: 5_000, ITLTarget: 200 * time.Millisecond, SentAt: sent,
 		})
 	}
 	now := sent.Add(time.Second)
-	plan, found := placement.PlanPrompt(model, longWork(300_000), all, tracker.View(now.Add(-time.Millisecond)))
+	plan, found := placement.PlanPrompt(model, longWork(300_000), all, tracker.Snapshot(now.Add(-time.Millisecond)))
 	is.True(found)
 	prefilling := map[peridotpath.EndpointID]bool{plan.Writer.ID: true}
 	for _, helper := range plan.Helpers {
@@ -392,8 +392,8 @@
 			}
 		}
 	}
-	is.True(float64(slots) >= 20*plan.FirstEvent.Seconds())
-	is.True(plan.FirstEvent < 1800*time.Millisecond) // and the prompt still meets its target
+	is.True(float64(slots) >= 20*plan.TimeToFirstEvent.Seconds())
+	is.True(plan.TimeToFirstEvent < 1800*time.Millisecond) // and the prompt still meets its target
 }
 
 // All clients reconnect at once and sixteen requests take an engine's slots. None ends
@@ -417,17 +417,17 @@
 			tracker, all := warmTracker(), candidates(1)
 			now := time.Now()
 			for range 16 {
-				number := tracker.Begin(placement.Flight{
-					Parts:  []placement.Part{{Endpoint: all[0].Key, Reading: 20 * time.Millisecond, Memory: 5_600}},
-					Prompt: 5_000, PauseAim: 200 * time.Millisecond, Sent: now.Add(-test.age),
+				number := tracker.AddInFlight(placement.InFlight{
+					Parts:        []placement.PrefillPart{{Endpoint: all[0].Key, PrefillTime: 20 * time.Millisecond, ReservedKV: 5_600}},
+					PromptTokens: 5_000, ITLTarget: 200 * time.Millisecond, SentAt: now.Add(-test.age),
 				})
-				tracker.Writing(number)
+				tracker.MarkDecoding(number)
 			}
 			work := shortWork()
-			work.Patience = 1200 * time.Millisecond
-			_, found := placement.PlanPrompt(model, work, all, tracker.View(now))
+			work.ClientTimeout = 1200 * time.Millisecond
+			_, found := placement.PlanPrompt(model, work, all, tracker.Snapshot(now))
 			is.Equal(found, test.found)
-			free := placement.SoonestFree(model, work, all, tracker.View(now))
+			free := placement.TimeToFreeSlot(model, work, all, tracker.Snapshot(now))
 			is.True(free >= test.minRetry)
 			is.True(free <= test.maxRetry)
 		})
@@ -445,7 +445,7 @@
 		addDecoding(tracker, all[0])
 		addDecoding(tracker, all[1])
 	}
-	plan, found := placement.PlanPrompt(placement.Model{Rates: &unknown}, shortWork(), all, tracker.View(time.Now()))
+	plan, found := placement.PlanPrompt(placement.Model{Rates: &unknown}, shortWork(), all, tracker.Snapshot(time.Now()))
 	is.True(found)
-	is.True(plan.FirstEvent < 300*time.Millisecond)
+	is.True(plan.TimeToFirstEvent < 300*time.Millisecond)
 }
--- a/peridotpath/placement/prefill_queue.go
+++ b/peridotpath/placement/prefill_queue.go
@@ -7,21 +7,21 @@
 )
 
 type (
-	// WaitNumber identifies a queued prompt within its instance.
-	WaitNumber uint64
+	// QueuedPromptNumber identifies a queued prompt within its instance.
+	QueuedPromptNumber uint64
 
-	// Wait is a long prompt in the prefill queue. The instances exchange their
+	// QueuedPrompt is a long prompt in the prefill queue. The instances exchange their
 	// queued prompts and dispatch them one after another in a common order.
-	Wait struct {
-		Number WaitNumber
+	QueuedPrompt struct {
+		Number QueuedPromptNumber
 		// Due is the sort key of the queue: the arrival time plus a part of the
 		// prefill time.
 		Due time.Time
-		// Reading is the prefill time of the prompt on a single engine.
-		Reading time.Duration
-		// Late is set when the prompt can no longer meet its latency target. It
+		// PrefillTime is the prefill time of the prompt on a single engine.
+		PrefillTime time.Duration
+		// MissesTarget is set when the prompt can no longer meet its latency target. It
 		// then yields to prompts that can.
-		Late bool
+		MissesTarget bool
 		// Blocked is set when the prompt waits for a resource that others do not
 		// need. It is then skipped, which avoids head-of-line blocking.
 		Blocked bool
@@ -33,16 +33,16 @@
 // in a burst; the share bounds the delay of long prompts, so that they do not starve.
 const dueDelayShare = 0.3
 
-// NewWait returns the queue entry of a request.
-func NewWait(arrived time.Time, prefill time.Duration) Wait {
-	return Wait{Due: arrived.Add(time.Duration(dueDelayShare * float64(prefill))), Reading: prefill}
+// NewQueuedPrompt returns the queue entry of a request.
+func NewQueuedPrompt(arrived time.Time, prefill time.Duration) QueuedPrompt {
+	return QueuedPrompt{Due: arrived.Add(time.Duration(dueDelayShare * float64(prefill))), PrefillTime: prefill}
 }
 
 // Join adds a prompt to the queue and returns its number.
-func (tracker *Book) Join(prompt Wait) WaitNumber {
+func (tracker *LoadTracker) Join(prompt QueuedPrompt) QueuedPromptNumber {
 	tracker.mutex.Lock()
 	if tracker.queued == nil {
-		tracker.queued = map[WaitNumber]*Wait{}
+		tracker.queued = map[QueuedPromptNumber]*QueuedPrompt{}
 	}
 	tracker.lastQueued++
 	prompt.Number = tracker.lastQueued
@@ -52,21 +52,21 @@
 	return prompt.Number
 }
 
-// Leave removes a prompt from the queue.
-func (tracker *Book) Leave(number WaitNumber) {
+// Dequeue removes a prompt from the queue.
+func (tracker *LoadTracker) Dequeue(number QueuedPromptNumber) {
 	tracker.mutex.Lock()
 	delete(tracker.queued, number)
 	tracker.mutex.Unlock()
 	tracker.notifyChanged()
 }
 
-// Mark updates whether a queued prompt misses its target or is blocked.
-func (tracker *Book) Mark(number WaitNumber, late, blocked bool) {
+// UpdateQueued updates whether a queued prompt misses its target or is blocked.
+func (tracker *LoadTracker) UpdateQueued(number QueuedPromptNumber, late, blocked bool) {
 	tracker.mutex.Lock()
 	prompt := tracker.queued[number]
-	changed := prompt != nil && (prompt.Late != late || prompt.Blocked != blocked)
+	changed := prompt != nil && (prompt.MissesTarget != late || prompt.Blocked != blocked)
 	if changed {
-		prompt.Late, prompt.Blocked = late, blocked
+		prompt.MissesTarget, prompt.Blocked = late, blocked
 	}
 	tracker.mutex.Unlock()
 	if changed {
@@ -74,30 +74,30 @@
 	}
 }
 
-// OwnWaits returns this instance's queued prompts.
-func (tracker *Book) OwnWaits() []Wait {
+// LocalQueued returns this instance's queued prompts.
+func (tracker *LoadTracker) LocalQueued() []QueuedPrompt {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
-	prompts := make([]Wait, 0, len(tracker.queued))
+	prompts := make([]QueuedPrompt, 0, len(tracker.queued))
 	for _, prompt := range tracker.queued {
 		prompts = append(prompts, *prompt)
 	}
 	return prompts
 }
 
-// Ahead returns how many unblocked prompts of all instances precede one of this
+// QueuedAhead returns how many unblocked prompts of all instances precede one of this
 // instance's in the queue, and their prefill time on a single engine.
-func (tracker *Book) Ahead(number WaitNumber, instance peridotpath.InstanceID, now time.Time) (count int, prefill time.Duration) {
+func (tracker *LoadTracker) QueuedAhead(number QueuedPromptNumber, instance peridotpath.InstanceID, now time.Time) (count int, prefill time.Duration) {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
 	own := tracker.queued[number]
 	if own == nil {
 		return 0, 0
 	}
-	countIf := func(other *Wait, precedes bool) {
+	countIf := func(other *QueuedPrompt, precedes bool) {
 		if precedes && !other.Blocked {
 			count++
-			prefill += other.Reading
+			prefill += other.PrefillTime
 		}
 	}
 	for _, other := range tracker.queued {
@@ -112,9 +112,9 @@
 }
 
 // precedes reports whether prompt is dispatched before other; tieBreak decides between equals.
-func (prompt *Wait) precedes(other *Wait, tieBreak bool) bool {
-	if prompt.Late != other.Late {
-		return other.Late
+func (prompt *QueuedPrompt) precedes(other *QueuedPrompt, tieBreak bool) bool {
+	if prompt.MissesTarget != other.MissesTarget {
+		return other.MissesTarget
 	}
 	// Times received from peers include the network delay, so differences within
 	// dueTolerance count as equal.
--- a/peridotpath/placement/slots.go
+++ b/peridotpath/placement/slots.go
@@ -17,12 +17,12 @@
 // free up continuously sent several times as many requests as there are slots, and their
 // clients disconnected before the first event.
 func (engine *engine) slotWait(model Model, work Work) time.Duration {
-	excess := engine.load.Taken() + 1 - engine.slots
+	excess := engine.load.RequestCount() + 1 - engine.slots
 	if excess <= 0 || engine.slots <= 0 {
 		// A service that does not publish its batch size has no such wait.
 		return 0
 	}
-	decode := model.WriteTime(work.Answer, max(engine.iteration, model.Pass(1, work.Prompt)))
+	decode := model.DecodeTime(work.AnswerTokens, max(engine.iteration, model.IterationTime(1, work.PromptTokens)))
 	lowerBound := time.Duration(excess) * minSlotWait
 	batches, position := (excess-1)/engine.slots, (excess-1)%engine.slots
 	wait := engine.load.untilFree(position, decode) + time.Duration(batches)*decode
@@ -33,7 +33,7 @@
 // decodes for the given time.
 func (load *Load) untilFree(position int, decode time.Duration) time.Duration {
 	if position >= len(load.decodingAges) {
-		return load.Backlog + decode
+		return load.PrefillBacklog + decode
 	}
 	ages := slices.Sorted(slices.Values(load.decodingAges))
 	return max(decode-ages[len(ages)-1-position], 0)
--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -40,7 +40,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	now := time.Now()
-	defer relay.Book.End(exchange.flight)
+	defer relay.Book.RemoveInFlight(exchange.flight)
 	// The instance may have been frozen since the request was checked.
 	if exchange.customer != "" && !relay.Routing.KeysUsable() {
 		return outcomeUnsent, errKeyUnsure
@@ -50,7 +50,7 @@
 	if err != nil {
 		return outcomeNoMemory, err
 	}
-	defer relay.Keeper.End(tickets)
+	defer relay.Keeper.ReleaseAsync(tickets)
 	watch := exchange.watchStall(cancel)
 	defer watch.Stop()
 	if doubt := exchange.watchPace(); doubt != nil {
@@ -95,19 +95,19 @@
 }
 
 // reserve reserves the memory that the plan needs beside the writer's.
-func (exchange *exchange) reserve(ctx context.Context) ([]*reservation.Ticket, error) {
-	if len(exchange.plan.Reserve) == 0 {
+func (exchange *exchange) reserve(ctx context.Context) ([]*reservation.Reservation, error) {
+	if len(exchange.plan.HelperReservations) == 0 {
 		return nil, nil
 	}
-	tickets, err := exchange.relay.Keeper.Take(ctx, exchange.plan.Reserve)
-	var notFree *reservation.NotFree
+	tickets, err := exchange.relay.Keeper.Acquire(ctx, exchange.plan.HelperReservations)
+	var notFree *reservation.ReserveError
 	if errors.As(err, &notFree) {
-		exchange.relay.Book.Full(notFree.Endpoint, time.Now())
+		exchange.relay.Book.EjectFull(notFree.Endpoint, time.Now())
 	}
 	return tickets, err
 }
 
-func (exchange *exchange) call(now time.Time, tickets []*reservation.Ticket) *Call {
+func (exchange *exchange) call(now time.Time, tickets []*reservation.Reservation) *Call {
 	call := &Call{
 		Request: exchange.request, Endpoint: exchange.plan.Writer, Customer: exchange.customer,
 		Left: exchange.deadline.Sub(now), Priority: enginePriority(exchange.route, exchange.priority), AfterEvent: exchange.afterEvent,
@@ -136,9 +136,9 @@
 func enginePriority(route *peridotpath.Route, priority int) int {
 	engine := patientPriority
 	switch {
-	case route.AnswerAim <= urgentAim:
+	case route.TTFTTarget <= urgentAim:
 		engine = urgentPriority
-	case route.AnswerAim <= ordinaryAim:
+	case route.TTFTTarget <= ordinaryAim:
 		engine = ordinaryPriority
 	}
 	return min(max(engine+priority-usualPriority, 0), leastPriority)
@@ -159,8 +159,8 @@
 		return &stallWatch{}
 	}
 	stall := exchange.relay.Stall + stallMargin
-	first := firstStallFactor*exchange.plan.FirstEvent + stall
-	span := max(stall, eventStallFactor*exchange.route.PauseAim)
+	first := firstStallFactor*exchange.plan.TimeToFirstEvent + stall
+	span := max(stall, eventStallFactor*exchange.route.ITLTarget)
 	return &stallWatch{timer: time.AfterFunc(first, func() { cancel(errStalled) }), span: span}
 }
 
@@ -177,9 +177,9 @@
 		return nil
 	}
 	plan, flight := exchange.plan, exchange.flight
-	overdue := time.Duration(doubtFactor*float64(plan.FirstEvent)) + doubtMargin
+	overdue := time.Duration(doubtFactor*float64(plan.TimeToFirstEvent)) + doubtMargin
 	return time.AfterFunc(overdue, func() {
-		if exchange.relay.Book.Waits(flight) {
+		if exchange.relay.Book.AwaitsFirstEvent(flight) {
 			exchange.relay.Doubt(append([]*peridotpath.Endpoint{plan.Writer}, plan.Helpers...)...)
 		}
 	})
@@ -218,7 +218,7 @@
 		if errors.Is(err, io.EOF) && seen > 0 {
 			exchange.beginStream(answer)
 			exchange.caller.End()
-			exchange.relay.Book.Works(exchange.plan.Writer.Key())
+			exchange.relay.Book.ClearEjection(exchange.plan.Writer.Key())
 			return outcomeDone, nil
 		}
 		if err != nil {
@@ -227,7 +227,7 @@
 		watch.event()
 		if seen == 0 {
 			exchange.noteFirst()
-			exchange.relay.Book.Writing(exchange.flight)
+			exchange.relay.Book.MarkDecoding(exchange.flight)
 		}
 		seen++
 		exchange.beginStream(answer)
@@ -265,8 +265,8 @@
 	}
 	exchange.firstEvent = time.Since(exchange.request.Arrived)
 	telemetry.FirstToken(exchange.lengthClass(), exchange.firstEvent)
-	telemetry.Predicted(exchange.lengthClass(), exchange.plan.FirstEvent, time.Since(exchange.sentAt))
-	exchange.relay.Book.Observe(exchange.plan.Writer.Key(), exchange.plan.FirstEvent, time.Since(exchange.sentAt))
+	telemetry.Predicted(exchange.lengthClass(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
+	exchange.relay.Book.ObserveFirstEvent(exchange.plan.Writer.Key(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
 }
 
 // whole reads an answer that is no stream to its end before a byte goes out, so
@@ -283,7 +283,7 @@
 		exchange.last = &failedAnswer{answer: answer, body: body}
 		return outcomeErrored, nil
 	}
-	exchange.relay.Book.Works(exchange.plan.Writer.Key())
+	exchange.relay.Book.ClearEjection(exchange.plan.Writer.Key())
 	exchange.caller.Answer(answer.Status, answer.Header, body)
 	return outcomeDone, nil
 }
--- a/peridotpath/relay/candidates.go
+++ b/peridotpath/relay/candidates.go
@@ -21,13 +21,13 @@
 
 func (exchange *exchange) candidatesOf(members []directory.Member, now time.Time) []placement.Candidate {
 	candidates := make([]placement.Candidate, 0, len(members))
-	suspects := exchange.relay.Book.Suspects(now)
+	suspects := exchange.relay.Book.EjectedEndpoints(now)
 	withinLimit := exchange.limits(now)
 	for _, member := range members {
 		if exchange.avoid[member.Key] || !withinLimit(member.Key) {
 			continue
 		}
-		candidates = append(candidates, placement.Candidate{Endpoint: member.Endpoint, Key: member.Key, Suspect: suspects[member.Key]})
+		candidates = append(candidates, placement.Candidate{Endpoint: member.Endpoint, Key: member.Key, IsEjected: suspects[member.Key]})
 	}
 	return candidates
 }
--- a/peridotpath/relay/engine_test.go
+++ b/peridotpath/relay/engine_test.go
@@ -19,9 +19,9 @@
 // testRates are those of a large model on four accelerators, a twelfth of the
 // time: what the users' services publish.
 var testRates = peridotpath.EngineRates{
-	BatchSize: 16, KVTokens: 450_000, StepsPerPass: 46, Chunk: 2048,
-	Step: 925 * time.Microsecond, StepPerWriter: 4830 * time.Nanosecond, StepPerContextK: 2540 * time.Nanosecond,
-	ReadPerSecond: 256_000, PerMillionPairs: 91_700 * time.Nanosecond,
+	BatchSize: 16, KVTokens: 450_000, StepsPerIteration: 46, Chunk: 2048,
+	Step: 925 * time.Microsecond, StepPerSequence: 4830 * time.Nanosecond, StepPerContextK: 2540 * time.Nanosecond,
+	PrefillPerSecond: 256_000, PerMillionPairs: 91_700 * time.Nanosecond,
 }
 
 // fakeEngines work as the published rates say, on the clock of the test.
@@ -87,8 +87,8 @@
 		return nil, outbound.ErrNotSent.New("no such engine")
 	}
 	count := 1 + len(call.Helpers)
-	share := engine.model.ReadTime(call.Request.Prompt) / time.Duration(count)
-	events := int(call.Request.Answer) / engine.model.Rates.StepsPerPass
+	share := engine.model.PrefillTime(call.Request.Prompt) / time.Duration(count)
+	events := int(call.Request.Answer) / engine.model.Rates.StepsPerIteration
 	job := &fakeJob{home: engine, prompt: call.Request.Prompt, unread: count, left: max(events, 1), events: make(chan struct{}, 10_000), cancelled: ctx.Done()}
 	engine.jobs = append(engine.jobs, job)
 	engine.add(&fakePart{left: share, own: true, job: job})
@@ -143,11 +143,11 @@
 	writers, context := engine.writers()
 	steps := 1
 	if writers > 0 {
-		steps = rates.StepsPerPass
+		steps = rates.StepsPerIteration
 	}
-	step := rates.Step + time.Duration(writers)*rates.StepPerWriter +
+	step := rates.Step + time.Duration(writers)*rates.StepPerSequence +
 		time.Duration(float64(context)/1000*float64(rates.StepPerContextK))
-	perStep := time.Duration(float64(rates.Chunk) / rates.ReadPerSecond * float64(time.Second))
+	perStep := time.Duration(float64(rates.Chunk) / rates.PrefillPerSecond * float64(time.Second))
 	span := time.Duration(0)
 	for range steps {
 		part := engine.nextPart()
--- a/peridotpath/relay/exchange.go
+++ b/peridotpath/relay/exchange.go
@@ -40,7 +40,7 @@
 	survived bool
 
 	plan       placement.Plan
-	flight     placement.FlightNumber
+	flight     placement.InFlightNumber
 	sentAt     time.Time
 	firstEvent time.Duration
 	retryAfter time.Duration
@@ -97,7 +97,7 @@
 			return
 		}
 		if result := exchange.barred(); result != nil {
-			exchange.relay.Book.End(exchange.flight)
+			exchange.relay.Book.RemoveInFlight(exchange.flight)
 			exchange.fail(*result)
 			return
 		}
@@ -129,20 +129,20 @@
 		return exchange.placePlain()
 	}
 	model := placement.Model{Rates: exchange.spec.Engine}
-	exchange.reading = model.ReadTime(exchange.request.Prompt)
-	if exchange.reading > longRead && exchange.route.AnswerAim >= leastWaitAim {
+	exchange.reading = model.PrefillTime(exchange.request.Prompt)
+	if exchange.reading > longRead && exchange.route.TTFTTarget >= leastWaitAim {
 		return exchange.awaitTurn(ctx, model, exchange.reading)
 	}
 	for {
 		now := time.Now()
-		candidates, view := exchange.candidates(now), exchange.relay.Book.View(now)
+		candidates, view := exchange.candidates(now), exchange.relay.Book.Snapshot(now)
 		if len(candidates) == 0 {
 			return exchange.noEndpoint()
 		}
 		work := exchange.work(now)
 		plan, found := placement.PlanPrompt(model, work, candidates, view)
 		if !found {
-			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortReturn, placement.SoonestFree(model, work, candidates, view)))
+			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortReturn, placement.TimeToFreeSlot(model, work, candidates, view)))
 		}
 		if exchange.begin(plan, now) {
 			return nil
@@ -157,7 +157,7 @@
 		if len(candidates) == 0 {
 			return exchange.noEndpoint()
 		}
-		plan, found := placement.PlanPlain(exchange.work(now), candidates, exchange.relay.Book.View(now))
+		plan, found := placement.PlanPlain(exchange.work(now), candidates, exchange.relay.Book.Snapshot(now))
 		if !found {
 			return exchange.refusal(peridotpath.CodeCannotFinish, shortReturn)
 		}
@@ -174,7 +174,7 @@
 		return false
 	}
 	exchange.plan = plan
-	exchange.flight = exchange.relay.Book.Begin(plan.Flight(exchange.work(now), now))
+	exchange.flight = exchange.relay.Book.AddInFlight(plan.InFlight(exchange.work(now), now))
 	return true
 }
 
@@ -193,16 +193,16 @@
 		left = time.Hour
 	}
 	return placement.Work{
-		Prompt: exchange.request.Prompt, Answer: answer,
-		AnswerAim: exchange.route.AnswerAim, PauseAim: exchange.route.PauseAim,
-		Waited: now.Sub(exchange.request.Arrived), Left: left, Patience: exchange.patience(now), DataCentre: exchange.relay.DataCentre,
+		PromptTokens: exchange.request.Prompt, AnswerTokens: answer,
+		TTFTTarget: exchange.route.TTFTTarget, ITLTarget: exchange.route.ITLTarget,
+		Waited: now.Sub(exchange.request.Arrived), TimeLeft: left, ClientTimeout: exchange.patience(now), DataCentre: exchange.relay.DataCentre,
 	}
 }
 
 // patience is the time until the caller leaves if no event has come; zero where
 // that is not known, or the stream has begun.
 func (exchange *exchange) patience(now time.Time) time.Duration {
-	silence := exchange.route.Silence
+	silence := exchange.route.ClientIdleTimeout
 	if silence == 0 || exchange.begun {
 		return 0
 	}
--- a/peridotpath/relay/fixture_test.go
+++ b/peridotpath/relay/fixture_test.go
@@ -37,14 +37,14 @@
 		route := peridotpath.Route{
 			Name: peridotpath.RouteName(name), Host: "host", PathPrefix: "/" + name + "/", MaxAttempts: 2,
 			Backends: []peridotpath.Backend{{Service: "llm", Weight: 1}},
-			Timeout:  15 * time.Second, AnswerAim: 300 * time.Millisecond,
+			Timeout:  15 * time.Second, TTFTTarget: 300 * time.Millisecond,
 		}
 		change(&route)
 		return route
 	}
 	stream := func(aim, pause time.Duration) func(*peridotpath.Route) {
 		return func(route *peridotpath.Route) {
-			route.Streaming, route.Resumable, route.AnswerAim, route.PauseAim = true, true, aim, pause
+			route.Streaming, route.Resumable, route.TTFTTarget, route.ITLTarget = true, true, aim, pause
 		}
 	}
 	return &peridotpath.Routing{
@@ -52,7 +52,7 @@
 		Routes: []peridotpath.Route{
 			route("short", func(route *peridotpath.Route) {
 				stream(300*time.Millisecond, 200*time.Millisecond)(route)
-				route.Silence = 2 * time.Second
+				route.ClientIdleTimeout = 2 * time.Second
 			}),
 			route("long", stream(3*time.Second, 800*time.Millisecond)),
 			route("look", func(route *peridotpath.Route) { route.Idempotent = true }),
@@ -69,7 +69,7 @@
 	relay     *relay.Relay
 	routing   *routing.State
 	directory *directory.Directory
-	book      *placement.Book
+	book      *placement.LoadTracker
 	facts     *facts.Table
 	// clock is the time since boot.
 	clock time.Duration
@@ -77,7 +77,7 @@
 }
 
 func newFixture(send relay.Sender, engine *peridotpath.EngineRates, endpoints ...peridotpath.Endpoint) *fixture {
-	fixture := &fixture{directory: &directory.Directory{Log: zerolog.Nop()}, book: &placement.Book{}, began: time.Now()}
+	fixture := &fixture{directory: &directory.Directory{Log: zerolog.Nop()}, book: &placement.LoadTracker{}, began: time.Now()}
 	fixture.clock, fixture.facts = time.Hour, &facts.Table{}
 	keeper := &quarantine.Quarantine{Instance: "edge-1", Facts: fixture.facts, Log: zerolog.Nop()}
 	fixture.routing = &routing.State{
@@ -94,7 +94,7 @@
 		Served:   &telemetry.Sampler{PerSecond: 10},
 		Budget:   &relay.Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, Instances: func() int { return 1 }},
 		Stall:    1500 * time.Millisecond,
-		Keeper: &reservation.Keeper{
+		Keeper: &reservation.Manager{
 			Instance: "edge-1", Incarnation: 1, Log: zerolog.Nop(),
 			Reserve: func(context.Context, *peridotpath.Endpoint, string, peridotpath.Tokens, time.Duration) (bool, error) {
 				return true, nil
--- a/peridotpath/relay/fleet_test.go
+++ b/peridotpath/relay/fleet_test.go
@@ -32,7 +32,7 @@
 	for i := range count {
 		one := makeOne(i)
 		one.relay.Instance = peridotpath.InstanceID(fmt.Sprintf("edge-%d", i))
-		one.book.Changed = func() { fleet.changed(i) }
+		one.book.OnChange = func() { fleet.changed(i) }
 		one.facts.OnChange = func() { fleet.changed(i) }
 		fleet.relays = append(fleet.relays, one)
 	}
@@ -78,14 +78,14 @@
 	sequence := fleet.sent[number]
 	fleet.mutex.Unlock()
 	one := fleet.relays[number]
-	report := placement.Report{
-		Peer: one.relay.Instance, Incarnation: 1, Sequence: sequence, Flights: one.book.Own(), Waits: one.book.OwnWaits(),
+	report := placement.PeerReport{
+		Peer: one.relay.Instance, Incarnation: 1, Sequence: sequence, InFlight: one.book.LocalInFlight(), Queued: one.book.LocalQueued(),
 	}
 	told := one.facts.TakeDue(time.Now(), false)
 	time.AfterFunc(fleet.lag/2, func() {
 		for i, other := range fleet.relays {
 			if i != number && !fleet.loses(number, i) {
-				other.book.HearPeer(report, time.Now())
+				other.book.ApplyPeerReport(report, time.Now())
 				other.facts.Receive(told, false)
 			}
 		}
@@ -111,7 +111,7 @@
 // smallBatch are the rates of engines that write ten answers at once.
 func smallBatch() *peridotpath.EngineRates {
 	rates := testRates
-	rates.BatchSize, rates.StepsPerPass = 10, 73
+	rates.BatchSize, rates.StepsPerIteration = 10, 73
 	return &rates
 }
 
--- a/peridotpath/relay/limit.go
+++ b/peridotpath/relay/limit.go
@@ -27,7 +27,7 @@
 	if throttle.HasNoLimits() {
 		return func(peridotpath.EndpointKey) bool { return true }
 	}
-	contenders := exchange.relay.Book.View(now).Unheard()
+	contenders := exchange.relay.Book.Snapshot(now).UnreportedRequests()
 	return func(key peridotpath.EndpointKey) bool {
 		wait := throttle.TimeUntilAllowed(key, contenders, now)
 		if wait > 0 && (exchange.limited == 0 || wait < exchange.limited) {
--- a/peridotpath/relay/outcome.go
+++ b/peridotpath/relay/outcome.go
@@ -68,9 +68,9 @@
 	case outcomeFailed, outcomeBroken:
 		exchange.sent++
 		exchange.mayHaveRun = true
-		exchange.relay.Book.Failed(key, now)
+		exchange.relay.Book.EjectFailed(key, now)
 	case outcomeUnsent, outcomeElsewhere:
-		exchange.relay.Book.Failed(key, now)
+		exchange.relay.Book.EjectFailed(key, now)
 	}
 	if exchange.avoid == nil {
 		exchange.avoid = map[peridotpath.EndpointKey]bool{}
@@ -83,11 +83,11 @@
 func (exchange *exchange) noteRefusal(key peridotpath.EndpointKey, now time.Time) {
 	for _, helper := range exchange.plan.Helpers {
 		if exchange.fault != "" && (exchange.fault == string(helper.ID) || exchange.fault == helper.Address.String()) {
-			exchange.relay.Book.Failed(helper.Key(), now)
+			exchange.relay.Book.EjectFailed(helper.Key(), now)
 			return
 		}
 	}
-	exchange.relay.Book.Full(key, now)
+	exchange.relay.Book.EjectFull(key, now)
 }
 
 // ended reports why the request has no time or no caller left.
--- a/peridotpath/relay/record.go
+++ b/peridotpath/relay/record.go
@@ -32,7 +32,7 @@
 		Stringer("kind", exchange.route.Kind()).Stringer("length", exchange.lengthClass()).
 		Str("service", string(exchange.service)).Str("customer", string(exchange.customer)).
 		Int64("prompt", int64(exchange.request.Prompt)).Int("tries", exchange.tries).Int("sent", exchange.sent).
-		Dur("aim", exchange.route.AnswerAim).Dur("took", time.Since(exchange.request.Arrived)).Int64("routing_age", exchange.relay.Routing.LoggedAge()).
+		Dur("aim", exchange.route.TTFTTarget).Dur("took", time.Since(exchange.request.Arrived)).Int64("routing_age", exchange.relay.Routing.LoggedAge()).
 		Int("code", int(code)).Str("result", code.String())
 	if exchange.hasContent {
 		event = event.Stringer("content", exchange.content)
@@ -42,11 +42,11 @@
 	}
 	if exchange.plan.Writer != nil {
 		event = event.Str("endpoint", string(exchange.plan.Writer.ID)).Int("helpers", len(exchange.plan.Helpers)).
-			Dur("predicted", exchange.plan.FirstEvent).Dur("waited", exchange.sentAt.Sub(exchange.request.Arrived)).Float64("loss", exchange.plan.Loss)
+			Dur("predicted", exchange.plan.TimeToFirstEvent).Dur("waited", exchange.sentAt.Sub(exchange.request.Arrived)).Float64("loss", exchange.plan.Cost)
 	}
 	if exchange.firstEvent > 0 {
 		event = event.Dur("first_event", exchange.firstEvent).Int("events", exchange.events).
-			Dur("longest_pause", exchange.longestPause).Dur("pause_aim", exchange.route.PauseAim)
+			Dur("longest_pause", exchange.longestPause).Dur("pause_aim", exchange.route.ITLTarget)
 	}
 	return event
 }
--- a/peridotpath/relay/relay.go
+++ b/peridotpath/relay/relay.go
@@ -27,11 +27,11 @@
 	// Endpoints returns those that requests go to, AllEndpoints also those that take
 	// requests only when none of Endpoints may.
 	Endpoints, AllEndpoints func() *directory.Snapshot
-	Book                    *placement.Book
+	Book                    *placement.LoadTracker
 	Budget                  *Budget
 	Send                    Sender
 	Check                   Checker
-	Keeper                  *reservation.Keeper
+	Keeper                  *reservation.Manager
 	// Quarantine keeps requests off the endpoints that end what runs them.
 	Quarantine *quarantine.Quarantine
 	// Doubt, when set, is told of engines at which a first event is overdue.
--- a/peridotpath/relay/relay_test.go
+++ b/peridotpath/relay/relay_test.go
@@ -161,7 +161,7 @@
 			is.Equal(outcome.body, test.body)
 			is.Equal(len(script.calls), test.calls)
 			is.Equal(outcome.broken, test.broken)
-			is.Equal(len(fixture.book.Own()), 0) // nothing is left under way
+			is.Equal(len(fixture.book.LocalInFlight()), 0) // nothing is left under way
 			if test.status == http.StatusServiceUnavailable {
 				is.True(outcome.result.RetryAfter > 0)
 			}
--- a/peridotpath/relay/slow_test.go
+++ b/peridotpath/relay/slow_test.go
@@ -17,9 +17,9 @@
 // squareRates are those of engines at which reading grows with the square of a prompt's
 // length from a hundred thousand tokens on.
 var squareRates = peridotpath.EngineRates{
-	BatchSize: 12, KVTokens: 344_250, StepsPerPass: 38, Chunk: 2048,
-	Step: 1310 * time.Microsecond, StepPerWriter: 917 * time.Nanosecond, StepPerContextK: 2130 * time.Nanosecond,
-	ReadPerSecond: 154_000, PerMillionPairs: 162 * time.Microsecond,
+	BatchSize: 12, KVTokens: 344_250, StepsPerIteration: 38, Chunk: 2048,
+	Step: 1310 * time.Microsecond, StepPerSequence: 917 * time.Nanosecond, StepPerContextK: 2130 * time.Nanosecond,
+	PrefillPerSecond: 154_000, PerMillionPairs: 162 * time.Microsecond,
 }
 
 // watchPaces lets all instances of a fleet ask engines for their pace.
@@ -36,10 +36,10 @@
 				}
 				return nil
 			},
-			OwnsEndpoint: func(key peridotpath.EndpointKey) bool { return one.book.Chosen(one.relay.Instance, key) },
+			OwnsEndpoint: func(key peridotpath.EndpointKey) bool { return one.book.IsOwner(one.relay.Instance, key) },
 		}
 		one.relay.Doubt = watch.ProbeOverdue
-		one.book.Paces = func(now time.Time) map[peridotpath.EndpointKey]float64 {
+		one.book.ReportedSlowdowns = func(now time.Time) map[peridotpath.EndpointKey]float64 {
 			slow := map[peridotpath.EndpointKey]float64{}
 			for key, pace := range watch.SlowEngines(now) {
 				slow[key] = float64(pace)
--- a/peridotpath/relay/start.go
+++ b/peridotpath/relay/start.go
@@ -31,7 +31,7 @@
 // second and were refused, late for their callers to go elsewhere.
 func (exchange *exchange) awaitEndpoints(ctx context.Context) {
 	limit := startLimit(exchange.request)
-	if aim := exchange.route.AnswerAim; aim > 0 {
+	if aim := exchange.route.TTFTTarget; aim > 0 {
 		limit = min(limit, aim)
 	}
 	hold(ctx, exchange.relay.Started, limit-time.Since(exchange.request.Arrived))
--- a/peridotpath/relay/turn.go
+++ b/peridotpath/relay/turn.go
@@ -53,10 +53,10 @@
 // awaitTurn waits until it is the request's turn and the engines can take it.
 func (exchange *exchange) awaitTurn(ctx context.Context, model placement.Model, reading time.Duration) *peridotpath.Result {
 	book := exchange.relay.Book
-	tick := turnTick + time.Duration(book.Peers(time.Now()))*turnTickPerPeer
+	tick := turnTick + time.Duration(book.LivePeerCount(time.Now()))*turnTickPerPeer
 	ranked := exchange.request.Arrived.Add(time.Duration(exchange.priority) * rankShift)
-	wait := book.Join(placement.NewWait(ranked, reading))
-	defer book.Leave(wait)
+	wait := book.Join(placement.NewQueuedPrompt(ranked, reading))
+	defer book.Dequeue(wait)
 	for {
 		if result := exchange.barred(); result != nil {
 			return result
@@ -66,29 +66,29 @@
 		if len(candidates) == 0 {
 			return exchange.noEndpoint()
 		}
-		ahead, before := book.Ahead(wait, exchange.relay.Instance, now)
+		ahead, before := book.QueuedAhead(wait, exchange.relay.Instance, now)
 		work := exchange.work(now)
 		share := spreadShare * float64(len(candidates))
 		soonest := time.Duration(float64(before+reading) / share)
-		if last := work.LastStart(); soonest > last {
+		if last := work.FirstEventTimeout(); soonest > last {
 			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortReturn, soonest-last))
 		}
-		late := work.Waited+soonest > work.AnswerAim
-		if late && work.Waited > time.Duration(holdShare*float64(work.Waited+work.Left)) {
+		late := work.Waited+soonest > work.TTFTTarget
+		if late && work.Waited > time.Duration(holdShare*float64(work.Waited+work.TimeLeft)) {
 			return exchange.refusal(peridotpath.CodeQueueTimeout, max(shortReturn, soonest))
 		}
 		blocked := false
 		if ahead == 0 {
-			plan, found := placement.PlanPrompt(model, work, candidates, book.View(now))
+			plan, found := placement.PlanPrompt(model, work, candidates, book.Snapshot(now))
 			if found && worthwhile(plan, work) && exchange.begin(plan, now) {
 				telemetry.TurnWait(work.Waited)
 				return nil
 			}
 			// Others need not wait for what this one waits for: memory, or engines at
 			// which less is lost.
-			blocked = !found || plan.Ready <= startSlack
+			blocked = !found || plan.PrefillDelay <= startSlack
 		}
-		book.Mark(wait, late, blocked)
+		book.UpdateQueued(wait, late, blocked)
 		if !clock.Pause(ctx, tick) {
 			return exchange.ended(ctx)
 		}
@@ -97,13 +97,13 @@
 
 // worthwhile reports whether a plan is better than to wait for a better one.
 func worthwhile(plan placement.Plan, work placement.Work) bool {
-	if plan.Ready > startSlack {
+	if plan.PrefillDelay > startSlack {
 		return false
 	}
 	allowed := lateHarm
-	if first := work.Waited + plan.FirstEvent; first <= work.AnswerAim {
-		pressed := float64(first) / float64(work.AnswerAim)
+	if first := work.Waited + plan.TimeToFirstEvent; first <= work.TTFTTarget {
+		pressed := float64(first) / float64(work.TTFTTarget)
 		allowed = harmAtOnce + harmGrowth*pressed*pressed
 	}
-	return plan.Harm <= allowed*placement.Value(work.Prompt)
+	return plan.InterferenceCost <= allowed*placement.PromptValue(work.PromptTokens)
 }
--- a/peridotpath/reservation/manager.go
+++ b/peridotpath/reservation/manager.go
@@ -22,9 +22,9 @@
 var Error = errs.Class("reservation")
 
 const (
-	// Hold is the TTL of a reservation. Engines must regain their memory within four
+	// TTL is the TTL of a reservation. Engines must regain their memory within four
 	// seconds of its last use, and when this instance crashes only the TTL frees it.
-	Hold = 3500 * time.Millisecond
+	TTL = 3500 * time.Millisecond
 	// renewInterval allows two lost renewals within the TTL.
 	renewInterval = time.Second
 	// callTimeout bounds one call to an engine. Engines answer within milliseconds; a
@@ -39,25 +39,25 @@
 	releaseInterval = 700 * time.Millisecond
 )
 
-// Need is an amount of KV cache to reserve at an endpoint.
-type Need struct {
+// MemoryRequest is an amount of KV cache to reserve at an endpoint.
+type MemoryRequest struct {
 	Endpoint *peridotpath.Endpoint
 	Tokens   peridotpath.Tokens
 }
 
-// Ticket is a reservation at one endpoint.
-type Ticket struct {
-	ID   string
-	Need Need
+// Reservation is a reservation at one endpoint.
+type Reservation struct {
+	ID      string
+	Request MemoryRequest
 
 	// outcomeUnknown is set when a call to reserve or renew got no answer.
 	outcomeUnknown atomic.Bool
 	renewedAt      time.Time
 }
 
-// Keeper acquires, renews and releases this instance's reservations. Set the exported
+// Manager acquires, renews and releases this instance's reservations. Set the exported
 // fields before Run.
-type Keeper struct {
+type Manager struct {
 	Instance    peridotpath.InstanceID
 	Incarnation peridotpath.Incarnation
 	// Reserve creates or renews a reservation. It returns false where the endpoint has
@@ -65,42 +65,42 @@
 	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, ttl time.Duration) (bool, error)
 	// Release ends a reservation. After an error the outcome is unknown.
 	Release func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error
-	// MaxHold is the longest TTL that engines accept; zero for no bound.
-	MaxHold time.Duration
-	Log     zerolog.Logger
+	// MaxTTL is the longest TTL that engines accept; zero for no bound.
+	MaxTTL time.Duration
+	Log    zerolog.Logger
 
 	lastID atomic.Uint64
 	mutex  sync.Mutex
-	active map[string]*Ticket
+	active map[string]*Reservation
 	// releasing are the reservations whose release is repeated until it is certain.
 	releasing map[string]*pendingRelease
 	calls     sync.WaitGroup
 }
 
 type pendingRelease struct {
-	reservation *Ticket
+	reservation *Reservation
 	expiresAt   time.Time
 	nextAttempt time.Time
 }
 
-// NotFree is the failure to reserve memory at an endpoint.
-type NotFree struct {
+// ReserveError is the failure to reserve memory at an endpoint.
+type ReserveError struct {
 	Endpoint peridotpath.EndpointKey
 	cause    error
 }
 
 // Error returns the endpoint and the cause.
-func (reserveError *NotFree) Error() string {
+func (reserveError *ReserveError) Error() string {
 	return fmt.Sprintf("reservation: no memory reserved at endpoint %x: %v", uint64(reserveError.Endpoint), reserveError.cause)
 }
 
-// Take reserves all of the memory or none. Two prompts that each held a part would
+// Acquire reserves all of the memory or none. Two prompts that each held a part would
 // otherwise deadlock.
-func (manager *Keeper) Take(ctx context.Context, needs []Need) ([]*Ticket, error) {
-	reservations := make([]*Ticket, len(needs))
+func (manager *Manager) Acquire(ctx context.Context, needs []MemoryRequest) ([]*Reservation, error) {
+	reservations := make([]*Reservation, len(needs))
 	failures := make(chan error, len(needs))
 	for i, need := range needs {
-		reservation := &Ticket{ID: manager.newID(), Need: need, renewedAt: time.Now()}
+		reservation := &Reservation{ID: manager.newID(), Request: need, renewedAt: time.Now()}
 		reservations[i] = reservation
 		manager.calls.Add(1)
 		go func() {
@@ -115,13 +115,13 @@
 		}
 	}
 	if failure != nil {
-		manager.End(reservations)
+		manager.ReleaseAsync(reservations)
 		return nil, failure
 	}
 	manager.mutex.Lock()
 	defer manager.mutex.Unlock()
 	if manager.active == nil {
-		manager.active = map[string]*Ticket{}
+		manager.active = map[string]*Reservation{}
 	}
 	for _, reservation := range reservations {
 		manager.active[reservation.ID] = reservation
@@ -131,32 +131,32 @@
 
 // newID returns an id that is unique over all instances and their incarnations, so that
 // two requests never share a reservation.
-func (manager *Keeper) newID() string {
+func (manager *Manager) newID() string {
 	return fmt.Sprintf("%s-%x-%d", manager.Instance, uint64(manager.Incarnation), manager.lastID.Add(1))
 }
 
-func (manager *Keeper) ttl() time.Duration {
-	if manager.MaxHold > 0 {
-		return min(Hold, manager.MaxHold)
+func (manager *Manager) ttl() time.Duration {
+	if manager.MaxTTL > 0 {
+		return min(TTL, manager.MaxTTL)
 	}
-	return Hold
+	return TTL
 }
 
-func (manager *Keeper) reserve(ctx context.Context, reservation *Ticket) error {
+func (manager *Manager) reserve(ctx context.Context, reservation *Reservation) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reserved, err := manager.Reserve(ctx, reservation.Need.Endpoint, reservation.ID, reservation.Need.Tokens, manager.ttl())
+	reserved, err := manager.Reserve(ctx, reservation.Request.Endpoint, reservation.ID, reservation.Request.Tokens, manager.ttl())
 	if err != nil {
 		reservation.outcomeUnknown.Store(true)
 	}
 	if err == nil && reserved {
 		return nil
 	}
-	return &NotFree{Endpoint: reservation.Need.Endpoint.Key(), cause: err}
+	return &ReserveError{Endpoint: reservation.Request.Endpoint.Key(), cause: err}
 }
 
-// End queues reservations for release and returns at once.
-func (manager *Keeper) End(reservations []*Ticket) {
+// ReleaseAsync queues reservations for release and returns at once.
+func (manager *Manager) ReleaseAsync(reservations []*Reservation) {
 	if len(reservations) == 0 {
 		return
 	}
@@ -172,8 +172,8 @@
 	}
 }
 
-// Held returns the number of reservations in use.
-func (manager *Keeper) Held() int {
+// ActiveCount returns the number of reservations in use.
+func (manager *Manager) ActiveCount() int {
 	manager.mutex.Lock()
 	defer manager.mutex.Unlock()
 	return len(manager.active)
@@ -183,7 +183,7 @@
 const pollInterval = 20 * time.Millisecond
 
 // Run renews and releases reservations until ctx ends.
-func (manager *Keeper) Run(ctx context.Context) error {
+func (manager *Manager) Run(ctx context.Context) error {
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
@@ -198,7 +198,7 @@
 	}
 }
 
-func (manager *Keeper) renewDue(ctx context.Context, now time.Time) {
+func (manager *Manager) renewDue(ctx context.Context, now time.Time) {
 	manager.mutex.Lock()
 	defer manager.mutex.Unlock()
 	for _, reservation := range manager.active {
@@ -210,19 +210,19 @@
 		go func() {
 			defer manager.calls.Done()
 			if err := manager.reserve(ctx, reservation); err != nil {
-				manager.Log.Warn().Str("ticket", reservation.ID).Str("endpoint", string(reservation.Need.Endpoint.ID)).
+				manager.Log.Warn().Str("ticket", reservation.ID).Str("endpoint", string(reservation.Request.Endpoint.ID)).
 					Err(err).Msg("reservation_not_renewed")
 			}
 		}()
 	}
 }
 
-func (manager *Keeper) releaseDue(ctx context.Context, now time.Time) {
+func (manager *Manager) releaseDue(ctx context.Context, now time.Time) {
 	manager.mutex.Lock()
 	defer manager.mutex.Unlock()
 	for id, release := range manager.releasing {
 		if now.After(release.expiresAt) {
-			manager.Log.Warn().Str("ticket", id).Str("endpoint", string(release.reservation.Need.Endpoint.ID)).
+			manager.Log.Warn().Str("ticket", id).Str("endpoint", string(release.reservation.Request.Endpoint.ID)).
 				Msg("reservation_left_to_lapse")
 			delete(manager.releasing, id)
 			continue
@@ -241,10 +241,10 @@
 
 // release ends one reservation. If the outcome of an earlier call is unknown, the release
 // is repeated, since that call may take effect after this one.
-func (manager *Keeper) release(ctx context.Context, release *pendingRelease) {
+func (manager *Manager) release(ctx context.Context, release *pendingRelease) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := manager.Release(ctx, release.reservation.Need.Endpoint, release.reservation.ID)
+	err := manager.Release(ctx, release.reservation.Request.Endpoint, release.reservation.ID)
 	if err != nil {
 		// The release is retried; a failure is logged only when it expires.
 		return
@@ -258,21 +258,21 @@
 }
 
 // Close releases all reservations and waits for completion or the end of ctx.
-func (manager *Keeper) Close(ctx context.Context) {
+func (manager *Manager) Close(ctx context.Context) {
 	manager.mutex.Lock()
-	reservations := make([]*Ticket, 0, len(manager.active))
+	reservations := make([]*Reservation, 0, len(manager.active))
 	for _, reservation := range manager.active {
 		reservations = append(reservations, reservation)
 	}
 	manager.mutex.Unlock()
-	manager.End(reservations)
+	manager.ReleaseAsync(reservations)
 	for ctx.Err() == nil && manager.hasPendingRelease() {
 		time.Sleep(pollInterval)
 	}
 }
 
 // hasPendingRelease reports whether a reservation with a known outcome is not yet released.
-func (manager *Keeper) hasPendingRelease() bool {
+func (manager *Manager) hasPendingRelease() bool {
 	manager.mutex.Lock()
 	defer manager.mutex.Unlock()
 	for _, release := range manager.releasing {
--- a/peridotpath/reservation/manager_test.go
+++ b/peridotpath/reservation/manager_test.go
@@ -79,8 +79,8 @@
 	return nil
 }
 
-func newKeeper(engines map[peridotpath.EndpointID]*fakeEngine) *reservation.Keeper {
-	return &reservation.Keeper{
+func newKeeper(engines map[peridotpath.EndpointID]*fakeEngine) *reservation.Manager {
+	return &reservation.Manager{
 		Instance: "edge-1", Incarnation: 5, Log: zerolog.Nop(),
 		Reserve: func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, ttl time.Duration) (bool, error) {
 			engine := engines[endpoint.ID]
@@ -106,18 +106,18 @@
 	}
 }
 
-func twoEngines() (map[peridotpath.EndpointID]*fakeEngine, []reservation.Need) {
+func twoEngines() (map[peridotpath.EndpointID]*fakeEngine, []reservation.MemoryRequest) {
 	engines := map[peridotpath.EndpointID]*fakeEngine{}
-	var needs []reservation.Need
+	var needs []reservation.MemoryRequest
 	for _, id := range []peridotpath.EndpointID{"one", "two"} {
 		engines[id] = &fakeEngine{memory: 1000, held: map[string]holding{}}
-		needs = append(needs, reservation.Need{Endpoint: &peridotpath.Endpoint{ID: id}, Tokens: 600})
+		needs = append(needs, reservation.MemoryRequest{Endpoint: &peridotpath.Endpoint{ID: id}, Tokens: 600})
 	}
 	return engines, needs
 }
 
 // run starts the manager and returns a function that stops it.
-func run(t *testing.T, manager *reservation.Keeper) (stop func()) {
+func run(t *testing.T, manager *reservation.Manager) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- manager.Run(ctx) }()
@@ -137,16 +137,16 @@
 		engines, needs := twoEngines()
 		manager := newKeeper(engines)
 		defer run(t, manager)()
-		reservations, err := manager.Take(t.Context(), needs)
+		reservations, err := manager.Acquire(t.Context(), needs)
 		is.NoErr(err)
 		is.Equal(len(reservations), 2)
 		time.Sleep(12 * time.Second)
 		is.Equal(len(engines["one"].heldIDs()), 1)
 		is.Equal(len(engines["two"].heldIDs()), 1)
-		manager.End(reservations)
+		manager.ReleaseAsync(reservations)
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(len(engines["one"].heldIDs())+len(engines["two"].heldIDs()), 0)
-		is.Equal(manager.Held(), 0)
+		is.Equal(manager.ActiveCount(), 0)
 	})
 }
 
@@ -159,8 +159,8 @@
 		engines["two"].memory = 100
 		manager := newKeeper(engines)
 		defer run(t, manager)()
-		_, err := manager.Take(t.Context(), needs)
-		var reserveError *reservation.NotFree
+		_, err := manager.Acquire(t.Context(), needs)
+		var reserveError *reservation.ReserveError
 		is.True(errors.As(err, &reserveError))
 		is.Equal(reserveError.Endpoint, needs[1].Endpoint.Key())
 		time.Sleep(100 * time.Millisecond)
@@ -183,7 +183,7 @@
 		}
 		manager := newKeeper(engines)
 		defer run(t, manager)()
-		_, err := manager.Take(t.Context(), needs)
+		_, err := manager.Acquire(t.Context(), needs)
 		is.True(err != nil)
 		time.Sleep(delay + time.Second)
 		is.Equal(len(engines["two"].heldIDs()), 0)
@@ -201,7 +201,7 @@
 		engines, needs := twoEngines()
 		manager := newKeeper(engines)
 		stop := run(t, manager)
-		_, err := manager.Take(t.Context(), needs)
+		_, err := manager.Acquire(t.Context(), needs)
 		is.NoErr(err)
 		time.Sleep(5 * time.Second)
 		stop()
@@ -229,16 +229,16 @@
 			manager := newKeeper(engines)
 			stop := run(t, manager)
 			seen := map[string]bool{}
-			var held [][]*reservation.Ticket
+			var held [][]*reservation.Reservation
 			for _, step := range steps {
 				switch {
 				case step == 0 && len(held) > 0:
-					manager.End(held[0])
+					manager.ReleaseAsync(held[0])
 					held = held[1:]
 				case step == 1:
 					time.Sleep(700 * time.Millisecond)
 				default:
-					reservations, err := manager.Take(t.Context(), needs)
+					reservations, err := manager.Acquire(t.Context(), needs)
 					if err != nil {
 						continue
 					}
@@ -252,7 +252,7 @@
 				}
 			}
 			for _, reservations := range held {
-				manager.End(reservations)
+				manager.ReleaseAsync(reservations)
 			}
 			time.Sleep(30 * time.Second)
 			for id, engine := range engines {
--- a/peridotpath/route.go
+++ b/peridotpath/route.go
@@ -44,15 +44,15 @@
 	Priority int
 	// Timeout limits the time to the end of the answer.
 	Timeout time.Duration
-	// AnswerAim is the TTFT target: the time within which the first event of a stream,
+	// TTFTTarget is the TTFT target: the time within which the first event of a stream,
 	// or the answer of another request, has its full value.
-	AnswerAim time.Duration
-	// PauseAim is the ITL target (inter-token latency): the longest acceptable time
+	TTFTTarget time.Duration
+	// ITLTarget is the ITL target (inter-token latency): the longest acceptable time
 	// between two events of a stream; zero for other answers.
-	PauseAim time.Duration
-	// Silence is the idle timeout of clients: how long they wait for the first or next
+	ITLTarget time.Duration
+	// ClientIdleTimeout is the idle timeout of clients: how long they wait for the first or next
 	// event of a stream before they disconnect; zero where unknown.
-	Silence time.Duration
+	ClientIdleTimeout time.Duration
 }
 
 // Repeatable reports whether a request may be sent to a second endpoint although it may
@@ -63,21 +63,21 @@
 
 // EngineRates are the performance parameters of a model engine, as its service publishes
 // them. An engine uses continuous batching with chunked prefill: an iteration with decoding
-// requests has StepsPerPass steps, and each step prefills at most one chunk.
+// requests has StepsPerIteration steps, and each step prefills at most one chunk.
 type EngineRates struct {
 	// BatchSize is the number of requests that an engine runs concurrently.
 	BatchSize int
 	// KVTokens is the capacity of the KV cache of one engine.
 	KVTokens Tokens
-	// StepsPerPass is the number of tokens that each decoding request produces in an
+	// StepsPerIteration is the number of tokens that each decoding request produces in an
 	// iteration. The client receives them as one event.
-	StepsPerPass int
-	// Step is the base time of one step. StepPerWriter is added for each decoding
+	StepsPerIteration int
+	// Step is the base time of one step. StepPerSequence is added for each decoding
 	// request, and StepPerContextK for each 1,000 tokens of their context.
-	Step, StepPerWriter, StepPerContextK time.Duration
-	// ReadPerSecond is the prefill rate in tokens per second, without the quadratic
+	Step, StepPerSequence, StepPerContextK time.Duration
+	// PrefillPerSecond is the prefill rate in tokens per second, without the quadratic
 	// cost of attention.
-	ReadPerSecond float64
+	PrefillPerSecond float64
 	// PerMillionPairs is the quadratic cost of attention in prefill: the additional
 	// time for a million pairs of a token and an earlier one.
 	PerMillionPairs time.Duration
