--- a/peridotpath/internal/soak/soak.go
+++ b/peridotpath/internal/soak/soak.go
@@ -1,5 +1,5 @@
-// Package soak runs random properties: with fixed seeds in CI, and for a given
-// time with ever new seeds where the environment asks for it.
+// Package soak runs property-based tests: with fixed seeds in CI, and for a given time with
+// new seeds if the environment variable Env is set.
 package soak
 
 import (
@@ -13,55 +13,55 @@
 	"pgregory.net/rapid"
 )
 
-// Env names the environment variable that turns a test into a long run. Its
-// value is how long each property is tried, such as "10m".
+// Env is the environment variable that turns a test into a soak test. Its value is the
+// duration for which each property is checked, such as "10m".
 const Env = "PERIDOTPATH_SOAK"
 
-// checksPerSeed is how many random cases a seed stands for.
+// checksPerSeed is the number of random cases per seed.
 const checksPerSeed = 100
 
-// givenSeed is the -rapid.seed of the command line, read before the first Check
-// sets another; unset is rapid's value for none.
+// givenSeed returns the -rapid.seed of the command line, read before the first Check
+// overwrites the flag. unset is rapid's value for no seed.
 var givenSeed = sync.OnceValue(func() string { return flag.Lookup("rapid.seed").Value.String() })
 
-const unset = "0"
+const noSeed = "0"
 
-// Check tries the property with the seeds from 1 to seeds. In a long run it
-// starts from the present time and prints each seed, so that a failure can be
-// repeated with -rapid.seed: given that, Check tries this seed alone.
+// Check checks the property with the seeds from 1 to seeds. In a soak test the seeds start
+// from the current time, and each is logged, so that a failure can be reproduced with
+// -rapid.seed, which restricts Check to one seed.
 func Check(t *testing.T, seeds int, property func(*rapid.T)) {
 	t.Helper()
-	if givenSeed() != unset {
+	if givenSeed() != noSeed {
 		rapid.Check(t, property)
 		return
 	}
-	set(t, "rapid.checks", strconv.Itoa(checksPerSeed))
-	set(t, "rapid.nofailfile", "true")
-	span := os.Getenv(Env)
-	if span == "" {
+	setFlag(t, "rapid.checks", strconv.Itoa(checksPerSeed))
+	setFlag(t, "rapid.nofailfile", "true")
+	soakTime := os.Getenv(Env)
+	if soakTime == "" {
 		for seed := 1; seed <= seeds; seed++ {
-			try(t, uint64(seed), property)
+			checkSeed(t, uint64(seed), property)
 		}
 		return
 	}
-	duration, err := time.ParseDuration(span)
+	duration, err := time.ParseDuration(soakTime)
 	if err != nil {
 		t.Fatalf("%s: %v", Env, err)
 	}
 	end := time.Now().Add(duration)
 	for seed := uint64(time.Now().UnixNano()); time.Now().Before(end) && !t.Failed(); seed++ {
 		t.Logf("%s seed %d", t.Name(), seed)
-		try(t, seed, property)
+		checkSeed(t, seed, property)
 	}
 }
 
-func try(t *testing.T, seed uint64, property func(*rapid.T)) {
+func checkSeed(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
-	set(t, "rapid.seed", strconv.FormatUint(seed, 10))
+	setFlag(t, "rapid.seed", strconv.FormatUint(seed, 10))
 	rapid.Check(t, property)
 }
 
-func set(t *testing.T, name, value string) {
+func setFlag(t *testing.T, name, value string) {
 	t.Helper()
 	if err := flag.Set(name, value); err != nil {
 		t.Fatal(err)
