--- a/peridotpath/clock/clock.go
+++ b/peridotpath/clock/clock.go
@@ -1,5 +1,7 @@
-// Package clock measures spans for what may only be done for a while, such as
-// claims and leases, and waits.
+// Package clock measures the age of claims, leases and data that are valid for a limited
+// time, also on machines that are suspended or whose wall clock steps. It also schedules the
+// polls of instances that share what they read, so that many instances poll a store hardly
+// more often than one.
 package clock
 
 import (
@@ -7,21 +9,21 @@
 	"time"
 )
 
-// Clock reads the two clocks of a machine. Nil fields stand for time.Now.
+// Clock reads the two clocks of a machine. Nil fields default to time.Now.
 type Clock struct {
 	// Now is the monotonic clock.
 	Now func() time.Time
-	// Wall is the clock of dates, which may step.
+	// Wall is the wall clock, which may step.
 	Wall func() time.Time
 }
 
-// Instant is one reading of both clocks.
+// Instant is a time on both clocks.
 type Instant struct {
 	Monotonic time.Time
 	Wall      time.Time
 }
 
-// Read returns the present instant.
+// Read returns the current instant.
 func (clock Clock) Read() Instant {
 	instant := Instant{Monotonic: time.Now()}
 	if clock.Now != nil {
@@ -34,33 +36,32 @@
 	return instant
 }
 
-// Elapsed returns the span from the instant to a later one, by whichever clock
-// went further.
+// Elapsed returns the time from the instant to a later one, by the clock that advanced
+// further.
 //
-// Linux stops the monotonic clock while a machine is suspended: a holder that
-// wakes would find its time hardly used, while for all others hours passed.
-// The wall clock shows those hours. A wall clock that steps forward by mistake
-// ends the span early, which is the safe side; one that steps back is covered
-// by the monotonic clock.
+// Linux stops the monotonic clock while a machine is suspended: by it alone, a lease
+// holder that resumes after hours would consider its lease valid. The wall clock counts
+// those hours. A wall clock that steps forward ends the lease early, which is safe; one
+// that steps back is covered by the monotonic clock.
 func (instant Instant) Elapsed(later Instant) time.Duration {
 	return max(later.Monotonic.Sub(instant.Monotonic), later.Wall.Sub(instant.Wall))
 }
 
-// Jitter returns the span with up to a tenth taken off or added, by a random
-// number from 0 to 1. It keeps apart what instances that started at the same
-// moment do at each interval.
-func Jitter(span time.Duration, random float64) time.Duration {
-	return span*9/10 + time.Duration(random*float64(span/5))
+// Jitter returns the duration changed by up to 10% in either direction, by a random number
+// from 0 to 1. It desynchronises the periodic work of instances that started at the same
+// time.
+func Jitter(duration time.Duration, random float64) time.Duration {
+	return duration*9/10 + time.Duration(random*float64(duration/5))
 }
 
-// Pause waits for the span; it returns false when ctx ended first. A span that
-// is over already needs no timer; the race detector of Go 1.26 crashes on one
-// in virtual time.
-func Pause(ctx context.Context, span time.Duration) bool {
-	if span <= 0 {
+// Pause waits for the duration and returns false if ctx ends first. It starts no timer for
+// a duration that is not positive: the race detector of Go 1.26 crashes on such a timer in
+// virtual time.
+func Pause(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(span)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/peridotpath/clock/micros.go
+++ b/peridotpath/clock/micros.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxMicros is the longest span that instances tell each other, ten years.
+// maxMicros is the longest duration that instances exchange, ten years.
 const maxMicros = 10 * 365 * 24 * 3600 * 1_000_000
 
-// Micros returns a span as instances tell it; a negative one counts as none.
-func Micros(span time.Duration) uint64 { return uint64(max(span, 0).Microseconds()) }
+// Micros encodes a duration for exchange between instances; a negative one becomes zero.
+func Micros(duration time.Duration) uint64 { return uint64(max(duration, 0).Microseconds()) }
 
-// FromMicros returns a span that was told. It is bounded: a number that a span
-// cannot hold would come out negative, and an age like that would confirm a
-// reading for the future.
+// FromMicros decodes a received duration. It is bounded: a number that overflows
+// time.Duration would become negative, and a negative age would confirm a snapshot for the
+// future.
 func FromMicros(micros uint64) time.Duration {
 	return time.Duration(min(micros, maxMicros)) * time.Microsecond
 }
--- a/peridotpath/clock/poll_schedule.go
+++ b/peridotpath/clock/poll_schedule.go
@@ -6,152 +6,153 @@
 	"time"
 )
 
-// Pace spaces looks at something that several instances look at and tell each
-// other of: each looks only when nobody has for a while. Set the exported
-// fields before Wait.
+// Pace schedules the polls of data that several instances poll and share with each other:
+// an instance polls only when its data is older than the interval, so that all instances
+// together poll hardly more often than one. Set the exported fields before use.
 type Pace struct {
-	// Least is the age below which nobody looks, and Spread how much later one
-	// may look that was not chosen by chance to be first.
+	// Least is the age of the data from which one of the instances polls, and Pace.Spread
+	// the largest additional delay of an instance.
 	Least, Spread time.Duration
-	// Retry is the pause after a look that failed.
+	// Retry is the delay after a failed poll.
 	Retry time.Duration
-	// Others returns how many others look as well; nil for none.
+	// Others returns the number of other instances that poll; nil for none.
 	Others func() int
-	// Gap is the least time between two looks, whatever the age and the wakes.
+	// Gap is the minimum time between two polls, regardless of the age and of wakes.
 	Gap time.Duration
-	// Before returns how many of those nearby are to look before this one; nil where
-	// chance decides. Known reports whether anything was read yet, and counts.
+	// Before returns how many nearby instances poll before this one; nil for a random
+	// order. Pace.Known reports whether valid data was read yet; nil means that it was.
+	// Pace.Before is required if Pace.Known is set.
 	Before func() int
 	Known  func() bool
 
-	woken Signal
-	last  time.Time
-	// early says that the last wait was ended by a wake.
-	early bool
-	// nothing is the pause after a look that found nothing.
-	nothing time.Duration
+	woken    Signal
+	lastPoll time.Time
+	// wokenEarly reports that a wake ended the last Pace.Wait.
+	wokenEarly bool
+	// emptyDelay is the delay after a poll that returned no data.
+	emptyDelay time.Duration
 }
 
-// The pause after a look that found nothing doubles from the least to the most.
-// When all instances start together, before there is anything to be found, each
-// would ask as often as the gap between looks allows. Whoever finds it first tells
-// the others, which ends their pauses.
+// The delay after a poll that returned no data doubles from minEmptyDelay to maxEmptyDelay.
+// Without it, instances that start together before any data is written would all poll at
+// the rate that the gap allows. The first instance that finds data shares it, which ends
+// the others' delays.
 const (
-	nothingLeast = 250 * time.Millisecond
-	nothingMost  = 500 * time.Millisecond
+	minEmptyDelay = 250 * time.Millisecond
+	maxEmptyDelay = 500 * time.Millisecond
 )
 
-// firstTurn is about how long a first look takes until what it found is known
-// nearby: a whole routing on a small machine's link, and its way to a peer.
-const firstTurn = 300 * time.Millisecond
+// firstPollTime is about the time from the start of a first poll until nearby instances have
+// its result: the transfer of a whole routing over a small machine's link and to a peer.
+const firstPollTime = 300 * time.Millisecond
 
-// first returns the pause before a look while nothing was read yet that counts. Hundreds of
-// instances that start at one moment would fill the store's link with the same
-// answer for all of them, and none had it for a second; in turn, the first one of
-// each place reads it and tells the others, which ends their pauses.
-func (pace *Pace) first() time.Duration {
-	if pace.Known == nil || pace.Known() {
+// firstPollDelay returns the delay before a poll while no valid data was read yet. Hundreds of
+// instances that start at once would saturate the store's link with the same reply for each
+// of them, which delays all of them by a second. With staggered polls, the first
+// instance of each location reads the data and shares it, which ends the others' delays.
+func (schedule *Pace) firstPollDelay() time.Duration {
+	if schedule.Known == nil || schedule.Known() {
 		return 0
 	}
-	return time.Duration(pace.Before()) * firstTurn
+	return time.Duration(schedule.Before()) * firstPollTime
 }
 
-// lookTurns is by how many instances nearby a look is put off to its latest.
-const lookTurns = 4
-
-// later returns how much later than the least age this instance looks. Where an
-// order is known, those first in it look first: drawn by chance, a dozen of a hundred
-// instances fetched the same change while the first of them still read it.
-func (pace *Pace) later() time.Duration {
-	turn := float64(pace.Spread)
-	before := 0
-	if pace.Before != nil {
-		turn /= lookTurns
-		before = pace.Before()
+// fullDelayRank is the number of preceding instances from which a poll has the full delay.
+const fullDelayRank = 4
+
+// pollDelay returns the additional delay of this instance's polls. If an order is known, the
+// delay follows it: with random delays, a dozen of a hundred instances fetch the same change
+// while the first of them is still reading it.
+func (schedule *Pace) pollDelay() time.Duration {
+	step := float64(schedule.Spread)
+	preceding := 0
+	if schedule.Before != nil {
+		step /= fullDelayRank
+		preceding = schedule.Before()
 	}
-	return min(time.Duration((float64(before)+rand.Float64())*turn), pace.Spread)
+	return min(time.Duration((float64(preceding)+rand.Float64())*step), schedule.Spread)
 }
 
-// Found notes whether a look found anything.
-func (pace *Pace) Found(found bool) {
+// Found records whether a poll returned data.
+func (schedule *Pace) Found(found bool) {
 	if found {
-		pace.nothing = 0
+		schedule.emptyDelay = 0
 		return
 	}
-	pace.nothing = min(max(2*pace.nothing, nothingLeast), nothingMost)
+	schedule.emptyDelay = min(max(2*schedule.emptyDelay, minEmptyDelay), maxEmptyDelay)
 }
 
-// ageStep is the longest sleep before the age is looked at again: a peer's word
-// may have changed it.
-const ageStep = 100 * time.Millisecond
+// ageCheckInterval is the longest sleep between two checks of the age, which data received from a
+// peer resets.
+const ageCheckInterval = 100 * time.Millisecond
 
-// Wake ends the present wait, or the next one. It never waits.
-func (pace *Pace) Wake() { pace.woken.Raise() }
+// Wake ends the current Pace.Wait, or the next one. It does not block.
+func (schedule *Pace) Wake() { schedule.woken.Raise() }
 
-// Early reports whether the last Wait was ended by a wake.
-func (pace *Pace) Early() bool { return pace.early }
+// Early reports whether a wake ended the last Pace.Wait.
+func (schedule *Pace) Early() bool { return schedule.wokenEarly }
 
-// Due reports whether what is of that age is to be looked at again, by one at least.
-func (pace *Pace) Due(age time.Duration) bool { return age >= pace.Least }
+// Due reports whether data of that age is due for a poll by at least one instance.
+func (schedule *Pace) Due(age time.Duration) bool { return age >= schedule.Least }
 
-// retryShare is the pause between two looks of all instances together while
-// looks fail: without it, many instances would ask a service that is away
-// hundreds of times a second, and find it busy when it is back.
-const retryShare = 60 * time.Millisecond
+// retryPerInstance is the average time between two polls of all instances together while polls
+// fail. Without it, many instances would poll an unreachable service hundreds of times a
+// second and overload it when it recovers.
+const retryPerInstance = 60 * time.Millisecond
 
-// Rest waits after a look that failed; false when ctx ended first. A wake ends
-// it: the service may be away from here only, while a peer has something newer.
-func (pace *Pace) Rest(ctx context.Context) bool {
-	span := pace.Retry
-	if pace.Others != nil {
-		span = max(span, time.Duration(pace.Others())*retryShare)
+// Rest waits after a failed poll and returns false if ctx ends first. A wake ends it: the
+// service may be unreachable only from here while a peer has newer data.
+func (schedule *Pace) Rest(ctx context.Context) bool {
+	delay := schedule.Retry
+	if schedule.Others != nil {
+		delay = max(delay, time.Duration(schedule.Others())*retryPerInstance)
 	}
-	return pace.pause(ctx, span)
+	return schedule.sleepJittered(ctx, delay)
 }
 
-// pause waits for the span, drawn out or shortened by up to half so that instances
-// don't ask in step; false when ctx ended first. A wake ends it, and the next Wait.
-func (pace *Pace) pause(ctx context.Context, span time.Duration) bool {
-	timer := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(span)))
+// sleepJittered waits for the duration, with jitter of up to half of it so that instances do not
+// poll in step, and returns false if ctx ends first. A wake ends it, and the next Pace.Wait.
+func (schedule *Pace) sleepJittered(ctx context.Context, delay time.Duration) bool {
+	timer := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(delay)))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-pace.woken.C():
-		pace.Wake()
+	case <-schedule.woken.C():
+		schedule.Wake()
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// Wait waits until what is looked at is old enough; false when ctx ended first.
-func (pace *Pace) Wait(ctx context.Context, age func() time.Duration) bool {
-	// While there is nothing to be found, the age stays high: without a gap all
-	// instances that start together would ask as fast as they are answered.
-	if !Pause(ctx, pace.Gap-time.Since(pace.last)) {
+// Wait waits until the data is old enough for a poll and returns false if ctx ends first.
+func (schedule *Pace) Wait(ctx context.Context, age func() time.Duration) bool {
+	// The age stays high until there is data. Without the gap, all instances that start
+	// together would poll as fast as they receive replies.
+	if !Pause(ctx, schedule.Gap-time.Since(schedule.lastPoll)) {
 		return false
 	}
-	pace.early = false
-	if span := pace.nothing + pace.first(); span > 0 && !pace.pause(ctx, span) {
+	schedule.wokenEarly = false
+	if delay := schedule.emptyDelay + schedule.firstPollDelay(); delay > 0 && !schedule.sleepJittered(ctx, delay) {
 		return false
 	}
-	defer func() { pace.last = time.Now() }()
-	limit := pace.Least + pace.later()
+	defer func() { schedule.lastPoll = time.Now() }()
+	limit := schedule.Least + schedule.pollDelay()
 	for {
 		left := limit - age()
 		if left <= 0 {
-			pace.early = pace.woken.Take()
+			schedule.wokenEarly = schedule.woken.Take()
 			return ctx.Err() == nil
 		}
-		timer := time.NewTimer(min(left, ageStep))
+		timer := time.NewTimer(min(left, ageCheckInterval))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return false
-		case <-pace.woken.C():
+		case <-schedule.woken.C():
 			timer.Stop()
-			pace.early = true
+			schedule.wokenEarly = true
 			return true
 		case <-timer.C:
 		}
--- a/peridotpath/clock/poll_schedule_test.go
+++ b/peridotpath/clock/poll_schedule_test.go
@@ -12,21 +12,21 @@
 	"peridotpath.example/peridotpath/internal/virtual"
 )
 
-// Eight instances tell each other of what they look at. Together they look
-// hardly more often than one would alone.
-func TestPaceOfMany(t *testing.T) {
+// Eight instances share what they read. Together they poll hardly more often than one
+// instance alone.
+func TestInstancesSharePolls(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		var last, looks atomic.Int64
+		var last, polls atomic.Int64
 		began := time.Now()
 		ended := make(chan struct{}, 8)
 		for range 8 {
-			pace := &clock.Pace{Least: 500 * time.Millisecond, Spread: 400 * time.Millisecond, Gap: 60 * time.Millisecond}
+			schedule := &clock.Pace{Least: 500 * time.Millisecond, Spread: 400 * time.Millisecond, Gap: 60 * time.Millisecond}
 			go func() {
-				for pace.Wait(ctx, func() time.Duration { return time.Since(began) - time.Duration(last.Load()) }) {
-					looks.Add(1)
+				for schedule.Wait(ctx, func() time.Duration { return time.Since(began) - time.Duration(last.Load()) }) {
+					polls.Add(1)
 					last.Store(int64(time.Since(began)))
 				}
 				ended <- struct{}{}
@@ -35,78 +35,78 @@
 		for range 8 {
 			<-ended
 		}
-		t.Logf("%d looks of 8 instances in 20 s", looks.Load())
-		is.True(looks.Load() >= 20)
-		is.True(looks.Load() <= 45)
+		t.Logf("%d polls by 8 instances in 20 s", polls.Load())
+		is.True(polls.Load() >= 20)
+		is.True(polls.Load() <= 45)
 	})
 }
 
-// There is nothing to be found yet, so that the age stays high: it is not looked
-// for as fast as the answers come.
-func TestPaceOfNothing(t *testing.T) {
+// Without any data the age stays high. The instance must not poll as fast as it receives
+// replies.
+func TestMinimumTimeBetweenPolls(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		pace, looks := &clock.Pace{Least: time.Second, Gap: 50 * time.Millisecond}, 0
-		for pace.Wait(ctx, func() time.Duration { return time.Hour }) {
-			pace.Wake()
-			looks++
+		schedule, polls := &clock.Pace{Least: time.Second, Gap: 50 * time.Millisecond}, 0
+		for schedule.Wait(ctx, func() time.Duration { return time.Hour }) {
+			schedule.Wake()
+			polls++
 		}
-		is.True(looks <= 21)
+		is.True(polls <= 21)
 	})
 }
 
-// Eighty instances start together, seconds before the operators have written
-// anything. Each asked ten times a second for what was not there; a look that finds
-// nothing has to be followed by a longer pause, and a peer's word has to end it.
-func TestPaceWhileNothingIsFound(t *testing.T) {
+// Eighty instances start together, seconds before any data is written. Guards against each
+// polling ten times a second: a poll without data is followed by a longer delay, which data
+// from a peer ends.
+func TestDelayAfterPollWithoutData(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		pace, looks := &clock.Pace{Least: time.Second, Gap: 60 * time.Millisecond}, 0
-		for pace.Wait(ctx, func() time.Duration { return time.Hour }) {
-			looks++
-			pace.Found(false)
+		schedule, polls := &clock.Pace{Least: time.Second, Gap: 60 * time.Millisecond}, 0
+		for schedule.Wait(ctx, func() time.Duration { return time.Hour }) {
+			polls++
+			schedule.Found(false)
 		}
-		t.Logf("%d looks in 10 s", looks)
-		is.True(looks <= 32) // one in a third of a second, where the gap allows five times that
-		is.True(looks >= 10) // it is found within a second
+		t.Logf("%d polls in 10 s", polls)
+		is.True(polls <= 32) // one in a third of a second; the gap allows five times that
+		is.True(polls >= 10) // data is found within a second
 
 		ctx, cancel = context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		began := time.Now()
-		pace.Found(false)
-		time.AfterFunc(100*time.Millisecond, pace.Wake)
-		is.True(pace.Wait(ctx, func() time.Duration { return time.Hour }))
-		is.True(time.Since(began) < 200*time.Millisecond) // a peer has it
+		schedule.Found(false)
+		time.AfterFunc(100*time.Millisecond, schedule.Wake)
+		is.True(schedule.Wait(ctx, func() time.Duration { return time.Hour }))
+		is.True(time.Since(began) < 200*time.Millisecond) // a peer has data
 
-		pace.Found(true)
+		schedule.Found(true)
 		began = time.Now()
-		is.True(pace.Wait(ctx, func() time.Duration { return time.Hour }))
-		is.True(time.Since(began) < 200*time.Millisecond) // as often as before
+		is.True(schedule.Wait(ctx, func() time.Duration { return time.Hour }))
+		is.True(time.Since(began) < 200*time.Millisecond) // the delay is reset
 	})
 }
 
-// One instance of many cannot reach the store, and rests for seconds so that all
-// together ask it little. Meanwhile a peer tells of a newer configuration: it
-// served by the old one until its rest was over.
-func TestWakeEndsTheRest(t *testing.T) {
+// One of many instances cannot reach the store and backs off for seconds. Guards against an
+// instance that keeps an outdated configuration until the end of the delay although a peer
+// has sent a newer one.
+func TestWakeEndsRetryDelay(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		pace := &clock.Pace{Least: time.Second, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond, Others: func() int { return 75 }}
+		schedule := &clock.Pace{Least: time.Second, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond, Others: func() int { return 75 }}
 		began := time.Now()
-		time.AfterFunc(300*time.Millisecond, pace.Wake)
-		is.True(pace.Rest(t.Context()))
-		is.True(pace.Wait(t.Context(), func() time.Duration { return 0 }))
+		time.AfterFunc(300*time.Millisecond, schedule.Wake)
+		is.True(schedule.Rest(t.Context()))
+		is.True(schedule.Wait(t.Context(), func() time.Duration { return 0 }))
 		is.Equal(time.Since(began), 300*time.Millisecond)
-		is.True(pace.Rest(t.Context()))
-		is.True(time.Since(began) > 2*time.Second) // and without a wake it is long
+		is.True(schedule.Rest(t.Context()))
+		is.True(time.Since(began) > 2*time.Second) // without a wake the delay is long
 	})
 }
 
-func TestSinceBootGoesOn(t *testing.T) {
+func TestSinceBootAdvances(t *testing.T) {
 	before := clock.SinceBoot()
 	time.Sleep(time.Millisecond)
 	if after := clock.SinceBoot(); after <= before {
@@ -114,9 +114,9 @@
 	}
 }
 
-// A peer tells an age that no span holds. Taken as it comes out, it would be
-// negative, and keys could be used on what was read long ago.
-func TestHugeAge(t *testing.T) {
+// A peer sends an age that overflows time.Duration. Converted without a bound, it would be
+// negative, and keys from an old snapshot would count as valid.
+func TestReceivedAgeOverflow(t *testing.T) {
 	for _, micros := range []uint64{1 << 62, 1<<64 - 1, 1 << 54} {
 		if have := clock.FromMicros(micros); have < 0 || have < 365*24*time.Hour {
 			t.Errorf("FromMicros(%d): %v", micros, have)
@@ -124,30 +124,30 @@
 	}
 }
 
-// All instances start at one moment and nothing is known to any. Those whose turn
-// comes later wait for the word of the first, and ask themselves if it never comes.
-func TestPaceOfAFirstLook(t *testing.T) {
+// All instances start at once and have no data. Those later in the order wait for data from
+// the first one, and poll themselves if it does not arrive.
+func TestFirstPollIsStaggered(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		for _, test := range []struct {
 			name   string
 			before int
-			word   time.Duration
+			wake   time.Duration
 			least  time.Duration
 			most   time.Duration
 		}{
-			{"the first one", 0, time.Hour, 0, 0},
-			{"the third one, told", 2, 200 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond},
-			{"the third one, not told", 2, time.Hour, 300 * time.Millisecond, 900 * time.Millisecond},
+			{"first instance", 0, time.Hour, 0, 0},
+			{"third instance, woken", 2, 200 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond},
+			{"third instance, not woken", 2, time.Hour, 300 * time.Millisecond, 900 * time.Millisecond},
 		} {
 			is := is.New(t)
-			pace := &clock.Pace{
+			schedule := &clock.Pace{
 				Least: time.Second, Gap: 60 * time.Millisecond,
 				Known: func() bool { return false }, Before: func() int { return test.before },
 			}
 			began := time.Now()
-			word := time.AfterFunc(test.word, pace.Wake)
-			is.True(pace.Wait(t.Context(), func() time.Duration { return time.Hour }))
-			word.Stop()
+			wake := time.AfterFunc(test.wake, schedule.Wake)
+			is.True(schedule.Wait(t.Context(), func() time.Duration { return time.Hour }))
+			wake.Stop()
 			if waited := time.Since(began); waited < test.least || waited > test.most {
 				t.Errorf("%s: waited %v, want %v to %v", test.name, waited, test.least, test.most)
 			}
--- a/peridotpath/clock/signal.go
+++ b/peridotpath/clock/signal.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// Signal wakes one goroutine that waits. Raised again before that was heard, it
-// counts once.
+// Signal wakes one waiting goroutine. Signals that are raised before it wakes are merged
+// into one.
 type Signal struct {
-	once   sync.Once
-	raised chan struct{}
+	once    sync.Once
+	pending chan struct{}
 }
 
-// C returns the channel on which the signal comes.
+// C returns the channel that receives the signal.
 func (signal *Signal) C() <-chan struct{} { return signal.channel() }
 
 func (signal *Signal) channel() chan struct{} {
-	signal.once.Do(func() { signal.raised = make(chan struct{}, 1) })
-	return signal.raised
+	signal.once.Do(func() { signal.pending = make(chan struct{}, 1) })
+	return signal.pending
 }
 
-// Take reports whether the signal was given, and forgets it.
+// Take reports whether the signal was raised, and clears it.
 func (signal *Signal) Take() bool {
 	select {
 	case <-signal.channel():
@@ -27,7 +27,7 @@
 	}
 }
 
-// Raise gives the signal. It never waits.
+// Raise raises the signal. It does not block.
 func (signal *Signal) Raise() {
 	select {
 	case signal.channel() <- struct{}{}:
