--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -14,88 +14,89 @@
 )
 
 const (
-	// maxAnswer bounds an answer that is no stream, in bytes; it is held whole.
-	maxAnswer = 8 << 20
-	// firstStallFactor and eventStallFactor bound the wait for a first event, in
-	// times of what was predicted, and for a next one, in aims for pauses.
-	firstStallFactor = 3
-	eventStallFactor = 3
-	// stallMargin comes on top of the time for which an engine's work stands still
-	// when an engine that it depends on is gone. Given up any sooner, everything
-	// at all the engines that shared a prompt with that one would be read again.
-	// Callers give a stream up after two seconds, half a second later.
+	// maxAnswerBytes bounds an answer that is not streamed; it is buffered whole.
+	maxAnswerBytes = 8 << 20
+	// firstEventStallFactor bounds the wait for the first event as a multiple of the
+	// predicted time, nextEventStallFactor that for each further one as a multiple of the
+	// route's ITL target (inter-token latency).
+	firstEventStallFactor = 3
+	nextEventStallFactor  = 3
+	// stallMargin is added to Relay.Stall. A shorter timeout would abandon, and
+	// prefill anew, every prompt on each engine that shared one with the unreachable
+	// engine. Callers abandon a stream after two seconds, half a second after such a
+	// stall ends.
 	stallMargin = 200 * time.Millisecond
 )
 
 var (
-	errStalled   = errors.New("no event for too long")
-	errForeign   = errors.New("not the endpoint's answer to this request")
-	errTooLarge  = errors.New("answer larger than can be held")
-	errKeyUnsure = errors.New("keys may not be used: the routing has not been confirmed for too long")
+	errStalled        = errors.New("stream timed out waiting for the next event")
+	errAnswerMismatch = errors.New("answer belongs to another endpoint or request")
+	errAnswerTooLarge = errors.New("answer exceeds the buffer limit")
+	errKeysExpired    = errors.New("API keys expired: the routing was not confirmed within the key lifetime")
 )
 
-// attempt sends the request to the planned endpoints and hands the answer on.
+// attempt sends the request to the planned endpoints and relays the answer.
 func (exchange *exchange) attempt(ctx context.Context) (outcome, error) {
 	relay := exchange.relay
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	now := time.Now()
-	defer relay.Book.End(exchange.flight)
-	// The instance may have been frozen since the request was checked.
+	defer relay.Book.End(exchange.inFlight)
+	// The process may have been paused since the key was checked.
 	if exchange.customer != "" && !relay.Routing.KeysUsable() {
-		return outcomeUnsent, errKeyUnsure
+		return outcomeUnsent, errKeysExpired
 	}
-	exchange.sentAt, exchange.writingSince, exchange.survived = now, time.Time{}, false
-	tickets, err := exchange.reserve(ctx)
+	exchange.sentAt, exchange.decodingSince, exchange.survivalRecorded = now, time.Time{}, false
+	tickets, err := exchange.reserveMemory(ctx)
 	if err != nil {
 		return outcomeNoMemory, err
 	}
 	defer relay.Keeper.End(tickets)
 	watch := exchange.watchStall(cancel)
 	defer watch.Stop()
-	if doubt := exchange.watchPace(); doubt != nil {
-		defer doubt.Stop()
+	if overdue := exchange.watchFirstEvent(); overdue != nil {
+		defer overdue.Stop()
 	}
-	if exchange.givesUp() || len(tickets) > 0 {
-		liveness := exchange.watchLiveness(ctx, cancel)
-		defer liveness.Close()
-		watch.liveness = liveness
+	if exchange.canFailOver() || len(tickets) > 0 {
+		probe := exchange.startLivenessProbe(ctx, cancel)
+		defer probe.Close()
+		watch.probe = probe
 	}
-	answer, err := relay.Send(ctx, exchange.call(now, tickets))
+	answer, err := relay.Send(ctx, exchange.newCall(now, tickets))
 	if err != nil {
 		if outbound.ErrNotSent.Has(err) {
 			return outcomeUnsent, err
 		}
-		return brokenUnless(ctx), errors.Join(err, context.Cause(ctx))
+		return connectionOutcome(ctx), errors.Join(err, context.Cause(ctx))
 	}
 	defer answer.Body.Close()
-	exchange.noteLimit(answer)
+	exchange.recordRateLimit(answer)
 	switch {
 	case answer.Elsewhere:
 		return outcomeElsewhere, nil
 	case answer.NotRun:
-		exchange.retryAfter, exchange.fault = answer.RetryAfter, answer.Fault
+		exchange.retryAfter, exchange.blamedHelper = answer.RetryAfter, answer.Fault
 		return outcomeRefused, nil
 	case !answer.Genuine:
-		return outcomeFailed, errForeign
+		return outcomeFailed, errAnswerMismatch
 	}
 	if exchange.route.Streaming && answer.Status == http.StatusOK {
-		return exchange.stream(ctx, answer, watch)
+		return exchange.relayStream(ctx, answer, watch)
 	}
-	return exchange.whole(ctx, answer)
+	return exchange.relayWhole(ctx, answer)
 }
 
-// brokenUnless is the outcome of an attempt whose connection failed: it broke off,
-// unless this instance had given the attempt up.
-func brokenUnless(ctx context.Context) outcome {
+// connectionOutcome returns the outcome of an attempt whose connection failed:
+// outcomeBroken, or outcomeFailed if this instance had cancelled the attempt.
+func connectionOutcome(ctx context.Context) outcome {
 	if ctx.Err() != nil {
 		return outcomeFailed
 	}
 	return outcomeBroken
 }
 
-// reserve reserves the memory that the plan needs beside the writer's.
-func (exchange *exchange) reserve(ctx context.Context) ([]*reservation.Ticket, error) {
+// reserveMemory reserves the KV cache that the plan needs on engines other than the primary.
+func (exchange *exchange) reserveMemory(ctx context.Context) ([]*reservation.Ticket, error) {
 	if len(exchange.plan.Reserve) == 0 {
 		return nil, nil
 	}
@@ -107,10 +108,10 @@
 	return tickets, err
 }
 
-func (exchange *exchange) call(now time.Time, tickets []*reservation.Ticket) *Call {
+func (exchange *exchange) newCall(now time.Time, tickets []*reservation.Ticket) *Call {
 	call := &Call{
 		Request: exchange.request, Endpoint: exchange.plan.Writer, Customer: exchange.customer,
-		Left: exchange.deadline.Sub(now), Priority: enginePriority(exchange.route, exchange.priority), AfterEvent: exchange.afterEvent,
+		Left: exchange.deadline.Sub(now), Priority: enginePriority(exchange.route, exchange.priority), AfterEvent: exchange.lastEventID,
 	}
 	for i, endpoint := range exchange.plan.Helpers {
 		helper := Helper{Endpoint: endpoint}
@@ -122,62 +123,64 @@
 	return call
 }
 
-// The engines' priorities by how soon a first event is due. Engines admit the
-// more urgent first: without, a lookup waits behind whatever came before it.
+// Engine priorities by the route's TTFT target (time to first token). Engines admit
+// requests by priority; with equal priorities, a request with a short target waits
+// behind all earlier arrivals.
 const (
-	urgentAim, urgentPriority     = 500 * time.Millisecond, 1
-	ordinaryAim, ordinaryPriority = 2 * time.Second, 4
-	patientPriority               = 6
-	// usualPriority is the operators' rank that leaves these as they are, and
-	// leastPriority the engines' last.
-	usualPriority, leastPriority = 1, 9
+	urgentTTFT, urgentPriority     = 500 * time.Millisecond, 1
+	ordinaryTTFT, ordinaryPriority = 2 * time.Second, 4
+	relaxedPriority                = 6
+	// neutralRank is the configured rank that does not shift these values,
+	// lowestPriority the engines' lowest priority.
+	neutralRank, lowestPriority = 1, 9
 )
 
 func enginePriority(route *peridotpath.Route, priority int) int {
-	engine := patientPriority
+	engine := relaxedPriority
 	switch {
-	case route.AnswerAim <= urgentAim:
+	case route.AnswerAim <= urgentTTFT:
 		engine = urgentPriority
-	case route.AnswerAim <= ordinaryAim:
+	case route.AnswerAim <= ordinaryTTFT:
 		engine = ordinaryPriority
 	}
-	return min(max(engine+priority-usualPriority, 0), leastPriority)
+	return min(max(engine+priority-neutralRank, 0), lowestPriority)
 }
 
-// stallWatch cancels an attempt whose events stop coming.
+// stallWatch cancels an attempt whose events stop arriving.
 type stallWatch struct {
-	timer *time.Timer
-	span  time.Duration
-	// liveness learns of events as signs of life; nil where nobody asks for them.
-	liveness *liveness
+	timer            *time.Timer
+	nextEventTimeout time.Duration
+	// probe records events as proof of liveness; nil if the attempt has no probe.
+	probe *livenessProbe
 }
 
-// watchStall watches a stream that may go on elsewhere. What may not be repeated
-// is never given up: its answer may still come.
+// watchStall returns a watch that cancels a stalled stream if it can fail over to
+// another endpoint. A request that must not be repeated is never cancelled, since its
+// answer may still arrive.
 func (exchange *exchange) watchStall(cancel context.CancelCauseFunc) *stallWatch {
-	if !exchange.givesUp() {
+	if !exchange.canFailOver() {
 		return &stallWatch{}
 	}
 	stall := exchange.relay.Stall + stallMargin
-	first := firstStallFactor*exchange.plan.FirstEvent + stall
-	span := max(stall, eventStallFactor*exchange.route.PauseAim)
-	return &stallWatch{timer: time.AfterFunc(first, func() { cancel(errStalled) }), span: span}
+	first := firstEventStallFactor*exchange.plan.FirstEvent + stall
+	span := max(stall, nextEventStallFactor*exchange.route.PauseAim)
+	return &stallWatch{timer: time.AfterFunc(first, func() { cancel(errStalled) }), nextEventTimeout: span}
 }
 
 const (
-	// doubtFactor and doubtMargin are when a first event is overdue, in times of what was
-	// predicted and beyond.
-	doubtFactor = 1.5
-	doubtMargin = 150 * time.Millisecond
+	// A first event is overdue after the predicted time multiplied by overdueFactor, plus
+	// overdueMargin.
+	overdueFactor = 1.5
+	overdueMargin = 150 * time.Millisecond
 )
 
-// watchPace has the engines asked for their pace if the first event is overdue.
-func (exchange *exchange) watchPace() *time.Timer {
+// watchFirstEvent calls Relay.Doubt with the attempt's engines when the first event is overdue.
+func (exchange *exchange) watchFirstEvent() *time.Timer {
 	if exchange.relay.Doubt == nil || exchange.spec.Engine == nil {
 		return nil
 	}
-	plan, flight := exchange.plan, exchange.flight
-	overdue := time.Duration(doubtFactor*float64(plan.FirstEvent)) + doubtMargin
+	plan, flight := exchange.plan, exchange.inFlight
+	overdue := time.Duration(overdueFactor*float64(plan.FirstEvent)) + overdueMargin
 	return time.AfterFunc(overdue, func() {
 		if exchange.relay.Book.Waits(flight) {
 			exchange.relay.Doubt(append([]*peridotpath.Endpoint{plan.Writer}, plan.Helpers...)...)
@@ -185,19 +188,19 @@
 	})
 }
 
-// givesUp reports whether a stream whose events stop may be given up here, since
-// it may go on elsewhere.
-func (exchange *exchange) givesUp() bool {
+// canFailOver reports whether a stalled stream may be cancelled and continued on
+// another endpoint.
+func (exchange *exchange) canFailOver() bool {
 	route := exchange.route
 	return route.Streaming && route.Repeatable() && exchange.sent+1 < route.MaxAttempts
 }
 
-func (watch *stallWatch) event() {
-	if watch.liveness != nil {
-		watch.liveness.event()
+func (watch *stallWatch) recordEvent() {
+	if watch.probe != nil {
+		watch.probe.recordEvent()
 	}
 	if watch.timer != nil && watch.timer.Stop() {
-		watch.timer.Reset(watch.span)
+		watch.timer.Reset(watch.nextEventTimeout)
 	}
 }
 
@@ -208,10 +211,10 @@
 	}
 }
 
-// stream hands on whole events as they come. A break within an event drops what
-// came of it, so that the stream can go on at another endpoint.
-func (exchange *exchange) stream(ctx context.Context, answer *Answer, watch *stallWatch) (outcome, error) {
-	events := newRawEvents(answer.Body)
+// relayStream relays whole events as they arrive. If the connection fails within an event,
+// its partial data is dropped, so that the stream can resume on another endpoint.
+func (exchange *exchange) relayStream(ctx context.Context, answer *Answer, watch *stallWatch) (outcome, error) {
+	events := newEventReader(answer.Body)
 	seen := 0
 	for {
 		raw, id, err := events.next()
@@ -222,65 +225,65 @@
 			return outcomeDone, nil
 		}
 		if err != nil {
-			return brokenUnless(ctx), errors.Join(err, context.Cause(ctx))
+			return connectionOutcome(ctx), errors.Join(err, context.Cause(ctx))
 		}
-		watch.event()
+		watch.recordEvent()
 		if seen == 0 {
-			exchange.noteFirst()
-			exchange.relay.Book.Writing(exchange.flight)
+			exchange.recordFirstEvent()
+			exchange.relay.Book.Writing(exchange.inFlight)
 		}
 		seen++
 		exchange.beginStream(answer)
 		if err := exchange.caller.Event(raw); err != nil {
 			return outcomeFailed, err
 		}
-		exchange.noteEvent(time.Now())
-		exchange.noteProgress()
+		exchange.recordEvent(time.Now())
+		exchange.recordProgress()
 		if id != "" {
-			exchange.afterEvent = id
+			exchange.lastEventID = id
 		}
 	}
 }
 
 func (exchange *exchange) beginStream(answer *Answer) {
-	if !exchange.begun {
-		exchange.begun = true
+	if !exchange.streamBegun {
+		exchange.streamBegun = true
 		exchange.caller.Begin(answer.Status, answer.Header)
 	}
 }
 
-// noteEvent notes an event that went out to the caller.
-func (exchange *exchange) noteEvent(now time.Time) {
-	if exchange.events > 0 {
-		exchange.longestPause = max(exchange.longestPause, now.Sub(exchange.lastEvent))
+// recordEvent records an event that was sent to the caller.
+func (exchange *exchange) recordEvent(now time.Time) {
+	if exchange.eventCount > 0 {
+		exchange.longestPause = max(exchange.longestPause, now.Sub(exchange.lastEventAt))
 	}
-	exchange.events++
-	exchange.lastEvent = now
+	exchange.eventCount++
+	exchange.lastEventAt = now
 }
 
-// noteFirst records how long the first event took against the prediction.
-func (exchange *exchange) noteFirst() {
-	if exchange.events > 0 {
+// recordFirstEvent records the latency of the first event and its ratio to the prediction.
+func (exchange *exchange) recordFirstEvent() {
+	if exchange.eventCount > 0 {
 		return
 	}
-	exchange.firstEvent = time.Since(exchange.request.Arrived)
-	telemetry.FirstToken(exchange.lengthClass(), exchange.firstEvent)
+	exchange.timeToFirstEvent = time.Since(exchange.request.Arrived)
+	telemetry.FirstToken(exchange.lengthClass(), exchange.timeToFirstEvent)
 	telemetry.Predicted(exchange.lengthClass(), exchange.plan.FirstEvent, time.Since(exchange.sentAt))
 	exchange.relay.Book.Observe(exchange.plan.Writer.Key(), exchange.plan.FirstEvent, time.Since(exchange.sentAt))
 }
 
-// whole reads an answer that is no stream to its end before a byte goes out, so
-// that a broken one never looks complete.
-func (exchange *exchange) whole(ctx context.Context, answer *Answer) (outcome, error) {
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswer+1))
+// relayWhole reads a non-streamed answer to its end before it sends the first byte, so that
+// a truncated answer never looks complete.
+func (exchange *exchange) relayWhole(ctx context.Context, answer *Answer) (outcome, error) {
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	if err != nil {
-		return brokenUnless(ctx), err
+		return connectionOutcome(ctx), err
 	}
-	if len(body) > maxAnswer {
-		return outcomeFailed, errTooLarge
+	if len(body) > maxAnswerBytes {
+		return outcomeFailed, errAnswerTooLarge
 	}
 	if answer.Status >= http.StatusInternalServerError {
-		exchange.last = &failedAnswer{answer: answer, body: body}
+		exchange.lastFailure = &failedAnswer{answer: answer, body: body}
 		return outcomeErrored, nil
 	}
 	exchange.relay.Book.Works(exchange.plan.Writer.Key())
--- a/peridotpath/relay/budget.go
+++ b/peridotpath/relay/budget.go
@@ -7,70 +7,70 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Budget bounds how many requests are sent to a second endpoint, for each
-// service. The bound holds for all instances together: each keeps to its share.
-// Without it, an outage of some endpoints becomes an overload of all others.
+// Budget bounds the retries of each service. The bound holds for all instances together:
+// each uses its share. Without it, the retries after an outage of some endpoints
+// overload all others.
 type Budget struct {
-	// Ratio is how many repeats there may be for each request, and Slack how many
-	// beyond that, in any span of Window.
+	// Ratio is the number of retries allowed per request, and Budget.Slack the number
+	// allowed beyond that, per window.
 	Ratio  float64
 	Slack  int
 	Window time.Duration
-	// Instances returns how many instances share the slack.
+	// Instances returns the number of instances that share the slack.
 	Instances func() int
 
-	mutex    sync.Mutex
-	services map[peridotpath.Service]*spending
+	mutex     sync.Mutex
+	histories map[peridotpath.Service]*retryHistory
 }
 
-// spending is the times of a service's requests and repeats, oldest first.
-type spending struct {
-	requests, repeats []time.Time
+// retryHistory holds the times of a service's requests and retries, oldest first.
+type retryHistory struct {
+	requests, retries []time.Time
 }
 
-// slackShare is the part of an instance's share of the slack that it uses:
-// instances that were replaced within the window have spent from it as well.
-const slackShare = 0.5
+// usableSlackShare is the fraction that an instance uses of its share of the slack. The rest
+// covers instances that were replaced within the window and had used their share.
+const usableSlackShare = 0.5
 
-// Note counts one request for the service.
+// Note counts one request of the service.
 func (budget *Budget) Note(service peridotpath.Service, now time.Time) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	spending := budget.of(service)
-	spending.requests = append(since(spending.requests, now.Add(-budget.Window)), now)
+	history := budget.historyOf(service)
+	history.requests = append(dropBefore(history.requests, now.Add(-budget.Window)), now)
 }
 
-// Spend takes one repeat out, and reports whether there was one.
+// Spend takes one retry from the service's budget and reports whether one was left.
 func (budget *Budget) Spend(service peridotpath.Service, now time.Time) bool {
 	instances := max(budget.Instances(), 1)
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
-	spending := budget.of(service)
+	history := budget.historyOf(service)
 	start := now.Add(-budget.Window)
-	spending.requests = since(spending.requests, start)
-	spending.repeats = since(spending.repeats, start)
-	allowed := budget.Ratio*float64(len(spending.requests)) + slackShare*float64(budget.Slack)/float64(instances)
-	if float64(len(spending.repeats)+1) > allowed {
+	history.requests = dropBefore(history.requests, start)
+	history.retries = dropBefore(history.retries, start)
+	allowed := budget.Ratio*float64(len(history.requests)) + usableSlackShare*float64(budget.Slack)/float64(instances)
+	if float64(len(history.retries)+1) > allowed {
 		return false
 	}
-	spending.repeats = append(spending.repeats, now)
+	history.retries = append(history.retries, now)
 	return true
 }
 
-func (budget *Budget) of(service peridotpath.Service) *spending {
-	if budget.services == nil {
-		budget.services = map[peridotpath.Service]*spending{}
+func (budget *Budget) historyOf(service peridotpath.Service) *retryHistory {
+	if budget.histories == nil {
+		budget.histories = map[peridotpath.Service]*retryHistory{}
 	}
-	known := budget.services[service]
-	if known == nil {
-		known = &spending{}
-		budget.services[service] = known
+	history := budget.histories[service]
+	if history == nil {
+		history = &retryHistory{}
+		budget.histories[service] = history
 	}
-	return known
+	return history
 }
 
-// since returns the times from start on.
-func since(times []time.Time, start time.Time) []time.Time {
+// dropBefore returns the times that are not before start.
+func dropBefore(times []time.Time, start time.Time) []time.Time {
 	first := 0
 	for first < len(times) && times[first].Before(start) {
 		first++
--- a/peridotpath/relay/budget_machine_test.go
+++ b/peridotpath/relay/budget_machine_test.go
@@ -10,23 +10,24 @@
 	"peridotpath.example/peridotpath/relay"
 )
 
-// budgetMachine is a few instances with their budgets, and all that they did.
+// budgetMachine is the state of a few instances' budgets, with the requests and retries
+// that they admitted.
 type budgetMachine struct {
 	now               time.Time
 	budgets           []*relay.Budget
 	replaced          []bool
-	requests, repeats []time.Time
+	requests, retries []time.Time
 }
 
 const (
-	machineBudgets = 4
-	machineRatio   = 0.2
-	machineSlack   = 24
-	machineWindow  = 10 * time.Second
+	machineInstances = 4
+	machineRatio     = 0.2
+	machineSlack     = 24
+	machineWindow    = 10 * time.Second
 )
 
 func (machine *budgetMachine) newBudget() *relay.Budget {
-	return &relay.Budget{Ratio: machineRatio, Slack: machineSlack, Window: machineWindow, Instances: func() int { return machineBudgets }}
+	return &relay.Budget{Ratio: machineRatio, Slack: machineSlack, Window: machineWindow, Instances: func() int { return machineInstances }}
 }
 
 func (machine *budgetMachine) wait(random *rapid.T) {
@@ -34,26 +35,26 @@
 }
 
 func (machine *budgetMachine) serve(random *rapid.T) {
-	budget := machine.budgets[rapid.IntRange(0, machineBudgets-1).Draw(random, "instance")]
+	budget := machine.budgets[rapid.IntRange(0, machineInstances-1).Draw(random, "instance")]
 	for range rapid.IntRange(1, 30).Draw(random, "requests") {
 		budget.Note("llm", machine.now)
 		machine.requests = append(machine.requests, machine.now)
 	}
 }
 
-func (machine *budgetMachine) repeat(random *rapid.T) {
-	budget := machine.budgets[rapid.IntRange(0, machineBudgets-1).Draw(random, "instance")]
+func (machine *budgetMachine) retry(random *rapid.T) {
+	budget := machine.budgets[rapid.IntRange(0, machineInstances-1).Draw(random, "instance")]
 	for range rapid.IntRange(1, 30).Draw(random, "wanted") {
 		if budget.Spend("llm", machine.now) {
-			machine.repeats = append(machine.repeats, machine.now)
+			machine.retries = append(machine.retries, machine.now)
 		}
 	}
 }
 
-// replace puts a new process in an instance's place; it knows nothing of what
-// the one before has spent. Each is replaced once at most.
+// replace restarts an instance with an empty budget history. Each instance is replaced
+// at most once.
 func (machine *budgetMachine) replace(random *rapid.T) {
-	number := rapid.IntRange(0, machineBudgets-1).Draw(random, "instance")
+	number := rapid.IntRange(0, machineInstances-1).Draw(random, "instance")
 	if machine.replaced[number] {
 		random.Skip("replaced before")
 	}
@@ -61,18 +62,17 @@
 	machine.budgets[number] = machine.newBudget()
 }
 
-// check holds the instances together to the bound: the repeats of a window
-// against the requests of that window and the one before it, from which the
-// first of them were earned.
+// check compares the retries of all instances in a window with the requests of that
+// window and the one before it, which also count for the window's first retries.
 func (machine *budgetMachine) check(random *rapid.T) {
-	repeats := since(machine.repeats, machine.now.Add(-machineWindow))
-	requests := since(machine.requests, machine.now.Add(-2*machineWindow))
+	repeats := dropBefore(machine.retries, machine.now.Add(-machineWindow))
+	requests := dropBefore(machine.requests, machine.now.Add(-2*machineWindow))
 	if allowed := machineRatio*float64(requests) + machineSlack; float64(repeats) > allowed {
 		random.Fatalf("%d repeats in %s, allowed are %.1f for %d requests", repeats, machineWindow, allowed, requests)
 	}
 }
 
-func since(times []time.Time, start time.Time) int {
+func dropBefore(times []time.Time, start time.Time) int {
 	count := 0
 	for _, at := range times {
 		if !at.Before(start) {
@@ -82,17 +82,17 @@
 	return count
 }
 
-// An outage of some endpoints makes an overload of the others: every instance
-// sends again what failed, and one that was just replaced begins from nothing.
-// However requests, failures and replacements fall, the fleet keeps its bound.
-func TestRandomBudgetsKeepTheBound(t *testing.T) {
+// Guards against a retry storm after an outage of some endpoints, in which every
+// instance retries failed requests and replaced instances have an empty history. The
+// retries of the fleet stay within the bound for any order of events.
+func TestRandomRetriesStayWithinBudget(t *testing.T) {
 	soak.Check(t, 5, func(random *rapid.T) {
-		machine := &budgetMachine{now: time.Unix(1000, 0), replaced: make([]bool, machineBudgets)}
-		for range machineBudgets {
+		machine := &budgetMachine{now: time.Unix(1000, 0), replaced: make([]bool, machineInstances)}
+		for range machineInstances {
 			machine.budgets = append(machine.budgets, machine.newBudget())
 		}
 		random.Repeat(map[string]func(*rapid.T){
-			"wait": machine.wait, "serve": machine.serve, "repeat": machine.repeat, "replace": machine.replace, "": machine.check,
+			"wait": machine.wait, "serve": machine.serve, "repeat": machine.retry, "replace": machine.replace, "": machine.check,
 		})
 	})
 }
--- a/peridotpath/relay/burst_test.go
+++ b/peridotpath/relay/burst_test.go
@@ -14,7 +14,7 @@
 	"peridotpath.example/peridotpath/relay"
 )
 
-// arrival is one request of a load.
+// arrival is one request of a workload.
 type arrival struct {
 	at     time.Duration
 	route  string
@@ -22,12 +22,12 @@
 	answer peridotpath.Tokens
 }
 
-// lengths draws a length around a mean, most of them shorter, few much longer.
-func lengths(random *rand.Rand, mean, spread float64) peridotpath.Tokens {
+// logNormalLength draws a length from a log-normal distribution with the given mean.
+func logNormalLength(random *rand.Rand, mean, spread float64) peridotpath.Tokens {
 	return peridotpath.Tokens(mean * math.Exp(spread*random.NormFloat64()-spread*spread/2))
 }
 
-// poisson returns arrivals at a rate from the given time on.
+// poisson returns the arrivals of a Poisson process.
 func poisson(random *rand.Rand, from, until time.Duration, perSecond float64, make func(at time.Duration) arrival) []arrival {
 	var all []arrival
 	for at := from; ; {
@@ -41,40 +41,40 @@
 
 func shortAt(random *rand.Rand) func(time.Duration) arrival {
 	return func(at time.Duration) arrival {
-		return arrival{at: at, route: "short", prompt: min(lengths(random, 5_000, 0.7), 24_000), answer: 46 * 35}
+		return arrival{at: at, route: "short", prompt: min(logNormalLength(random, 5_000, 0.7), 24_000), answer: 46 * 35}
 	}
 }
 
 func longAt(random *rand.Rand) func(time.Duration) arrival {
 	return func(at time.Duration) arrival {
-		return arrival{at: at, route: "long", prompt: min(lengths(random, 210_000, 0.5), 440_000), answer: 46 * 17}
+		return arrival{at: at, route: "long", prompt: min(logNormalLength(random, 210_000, 0.5), 440_000), answer: 46 * 17}
 	}
 }
 
-// play runs a load against fake engines and returns each request's outcome.
-func play(t *testing.T, engineCount int, load []arrival) []*outcome {
+// runWorkload runs a workload against fake engines and returns each request's outcome.
+func runWorkload(t *testing.T, engineCount int, load []arrival) []*outcome {
 	t.Helper()
 	outcomes := make([]*outcome, len(load))
 	virtual.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		engines, endpoints := newFakeEngines(ctx, &testRates, engineCount)
 		one := newFixture(engines.Send, &testRates, endpoints...)
-		askAll(ctx, load, outcomes, func() *fixture { return one })
+		sendAll(ctx, load, outcomes, func() *fixture { return one })
 		cancel()
 	})
 	return outcomes
 }
 
-// askAll sends each request of a load at its time to the instance picked for it, and
-// waits for all outcomes.
-func askAll(ctx context.Context, load []arrival, outcomes []*outcome, pick func() *fixture) {
+// sendAll sends each request of a workload at its time to the instance that pick returns,
+// and waits for all outcomes.
+func sendAll(ctx context.Context, load []arrival, outcomes []*outcome, pick func() *fixture) {
 	began := time.Now()
 	var all sync.WaitGroup
 	for i, arrival := range load {
 		one := pick()
 		all.Go(func() {
 			time.Sleep(arrival.at - time.Since(began))
-			outcomes[i] = one.ask(ctx, arrival.route, func(request *relay.Request) {
+			outcomes[i] = one.send(ctx, arrival.route, func(request *relay.Request) {
 				request.Prompt, request.Answer = arrival.prompt, arrival.answer
 				request.Patience = 15 * time.Second
 			})
@@ -83,8 +83,8 @@
 	all.Wait()
 }
 
-// onTime returns the share of a route's requests that were answered in time.
-func onTime(load []arrival, outcomes []*outcome, route string, first, pause time.Duration) float64 {
+// onTimeShare returns the share of a route's requests that met their TTFT and ITL targets.
+func onTimeShare(load []arrival, outcomes []*outcome, route string, first, pause time.Duration) float64 {
 	asked, good := 0, 0
 	for i, outcome := range outcomes {
 		if load[i].route != route {
@@ -98,17 +98,16 @@
 	return float64(good) / float64(asked)
 }
 
-// A dozen dossiers come within two seconds while counter staff ask short
-// questions. Sent as they came, the dossiers were read side by side at all
-// engines, overtook each other's parts, and were late together with the short
-// ones among them. They have to take turns.
-func TestBurstOfLongPrompts(t *testing.T) {
+// A dozen long prompts arrive within two seconds beside a load of short ones. Dispatched
+// on arrival, the long ones are prefilled concurrently on all engines, delay each other's
+// parts, and miss their targets together with the short ones.
+func TestLongPromptBurst(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	load := poisson(random, 0, 8*time.Second, 12, shortAt(random))
 	load = append(load, poisson(random, 2*time.Second, 4*time.Second, 6, longAt(random))...)
-	outcomes := play(t, 14, load)
-	short := onTime(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
-	long := onTime(load, outcomes, "long", 3*time.Second, 800*time.Millisecond)
+	outcomes := runWorkload(t, 14, load)
+	short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
+	long := onTimeShare(load, outcomes, "long", 3*time.Second, 800*time.Millisecond)
 	t.Logf("in time: short %.3f, long %.3f", short, long)
 	if short < 0.9 {
 		t.Errorf("short prompts in time: %.3f, want 0.9", short)
@@ -118,43 +117,43 @@
 	}
 }
 
-// Short prompts at the rate of their busiest phase: fourteen engines of sixteen
-// slots hold them only if they are spread evenly enough that none fills up.
-func TestBusiestShortPhase(t *testing.T) {
+// Short prompts arrive at their peak rate. Fourteen engines with batches of sixteen hold
+// them only if the load is balanced evenly enough that no batch fills up.
+func TestShortPromptsAtPeakRate(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	load := poisson(random, 0, 8*time.Second, 74, shortAt(random))
-	outcomes := play(t, 14, load)
-	short := onTime(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
+	outcomes := runWorkload(t, 14, load)
+	short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
 	t.Logf("in time: short %.3f", short)
 	if short < 0.9 {
 		t.Errorf("short prompts in time: %.3f, want 0.9", short)
 	}
 }
 
-// Long prompts at 90 in 100 of what the engines can read, and short ones beside
-// them: the long ones are finished, the short ones not held up.
-func TestLongPhase(t *testing.T) {
+// Long prompts take 90% of the engines' prefill capacity beside a load of short ones. Both
+// meet their latency targets.
+func TestLongPromptsNearCapacity(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	load := poisson(random, 0, 12*time.Second, 11, shortAt(random))
 	load = append(load, poisson(random, 0, 12*time.Second, 2.6, longAt(random))...)
-	outcomes := play(t, 14, load)
-	short := onTime(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
-	long := onTime(load, outcomes, "long", 3*time.Second, 800*time.Millisecond)
+	outcomes := runWorkload(t, 14, load)
+	short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
+	long := onTimeShare(load, outcomes, "long", 3*time.Second, 800*time.Millisecond)
 	t.Logf("in time: short %.3f, long %.3f", short, long)
 	if short < 0.9 || long < 0.6 {
 		t.Errorf("in time: short %.3f, want 0.9; long %.3f, want 0.6", short, long)
 	}
 }
 
-// Twice the long prompts that the engines can read come for ten seconds. Who
-// cannot be served is told so with a time to come back, and has not run; short
-// prompts are served all the same.
-func TestOverloadOfLongPrompts(t *testing.T) {
+// Long prompts arrive for ten seconds at twice the engines' prefill capacity. Requests
+// beyond it are refused with a retry delay and without having run, and short prompts are
+// still served in time.
+func TestLongPromptOverload(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	load := poisson(random, 0, 10*time.Second, 11, shortAt(random))
 	load = append(load, poisson(random, 0, 10*time.Second, 6, longAt(random))...)
-	outcomes := play(t, 14, load)
-	short := onTime(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
+	outcomes := runWorkload(t, 14, load)
+	short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
 	served, refused := 0, 0
 	for i, outcome := range outcomes {
 		switch {
@@ -164,7 +163,7 @@
 		case outcome.result.Code.NotRun():
 			refused++
 			if outcome.result.RetryAfter <= 0 {
-				t.Errorf("refused with %v and no time to come back", outcome.result)
+				t.Errorf("refused with %v and no retry delay", outcome.result)
 			}
 		}
 	}
@@ -173,6 +172,6 @@
 		t.Errorf("short prompts in time: %.3f, want 0.85", short)
 	}
 	if served < 30 {
-		t.Errorf("long prompts served: %d, want 30: the engines read that many in the time", served)
+		t.Errorf("long prompts served: %d, want 30: the engines can prefill that many in the time", served)
 	}
 }
--- a/peridotpath/relay/candidates.go
+++ b/peridotpath/relay/candidates.go
@@ -7,27 +7,28 @@
 	"peridotpath.example/peridotpath/placement"
 )
 
-// candidates returns the endpoints that may take the request.
+// candidates returns the endpoints that are eligible for the request. Fallback endpoints
+// are included only if no preferred one is eligible.
 func (exchange *exchange) candidates(now time.Time) []placement.Candidate {
-	exchange.limited = 0
+	exchange.rateLimitWait = 0
 	members := exchange.relay.Endpoints().Of(exchange.service)
-	exchange.engines = len(members)
-	candidates := exchange.candidatesOf(members, now)
+	exchange.engineCount = len(members)
+	candidates := exchange.filterCandidates(members, now)
 	if len(candidates) == 0 {
-		candidates = exchange.candidatesOf(exchange.relay.AllEndpoints().Of(exchange.service), now)
+		candidates = exchange.filterCandidates(exchange.relay.AllEndpoints().Of(exchange.service), now)
 	}
 	return candidates
 }
 
-func (exchange *exchange) candidatesOf(members []directory.Member, now time.Time) []placement.Candidate {
+func (exchange *exchange) filterCandidates(members []directory.Member, now time.Time) []placement.Candidate {
 	candidates := make([]placement.Candidate, 0, len(members))
-	suspects := exchange.relay.Book.Suspects(now)
-	withinLimit := exchange.limits(now)
+	ejected := exchange.relay.Book.Suspects(now)
+	withinLimit := exchange.rateLimitFilter(now)
 	for _, member := range members {
-		if exchange.avoid[member.Key] || !withinLimit(member.Key) {
+		if exchange.excluded[member.Key] || !withinLimit(member.Key) {
 			continue
 		}
-		candidates = append(candidates, placement.Candidate{Endpoint: member.Endpoint, Key: member.Key, Suspect: suspects[member.Key]})
+		candidates = append(candidates, placement.Candidate{Endpoint: member.Endpoint, Key: member.Key, Suspect: ejected[member.Key]})
 	}
 	return candidates
 }
--- a/peridotpath/relay/crash.go
+++ b/peridotpath/relay/crash.go
@@ -10,26 +10,27 @@
 	"peridotpath.example/peridotpath"
 )
 
-// ErrGone says that nobody listens at an endpoint's address, or that another endpoint
-// has it now.
+// ErrGone is the class of errors that prove an endpoint's end: its address refuses
+// connections, or belongs to another endpoint now.
 var ErrGone = errs.Class("endpoint gone")
 
-// departureTimeout bounds the question whether an endpoint is gone. A machine whose
-// process has ended says so at once, and one that lives answers beside its work.
-const departureTimeout = 200 * time.Millisecond
+// crashProbeTimeout bounds the probe of an endpoint that broke a connection. A machine
+// whose process has ended refuses the connection at once, and a running endpoint
+// answers probes while it works.
+const crashProbeTimeout = 200 * time.Millisecond
 
-// departed reports whether an endpoint is gone that broke a connection off. A reset on
-// the way, a lost answer or a failure of the endpoint's own look the same at first;
-// what tells an end from these is that nobody listens there any more. Those that broke
-// off together ask once.
-func (relay *Relay) departed(ctx context.Context, endpoint *peridotpath.Endpoint) bool {
+// hasCrashed probes an endpoint whose connection failed and reports whether its process
+// has ended. A reset on the network, a lost answer and an error of the endpoint look the
+// same as a crash at first; only after a crash does its address refuse connections.
+// Concurrent calls for one endpoint share a probe.
+func (relay *Relay) hasCrashed(ctx context.Context, endpoint *peridotpath.Endpoint) bool {
 	key := endpoint.Key()
-	gone, _, _ := relay.inquiries.Do(strconv.FormatUint(uint64(key), 36), func() (any, error) {
-		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), departureTimeout)
+	crashed, _, _ := relay.crashProbes.Do(strconv.FormatUint(uint64(key), 36), func() (any, error) {
+		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
 		defer stop()
 		err := relay.Check(ctx, endpoint)
 		relay.Log.Info().Str("endpoint", string(endpoint.ID)).Bool("gone", ErrGone.Has(err)).AnErr("answer", err).Msg("broken_off")
 		return ErrGone.Has(err), nil
 	})
-	return gone.(bool)
+	return crashed.(bool)
 }
--- a/peridotpath/relay/crash_test.go
+++ b/peridotpath/relay/crash_test.go
@@ -14,8 +14,9 @@
 	"peridotpath.example/peridotpath/relay"
 )
 
-// A log that cannot tell an end of an endpoint from a reset hides which request ended it.
-func TestLogTellsAnEndFromAReset(t *testing.T) {
+// Guards against a log in which a crash of an endpoint looks like a connection reset, so
+// that the request that crashed it cannot be found.
+func TestLogDistinguishesCrashFromReset(t *testing.T) {
 	for _, test := range []struct {
 		answer error
 		gone   bool
@@ -25,12 +26,12 @@
 		{relay.ErrGone.Wrap(errReset), true},
 	} {
 		is := is.New(t)
-		script := &script{steps: []step{lost(), answer(200, "ok", nil)}}
+		script := &script{steps: []step{lostAnswer(), answer(200, "ok", nil)}}
 		fixture := newFixture(script.send, nil, testEndpoint(0), testEndpoint(1))
 		var log bytes.Buffer
 		fixture.relay.Log = zerolog.New(&log)
 		fixture.relay.Check = func(context.Context, *peridotpath.Endpoint) error { return test.answer }
-		outcome := fixture.ask(t.Context(), "look", func(request *relay.Request) { request.Body = []byte("body") })
+		outcome := fixture.send(t.Context(), "look", func(request *relay.Request) { request.Body = []byte("body") })
 		is.Equal(outcome.status, 200)
 		want := fmt.Sprintf(`"content":"%s","endpoint":"%s","try":1,"endpoint_gone":%v`,
 			peridotpath.FingerprintOf("desk", "host", "POST", "/look/x", []byte("body")), script.calls[0].Endpoint.ID, test.gone)
--- a/peridotpath/relay/crashing_endpoints_test.go
+++ b/peridotpath/relay/crashing_endpoints_test.go
@@ -16,125 +16,126 @@
 )
 
 const (
-	// crashAfter is how long an endpoint works on a request that it does not survive.
+	// crashAfter is the time from the start of a fatal request to the endpoint's crash.
 	crashAfter = 100 * time.Millisecond
-	// downFor is how long an endpoint that has ended is away.
-	downFor = 3 * time.Second
-	// mortalEvents and mortalPause are the events of an answer, and the time between two.
-	mortalEvents = 10
-	mortalPause  = 80 * time.Millisecond
+	// restartTime is the time from a crash to the restart.
+	restartTime = 3 * time.Second
+	// answerEvents is the number of events of an answer, and eventInterval the time
+	// between two.
+	answerEvents  = 10
+	eventInterval = 80 * time.Millisecond
 )
 
-// mortalEndpoints answer as streams or whole, and end on some bodies or by themselves.
-type mortalEndpoints struct {
-	// crashes says of a body that no endpoint survives it.
+// crashingEndpoints are endpoints that crash on some bodies, or when the test ends them.
+type crashingEndpoints struct {
+	// crashes reports whether a body crashes endpoints.
 	crashes func(body string) bool
-	// limit, when set, is what an endpoint names in its answers; nil for nothing.
+	// limit, when set, returns the rate limit that an endpoint announces; nil for none.
 	limit func(id peridotpath.EndpointID) *peridotpath.Rate
 
-	mutex sync.Mutex
-	lives map[peridotpath.EndpointID]*life
-	runs  []mortalRun
-	ended int
+	mutex      sync.Mutex
+	processes  map[peridotpath.EndpointID]*endpointProcess
+	runs       []requestRun
+	crashCount int
 }
 
-// mortalRun is a request that an endpoint began to work on.
-type mortalRun struct {
-	body     string
-	endpoint peridotpath.EndpointID
-	at       time.Time
-	// ended is when the endpoint ended under it; zero if it did not.
-	ended time.Time
+// requestRun is a request that an endpoint started to run.
+type requestRun struct {
+	body      string
+	endpoint  peridotpath.EndpointID
+	startedAt time.Time
+	// crashedAt is when the request crashed the endpoint; zero if it did not.
+	crashedAt time.Time
 }
 
-// life is an endpoint from one start to its end.
-type life struct {
-	over chan struct{}
-	down bool
+// endpointProcess is the process of an endpoint, from a start to a crash.
+type endpointProcess struct {
+	crashed chan struct{}
+	down    bool
 }
 
-func newMortalEndpoints(count int, crashes func(body string) bool) (*mortalEndpoints, []peridotpath.Endpoint) {
-	mortal := &mortalEndpoints{crashes: crashes, lives: map[peridotpath.EndpointID]*life{}}
+func newCrashingEndpoints(count int, crashes func(body string) bool) (*crashingEndpoints, []peridotpath.Endpoint) {
+	crashing := &crashingEndpoints{crashes: crashes, processes: map[peridotpath.EndpointID]*endpointProcess{}}
 	var endpoints []peridotpath.Endpoint
 	for i := range count {
 		endpoint := testEndpoint(i)
 		endpoints = append(endpoints, endpoint)
-		mortal.lives[endpoint.ID] = &life{over: make(chan struct{})}
+		crashing.processes[endpoint.ID] = &endpointProcess{crashed: make(chan struct{})}
 	}
-	return mortal, endpoints
+	return crashing, endpoints
 }
 
-// end ends an endpoint, which is back after a while.
-func (mortal *mortalEndpoints) end(id peridotpath.EndpointID) {
-	mortal.mutex.Lock()
-	defer mortal.mutex.Unlock()
-	life := mortal.lives[id]
-	if life.down {
+// crash crashes an endpoint, which restarts after restartTime.
+func (endpoints *crashingEndpoints) crash(id peridotpath.EndpointID) {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	process := endpoints.processes[id]
+	if process.down {
 		return
 	}
-	life.down = true
-	mortal.ended++
-	close(life.over)
-	time.AfterFunc(downFor, func() {
-		mortal.mutex.Lock()
-		defer mortal.mutex.Unlock()
-		life.down, life.over = false, make(chan struct{})
+	process.down = true
+	endpoints.crashCount++
+	close(process.crashed)
+	time.AfterFunc(restartTime, func() {
+		endpoints.mutex.Lock()
+		defer endpoints.mutex.Unlock()
+		process.down, process.crashed = false, make(chan struct{})
 	})
 }
 
-func (mortal *mortalEndpoints) send(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
-	mortal.mutex.Lock()
-	defer mortal.mutex.Unlock()
-	life, body := mortal.lives[call.Endpoint.ID], string(call.Request.Body)
-	if life.down {
+func (endpoints *crashingEndpoints) send(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	process, body := endpoints.processes[call.Endpoint.ID], string(call.Request.Body)
+	if process.down {
 		return nil, outbound.ErrNotSent.Wrap(syscall.ECONNREFUSED)
 	}
-	mortal.runs = append(mortal.runs, mortalRun{body: body, endpoint: call.Endpoint.ID, at: time.Now()})
-	if mortal.crashes(body) {
-		run := len(mortal.runs) - 1
+	endpoints.runs = append(endpoints.runs, requestRun{body: body, endpoint: call.Endpoint.ID, startedAt: time.Now()})
+	if endpoints.crashes(body) {
+		run := len(endpoints.runs) - 1
 		time.AfterFunc(crashAfter, func() {
-			mortal.mutex.Lock()
-			mortal.runs[run].ended = time.Now()
-			mortal.mutex.Unlock()
-			mortal.end(call.Endpoint.ID)
+			endpoints.mutex.Lock()
+			endpoints.runs[run].crashedAt = time.Now()
+			endpoints.mutex.Unlock()
+			endpoints.crash(call.Endpoint.ID)
 		})
 	}
-	stream := &mortalStream{ctx: ctx, over: life.over, next: time.Now().Add(mortalPause)}
-	if mortal.crashes(body) {
+	stream := &crashingStream{ctx: ctx, crashed: process.crashed, next: time.Now().Add(eventInterval)}
+	if endpoints.crashes(body) {
 		stream.next = time.Now().Add(time.Hour)
 	}
 	answer := &relay.Answer{Status: http.StatusOK, Header: http.Header{}, Genuine: true, Body: stream, NoLimit: true}
-	if mortal.limit != nil {
-		answer.Limit = mortal.limit(call.Endpoint.ID)
+	if endpoints.limit != nil {
+		answer.Limit = endpoints.limit(call.Endpoint.ID)
 		answer.NoLimit = answer.Limit == nil
 	}
 	return answer, nil
 }
 
-// check answers as an endpoint's address does: nobody listens where it has ended.
-func (mortal *mortalEndpoints) check(_ context.Context, endpoint *peridotpath.Endpoint) error {
-	mortal.mutex.Lock()
-	defer mortal.mutex.Unlock()
-	if mortal.lives[endpoint.ID].down {
+// check probes an endpoint; the address of a crashed one refuses connections.
+func (endpoints *crashingEndpoints) check(_ context.Context, endpoint *peridotpath.Endpoint) error {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	if endpoints.processes[endpoint.ID].down {
 		return relay.ErrGone.Wrap(syscall.ECONNREFUSED)
 	}
 	return nil
 }
 
-// mortalStream is an answer that breaks off where its endpoint ends.
-type mortalStream struct {
-	ctx  context.Context
-	over <-chan struct{}
-	next time.Time
-	seen int
-	rest strings.Reader
+// crashingStream is an answer body that fails when its endpoint crashes.
+type crashingStream struct {
+	ctx     context.Context
+	crashed <-chan struct{}
+	next    time.Time
+	sent    int
+	rest    strings.Reader
 }
 
-func (stream *mortalStream) Read(into []byte) (int, error) {
+func (stream *crashingStream) Read(into []byte) (int, error) {
 	if stream.rest.Len() > 0 {
 		return stream.rest.Read(into)
 	}
-	if stream.seen == mortalEvents {
+	if stream.sent == answerEvents {
 		return 0, io.EOF
 	}
 	timer := time.NewTimer(time.Until(stream.next))
@@ -142,14 +143,14 @@
 	select {
 	case <-stream.ctx.Done():
 		return 0, stream.ctx.Err()
-	case <-stream.over:
+	case <-stream.crashed:
 		return 0, io.ErrUnexpectedEOF
 	case <-timer.C:
 	}
-	stream.next = stream.next.Add(mortalPause)
-	stream.seen++
-	stream.rest = *strings.NewReader(fmt.Sprintf("id: %d\ndata: x\n\n", stream.seen))
+	stream.next = stream.next.Add(eventInterval)
+	stream.sent++
+	stream.rest = *strings.NewReader(fmt.Sprintf("id: %d\ndata: x\n\n", stream.sent))
 	return stream.rest.Read(into)
 }
 
-func (*mortalStream) Close() error { return nil }
+func (*crashingStream) Close() error { return nil }
--- a/peridotpath/relay/engine_test.go
+++ b/peridotpath/relay/engine_test.go
@@ -16,52 +16,53 @@
 	"peridotpath.example/peridotpath/relay"
 )
 
-// testRates are those of a large model on four accelerators, a twelfth of the
-// time: what the users' services publish.
+// testRates are the published rates of a large model on four accelerators, sped up twelve
+// times.
 var testRates = peridotpath.EngineRates{
 	BatchSize: 16, KVTokens: 450_000, StepsPerPass: 46, Chunk: 2048,
 	Step: 925 * time.Microsecond, StepPerWriter: 4830 * time.Nanosecond, StepPerContextK: 2540 * time.Nanosecond,
 	ReadPerSecond: 256_000, PerMillionPairs: 91_700 * time.Nanosecond,
 }
 
-// fakeEngines work as the published rates say, on the clock of the test.
+// fakeEngines simulate engines by their published rates, in the test's virtual time.
 type fakeEngines struct {
 	mutex   sync.Mutex
 	engines map[peridotpath.EndpointID]*fakeEngine
-	// Sent counts the calls by endpoint, in the order of their coming.
+	// sent holds the calls in the order of their arrival.
 	sent []relay.Call
 }
 
-// fakeEngine works in passes: helpers' parts first, then the prompts of its own
-// requests in the order of their coming, each pass 46 steps when somebody writes. A
-// request beyond its batch waits until one of the batch has ended.
+// fakeEngine simulates continuous batching. An iteration prefills parts for other engines
+// first, then the prompts of its own requests in the order of their arrival; it has 46
+// steps while any request decodes. A request beyond the batch size waits until one of the
+// batch has ended.
 type fakeEngine struct {
-	model placement.Model
-	parts []*fakePart
-	jobs  []*fakeJob
-	awake chan struct{}
-	// slow is how many times as long as published it takes; zero for once.
-	slow float64
+	model    placement.Model
+	prefills []*fakePrefill
+	requests []*fakeRequest
+	awake    chan struct{}
+	// slowdown multiplies the published times; zero means one.
+	slowdown float64
 }
 
-type fakePart struct {
-	left time.Duration
-	own  bool
-	job  *fakeJob
+type fakePrefill struct {
+	left    time.Duration
+	own     bool
+	request *fakeRequest
 }
 
-// waits reports whether the part's own request has no place in the batch yet.
-func (part *fakePart) waits() bool { return part.own && !part.job.admitted }
+// waitsForBatch reports whether the part belongs to an own request outside the batch.
+func (prefill *fakePrefill) waitsForBatch() bool { return prefill.own && !prefill.request.admitted }
 
-type fakeJob struct {
-	// home is where the answer is written.
-	home      *fakeEngine
-	prompt    peridotpath.Tokens
-	unread    int
-	admitted  bool
-	events    chan struct{}
-	left      int
-	cancelled <-chan struct{}
+type fakeRequest struct {
+	// primary is the engine that decodes the answer.
+	primary         *fakeEngine
+	prompt          peridotpath.Tokens
+	pendingPrefills int
+	admitted        bool
+	events          chan struct{}
+	left            int
+	cancelled       <-chan struct{}
 }
 
 func newFakeEngines(ctx context.Context, rates *peridotpath.EngineRates, count int) (*fakeEngines, []peridotpath.Endpoint) {
@@ -77,7 +78,7 @@
 	return engines, endpoints
 }
 
-// Send takes a call and answers with a stream of as many events as the answer has.
+// Send accepts a call and answers with a stream of one event per iteration.
 func (engines *fakeEngines) Send(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
@@ -89,20 +90,20 @@
 	count := 1 + len(call.Helpers)
 	share := engine.model.ReadTime(call.Request.Prompt) / time.Duration(count)
 	events := int(call.Request.Answer) / engine.model.Rates.StepsPerPass
-	job := &fakeJob{home: engine, prompt: call.Request.Prompt, unread: count, left: max(events, 1), events: make(chan struct{}, 10_000), cancelled: ctx.Done()}
-	engine.jobs = append(engine.jobs, job)
-	engine.add(&fakePart{left: share, own: true, job: job})
+	request := &fakeRequest{primary: engine, prompt: call.Request.Prompt, pendingPrefills: count, left: max(events, 1), events: make(chan struct{}, 10_000), cancelled: ctx.Done()}
+	engine.requests = append(engine.requests, request)
+	engine.add(&fakePrefill{left: share, own: true, request: request})
 	for _, helper := range call.Helpers {
-		engines.engines[helper.Endpoint.ID].add(&fakePart{left: share, job: job})
+		engines.engines[helper.Endpoint.ID].add(&fakePrefill{left: share, request: request})
 	}
 	return &relay.Answer{
 		Status: http.StatusOK, Header: http.Header{}, Genuine: true,
-		Body: &fakeStream{ctx: ctx, events: job.events},
+		Body: &fakeStream{ctx: ctx, events: request.events},
 	}, nil
 }
 
-func (engine *fakeEngine) add(part *fakePart) {
-	engine.parts = append(engine.parts, part)
+func (engine *fakeEngine) add(part *fakePrefill) {
+	engine.prefills = append(engine.prefills, part)
 	engine.wake()
 }
 
@@ -116,7 +117,7 @@
 func (engine *fakeEngine) run(ctx context.Context, engines *fakeEngines) {
 	for {
 		engines.mutex.Lock()
-		span := engine.pass()
+		span := engine.iterate()
 		engines.mutex.Unlock()
 		if span == 0 {
 			select {
@@ -132,122 +133,122 @@
 		case <-time.After(span):
 		}
 		engines.mutex.Lock()
-		engine.write()
+		engine.emitEvents()
 		engines.mutex.Unlock()
 	}
 }
 
-// pass works one pass and returns how long it takes; zero when there is nothing.
-func (engine *fakeEngine) pass() time.Duration {
+// iterate runs one iteration and returns its duration; zero if the engine is idle.
+func (engine *fakeEngine) iterate() time.Duration {
 	rates := engine.model.Rates
-	writers, context := engine.writers()
+	decodingCount, context := engine.decoding()
 	steps := 1
-	if writers > 0 {
+	if decodingCount > 0 {
 		steps = rates.StepsPerPass
 	}
-	step := rates.Step + time.Duration(writers)*rates.StepPerWriter +
+	step := rates.Step + time.Duration(decodingCount)*rates.StepPerWriter +
 		time.Duration(float64(context)/1000*float64(rates.StepPerContextK))
 	perStep := time.Duration(float64(rates.Chunk) / rates.ReadPerSecond * float64(time.Second))
 	span := time.Duration(0)
 	for range steps {
-		part := engine.nextPart()
-		if part == nil && writers == 0 {
+		part := engine.nextPrefill()
+		if part == nil && decodingCount == 0 {
 			break
 		}
 		span += step
 		if part != nil {
-			// A chunk of a part takes its share of the part's pairs as well; here it
-			// is as if a part of that length had none and took longer instead.
+			// A part's time includes its attention cost, which is spread evenly over
+			// its chunks here.
 			worked := min(part.left, perStep)
 			part.left -= worked
 			span += worked
 			if part.left <= 0 {
-				part.job.unread--
-				// Its writer may stand idle until the last part has been read.
-				part.job.home.wake()
+				part.request.pendingPrefills--
+				// The primary may be idle until the last part is prefilled.
+				part.request.primary.wake()
 			}
 		}
 	}
-	if engine.slow > 0 {
-		span = time.Duration(float64(span) * engine.slow)
+	if engine.slowdown > 0 {
+		span = time.Duration(float64(span) * engine.slowdown)
 	}
 	return span
 }
 
-// setSlow makes the first engines slow.
+// setSlow slows the first count engines down.
 func (engines *fakeEngines) setSlow(count int, slow float64) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
 	for i := range count {
-		engines.engines[testEndpoint(i).ID].slow = slow
+		engines.engines[testEndpoint(i).ID].slowdown = slow
 	}
 }
 
-// pace is what an engine says of itself.
+// pace returns the pace that an engine reports.
 func (engines *fakeEngines) pace(_ context.Context, endpoint *peridotpath.Endpoint) (pace.Pace, error) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
-	return pace.Pace(max(engines.engines[endpoint.ID].slow, 1)), nil
+	return pace.Pace(max(engines.engines[endpoint.ID].slowdown, 1)), nil
 }
 
-func (engine *fakeEngine) writers() (int, peridotpath.Tokens) {
+func (engine *fakeEngine) decoding() (int, peridotpath.Tokens) {
 	count, context := 0, peridotpath.Tokens(0)
-	kept := engine.jobs[:0]
-	for _, job := range engine.jobs {
+	kept := engine.requests[:0]
+	for _, request := range engine.requests {
 		select {
-		case <-job.cancelled:
+		case <-request.cancelled:
 			continue
 		default:
 		}
-		if job.left == 0 {
+		if request.left == 0 {
 			continue
 		}
-		kept = append(kept, job)
-		if job.unread <= 0 {
+		kept = append(kept, request)
+		if request.pendingPrefills <= 0 {
 			count++
-			context += job.prompt
+			context += request.prompt
 		}
 	}
-	engine.jobs = kept
-	for i, job := range kept {
-		job.admitted = i < engine.model.Rates.BatchSize
+	engine.requests = kept
+	for i, request := range kept {
+		request.admitted = i < engine.model.Rates.BatchSize
 	}
 	return count, context
 }
 
-func (engine *fakeEngine) nextPart() *fakePart {
-	var own *fakePart
-	kept := engine.parts[:0]
-	for _, part := range engine.parts {
+func (engine *fakeEngine) nextPrefill() *fakePrefill {
+	var own *fakePrefill
+	kept := engine.prefills[:0]
+	for _, part := range engine.prefills {
 		if part.left > 0 {
 			kept = append(kept, part)
 		}
 	}
-	engine.parts = kept
-	for _, part := range engine.parts {
+	engine.prefills = kept
+	for _, part := range engine.prefills {
 		if !part.own {
 			return part
 		}
-		if own == nil && !part.waits() {
+		if own == nil && !part.waitsForBatch() {
 			own = part
 		}
 	}
 	return own
 }
 
-func (engine *fakeEngine) write() {
-	for _, job := range engine.jobs {
-		if job.unread <= 0 && job.left > 0 {
-			job.left--
-			job.events <- struct{}{}
-			if job.left == 0 {
-				close(job.events)
+func (engine *fakeEngine) emitEvents() {
+	for _, request := range engine.requests {
+		if request.pendingPrefills <= 0 && request.left > 0 {
+			request.left--
+			request.events <- struct{}{}
+			if request.left == 0 {
+				close(request.events)
 			}
 		}
 	}
 }
 
-// fakeStream is the body of an engine's answer.
+// fakeStream is the answer body of a fake engine.
 type fakeStream struct {
 	ctx    context.Context
 	events <-chan struct{}
--- a/peridotpath/relay/event_reader.go
+++ b/peridotpath/relay/event_reader.go
@@ -13,43 +13,43 @@
 var Error = errs.Class("relay")
 
 const (
-	// eventBuffer holds several ordinary events, in bytes; each stream has one.
-	eventBuffer = 4 << 10
-	// maxEvent bounds one event, in bytes, so that an endpoint that never ends
-	// one costs bounded memory.
-	maxEvent = 1 << 20
+	// eventBufferBytes is the size of a stream's read buffer, which holds several ordinary
+	// events.
+	eventBufferBytes = 4 << 10
+	// maxEventBytes bounds the memory of an event that an endpoint never terminates.
+	maxEventBytes = 1 << 20
 )
 
-// rawEvents reads whole server-sent events as they came, for handing them on.
-type rawEvents struct {
-	reader *bufio.Reader
-	event  []byte
+// eventReader reads server-sent events whole and unchanged, so that they can be forwarded.
+type eventReader struct {
+	buffered *bufio.Reader
+	event    []byte
 }
 
-func newRawEvents(stream io.Reader) *rawEvents {
-	return &rawEvents{reader: bufio.NewReaderSize(stream, eventBuffer)}
+func newEventReader(stream io.Reader) *eventReader {
+	return &eventReader{buffered: bufio.NewReaderSize(stream, eventBufferBytes)}
 }
 
-// next returns the next event, its empty line included, and its id. At the end
-// it returns io.EOF; bytes after the last whole event are an error, since the
-// stream broke off within one. What it returns is valid until the next call.
-func (events *rawEvents) next() (raw []byte, id string, err error) {
-	events.event = events.event[:0]
+// next returns the next event, including its terminating empty line, and its id. It
+// returns io.EOF at the end, and io.ErrUnexpectedEOF if the stream ends within an event.
+// The returned slice is valid until the next call.
+func (reader *eventReader) next() (raw []byte, id string, err error) {
+	reader.event = reader.event[:0]
 	for {
-		start := len(events.event)
-		if err := events.line(); err != nil {
-			if errors.Is(err, io.EOF) && len(events.event) > 0 {
+		start := len(reader.event)
+		if err := reader.readLine(); err != nil {
+			if errors.Is(err, io.EOF) && len(reader.event) > 0 {
 				return nil, "", io.ErrUnexpectedEOF
 			}
 			return nil, "", err
 		}
-		line := bytes.TrimRight(events.event[start:], "\r\n")
+		line := bytes.TrimRight(reader.event[start:], "\r\n")
 		if len(line) == 0 {
 			if start == 0 {
-				events.event = events.event[:0]
+				reader.event = reader.event[:0]
 				continue
 			}
-			return events.event, id, nil
+			return reader.event, id, nil
 		}
 		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
 			id = string(bytes.TrimSpace(value))
@@ -57,13 +57,13 @@
 	}
 }
 
-// line appends one line with its end.
-func (events *rawEvents) line() error {
+// readLine appends one line, including its terminator, to the event.
+func (reader *eventReader) readLine() error {
 	for {
-		part, err := events.reader.ReadSlice('\n')
-		events.event = append(events.event, part...)
-		if len(events.event) > maxEvent {
-			return Error.New("event larger than %d bytes", maxEvent)
+		part, err := reader.buffered.ReadSlice('\n')
+		reader.event = append(reader.event, part...)
+		if len(reader.event) > maxEventBytes {
+			return Error.New("event larger than %d bytes", maxEventBytes)
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return err
--- a/peridotpath/relay/event_reader_test.go
+++ b/peridotpath/relay/event_reader_test.go
@@ -13,7 +13,7 @@
 func TestRawEvents(t *testing.T) {
 	is := is.New(t)
 	const first, second = "x-version: 7\nid: 1\ndata: a\n\n", "data: b\r\nid:2\r\n\r\n"
-	events := newRawEvents(strings.NewReader(first + "\n" + second + "id: 3\nda"))
+	events := newEventReader(strings.NewReader(first + "\n" + second + "id: 3\nda"))
 	raw, id, err := events.next()
 	is.NoErr(err)
 	is.Equal(string(raw), first)
@@ -23,18 +23,18 @@
 	is.Equal(string(raw), second)
 	is.Equal(id, "2")
 	_, _, err = events.next()
-	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // it broke off within an event
+	is.True(errors.Is(err, io.ErrUnexpectedEOF)) // the stream ended within an event
 
-	_, _, err = newRawEvents(strings.NewReader("data: " + strings.Repeat("x", maxEvent))).next()
-	is.True(err != nil) // an event without an end costs bounded memory
+	_, _, err = newEventReader(strings.NewReader("data: " + strings.Repeat("x", maxEventBytes))).next()
+	is.True(err != nil) // an unterminated event uses bounded memory
 }
 
-// Whatever an endpoint sends, what is handed on is whole events of it, unchanged.
+// The reader returns only whole, unchanged events of any stream.
 func FuzzRawEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\n\n"))
 	f.Add([]byte("\r\n\r\nid:\n\n"))
 	f.Fuzz(func(t *testing.T, stream []byte) {
-		events := newRawEvents(bytes.NewReader(stream))
+		events := newEventReader(bytes.NewReader(stream))
 		rest := stream
 		for {
 			raw, _, err := events.next()
--- a/peridotpath/relay/exchange.go
+++ b/peridotpath/relay/exchange.go
@@ -8,7 +8,7 @@
 	"peridotpath.example/peridotpath/placement"
 )
 
-// exchange is one request on its way through the attempts.
+// exchange is the state of one request across its attempts.
 type exchange struct {
 	relay    *Relay
 	request  *Request
@@ -17,78 +17,80 @@
 	service  peridotpath.Service
 	spec     peridotpath.ServiceSpec
 	customer peridotpath.CustomerID
-	// engines is how many there were at the last look, reading how long one of them
-	// takes for the prompt.
-	engines int
-	reading time.Duration
-	// content is the request's fingerprint once hasContent.
-	content    peridotpath.Fingerprint
-	hasContent bool
-	// priority is the operators' rank of the request; 0 is the most urgent.
+	// engineCount is the number of the service's endpoints at the last placement, prefillTime
+	// the prefill time of the prompt on one engine.
+	engineCount int
+	prefillTime time.Duration
+	// contentFingerprint is the request's fingerprint; valid if hasFingerprint is true.
+	contentFingerprint peridotpath.Fingerprint
+	hasFingerprint     bool
+	// priority is the configured rank of the request; 0 is the most urgent.
 	priority int
 	deadline time.Time
 
-	attempts
-	progress
-
-	// suspected is when the request first asked whether it is; attempts wait no longer for
-	// that together than one of them may.
-	suspected time.Time
-	// writingSince is when the attempt's first event came; zero before it.
-	writingSince time.Time
-	// survived says that the attempt's endpoint was found to go on with the request.
-	survived bool
-
-	plan       placement.Plan
-	flight     placement.FlightNumber
-	sentAt     time.Time
-	firstEvent time.Duration
-	retryAfter time.Duration
-	// limited is how long it is until the first of the endpoints takes a request that
-	// were passed over for their limits; zero where none was.
-	limited time.Duration
+	attemptHistory
+	streamProgress
+
+	// trialWaitSince is when the request first waited for a quarantine trial. All of its
+	// attempts together wait for at most maxTrialWait.
+	trialWaitSince time.Time
+	// decodingSince is when the attempt's first event arrived; zero before it.
+	decodingSince time.Time
+	// survivalRecorded reports that the attempt's endpoint was recorded as running the request
+	// without a crash.
+	survivalRecorded bool
+
+	plan             placement.Plan
+	inFlight         placement.FlightNumber
+	sentAt           time.Time
+	timeToFirstEvent time.Duration
+	retryAfter       time.Duration
+	// rateLimitWait is the shortest wait until an endpoint that was skipped for its rate
+	// limit accepts a request; zero if none was skipped.
+	rateLimitWait time.Duration
 }
 
-// attempts is what the attempts so far say about the next one.
-type attempts struct {
-	// tries counts attempts, sent those that reached an endpoint.
+// attemptHistory is the history of a request's attempts, which decides about retries.
+type attemptHistory struct {
+	// tries counts all attempts, sent those that reached an endpoint.
 	tries, sent int
-	// mayHaveRun says that an attempt was sent and not promised not to have run.
+	// mayHaveRun reports that an attempt was sent and the endpoint did not guarantee
+	// that it had not run the request.
 	mayHaveRun bool
-	// avoid holds the endpoints of failed attempts, fault names the one that a refusal
-	// blamed, last is what an endpoint's own failure answered.
-	avoid map[peridotpath.EndpointKey]bool
-	fault string
-	last  *failedAnswer
+	// excluded holds the endpoints of failed attempts, blamedHelper the helper that the last
+	// refusal blamed, lastFailure the last error answer of an endpoint.
+	excluded     map[peridotpath.EndpointKey]bool
+	blamedHelper string
+	lastFailure  *failedAnswer
 }
 
-// progress is how far the answer has come at the caller.
-type progress struct {
-	// begun says that the answer's stream has begun, afterEvent which event the
-	// caller has, events how many.
-	begun      bool
-	afterEvent string
-	events     int
-	// lastEvent is when the last event went out, longestPause the longest time
-	// between two.
-	lastEvent    time.Time
+// streamProgress is what the caller has received of the answer.
+type streamProgress struct {
+	// streamBegun reports that the stream has begun; lastEventID is the id of the last event
+	// sent to the caller, eventCount the number of events.
+	streamBegun bool
+	lastEventID string
+	eventCount  int
+	// lastEventAt is when the last event was sent, longestPause the longest time between
+	// two events.
+	lastEventAt  time.Time
 	longestPause time.Duration
 }
 
-// maxTries bounds the attempts of one request, those included that reached no
-// endpoint: each such one costs up to the time limit of a connection.
-const maxTries = 5
+// maxTotalAttempts bounds the attempts of one request, including those that reached no
+// endpoint, each of which takes up to the connection timeout.
+const maxTotalAttempts = 5
 
-// run makes attempts until one ends the request.
+// run makes attempts until one succeeds or no further one is allowed.
 func (exchange *exchange) run(ctx context.Context) {
 	exchange.relay.Budget.Note(exchange.service, time.Now())
-	if result := exchange.barred(); result != nil {
+	if result := exchange.checkQuarantine(); result != nil {
 		exchange.fail(*result)
 		return
 	}
 	exchange.awaitEndpoints(ctx)
 	for {
-		if result := exchange.awaitTrial(ctx); result != nil {
+		if result := exchange.awaitQuarantineTrial(ctx); result != nil {
 			exchange.fail(*result)
 			return
 		}
@@ -96,130 +98,130 @@
 			exchange.fail(*result)
 			return
 		}
-		if result := exchange.barred(); result != nil {
-			exchange.relay.Book.End(exchange.flight)
+		if result := exchange.checkQuarantine(); result != nil {
+			exchange.relay.Book.End(exchange.inFlight)
 			exchange.fail(*result)
 			return
 		}
 		exchange.tries++
 		outcome, err := exchange.attempt(ctx)
 		if outcome == outcomeDone {
-			exchange.noteSurvival()
-			exchange.count(peridotpath.CodeOK)
+			exchange.recordSurvival()
+			exchange.recordResult(peridotpath.CodeOK)
 			if exchange.relay.Served.Allow(time.Now()) {
-				exchange.log(exchange.relay.Log.Info(), peridotpath.CodeOK).Msg("served")
+				exchange.addLogFields(exchange.relay.Log.Info(), peridotpath.CodeOK).Msg("served")
 			}
 			return
 		}
-		exchange.note(ctx, outcome, err)
-		if result := exchange.ended(ctx); result != nil {
+		exchange.recordFailure(ctx, outcome, err)
+		if result := exchange.contextResult(ctx); result != nil {
 			exchange.fail(*result)
 			return
 		}
-		if result := exchange.again(outcome); result != nil {
+		if result := exchange.checkRetry(outcome); result != nil {
 			exchange.fail(*result)
 			return
 		}
 	}
 }
 
-// place finds the endpoints for the next attempt and notes it as under way.
+// place selects the endpoints for the next attempt and records it as in flight.
 func (exchange *exchange) place(ctx context.Context) *peridotpath.Result {
 	if exchange.spec.Engine == nil {
-		return exchange.placePlain()
+		return exchange.placeWithoutEngine()
 	}
 	model := placement.Model{Rates: exchange.spec.Engine}
-	exchange.reading = model.ReadTime(exchange.request.Prompt)
-	if exchange.reading > longRead && exchange.route.AnswerAim >= leastWaitAim {
-		return exchange.awaitTurn(ctx, model, exchange.reading)
+	exchange.prefillTime = model.ReadTime(exchange.request.Prompt)
+	if exchange.prefillTime > maxUnqueuedPrefill && exchange.route.AnswerAim >= minQueuedTTFT {
+		return exchange.awaitDispatch(ctx, model, exchange.prefillTime)
 	}
 	for {
 		now := time.Now()
 		candidates, view := exchange.candidates(now), exchange.relay.Book.View(now)
 		if len(candidates) == 0 {
-			return exchange.noEndpoint()
+			return exchange.noEndpointRefusal()
 		}
-		work := exchange.work(now)
+		work := exchange.placementWork(now)
 		plan, found := placement.PlanPrompt(model, work, candidates, view)
 		if !found {
-			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortReturn, placement.SoonestFree(model, work, candidates, view)))
+			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortRetryAfter, placement.SoonestFree(model, work, candidates, view)))
 		}
-		if exchange.begin(plan, now) {
+		if exchange.beginInFlight(plan, now) {
 			return nil
 		}
 	}
 }
 
-func (exchange *exchange) placePlain() *peridotpath.Result {
+func (exchange *exchange) placeWithoutEngine() *peridotpath.Result {
 	for {
 		now := time.Now()
 		candidates := exchange.candidates(now)
 		if len(candidates) == 0 {
-			return exchange.noEndpoint()
+			return exchange.noEndpointRefusal()
 		}
-		plan, found := placement.PlanPlain(exchange.work(now), candidates, exchange.relay.Book.View(now))
+		plan, found := placement.PlanPlain(exchange.placementWork(now), candidates, exchange.relay.Book.View(now))
 		if !found {
-			return exchange.refusal(peridotpath.CodeCannotFinish, shortReturn)
+			return exchange.refusal(peridotpath.CodeCannotFinish, shortRetryAfter)
 		}
-		if exchange.begin(plan, now) {
+		if exchange.beginInFlight(plan, now) {
 			return nil
 		}
 	}
 }
 
-// begin notes the plan as under way, so that the next one counts it. It returns false
-// where another request has used up the writer's limit meanwhile.
-func (exchange *exchange) begin(plan placement.Plan, now time.Time) bool {
-	if !exchange.take(&plan, now) {
+// beginInFlight records the plan as in flight, so that later plans count its load. It returns
+// false if other requests have exhausted an endpoint's rate limit in the meantime.
+func (exchange *exchange) beginInFlight(plan placement.Plan, now time.Time) bool {
+	if !exchange.takeRateLimits(&plan, now) {
 		return false
 	}
 	exchange.plan = plan
-	exchange.flight = exchange.relay.Book.Begin(plan.Flight(exchange.work(now), now))
+	exchange.inFlight = exchange.relay.Book.Begin(plan.Flight(exchange.placementWork(now), now))
 	return true
 }
 
-func (exchange *exchange) work(now time.Time) placement.Work {
+func (exchange *exchange) placementWork(now time.Time) placement.Work {
 	left := exchange.deadline.Sub(now)
 	answer := exchange.request.Answer
 	if hint := exchange.request.AnswerHint; hint > 0 {
 		answer = min(answer, hint)
 	}
-	if exchange.afterEvent != "" {
-		// Most of it may be written already.
+	if exchange.lastEventID != "" {
+		// A resumed answer may be nearly complete.
 		answer = 1
 	}
-	if exchange.begun {
-		// A stream that has begun is better gone on with than broken off, however late.
+	if exchange.streamBegun {
+		// A stream that has begun is continued after its deadline rather than cut.
 		left = time.Hour
 	}
 	return placement.Work{
 		Prompt: exchange.request.Prompt, Answer: answer,
 		AnswerAim: exchange.route.AnswerAim, PauseAim: exchange.route.PauseAim,
-		Waited: now.Sub(exchange.request.Arrived), Left: left, Patience: exchange.patience(now), DataCentre: exchange.relay.DataCentre,
+		Waited: now.Sub(exchange.request.Arrived), Left: left, Patience: exchange.untilClientTimeout(now), DataCentre: exchange.relay.DataCentre,
 	}
 }
 
-// patience is the time until the caller leaves if no event has come; zero where
-// that is not known, or the stream has begun.
-func (exchange *exchange) patience(now time.Time) time.Duration {
+// untilClientTimeout returns the time until the client timeout for the first event; zero if the
+// route sets none or the stream has begun.
+func (exchange *exchange) untilClientTimeout(now time.Time) time.Duration {
 	silence := exchange.route.Silence
-	if silence == 0 || exchange.begun {
+	if silence == 0 || exchange.streamBegun {
 		return 0
 	}
 	return max(silence-now.Sub(exchange.request.Arrived), 1)
 }
 
-// fingerprint names the request's content. It is taken when it is first asked for.
+// fingerprint returns the hash of the request's content, computed on first use.
 func (exchange *exchange) fingerprint() peridotpath.Fingerprint {
-	if !exchange.hasContent {
+	if !exchange.hasFingerprint {
 		request := exchange.request
-		exchange.content = peridotpath.FingerprintOf(exchange.customer, request.Host, request.Method, request.Target, request.Body)
-		exchange.hasContent = true
+		exchange.contentFingerprint = peridotpath.FingerprintOf(exchange.customer, request.Host, request.Method, request.Target, request.Body)
+		exchange.hasFingerprint = true
 	}
-	return exchange.content
+	return exchange.contentFingerprint
 }
 
-// refusal ends a request that no endpoint takes now.
+// refusal returns the result for a request that cannot be placed now.
 func (exchange *exchange) refusal(code peridotpath.Code, retryAfter time.Duration) *peridotpath.Result {
 	if exchange.mayHaveRun {
 		return &peridotpath.Result{Code: peridotpath.CodeEndpointFailed}
@@ -227,15 +229,16 @@
 	return &peridotpath.Result{Code: code, RetryAfter: retryAfter}
 }
 
-// fail ends the request without a success.
+// fail ends the request with an error: it aborts a stream that has begun, else forwards
+// an endpoint's own error answer, else sends the result.
 func (exchange *exchange) fail(result peridotpath.Result) {
-	exchange.count(result.Code)
-	exchange.log(exchange.relay.Log.Info(), result.Code).Dur("retry_after", result.RetryAfter).Msg("failed")
+	exchange.recordResult(result.Code)
+	exchange.addLogFields(exchange.relay.Log.Info(), result.Code).Dur("retry_after", result.RetryAfter).Msg("failed")
 	switch {
-	case exchange.begun:
+	case exchange.streamBegun:
 		exchange.caller.Break()
-	case exchange.last != nil && result.Code != peridotpath.CodeCallerGone:
-		exchange.caller.Answer(exchange.last.answer.Status, exchange.last.answer.Header, exchange.last.body)
+	case exchange.lastFailure != nil && result.Code != peridotpath.CodeCallerGone:
+		exchange.caller.Answer(exchange.lastFailure.answer.Status, exchange.lastFailure.answer.Header, exchange.lastFailure.body)
 	default:
 		exchange.caller.Refuse(result)
 	}
--- a/peridotpath/relay/fatal_test.go
+++ b/peridotpath/relay/fatal_test.go
@@ -18,37 +18,37 @@
 const (
 	// fatalBody is a body that no endpoint survives.
 	fatalBody = "fatal"
-	// verdictTime is the time after the third end under a request within which all
-	// instances know of it, and spareRuns how often it may run after that.
-	verdictTime = 3 * time.Second
-	spareRuns   = 3
+	// maxQuarantineDelay is the time after the third crash by which all instances must have
+	// quarantined a request, and maxLateRuns how often it may run after that.
+	maxQuarantineDelay = 3 * time.Second
+	maxLateRuns        = 3
 )
 
-// storm is a load of requests with their bodies.
-type storm []stormAsk
+// workload is a workload of requests with their bodies.
+type workload []timedRequest
 
-type stormAsk struct {
+type timedRequest struct {
 	at    time.Duration
 	route string
 	body  string
 }
 
-// steady adds requests at a rate, each with a body by its number.
-func (load storm) steady(random *rand.Rand, route string, from, until time.Duration, perSecond float64, body func(i int) string) storm {
+// withPoisson adds the arrivals of a Poisson process, with bodies by request number.
+func (workload workload) withPoisson(random *rand.Rand, route string, from, until time.Duration, perSecond float64, body func(i int) string) workload {
 	for i, arrival := range poisson(random, from, until, perSecond, func(at time.Duration) arrival { return arrival{at: at} }) {
-		load = append(load, stormAsk{at: arrival.at, route: route, body: body(i)})
+		workload = append(workload, timedRequest{at: arrival.at, route: route, body: body(i)})
 	}
-	return load
+	return workload
 }
 
-func ownBody(i int) string { return fmt.Sprintf("body %d", i) }
+func uniqueBody(i int) string { return fmt.Sprintf("body %d", i) }
 
 func sameBody(body string) func(int) string { return func(int) string { return body } }
 
-// playStorm sends a load to instances by chance and returns what each caller got.
-func playStorm(mortal *mortalEndpoints, fleet *fleet, random *rand.Rand, load storm) []*outcome {
+// runRequests sends a workload to random instances and returns each caller's outcome.
+func runRequests(crashing *crashingEndpoints, fleet *fleet, random *rand.Rand, load workload) []*outcome {
 	for _, one := range fleet.relays {
-		one.relay.Check = mortal.check
+		one.relay.Check = crashing.check
 	}
 	outcomes := make([]*outcome, len(load))
 	began := time.Now()
@@ -57,7 +57,7 @@
 		one := fleet.relays[random.IntN(len(fleet.relays))]
 		all.Go(func() {
 			time.Sleep(ask.at - time.Since(began))
-			outcomes[i] = one.ask(context.Background(), ask.route, func(request *relay.Request) {
+			outcomes[i] = one.send(context.Background(), ask.route, func(request *relay.Request) {
 				request.ID, request.Body = peridotpath.RequestID(fmt.Sprint("r", i)), []byte(ask.body)
 				request.Prompt, request.Answer = 2000, 400
 			})
@@ -67,29 +67,29 @@
 	return outcomes
 }
 
-// lateRuns counts the runs of a body that began when three endpoints had ended under
-// it for longer than instances may take to know that.
-func (mortal *mortalEndpoints) lateRuns(body string) (late, ended int) {
-	mortal.mutex.Lock()
-	defer mortal.mutex.Unlock()
+// lateRuns returns how many runs of a body started later than maxQuarantineDelay after its third
+// crash, and how many endpoints it crashed.
+func (endpoints *crashingEndpoints) lateRuns(body string) (late, ended int) {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
 	var third time.Time
-	for _, run := range mortal.runs {
-		if run.body != body || run.ended.IsZero() {
+	for _, run := range endpoints.runs {
+		if run.body != body || run.crashedAt.IsZero() {
 			continue
 		}
 		if ended++; ended == 3 {
-			third = run.ended
+			third = run.crashedAt
 		}
 	}
-	for _, run := range mortal.runs {
-		if run.body == body && !third.IsZero() && run.at.After(third.Add(verdictTime)) {
+	for _, run := range endpoints.runs {
+		if run.body == body && !third.IsZero() && run.startedAt.After(third.Add(maxQuarantineDelay)) {
 			late++
 		}
 	}
 	return late, ended
 }
 
-func served(load storm, outcomes []*outcome, body func(string) bool) (good, asked int) {
+func served(load workload, outcomes []*outcome, body func(string) bool) (good, asked int) {
 	for i, outcome := range outcomes {
 		if !body(load[i].body) {
 			continue
@@ -102,8 +102,8 @@
 	return good, asked
 }
 
-// Guards against one request that ends every endpoint it is sent to, again and again.
-func TestRequestThatEndsEndpointsIsNotSentOn(t *testing.T) {
+// Guards against a request that crashes every endpoint on which it is retried.
+func TestFatalRequestIsQuarantined(t *testing.T) {
 	for _, test := range []struct {
 		route  string
 		engine *peridotpath.EngineRates
@@ -113,55 +113,57 @@
 		t.Run(test.route, func(t *testing.T) {
 			virtual.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(29, 1))
-				mortal, endpoints := newMortalEndpoints(12, func(body string) bool { return body == fatalBody })
-				fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(mortal.send, test.engine, endpoints...) })
-				load := storm{}.steady(random, test.route, 0, 20*time.Second, 40, ownBody)
-				load = load.steady(random, test.route, 2*time.Second, 18*time.Second, 6, sameBody(fatalBody))
-				outcomes := playStorm(mortal, fleet, random, load)
-				late, ended := mortal.lateRuns(fatalBody)
+				crashing, endpoints := newCrashingEndpoints(12, func(body string) bool { return body == fatalBody })
+				fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(crashing.send, test.engine, endpoints...) })
+				load := workload{}.withPoisson(random, test.route, 0, 20*time.Second, 40, uniqueBody)
+				load = load.withPoisson(random, test.route, 2*time.Second, 18*time.Second, 6, sameBody(fatalBody))
+				outcomes := runRequests(crashing, fleet, random, load)
+				late, ended := crashing.lateRuns(fatalBody)
 				good, asked := served(load, outcomes, func(body string) bool { return body != fatalBody })
-				t.Logf("%d endpoints ended, %d runs too late; %d of %d others served", ended, late, good, asked)
-				if late > spareRuns {
-					t.Errorf("runs of it %v after the third end: %d, want %d at most", verdictTime, late, spareRuns)
+				t.Logf("%d endpoints crashed, %d late runs; %d of %d other requests served", ended, late, good, asked)
+				if late > maxLateRuns {
+					t.Errorf("runs later than %v after the third crash: %d, want %d at most", maxQuarantineDelay, late, maxLateRuns)
 				}
-				time.Sleep(downFor)
+				time.Sleep(restartTime)
 			})
 		})
 	}
 }
 
-// Guards against a verdict that lost digests, or an instance that was cut off, keep from the others.
-func TestRequestThatEndsEndpointsIsNotSentOnThoughDigestsAreLost(t *testing.T) {
+// Guards against a quarantine that other instances do not learn of because digests are lost
+// or an instance is partitioned.
+func TestFatalRequestIsQuarantinedDespiteLostDigests(t *testing.T) {
 	for seed := range uint64(5) {
 		virtual.Test(t, func(t *testing.T) {
 			random, chance := rand.New(rand.NewPCG(29, seed)), rand.New(rand.NewPCG(30, seed))
 			ctx, cancel := context.WithCancel(t.Context())
 			began := time.Now()
-			mortal, endpoints := newMortalEndpoints(12, func(body string) bool { return body == fatalBody })
-			fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(mortal.send, nil, endpoints...) })
+			crashing, endpoints := newCrashingEndpoints(12, func(body string) bool { return body == fatalBody })
+			fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(crashing.send, nil, endpoints...) })
 			fleet.lost = func(from, to int) bool {
-				// The first one hears and tells nothing from shortly after the request's first coming.
+				// The first instance is partitioned shortly after the request's first arrival.
 				cut := (from == 0 || to == 0) && time.Since(began) > 2200*time.Millisecond && time.Since(began) < 4*time.Second
 				return cut || chance.IntN(3) == 0
 			}
-			go fleet.beat(ctx, 250*time.Millisecond)
-			load := storm{}.steady(random, "look", 0, 20*time.Second, 40, ownBody)
-			load = load.steady(random, "look", 2*time.Second, 18*time.Second, 6, sameBody(fatalBody))
-			outcomes := playStorm(mortal, fleet, random, load)
-			late, ended := mortal.lateRuns(fatalBody)
+			go fleet.sendPeriodically(ctx, 250*time.Millisecond)
+			load := workload{}.withPoisson(random, "look", 0, 20*time.Second, 40, uniqueBody)
+			load = load.withPoisson(random, "look", 2*time.Second, 18*time.Second, 6, sameBody(fatalBody))
+			outcomes := runRequests(crashing, fleet, random, load)
+			late, ended := crashing.lateRuns(fatalBody)
 			good, asked := served(load, outcomes, func(body string) bool { return body != fatalBody })
-			t.Logf("seed %d: %d endpoints ended, %d runs too late; %d of %d others served", seed, ended, late, good, asked)
-			if late > spareRuns {
-				t.Errorf("seed %d: runs of it %v after the third end: %d, want %d at most", seed, verdictTime, late, spareRuns)
+			t.Logf("seed %d: %d endpoints crashed, %d late runs; %d of %d other requests served", seed, ended, late, good, asked)
+			if late > maxLateRuns {
+				t.Errorf("seed %d: runs later than %v after the third crash: %d, want %d at most", seed, maxQuarantineDelay, late, maxLateRuns)
 			}
 			cancel()
-			time.Sleep(downFor)
+			time.Sleep(restartTime)
 		})
 	}
 }
 
-// Guards against a body that many send being kept from them because endpoints end by themselves.
-func TestPopularBodyIsServedWhileEndpointsEnd(t *testing.T) {
+// Guards against a quarantine of content that many callers send while endpoints crash for
+// other reasons.
+func TestPopularContentIsNotQuarantined(t *testing.T) {
 	for _, test := range []struct {
 		route     string
 		engine    *peridotpath.EngineRates
@@ -172,14 +174,14 @@
 		for seed := range uint64(3) {
 			virtual.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(29, seed))
-				mortal, endpoints := newMortalEndpoints(24, func(string) bool { return false })
-				fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(mortal.send, test.engine, endpoints...) })
-				load := storm{}.steady(random, test.route, 0, 20*time.Second, test.perSecond, sameBody("popular"))
+				crashing, endpoints := newCrashingEndpoints(24, func(string) bool { return false })
+				fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(crashing.send, test.engine, endpoints...) })
+				load := workload{}.withPoisson(random, test.route, 0, 20*time.Second, test.perSecond, sameBody("popular"))
 				for at := time.Second; at < 19*time.Second; at += 500 * time.Millisecond {
 					id := endpoints[random.IntN(len(endpoints))].ID
-					time.AfterFunc(at, func() { mortal.end(id) })
+					time.AfterFunc(at, func() { crashing.crash(id) })
 				}
-				outcomes := playStorm(mortal, fleet, random, load)
+				outcomes := runRequests(crashing, fleet, random, load)
 				good, asked := served(load, outcomes, func(string) bool { return true })
 				refused := 0
 				for _, outcome := range outcomes {
@@ -191,16 +193,16 @@
 				if refused > 0 {
 					t.Errorf("%s, %v a second, seed %d: refused %d of %d, want none", test.route, test.perSecond, seed, refused, asked)
 				}
-				time.Sleep(downFor)
+				time.Sleep(restartTime)
 			})
 		}
 	}
 }
 
-// Guards against a suspected request that waits for another one's trial before each of its attempts.
-func TestSuspectedRequestWaitsOnce(t *testing.T) {
+// Guards against a suspected request that waits for a trial before each of its attempts.
+func TestSuspectedRequestWaitsForOneTrial(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		script := &script{steps: []step{unsent(), unsent()}}
+		script := &script{steps: []step{unsentCall(), unsentCall()}}
 		fixture := newFixture(script.send, nil, testEndpoint(0), testEndpoint(1))
 		content := facts.Subject(peridotpath.FingerprintOf("desk", "host", http.MethodPost, "/look/x", []byte("body")))
 		for endpoint := range uint64(2) {
@@ -208,7 +210,7 @@
 		}
 		time.Sleep(200 * time.Millisecond)
 		fixture.facts.Learn(facts.Fact{Kind: facts.KindTrial, Subject: content, Value: 1, At: time.Now()})
-		outcome := fixture.ask(t.Context(), "look", func(request *relay.Request) { request.Body = []byte("body") })
+		outcome := fixture.send(t.Context(), "look", func(request *relay.Request) { request.Body = []byte("body") })
 		if len(script.calls) != 2 || !outcome.result.Code.NotRun() {
 			t.Errorf("%d calls, %v; want both endpoints tried and none to have run it", len(script.calls), outcome.result)
 		}
--- a/peridotpath/relay/fixture_test.go
+++ b/peridotpath/relay/fixture_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// fixture is a relay before endpoints of the test's.
+// fixture is a relay in front of the test's endpoints.
 type fixture struct {
 	relay     *relay.Relay
 	routing   *routing.State
@@ -105,7 +105,7 @@
 	return fixture
 }
 
-// outcome is what a caller got.
+// outcome is what a caller received.
 type outcome struct {
 	result   peridotpath.Result
 	status   int
@@ -143,8 +143,8 @@
 	}
 }
 
-// ask sends one request on a route and returns what its caller got.
-func (fixture *fixture) ask(ctx context.Context, route string, change func(*relay.Request)) *outcome {
+// send sends one request to a route and returns what its caller received.
+func (fixture *fixture) send(ctx context.Context, route string, change func(*relay.Request)) *outcome {
 	request := &relay.Request{
 		ID: "r1", Method: http.MethodPost, Target: "/" + route + "/x", Path: "/" + route + "/x", Host: "host",
 		Header: http.Header{}, Key: "key", Arrived: time.Now(), Patience: 10 * time.Second,
--- a/peridotpath/relay/liveness.go
+++ b/peridotpath/relay/liveness.go
@@ -10,71 +10,72 @@
 	"peridotpath.example/peridotpath/clock"
 )
 
-// A machine that loses its power closes no connection: whoever waits for a first
-// event there waits for as long as a long prompt may take, and the memory that
-// was reserved at the helpers is renewed for it all the while. So an engine that
-// has been silent for a while is asked whether it is there at all.
+// A machine that loses power closes no connection. Without liveness probes, a request to
+// it waits for a first event as long as a long prompt may take, and the KV cache reserved
+// at its helpers is renewed for that time. An engine that sends no event is therefore
+// probed.
 const (
-	// checkEvery is the time without an event after which the engine is asked, and
-	// asked again. Only long prompts wait that long: the check costs a connection
-	// and some milliseconds of the engine's, which short ones are not worth.
-	checkEvery = time.Second
-	// checkTimeout bounds one check. Engines answer it beside their work, within
-	// milliseconds.
-	checkTimeout = 400 * time.Millisecond
-	// checksFailed is how many checks in a row must fail: a single one may be lost
-	// on the way. Two checks and their time limits are over before engines must have
-	// back the memory that was reserved for a request which they no longer run.
-	checksFailed = 2
+	// probeInterval is the time without an event after which the engine is probed, and
+	// the interval of further probes. A probe costs a connection and some milliseconds
+	// of the engine's time; at this interval only long prompts incur it.
+	probeInterval = time.Second
+	// probeTimeout bounds one probe. Engines answer probes within milliseconds while
+	// they work.
+	probeTimeout = 400 * time.Millisecond
+	// maxFailedProbes is the number of consecutive failed probes that cancels the attempt,
+	// since a single one may be lost on the network. Two probes with their timeouts end
+	// before the deadline by which engines must get back the KV cache of a request that
+	// no longer runs.
+	maxFailedProbes = 2
 )
 
-var errSilent = errors.New("endpoint does not answer at all")
+var errUnresponsive = errors.New("endpoint did not answer consecutive liveness probes")
 
-// liveness asks a silent engine whether it is there.
-type liveness struct {
-	heard atomic.Bool
-	ended chan struct{}
-	stop  context.CancelFunc
+// livenessProbe probes an engine that sends no events.
+type livenessProbe struct {
+	eventSeen atomic.Bool
+	done      chan struct{}
+	stop      context.CancelFunc
 }
 
-// watchLiveness cancels the attempt once the engine does not answer any more. An
-// engine that merely takes long answers its checks and is left to its work.
-func (exchange *exchange) watchLiveness(ctx context.Context, cancel context.CancelCauseFunc) *liveness {
+// startLivenessProbe starts probes that cancel the attempt when the engine stops answering. A
+// slow engine answers its probes and keeps the request.
+func (exchange *exchange) startLivenessProbe(ctx context.Context, cancel context.CancelCauseFunc) *livenessProbe {
 	ctx, stop := context.WithCancel(ctx)
-	liveness := &liveness{ended: make(chan struct{}), stop: stop}
+	probe := &livenessProbe{done: make(chan struct{}), stop: stop}
 	go func() {
-		defer close(liveness.ended)
-		liveness.run(ctx, exchange.relay.Check, exchange.plan.Writer, cancel)
+		defer close(probe.done)
+		probe.run(ctx, exchange.relay.Check, exchange.plan.Writer, cancel)
 	}()
-	return liveness
+	return probe
 }
 
-func (liveness *liveness) run(ctx context.Context, check Checker, endpoint *peridotpath.Endpoint, cancel context.CancelCauseFunc) {
+func (probe *livenessProbe) run(ctx context.Context, check Checker, endpoint *peridotpath.Endpoint, cancel context.CancelCauseFunc) {
 	failed := 0
-	for clock.Pause(ctx, checkEvery) {
-		if liveness.heard.Swap(false) {
+	for clock.Pause(ctx, probeInterval) {
+		if probe.eventSeen.Swap(false) {
 			failed = 0
 			continue
 		}
-		asked, stop := context.WithTimeout(ctx, checkTimeout)
-		err := check(asked, endpoint)
+		probeCtx, stop := context.WithTimeout(ctx, probeTimeout)
+		err := check(probeCtx, endpoint)
 		stop()
 		if err == nil {
 			failed = 0
 			continue
 		}
-		if failed++; failed >= checksFailed {
-			cancel(errors.Join(errSilent, err))
+		if failed++; failed >= maxFailedProbes {
+			cancel(errors.Join(errUnresponsive, err))
 			return
 		}
 	}
 }
 
-// event notes a sign of life.
-func (liveness *liveness) event() { liveness.heard.Store(true) }
+// recordEvent records an event of the engine, which replaces the next probe.
+func (probe *livenessProbe) recordEvent() { probe.eventSeen.Store(true) }
 
-// Close ends the checks and waits until none is under way.
-func (liveness *liveness) Close() {
-	liveness.stop()
-	<-liveness.ended
+// Close stops the probes and waits for the running one.
+func (probe *livenessProbe) Close() {
+	probe.stop()
+	<-probe.done
 }
--- a/peridotpath/relay/liveness_test.go
+++ b/peridotpath/relay/liveness_test.go
@@ -14,70 +14,70 @@
 	"peridotpath.example/peridotpath/relay"
 )
 
-// darkFleet is engines of which one falls silent for good as soon as it is called.
-type darkFleet struct {
-	mutex sync.Mutex
-	dark  peridotpath.EndpointID
-	// tickets are the reservations that stand, lastOfFirst when the last one of
-	// those of the first attempt was given back.
-	tickets     map[string]bool
-	first       map[string]bool
-	lastOfFirst time.Time
-	checks      int
-	calls       int
+// failingEngines is a set of engines. The first one that is called stops answering for good.
+type failingEngines struct {
+	mutex  sync.Mutex
+	failed peridotpath.EndpointID
+	// reservations holds the active reservations and firstReservations those of the
+	// first attempt; firstReleasedAt is when the last of the latter was released.
+	reservations      map[string]bool
+	firstReservations map[string]bool
+	firstReleasedAt   time.Time
+	checks            int
+	calls             int
 }
 
-func (fleet *darkFleet) send(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
-	fleet.mutex.Lock()
-	fleet.calls++
-	goesDark := fleet.dark == "" && fleet.calls == 1
-	if goesDark {
-		fleet.dark = call.Endpoint.ID
-		fleet.first = map[string]bool{}
+func (engines *failingEngines) send(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
+	engines.mutex.Lock()
+	engines.calls++
+	fails := engines.failed == "" && engines.calls == 1
+	if fails {
+		engines.failed = call.Endpoint.ID
+		engines.firstReservations = map[string]bool{}
 		for _, helper := range call.Helpers {
 			if helper.Ticket != "" {
-				fleet.first[helper.Ticket] = true
+				engines.firstReservations[helper.Ticket] = true
 			}
 		}
 	}
-	fleet.mutex.Unlock()
-	if goesDark {
-		return hang()(ctx, call)
+	engines.mutex.Unlock()
+	if fails {
+		return noAnswer()(ctx, call)
 	}
 	return answer(200, "id: 1\ndata: x\n\n", nil)(ctx, call)
 }
 
-func (fleet *darkFleet) check(ctx context.Context, endpoint *peridotpath.Endpoint) error {
-	fleet.mutex.Lock()
-	fleet.checks++
-	dark := fleet.dark == endpoint.ID
-	fleet.mutex.Unlock()
-	if !dark {
+func (engines *failingEngines) check(ctx context.Context, endpoint *peridotpath.Endpoint) error {
+	engines.mutex.Lock()
+	engines.checks++
+	failed := engines.failed == endpoint.ID
+	engines.mutex.Unlock()
+	if !failed {
 		return nil
 	}
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (fleet *darkFleet) reserve(_ context.Context, _ *peridotpath.Endpoint, id string, _ peridotpath.Tokens, _ time.Duration) (bool, error) {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	fleet.tickets[id] = true
+func (engines *failingEngines) reserve(_ context.Context, _ *peridotpath.Endpoint, id string, _ peridotpath.Tokens, _ time.Duration) (bool, error) {
+	engines.mutex.Lock()
+	defer engines.mutex.Unlock()
+	engines.reservations[id] = true
 	return true, nil
 }
 
-func (fleet *darkFleet) release(_ context.Context, _ *peridotpath.Endpoint, id string) error {
-	fleet.mutex.Lock()
-	defer fleet.mutex.Unlock()
-	delete(fleet.tickets, id)
-	if fleet.first[id] {
-		fleet.lastOfFirst = time.Now()
+func (engines *failingEngines) release(_ context.Context, _ *peridotpath.Endpoint, id string) error {
+	engines.mutex.Lock()
+	defer engines.mutex.Unlock()
+	delete(engines.reservations, id)
+	if engines.firstReservations[id] {
+		engines.firstReleasedAt = time.Now()
 	}
 	return nil
 }
 
-func fixtureOf(t *testing.T, fleet *darkFleet) *fixture {
-	fleet.tickets = map[string]bool{}
+func newFailingFixture(t *testing.T, fleet *failingEngines) *fixture {
+	fleet.reservations = map[string]bool{}
 	fixture := newFixture(fleet.send, &testRates, testEndpoint(0), testEndpoint(1), testEndpoint(2), testEndpoint(3))
 	keeper := fixture.relay.Keeper
 	keeper.Reserve, keeper.Release = fleet.reserve, fleet.release
@@ -94,44 +94,43 @@
 	return fixture
 }
 
-// A dossier that no engine holds alone is sent to one engine with three helpers,
-// and that engine loses its power: no reset, no answer. Its caller waits for three
-// times the predicted reading, 10 s and more, and for that long the helpers'
-// memory is renewed and lies idle, though nothing can use it any more. The cause:
-// until the first event is due by far nobody asked whether the engine was there.
-func TestMemoryIsGivenBackWhenTheWriterIsGone(t *testing.T) {
+// A prompt that exceeds one engine's KV cache is sent to a primary with three helpers, and
+// the primary loses power without a reset. Without liveness probes the caller waits for
+// three times the predicted prefill time, 10 s and more, and the reservations at the helpers
+// are renewed for that time.
+func TestReservationsAreReleasedWhenPrimaryIsUnreachable(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		fleet := &darkFleet{}
-		fixture := fixtureOf(t, fleet)
+		fleet := &failingEngines{}
+		fixture := newFailingFixture(t, fleet)
 		began := time.Now()
-		outcome := fixture.ask(t.Context(), "long", func(request *relay.Request) {
+		outcome := fixture.send(t.Context(), "long", func(request *relay.Request) {
 			request.Prompt, request.Answer, request.Patience = 600_000, 100, 30*time.Second
 		})
 		time.Sleep(200 * time.Millisecond)
 		fleet.mutex.Lock()
 		defer fleet.mutex.Unlock()
-		is.True(outcome.ended)                                // served elsewhere
-		is.True(outcome.first < 3*time.Second)                // soon after the loss
-		is.True(len(fleet.first) > 0)                         // memory was reserved
-		is.Equal(len(fleet.tickets), 0)                       // nothing stands
-		is.True(fleet.lastOfFirst.Sub(began) < 3*time.Second) // while it counts as in use
+		is.True(outcome.ended)                                    // served by another endpoint
+		is.True(outcome.first < 3*time.Second)                    // soon after the failure
+		is.True(len(fleet.firstReservations) > 0)                 // KV cache was reserved
+		is.Equal(len(fleet.reservations), 0)                      // no reservation is left
+		is.True(fleet.firstReleasedAt.Sub(began) < 3*time.Second) // released in time
 	})
 }
 
-// An engine that takes long but answers its checks is left to its work: given up,
-// its prompt would be read once more by the others.
-func TestSlowEngineIsLeftToItsWork(t *testing.T) {
+// A slow engine that answers its probes keeps the request. Cancelled, its prompt would be
+// prefilled again on other engines.
+func TestSlowEngineKeepsItsRequest(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		fleet := &darkFleet{dark: "none"}
-		fixture := fixtureOf(t, fleet)
+		fleet := &failingEngines{failed: "none"}
+		fixture := newFailingFixture(t, fleet)
 		slow := func(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
 			time.Sleep(4500 * time.Millisecond)
 			return fleet.send(ctx, call)
 		}
 		fixture.relay.Send = slow
-		outcome := fixture.ask(t.Context(), "long", func(request *relay.Request) {
+		outcome := fixture.send(t.Context(), "long", func(request *relay.Request) {
 			request.Prompt, request.Answer, request.Patience = 600_000, 100, 30*time.Second
 		})
 		is.True(outcome.ended)
--- a/peridotpath/relay/outcome.go
+++ b/peridotpath/relay/outcome.go
@@ -9,8 +9,8 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// failedAnswer is an endpoint's own failure, kept to be handed on if no other
-// endpoint does better.
+// failedAnswer is an endpoint's error answer, forwarded to the caller if all attempts
+// fail.
 type failedAnswer struct {
 	answer *Answer
 	body   []byte
@@ -23,17 +23,17 @@
 	outcomeDone outcome = iota
 	// outcomeUnsent: no byte reached the endpoint.
 	outcomeUnsent
-	// outcomeRefused: the endpoint promises not to have run the request.
+	// outcomeRefused: the endpoint guarantees not to have run the request.
 	outcomeRefused
-	// outcomeElsewhere: another endpoint has the address now.
+	// outcomeElsewhere: the address belongs to another endpoint now.
 	outcomeElsewhere
-	// outcomeFailed: the request may have run.
+	// outcomeFailed: the attempt failed; the request may have run.
 	outcomeFailed
-	// outcomeNoMemory: the memory that the request needs could not be reserved.
+	// outcomeNoMemory: the KV cache that the request needs could not be reserved.
 	outcomeNoMemory
-	// outcomeErrored: the endpoint ran it and answered with a failure of its own.
+	// outcomeErrored: the endpoint ran the request and answered with an error.
 	outcomeErrored
-	// outcomeBroken: the connection broke off; the request may have run.
+	// outcomeBroken: the connection failed; the request may have run.
 	outcomeBroken
 )
 
@@ -41,30 +41,30 @@
 
 func (outcome outcome) String() string { return outcomeNames[outcome] }
 
-// note draws what an attempt's failure says of its endpoint.
-func (exchange *exchange) note(ctx context.Context, outcome outcome, err error) {
+// recordFailure logs a failed attempt and updates the state of its endpoint.
+func (exchange *exchange) recordFailure(ctx context.Context, outcome outcome, err error) {
 	telemetry.Attempt(outcome.String())
-	gone := outcome == outcomeBroken && exchange.relay.departed(ctx, exchange.plan.Writer)
+	crashed := outcome == outcomeBroken && exchange.relay.hasCrashed(ctx, exchange.plan.Writer)
 	exchange.relay.Log.Info().Str("request", string(exchange.request.ID)).Stringer("content", exchange.fingerprint()).
-		Str("endpoint", string(exchange.plan.Writer.ID)).Int("try", exchange.tries).Bool("endpoint_gone", gone).
-		Stringer("outcome", outcome).Int("events", exchange.events).Err(err).Msg("attempt_failed")
+		Str("endpoint", string(exchange.plan.Writer.ID)).Int("try", exchange.tries).Bool("endpoint_gone", crashed).
+		Stringer("outcome", outcome).Int("events", exchange.eventCount).Err(err).Msg("attempt_failed")
 	if outcome == outcomeNoMemory {
-		// The writer has nothing to do with it, and nothing was sent.
+		// Nothing was sent, and the primary is not the cause.
 		exchange.tries--
 		return
 	}
 	now, key := time.Now(), exchange.plan.Writer.Key()
-	if gone {
-		exchange.noteEnd(now)
+	if crashed {
+		exchange.recordCrash(now)
 	}
 	switch outcome {
 	case outcomeRefused:
 		exchange.sent++
-		exchange.noteRefusal(key, now)
+		exchange.attributeRefusal(key, now)
 	case outcomeErrored:
 		exchange.sent++
 		exchange.mayHaveRun = true
-		exchange.noteSurvival()
+		exchange.recordSurvival()
 	case outcomeFailed, outcomeBroken:
 		exchange.sent++
 		exchange.mayHaveRun = true
@@ -72,17 +72,17 @@
 	case outcomeUnsent, outcomeElsewhere:
 		exchange.relay.Book.Failed(key, now)
 	}
-	if exchange.avoid == nil {
-		exchange.avoid = map[peridotpath.EndpointKey]bool{}
+	if exchange.excluded == nil {
+		exchange.excluded = map[peridotpath.EndpointKey]bool{}
 	}
-	exchange.avoid[key] = true
+	exchange.excluded[key] = true
 }
 
-// noteRefusal notes who is to blame for a refusal: the endpoint, which is full,
-// or a helper that it could not reach.
-func (exchange *exchange) noteRefusal(key peridotpath.EndpointKey, now time.Time) {
+// attributeRefusal attributes a refusal: to the helper that the endpoint could not reach, or
+// to the endpoint, which is full.
+func (exchange *exchange) attributeRefusal(key peridotpath.EndpointKey, now time.Time) {
 	for _, helper := range exchange.plan.Helpers {
-		if exchange.fault != "" && (exchange.fault == string(helper.ID) || exchange.fault == helper.Address.String()) {
+		if exchange.blamedHelper != "" && (exchange.blamedHelper == string(helper.ID) || exchange.blamedHelper == helper.Address.String()) {
 			exchange.relay.Book.Failed(helper.Key(), now)
 			return
 		}
@@ -90,14 +90,15 @@
 	exchange.relay.Book.Full(key, now)
 }
 
-// ended reports why the request has no time or no caller left.
-func (exchange *exchange) ended(ctx context.Context) *peridotpath.Result {
+// contextResult returns the result of a request whose deadline has passed or whose
+// caller has disconnected; nil while the request may continue.
+func (exchange *exchange) contextResult(ctx context.Context) *peridotpath.Result {
 	switch {
 	case ctx.Err() == nil:
 		return nil
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		if !exchange.mayHaveRun {
-			return &peridotpath.Result{Code: peridotpath.CodeCannotFinish, RetryAfter: shortReturn}
+			return &peridotpath.Result{Code: peridotpath.CodeCannotFinish, RetryAfter: shortRetryAfter}
 		}
 		return &peridotpath.Result{Code: peridotpath.CodeDeadline}
 	default:
@@ -105,9 +106,9 @@
 	}
 }
 
-// again decides whether another attempt may follow; it returns the result that
-// ends the request where none may.
-func (exchange *exchange) again(outcome outcome) *peridotpath.Result {
+// checkRetry returns nil if another attempt may follow, else the result that ends the
+// request.
+func (exchange *exchange) checkRetry(outcome outcome) *peridotpath.Result {
 	if outcome == outcomeNoMemory {
 		return nil
 	}
@@ -115,10 +116,11 @@
 	if exchange.mayHaveRun && !exchange.route.Repeatable() {
 		return final
 	}
-	if exchange.tries >= maxTries || exchange.sent >= max(exchange.route.MaxAttempts, 1) {
+	if exchange.tries >= maxTotalAttempts || exchange.sent >= max(exchange.route.MaxAttempts, 1) {
 		return final
 	}
-	// What never reached an endpoint adds nothing to the load of the others.
+	// An attempt that reached no endpoint adds no load, so its retry takes nothing from
+	// the budget.
 	if exchange.sent > 0 || outcome == outcomeElsewhere {
 		if !exchange.relay.Budget.Spend(exchange.service, time.Now()) {
 			telemetry.BudgetSpent()
@@ -130,13 +132,13 @@
 
 func (exchange *exchange) finalResult(outcome outcome) *peridotpath.Result {
 	switch {
-	case exchange.begun:
+	case exchange.streamBegun:
 		return &peridotpath.Result{Code: peridotpath.CodeStreamCut}
 	case exchange.mayHaveRun:
 		return &peridotpath.Result{Code: peridotpath.CodeEndpointFailed}
 	default:
 		return &peridotpath.Result{
-			Code: peridotpath.CodeEndpointRefused, RetryAfter: max(exchange.retryAfter, shortReturn), Detail: outcome.String(),
+			Code: peridotpath.CodeEndpointRefused, RetryAfter: max(exchange.retryAfter, shortRetryAfter), Detail: outcome.String(),
 		}
 	}
 }
--- a/peridotpath/relay/prefill_queue.go
+++ b/peridotpath/relay/prefill_queue.go
@@ -10,100 +10,106 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// Long prompts wait at the instances and not at the engines, for their turn in
-// an order that all instances agree on.
+// Long prompts wait in a prefill queue at the instances instead of at the engines. All
+// instances derive the same queue order from the entries that they exchange.
 //
-// The load that this is made for is a burst of long prompts: a dozen within two
-// seconds, each of which one engine reads for seconds. Sent at once, they are
-// read side by side at all engines, each overtaking the others' parts: all are
-// late, and so are the short prompts among them. One after the other, each is
-// spread over all engines that write little and takes a fraction of a second.
+// The queue serves bursts of long prompts, such as a dozen within two seconds, each of
+// which takes one engine seconds to prefill. Sent at once, they are prefilled
+// concurrently on all engines and delay each other's parts: all of them, and the short
+// prompts beside them, miss their latency targets. Dispatched one after another, each
+// prefill is split across all engines with few decoding requests and takes a fraction
+// of a second.
 const (
-	// longRead is the reading time, at one engine alone, from which a prompt
-	// waits for its turn; what is shorter fits between the events of others.
-	longRead = 150 * time.Millisecond
-	// leastWaitAim is the least aim of a request that waits. One with less is late
-	// after any wait at all, and its caller leaves before a line of long prompts
-	// has been read, so that it would never be sent.
-	leastWaitAim = 4 * longRead
-	// turnTick is the time between two looks whether it is a request's turn, and
-	// turnTickPerPeer what each peer adds: a look goes through what all have under
-	// way, which grows with them.
-	turnTick        = 10 * time.Millisecond
-	turnTickPerPeer = 200 * time.Microsecond
-	// rankShift is how much later a request is due for each rank of priority that
-	// it has less: a rank is worth as much as being first by a second.
-	rankShift = time.Second
-	// startSlack is how long before the engines are free the next prompt is sent,
-	// so that they do not stand idle for the time that it is on its way.
-	startSlack = 120 * time.Millisecond
-	// harmAtOnce is the loss to others, as a part of its own worth, that a prompt
-	// may cause as soon as it comes. harmGrowth is what is added until it would be
-	// late: better others lose nearly as much than that it loses all. Once it is
-	// late, most of its worth is gone, and lateHarm is all that it may cause.
-	harmAtOnce, harmGrowth, lateHarm = 0.1, 0.8, 0.2
-	// holdShare is the part of its time after which a prompt that is late is given
-	// up rather than held on: its caller learns it while there is time to come back.
-	holdShare = 0.4
-	// spreadShare is the part of all engines' time that long prompts get at best:
-	// some write for others, and parts do not end at the same moment.
-	spreadShare = 0.6
+	// maxUnqueuedPrefill is the prefill time on one engine above which a prompt is queued. A
+	// shorter prefill fits between the events of decoding requests.
+	maxUnqueuedPrefill = 150 * time.Millisecond
+	// minQueuedTTFT is the smallest TTFT target of a request that is queued. A request
+	// with a shorter target misses it after any wait, and its client timeout expires
+	// before the queue of long prompts is prefilled, so that it would never be sent.
+	minQueuedTTFT = 4 * maxUnqueuedPrefill
+	// queuePollInterval is the interval at which a queued prompt polls its queue position, and
+	// queuePollPerPeer what each peer adds: the cost of a poll grows with the in-flight
+	// requests of all instances.
+	queuePollInterval = 10 * time.Millisecond
+	queuePollPerPeer  = 200 * time.Microsecond
+	// delayPerRank is how much later a prompt is queued for each rank of lower priority:
+	// one rank outweighs an arrival that is up to a second earlier.
+	delayPerRank = time.Second
+	// dispatchLead is how long before the engines are free the next prompt is
+	// dispatched, so that they are not idle while it is on its way.
+	dispatchLead = 120 * time.Millisecond
+	// The interference cost that a prompt may impose on others is bounded by a share
+	// of its own value. The share is initialCostShare on arrival and grows by costShareGrowth
+	// until the TTFT target: nearly equal losses of others are acceptable before the
+	// prompt loses all of its value. After the target most of the value is lost, and
+	// the share is lateCostShare.
+	initialCostShare, costShareGrowth, lateCostShare = 0.1, 0.8, 0.2
+	// maxLateQueueShare is the share of its total time after which a prompt that misses its
+	// target is refused: its caller then has time for a retry.
+	maxLateQueueShare = 0.4
+	// maxPrefillShare is the largest share of the engines' time that long prompts use:
+	// some engines decode other requests, and parts of a split prefill do not end at
+	// the same time.
+	maxPrefillShare = 0.6
 )
 
-// awaitTurn waits until it is the request's turn and the engines can take it.
-func (exchange *exchange) awaitTurn(ctx context.Context, model placement.Model, reading time.Duration) *peridotpath.Result {
-	book := exchange.relay.Book
-	tick := turnTick + time.Duration(book.Peers(time.Now()))*turnTickPerPeer
-	ranked := exchange.request.Arrived.Add(time.Duration(exchange.priority) * rankShift)
-	wait := book.Join(placement.NewWait(ranked, reading))
-	defer book.Leave(wait)
+// awaitDispatch queues the request until it is first in the prefill queue and the engines
+// have capacity for it, then places it.
+func (exchange *exchange) awaitDispatch(ctx context.Context, model placement.Model, prefillTime time.Duration) *peridotpath.Result {
+	tracker := exchange.relay.Book
+	pollInterval := queuePollInterval + time.Duration(tracker.Peers(time.Now()))*queuePollPerPeer
+	queuedAt := exchange.request.Arrived.Add(time.Duration(exchange.priority) * delayPerRank)
+	entry := tracker.Join(placement.NewWait(queuedAt, prefillTime))
+	defer tracker.Leave(entry)
 	for {
-		if result := exchange.barred(); result != nil {
+		if result := exchange.checkQuarantine(); result != nil {
 			return result
 		}
 		now := time.Now()
 		candidates := exchange.candidates(now)
 		if len(candidates) == 0 {
-			return exchange.noEndpoint()
+			return exchange.noEndpointRefusal()
 		}
-		ahead, before := book.Ahead(wait, exchange.relay.Instance, now)
-		work := exchange.work(now)
-		share := spreadShare * float64(len(candidates))
-		soonest := time.Duration(float64(before+reading) / share)
-		if last := work.LastStart(); soonest > last {
-			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortReturn, soonest-last))
+		ahead, prefillAhead := tracker.Ahead(entry, exchange.relay.Instance, now)
+		work := exchange.placementWork(now)
+		capacity := maxPrefillShare * float64(len(candidates))
+		untilPrefilled := time.Duration(float64(prefillAhead+prefillTime) / capacity)
+		if untilLastStart := work.LastStart(); untilPrefilled > untilLastStart {
+			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortRetryAfter, untilPrefilled-untilLastStart))
 		}
-		late := work.Waited+soonest > work.AnswerAim
-		if late && work.Waited > time.Duration(holdShare*float64(work.Waited+work.Left)) {
-			return exchange.refusal(peridotpath.CodeQueueTimeout, max(shortReturn, soonest))
+		missesTarget := work.Waited+untilPrefilled > work.AnswerAim
+		if missesTarget && work.Waited > time.Duration(maxLateQueueShare*float64(work.Waited+work.Left)) {
+			return exchange.refusal(peridotpath.CodeQueueTimeout, max(shortRetryAfter, untilPrefilled))
 		}
 		blocked := false
 		if ahead == 0 {
-			plan, found := placement.PlanPrompt(model, work, candidates, book.View(now))
-			if found && worthwhile(plan, work) && exchange.begin(plan, now) {
+			plan, found := placement.PlanPrompt(model, work, candidates, tracker.View(now))
+			if found && isWorthDispatching(plan, work) && exchange.beginInFlight(plan, now) {
 				telemetry.TurnWait(work.Waited)
 				return nil
 			}
-			// Others need not wait for what this one waits for: memory, or engines at
-			// which less is lost.
-			blocked = !found || plan.Ready <= startSlack
+			// The head of the queue waits for KV cache, or for engines with less
+			// interference cost: later prompts need not wait for that (head-of-line
+			// blocking).
+			blocked = !found || plan.Ready <= dispatchLead
 		}
-		book.Mark(wait, late, blocked)
-		if !clock.Pause(ctx, tick) {
-			return exchange.ended(ctx)
+		tracker.Mark(entry, missesTarget, blocked)
+		if !clock.Pause(ctx, pollInterval) {
+			return exchange.contextResult(ctx)
 		}
 	}
 }
 
-// worthwhile reports whether a plan is better than to wait for a better one.
-func worthwhile(plan placement.Plan, work placement.Work) bool {
-	if plan.Ready > startSlack {
+// isWorthDispatching reports whether to dispatch by this plan instead of waiting for a cheaper
+// one.
+func isWorthDispatching(plan placement.Plan, work placement.Work) bool {
+	if plan.Ready > dispatchLead {
 		return false
 	}
-	allowed := lateHarm
-	if first := work.Waited + plan.FirstEvent; first <= work.AnswerAim {
-		pressed := float64(first) / float64(work.AnswerAim)
-		allowed = harmAtOnce + harmGrowth*pressed*pressed
+	allowed := lateCostShare
+	if timeToFirstEvent := work.Waited + plan.FirstEvent; timeToFirstEvent <= work.AnswerAim {
+		elapsedShare := float64(timeToFirstEvent) / float64(work.AnswerAim)
+		allowed = initialCostShare + costShareGrowth*elapsedShare*elapsedShare
 	}
 	return plan.Harm <= allowed*placement.Value(work.Prompt)
 }
--- a/peridotpath/relay/quarantine.go
+++ b/peridotpath/relay/quarantine.go
@@ -10,29 +10,31 @@
 )
 
 const (
-	// earlyRun is how long after a first event an end of the endpoint still counts
-	// against a request: one that ends endpoints does so as it begins to run.
-	earlyRun = time.Second
-	// trialTick is the time between two looks at another attempt's trial, and trialWait
-	// the longest wait of a suspected request for one. Most that are suspected were there
-	// by chance; one that ends endpoints does so in that time, mostly.
-	trialTick = 20 * time.Millisecond
-	trialWait = 400 * time.Millisecond
-	// trialReturn is when a caller may come back whose request another one tries.
-	trialReturn = 2 * time.Second
+	// crashWindow is how long after the first event a crash of the endpoint is attributed
+	// to the request: a fatal request crashes its endpoint soon after it starts to run.
+	crashWindow = time.Second
+	// trialPollInterval is the interval at which a suspected request polls the trial that
+	// another attempt at the same content runs, and maxTrialWait its longest wait for
+	// that trial. Most suspected requests ran by chance on an endpoint that crashed; a
+	// fatal one mostly crashes its endpoint within maxTrialWait.
+	trialPollInterval = 20 * time.Millisecond
+	maxTrialWait      = 400 * time.Millisecond
+	// trialRetryAfter is the retry delay of a request while another attempt runs the trial.
+	trialRetryAfter = 2 * time.Second
 )
 
-// awaitTrial lets a request through against which nothing is held, a suspected one when
-// no other attempt at it is under way in the fleet or it has waited long enough for that,
-// and one whose bar is over when no other attempt is under way.
-func (exchange *exchange) awaitTrial(ctx context.Context) *peridotpath.Result {
+// awaitQuarantineTrial returns nil when the request may be sent: at once if its content is not
+// suspected; if it is suspected, when no other attempt at it is in flight in the fleet
+// or after maxTrialWait; if its quarantine has expired, only when no other attempt is in
+// flight.
+func (exchange *exchange) awaitQuarantineTrial(ctx context.Context) *peridotpath.Result {
 	decider := exchange.relay.Quarantine
 	if decider.Empty() {
 		return nil
 	}
 	content := exchange.fingerprint()
-	if exchange.suspected.IsZero() {
-		exchange.suspected = time.Now()
+	if exchange.trialWaitSince.IsZero() {
+		exchange.trialWaitSince = time.Now()
 	}
 	for {
 		now := time.Now()
@@ -43,18 +45,19 @@
 		case standing == quarantine.Clear, decider.Try(content, now):
 			return nil
 		case standing == quarantine.OnTrial:
-			return exchange.refusal(peridotpath.CodeQuarantined, trialReturn)
-		case now.Sub(exchange.suspected) > trialWait:
+			return exchange.refusal(peridotpath.CodeQuarantined, trialRetryAfter)
+		case now.Sub(exchange.trialWaitSince) > maxTrialWait:
 			return nil
 		}
-		if !clock.Pause(ctx, trialTick) {
-			return exchange.ended(ctx)
+		if !clock.Pause(ctx, trialPollInterval) {
+			return exchange.contextResult(ctx)
 		}
 	}
 }
 
-// barred refuses a request that is barred, also one that was barred while it waited.
-func (exchange *exchange) barred() *peridotpath.Result {
+// checkQuarantine refuses a quarantined request. It is called again after each wait,
+// during which the content may have been quarantined.
+func (exchange *exchange) checkQuarantine() *peridotpath.Result {
 	decider := exchange.relay.Quarantine
 	if decider.Empty() {
 		return nil
@@ -65,28 +68,29 @@
 	return nil
 }
 
-// noteEnd notes that the attempt's endpoint ended, if soon after it began to run.
-func (exchange *exchange) noteEnd(now time.Time) {
-	if !exchange.writingSince.IsZero() && now.Sub(exchange.writingSince) > earlyRun {
+// recordCrash records a crash of the attempt's endpoint if it happened soon after the
+// request started to run.
+func (exchange *exchange) recordCrash(now time.Time) {
+	if !exchange.decodingSince.IsZero() && now.Sub(exchange.decodingSince) > crashWindow {
 		return
 	}
 	exchange.relay.Quarantine.Ended(exchange.fingerprint(), exchange.plan.Writer.Key(), now)
 }
 
-// noteProgress notes an event of the attempt, and that its endpoint goes on with it.
-func (exchange *exchange) noteProgress() {
+// recordProgress records an event of the attempt, and its survival after crashWindow.
+func (exchange *exchange) recordProgress() {
 	now := time.Now()
-	if exchange.writingSince.IsZero() {
-		exchange.writingSince = now
+	if exchange.decodingSince.IsZero() {
+		exchange.decodingSince = now
 	}
-	if !exchange.survived && now.Sub(exchange.writingSince) > earlyRun {
-		exchange.noteSurvival()
+	if !exchange.survivalRecorded && now.Sub(exchange.decodingSince) > crashWindow {
+		exchange.recordSurvival()
 	}
 }
 
-// noteSurvival notes that the attempt's endpoint runs the request and goes on.
-func (exchange *exchange) noteSurvival() {
-	exchange.survived = true
+// recordSurvival records that the attempt's endpoint runs the request without a crash.
+func (exchange *exchange) recordSurvival() {
+	exchange.survivalRecorded = true
 	if decider := exchange.relay.Quarantine; !decider.Empty() {
 		decider.Survived(exchange.fingerprint(), time.Now())
 	}
--- a/peridotpath/relay/rate_limit.go
+++ b/peridotpath/relay/rate_limit.go
@@ -7,22 +7,22 @@
 	"peridotpath.example/peridotpath/placement"
 )
 
-// noteLimit notes what the attempt's endpoint says that it takes.
-func (exchange *exchange) noteLimit(answer *Answer) {
-	writer, now := exchange.plan.Writer, time.Now()
+// recordRateLimit records the rate limit that the attempt's endpoint announces.
+func (exchange *exchange) recordRateLimit(answer *Answer) {
+	primary, now := exchange.plan.Writer, time.Now()
 	switch {
 	case answer.Elsewhere || !answer.NotRun && !answer.Genuine:
-		// It is not this endpoint's.
+		// Another endpoint gave the answer.
 	case answer.Limit != nil:
-		exchange.relay.Throttle.Named(writer, *answer.Limit, now)
+		exchange.relay.Throttle.Named(primary, *answer.Limit, now)
 	case answer.NoLimit:
-		exchange.relay.Throttle.Unnamed(writer, exchange.sentAt, now)
+		exchange.relay.Throttle.Unnamed(primary, exchange.sentAt, now)
 	}
 }
 
-// limits returns what reports whether an endpoint takes a request now by what it has
-// named. It notes when the first that does not will.
-func (exchange *exchange) limits(now time.Time) func(peridotpath.EndpointKey) bool {
+// rateLimitFilter returns a function that reports whether an endpoint's rate limit admits a
+// request now. The function records the shortest wait of those that do not.
+func (exchange *exchange) rateLimitFilter(now time.Time) func(peridotpath.EndpointKey) bool {
 	throttle := exchange.relay.Throttle
 	if throttle.Idle() {
 		return func(peridotpath.EndpointKey) bool { return true }
@@ -30,24 +30,24 @@
 	contenders := exchange.relay.Book.View(now).Unheard()
 	return func(key peridotpath.EndpointKey) bool {
 		wait := throttle.Wait(key, contenders, now)
-		if wait > 0 && (exchange.limited == 0 || wait < exchange.limited) {
-			exchange.limited = wait
+		if wait > 0 && (exchange.rateLimitWait == 0 || wait < exchange.rateLimitWait) {
+			exchange.rateLimitWait = wait
 		}
 		return wait == 0
 	}
 }
 
-// noEndpoint refuses a request that no endpoint may take.
-func (exchange *exchange) noEndpoint() *peridotpath.Result {
-	if exchange.limited > 0 {
-		return exchange.refusal(peridotpath.CodeLimited, max(shortReturn, exchange.limited))
+// noEndpointRefusal returns the refusal of a request that no endpoint is eligible for.
+func (exchange *exchange) noEndpointRefusal() *peridotpath.Result {
+	if exchange.rateLimitWait > 0 {
+		return exchange.refusal(peridotpath.CodeLimited, max(shortRetryAfter, exchange.rateLimitWait))
 	}
-	return exchange.refusal(peridotpath.CodeNoEndpoint, shortReturn)
+	return exchange.refusal(peridotpath.CodeNoEndpoint, shortRetryAfter)
 }
 
-// take counts the plan against what its endpoints have named, and reports whether they
-// still take it.
-func (exchange *exchange) take(plan *placement.Plan, now time.Time) bool {
+// takeRateLimits counts the plan against its endpoints' rate limits, and reports whether they
+// admit it.
+func (exchange *exchange) takeRateLimits(plan *placement.Plan, now time.Time) bool {
 	if exchange.relay.Throttle.Idle() {
 		return true
 	}
--- a/peridotpath/relay/rate_limit_test.go
+++ b/peridotpath/relay/rate_limit_test.go
@@ -12,29 +12,30 @@
 )
 
 const (
-	// limitSpan is the span over which an endpoint counts what it gets, limitFactor and
-	// limitSlack what it may get beyond what it names.
-	limitSpan               = 4 * time.Second
+	// limitWindow is the window over which received requests are counted; limitFactor and
+	// limitSlack bound them in terms of the announced limit.
+	limitWindow             = 4 * time.Second
 	limitFactor, limitSlack = 1.5, 5
-	// limitTime is the time from a first naming within which all instances keep to it.
-	limitTime = 3 * time.Second
+	// maxLimitDelay is the time after a first announcement by which all instances keep the
+	// limit.
+	maxLimitDelay = 3 * time.Second
 )
 
-// arrivals returns when an endpoint got requests, as times since the beginning.
-func (mortal *mortalEndpoints) arrivals(id peridotpath.EndpointID, began time.Time) []time.Duration {
-	mortal.mutex.Lock()
-	defer mortal.mutex.Unlock()
+// arrivals returns when an endpoint received requests, as times since began.
+func (endpoints *crashingEndpoints) arrivals(id peridotpath.EndpointID, began time.Time) []time.Duration {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
 	var all []time.Duration
-	for _, run := range mortal.runs {
+	for _, run := range endpoints.runs {
 		if run.endpoint == id {
-			all = append(all, run.at.Sub(began))
+			all = append(all, run.startedAt.Sub(began))
 		}
 	}
 	return all
 }
 
-// between counts the times in a span.
-func between(times []time.Duration, from, until time.Duration) int {
+// countBetween counts the times from one time until another.
+func countBetween(times []time.Duration, from, until time.Duration) int {
 	count := 0
 	for _, at := range times {
 		if at >= from && at < until {
@@ -44,19 +45,20 @@
 	return count
 }
 
-// most returns how many there are in the fullest limitSpan.
-func most(times []time.Duration, from, until time.Duration) int {
+// maxInWindow returns the largest number of times within one limitWindow.
+func maxInWindow(times []time.Duration, from, until time.Duration) int {
 	most := 0
 	for _, at := range times {
-		if at >= from && at+limitSpan <= until {
-			most = max(most, between(times, at, at+limitSpan))
+		if at >= from && at+limitWindow <= until {
+			most = max(most, countBetween(times, at, at+limitWindow))
 		}
 	}
 	return most
 }
 
-// Guards against an endpoint in need that gets from all instances together what it gets from each.
-func TestEndpointGetsNoMoreThanItNames(t *testing.T) {
+// Guards against an endpoint that receives its announced limit from each instance instead of
+// from all instances together.
+func TestRateLimitHoldsAcrossInstances(t *testing.T) {
 	const named, lifted, over = 2 * time.Second, 20 * time.Second, 30 * time.Second
 	for _, test := range []struct {
 		instances, endpoints int
@@ -74,38 +76,38 @@
 			virtual.Test(t, func(t *testing.T) {
 				random := rand.New(rand.NewPCG(29, 7))
 				began := time.Now()
-				mortal, endpoints := newMortalEndpoints(test.endpoints, func(string) bool { return false })
+				crashing, endpoints := newCrashingEndpoints(test.endpoints, func(string) bool { return false })
 				limits := map[peridotpath.EndpointID]peridotpath.Rate{endpoints[0].ID: 2.3, endpoints[1].ID: 1, endpoints[2].ID: 0}
-				mortal.limit = func(id peridotpath.EndpointID) *peridotpath.Rate {
+				crashing.limit = func(id peridotpath.EndpointID) *peridotpath.Rate {
 					limit, known := limits[id]
 					if since := time.Since(began); !known || since < named || since > lifted {
 						return nil
 					}
 					return &limit
 				}
-				fleet := newFleet(test.instances, test.lag, func(int) *fixture { return newFixture(mortal.send, test.engine, endpoints...) })
-				load := storm{}.steady(random, test.route, 0, over, test.perSecond, ownBody)
-				outcomes := playStorm(mortal, fleet, random, load)
+				fleet := newFleet(test.instances, test.lag, func(int) *fixture { return newFixture(crashing.send, test.engine, endpoints...) })
+				load := workload{}.withPoisson(random, test.route, 0, over, test.perSecond, uniqueBody)
+				outcomes := runRequests(crashing, fleet, random, load)
 				good, asked := served(load, outcomes, func(string) bool { return true })
 				if good < asked*99/100 {
-					t.Errorf("%d of %d served, want all: others have room", good, asked)
+					t.Errorf("%d of %d served, want all: other endpoints have capacity", good, asked)
 				}
-				usual := between(mortal.arrivals(endpoints[3].ID, began), lifted+5*time.Second, over)
+				usual := countBetween(crashing.arrivals(endpoints[3].ID, began), lifted+5*time.Second, over)
 				for id, limit := range limits {
-					times := mortal.arrivals(id, began)
-					allowed := int(limitFactor*float64(limit)*limitSpan.Seconds()) + limitSlack
-					got, used := most(times, named+limitTime, lifted), between(times, named+limitTime, lifted)
-					after := between(times, lifted+5*time.Second, over)
-					t.Logf("%s names %v: %d in %v, %d in all; after its end %d, others %d", id, limit, got, limitSpan, used, after, usual)
+					times := crashing.arrivals(id, began)
+					allowed := int(limitFactor*float64(limit)*limitWindow.Seconds()) + limitSlack
+					got, used := maxInWindow(times, named+maxLimitDelay, lifted), countBetween(times, named+maxLimitDelay, lifted)
+					after := countBetween(times, lifted+5*time.Second, over)
+					t.Logf("%s with limit %v: %d in %v, %d in total; after the limit's end %d, others %d", id, limit, got, limitWindow, used, after, usual)
 					if got > allowed {
-						t.Errorf("%s names %v: got %d in %v, want %d at most", id, limit, got, limitSpan, allowed)
+						t.Errorf("%s with limit %v: got %d in %v, want %d at most", id, limit, got, limitWindow, allowed)
 					}
 					if test.engine != nil {
-						// Writers are packed: an engine may have none at this load.
+						// Decoding requests are packed: an engine may have none at this load.
 						continue
 					}
-					if least := 0.7 * float64(limit) * (lifted - named - limitTime).Seconds(); float64(used) < least {
-						t.Errorf("%s names %v: got %d, want %.0f at least: it takes as many", id, limit, used, least)
+					if least := 0.7 * float64(limit) * (lifted - named - maxLimitDelay).Seconds(); float64(used) < least {
+						t.Errorf("%s with limit %v: got %d, want %.0f at least: the limit allows as many", id, limit, used, least)
 					}
 					if 2*after < usual {
 						t.Errorf("%s gets %d after its limit's end, want half of the %d that another one gets", id, after, usual)
@@ -116,35 +118,36 @@
 	}
 }
 
-// Guards against callers that wait for endpoints all of which are limited, and are told too late.
-func TestCallersLearnAtOnceThatAllEndpointsAreLimited(t *testing.T) {
+// Guards against requests that are held, instead of refused at once, while all endpoints are
+// at their limits.
+func TestRefusalWhenAllEndpointsAreRateLimited(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		const over = 20 * time.Second
 		random := rand.New(rand.NewPCG(29, 8))
 		began := time.Now()
-		mortal, endpoints := newMortalEndpoints(4, func(string) bool { return false })
+		crashing, endpoints := newCrashingEndpoints(4, func(string) bool { return false })
 		limit := peridotpath.Rate(2)
-		mortal.limit = func(peridotpath.EndpointID) *peridotpath.Rate { return &limit }
-		fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(mortal.send, nil, endpoints...) })
-		load := storm{}.steady(random, "look", 0, over, 40, ownBody)
-		outcomes := playStorm(mortal, fleet, random, load)
+		crashing.limit = func(peridotpath.EndpointID) *peridotpath.Rate { return &limit }
+		fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(crashing.send, nil, endpoints...) })
+		load := workload{}.withPoisson(random, "look", 0, over, 40, uniqueBody)
+		outcomes := runRequests(crashing, fleet, random, load)
 		for _, endpoint := range endpoints {
-			times := mortal.arrivals(endpoint.ID, began)
-			if got := most(times, limitTime, over); got > 17 {
-				t.Errorf("%s names 2: got %d in %v, want 17 at most", endpoint.ID, got, limitSpan)
+			times := crashing.arrivals(endpoint.ID, began)
+			if got := maxInWindow(times, maxLimitDelay, over); got > 17 {
+				t.Errorf("%s with limit 2: got %d in %v, want 17 at most", endpoint.ID, got, limitWindow)
 			}
-			if got := between(times, limitTime, over); got < 24 {
-				t.Errorf("%s names 2: got %d in %v, want 24 at least", endpoint.ID, got, over-limitTime)
+			if got := countBetween(times, maxLimitDelay, over); got < 24 {
+				t.Errorf("%s with limit 2: got %d in %v, want 24 at least", endpoint.ID, got, over-maxLimitDelay)
 			}
 		}
 		refused := 0
 		for i, outcome := range outcomes {
-			if outcome.status == http.StatusOK || load[i].at < limitTime {
+			if outcome.status == http.StatusOK || load[i].at < maxLimitDelay {
 				continue
 			}
 			refused++
 			if !outcome.result.Code.NotRun() || outcome.result.RetryAfter <= 0 || outcome.took > 50*time.Millisecond {
-				t.Errorf("request %d: %v after %v, want a refusal at once with a time to come back", i, outcome.result, outcome.took)
+				t.Errorf("request %d: %v after %v, want an immediate refusal with a retry delay", i, outcome.result, outcome.took)
 			}
 		}
 		t.Logf("%d of %d refused", refused, len(load))
--- a/peridotpath/relay/relay.go
+++ b/peridotpath/relay/relay.go
@@ -24,46 +24,49 @@
 	DataCentre peridotpath.DataCentre
 	Log        zerolog.Logger
 	Routing    *routing.State
-	// Endpoints returns those that requests go to, AllEndpoints also those that take
-	// requests only when none of Endpoints may.
+	// Endpoints returns the preferred endpoints, AllEndpoints also the fallback ones,
+	// which receive requests only when none of Endpoints is eligible.
 	Endpoints, AllEndpoints func() *directory.Snapshot
 	Book                    *placement.Book
 	Budget                  *Budget
 	Send                    Sender
 	Check                   Checker
 	Keeper                  *reservation.Keeper
-	// Quarantine keeps requests off the endpoints that end what runs them.
+	// Quarantine refuses requests that crash the endpoints they run on.
 	Quarantine *quarantine.Quarantine
-	// Doubt, when set, is told of engines at which a first event is overdue.
+	// Doubt, when set, is called with the engines of an attempt whose first event is
+	// overdue.
 	Doubt func(endpoints ...*peridotpath.Endpoint)
-	// Throttle keeps endpoints to what they have named.
+	// Throttle enforces the rate limits that endpoints announce.
 	Throttle *throttle.Throttle
-	// Served bounds the log lines of requests that went well.
+	// Served samples the log lines of successful requests.
 	Served *telemetry.Sampler
-	// Routed is closed once the instance knows its routing, Started once it knows all that
-	// it needs to serve, both once it will not soon; nil for one that does.
+	// Routed is closed once the instance has its routing, Relay.Started once it has all
+	// data that it needs to serve. Both are also closed when the start times out, and
+	// are nil for an instance that has started.
 	Routed, Started <-chan struct{}
-	// Stall is how long an engine's work stands still when an engine that it
-	// depends on is gone; after that it goes on or is cut off by itself.
+	// Stall is how long an engine blocks when an engine that it depends on becomes
+	// unreachable; after that it resumes or aborts the request itself.
 	Stall time.Duration
 
-	inquiries singleflight.Group
+	crashProbes singleflight.Group
 }
 
 const (
 	// staleAfter is the age of the routing from which an unknown route or key may
-	// have been added since: a few readings of the store must have failed.
+	// have been added since. At this age several polls of the store have failed.
 	staleAfter = 1500 * time.Millisecond
-	// defaultPatience bounds a request whose caller and route name no time.
-	defaultPatience = 60 * time.Second
-	// shortReturn is when a caller may come back after a refusal that another
-	// instance or the next moment need not repeat.
-	shortReturn = 300 * time.Millisecond
-	// longReturn is when it may after one that lasts until the store is back.
-	longReturn = time.Second
+	// defaultTimeout bounds a request whose caller and route set no timeout.
+	defaultTimeout = 60 * time.Second
+	// shortRetryAfter is the retry delay for a refusal that depends on this instance
+	// or on a short-lived state.
+	shortRetryAfter = 300 * time.Millisecond
+	// longRetryAfter is the retry delay for a refusal that lasts until the store is
+	// reachable.
+	longRetryAfter = time.Second
 )
 
-// Serve answers the request through caller. It returns when the answer is out.
+// Serve answers the request through caller and returns when the answer is complete.
 func (relay *Relay) Serve(ctx context.Context, request *Request, caller *Caller) {
 	relay.awaitRouting(ctx, request)
 	exchange, refusal := relay.admit(request, caller)
@@ -80,25 +83,26 @@
 	exchange.run(ctx)
 }
 
-// admit checks the request against the routing in force.
+// admit resolves the request's route, service, customer and deadline by the active
+// routing, or returns the result that refuses it.
 func (relay *Relay) admit(request *Request, caller *Caller) (*exchange, *peridotpath.Result) {
 	table := relay.Routing.Current()
 	if table == nil {
-		return nil, &peridotpath.Result{Code: peridotpath.CodeNotReady, RetryAfter: longReturn}
+		return nil, &peridotpath.Result{Code: peridotpath.CodeNotReady, RetryAfter: longRetryAfter}
 	}
 	route := table.Match(request.Host, request.Path)
 	if route == nil {
-		return nil, relay.unknown(peridotpath.CodeNotFound)
+		return nil, relay.unknownRefusal(peridotpath.CodeNotFound)
 	}
 	exchange := &exchange{relay: relay, request: request, caller: caller, route: route, priority: route.Priority}
-	exchange.afterEvent = request.AfterEvent
+	exchange.lastEventID = request.AfterEvent
 	if table.NeedsKey(route) {
 		holder, known := table.Holder(request.Key)
 		if !known {
-			return nil, relay.unknown(peridotpath.CodeUnauthorized)
+			return nil, relay.unknownRefusal(peridotpath.CodeUnauthorized)
 		}
 		if !relay.Routing.KeysUsable() {
-			return nil, &peridotpath.Result{Code: peridotpath.CodePlatformDown, RetryAfter: longReturn}
+			return nil, &peridotpath.Result{Code: peridotpath.CodePlatformDown, RetryAfter: longRetryAfter}
 		}
 		exchange.customer = holder.Customer
 		if holder.HasPriority {
@@ -107,12 +111,12 @@
 	}
 	exchange.service = relay.pickService(route)
 	exchange.spec = table.Service(exchange.service)
-	exchange.deadline = request.Arrived.Add(patience(request, route))
+	exchange.deadline = request.Arrived.Add(requestTimeout(request, route))
 	return exchange, nil
 }
 
-// Limits returns the longest headers and the longest body that the routing in
-// force allows; zero for any.
+// Limits returns the largest headers and the largest body that the active routing
+// allows; zero means unlimited.
 func (relay *Relay) Limits() (header, body peridotpath.Bytes) {
 	if table := relay.Routing.Current(); table != nil {
 		return table.Routing.MaxHeader, table.Routing.MaxBody
@@ -120,19 +124,18 @@
 	return 0, 0
 }
 
-// unknown refuses what the routing does not know. One that may be old does not
-// say that something is not there: it may have been added since.
-func (relay *Relay) unknown(code peridotpath.Code) *peridotpath.Result {
+// unknownRefusal refuses a request whose route or key is not in the routing. A stale
+// routing does not prove that it does not exist: the refusal is then retryable.
+func (relay *Relay) unknownRefusal(code peridotpath.Code) *peridotpath.Result {
 	if relay.Routing.Age() > staleAfter {
-		return &peridotpath.Result{Code: peridotpath.CodeNotReady, RetryAfter: shortReturn}
+		return &peridotpath.Result{Code: peridotpath.CodeNotReady, RetryAfter: shortRetryAfter}
 	}
 	return &peridotpath.Result{Code: code}
 }
 
-// patience is how long the request may take: what its caller says, at most what
-// the route allows.
-func patience(request *Request, route *peridotpath.Route) time.Duration {
-	limit := defaultPatience
+// requestTimeout returns the caller's timeout, at most that of the route.
+func requestTimeout(request *Request, route *peridotpath.Route) time.Duration {
+	limit := defaultTimeout
 	if route.Timeout > 0 {
 		limit = route.Timeout
 	}
@@ -142,8 +145,8 @@
 	return limit
 }
 
-// pickService picks one of the route's services by weight, among those that have
-// an endpoint; any of them where none has.
+// pickService picks one of the route's services at random by weight, among those that
+// have an endpoint; the first one where none has.
 func (relay *Relay) pickService(route *peridotpath.Route) peridotpath.Service {
 	snapshot := relay.Endpoints()
 	total := 0
--- a/peridotpath/relay/relay_test.go
+++ b/peridotpath/relay/relay_test.go
@@ -17,7 +17,7 @@
 	"peridotpath.example/peridotpath/relay"
 )
 
-// script answers the calls one after the other.
+// script answers successive calls by successive steps.
 type script struct {
 	steps []func(ctx context.Context, call *relay.Call) (*relay.Answer, error)
 	calls []relay.Call
@@ -33,10 +33,10 @@
 
 type step = func(ctx context.Context, call *relay.Call) (*relay.Answer, error)
 
-// broken is a body that ends with an error.
-type broken struct{ io.Reader }
+// resetBody is a body that ends with a connection reset.
+type resetBody struct{ io.Reader }
 
-func (body broken) Read(into []byte) (int, error) {
+func (body resetBody) Read(into []byte) (int, error) {
 	count, err := body.Reader.Read(into)
 	if errors.Is(err, io.EOF) {
 		err = errReset
@@ -44,7 +44,7 @@
 	return count, err
 }
 
-func (broken) Close() error { return nil }
+func (resetBody) Close() error { return nil }
 
 func answer(status int, text string, change func(*relay.Answer)) step {
 	return func(context.Context, *relay.Call) (*relay.Answer, error) {
@@ -56,40 +56,40 @@
 	}
 }
 
-func cut(text string) step {
-	return answer(http.StatusOK, "", func(answer *relay.Answer) { answer.Body = broken{strings.NewReader(text)} })
+func cutAnswer(text string) step {
+	return answer(http.StatusOK, "", func(answer *relay.Answer) { answer.Body = resetBody{strings.NewReader(text)} })
 }
 
-func refused() step {
+func refusedCall() step {
 	return answer(http.StatusServiceUnavailable, "", func(answer *relay.Answer) { answer.NotRun = true })
 }
 
-func lost() step {
+func lostAnswer() step {
 	return func(context.Context, *relay.Call) (*relay.Answer, error) { return nil, outbound.ErrLost.Wrap(errReset) }
 }
 
-func unsent() step {
+func unsentCall() step {
 	return func(context.Context, *relay.Call) (*relay.Answer, error) {
 		return nil, outbound.ErrNotSent.Wrap(errReset)
 	}
 }
 
-func hang() step {
+func noAnswer() step {
 	return func(ctx context.Context, _ *relay.Call) (*relay.Answer, error) {
 		<-ctx.Done()
 		return nil, outbound.ErrLost.Wrap(ctx.Err())
 	}
 }
 
-// pieceAt is a part of a body and when it comes.
-type pieceAt struct {
+// timedPart is a part of a body and the time at which it arrives.
+type timedPart struct {
 	at   time.Duration
 	text string
 }
 
-// timed answers with a stream whose parts come at their times, and which ends
-// with the error given after the last, or with the call.
-func timed(end error, pieces ...pieceAt) step {
+// timedStream answers with a stream whose parts arrive at their times. It ends with the given
+// error after the last part, or when the call is cancelled.
+func timedStream(end error, pieces ...timedPart) step {
 	return func(ctx context.Context, _ *relay.Call) (*relay.Answer, error) {
 		reader, writer := io.Pipe()
 		go func() {
@@ -122,28 +122,28 @@
 		broken bool
 	}{
 		{name: "whole answer", route: "save", steps: []step{answer(200, "done", nil)}, status: 200, body: "done", calls: 1},
-		{name: "endpoint's failure is handed on", route: "save", steps: []step{answer(500, "bad", nil)}, status: 500, body: "bad", calls: 1},
-		{name: "refused, then taken", route: "save", steps: []step{refused(), answer(200, "done", nil)}, status: 200, body: "done", calls: 2},
-		{name: "refused everywhere", route: "save", steps: []step{refused(), refused()}, status: 503, calls: 2},
-		{name: "never sent, then taken", route: "save", steps: []step{unsent(), unsent(), answer(200, "done", nil)}, status: 200, body: "done", calls: 3},
-		// A saved correction whose answer was lost may have taken effect.
-		{name: "answer lost, not to be repeated", route: "save", steps: []step{lost()}, status: 502, calls: 1},
-		{name: "answer cut, not to be repeated", route: "save", steps: []step{cut("do")}, status: 502, calls: 1},
-		{name: "answer lost, repeated", route: "look", steps: []step{lost(), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
-		{name: "answer cut, repeated", route: "look", steps: []step{cut("fou"), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
+		{name: "endpoint's error is forwarded", route: "save", steps: []step{answer(500, "bad", nil)}, status: 500, body: "bad", calls: 1},
+		{name: "refused, then taken", route: "save", steps: []step{refusedCall(), answer(200, "done", nil)}, status: 200, body: "done", calls: 2},
+		{name: "refused everywhere", route: "save", steps: []step{refusedCall(), refusedCall()}, status: 503, calls: 2},
+		{name: "never sent, then taken", route: "save", steps: []step{unsentCall(), unsentCall(), answer(200, "done", nil)}, status: 200, body: "done", calls: 3},
+		// A write whose answer was lost may have been applied.
+		{name: "answer lost, not to be repeated", route: "save", steps: []step{lostAnswer()}, status: 502, calls: 1},
+		{name: "answer cut, not to be repeated", route: "save", steps: []step{cutAnswer("do")}, status: 502, calls: 1},
+		{name: "answer lost, repeated", route: "look", steps: []step{lostAnswer(), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
+		{name: "answer cut, repeated", route: "look", steps: []step{cutAnswer("fou"), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
 		{name: "failed, repeated", route: "look", steps: []step{answer(500, "bad", nil), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
 		{name: "failed twice", route: "look", steps: []step{answer(500, "bad", nil), answer(500, "worse", nil)}, status: 500, body: "worse", calls: 2},
-		// An answer to another request arrives where this one's is expected.
-		{name: "foreign answer", route: "save", steps: []step{answer(200, "other", func(answer *relay.Answer) { answer.Genuine = false })}, status: 502, calls: 1},
-		{name: "foreign answer, repeated", route: "look", steps: []step{answer(200, "other", func(answer *relay.Answer) { answer.Genuine = false }), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
-		// Another endpoint has the address now; it ran nothing.
-		{name: "elsewhere", route: "save", steps: []step{answer(421, "", func(answer *relay.Answer) { answer.Elsewhere, answer.NotRun = true, true }), answer(200, "done", nil)}, status: 200, body: "done", calls: 2},
+		// The answer belongs to another request.
+		{name: "answer to another request", route: "save", steps: []step{answer(200, "other", func(answer *relay.Answer) { answer.Genuine = false })}, status: 502, calls: 1},
+		{name: "answer to another request, repeated", route: "look", steps: []step{answer(200, "other", func(answer *relay.Answer) { answer.Genuine = false }), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
+		// The address belongs to another endpoint now, which did not run the request.
+		{name: "misdirected", route: "save", steps: []step{answer(421, "", func(answer *relay.Answer) { answer.Elsewhere, answer.NotRun = true, true }), answer(200, "done", nil)}, status: 200, body: "done", calls: 2},
 		{name: "stream", route: "short", steps: []step{answer(200, events12+events34, nil)}, status: 200, body: events12 + events34, calls: 1},
-		// The endpoint dies within an event: that event is dropped, and the stream
-		// goes on at another endpoint after the last whole one.
-		{name: "stream goes on elsewhere", route: "short", steps: []step{cut(events12 + "id: 3\nda"), answer(200, events34, nil)}, status: 200, body: events12 + events34, calls: 2},
-		{name: "stream cut twice", route: "short", steps: []step{cut(events12), cut("")}, status: 200, body: events12, calls: 2, broken: true},
-		// The connection ends in good order, but within an event.
+		// The endpoint crashes within an event: the partial event is dropped, and the
+		// stream resumes at another endpoint after the last whole one.
+		{name: "stream resumes at another endpoint", route: "short", steps: []step{cutAnswer(events12 + "id: 3\nda"), answer(200, events34, nil)}, status: 200, body: events12 + events34, calls: 2},
+		{name: "stream cut twice", route: "short", steps: []step{cutAnswer(events12), cutAnswer("")}, status: 200, body: events12, calls: 2, broken: true},
+		// The connection is closed regularly, but within an event.
 		{name: "stream ends within an event", route: "short", steps: []step{answer(200, events12+"id: 3\nda", nil), answer(200, events34, nil)}, status: 200, body: events12 + events34, calls: 2},
 		{name: "empty stream is no answer", route: "short", steps: []step{answer(200, "", nil), answer(200, events12, nil)}, status: 200, body: events12, calls: 2},
 	}
@@ -156,37 +156,37 @@
 				rates = nil
 			}
 			fixture := newFixture(script.send, rates, testEndpoint(1), testEndpoint(2), testEndpoint(3), testEndpoint(4))
-			outcome := fixture.ask(t.Context(), test.route, nil)
+			outcome := fixture.send(t.Context(), test.route, nil)
 			is.Equal(outcome.status, test.status)
 			is.Equal(outcome.body, test.body)
 			is.Equal(len(script.calls), test.calls)
 			is.Equal(outcome.broken, test.broken)
-			is.Equal(len(fixture.book.Own()), 0) // nothing is left under way
+			is.Equal(len(fixture.book.Own()), 0) // nothing is left in flight
 			if test.status == http.StatusServiceUnavailable {
 				is.True(outcome.result.RetryAfter > 0)
 			}
 			for i := 1; i < len(script.calls); i++ {
-				is.True(script.calls[i].Endpoint.ID != script.calls[i-1].Endpoint.ID) // each time another endpoint
+				is.True(script.calls[i].Endpoint.ID != script.calls[i-1].Endpoint.ID) // another endpoint for each attempt
 			}
 		})
 	}
 }
 
-func TestStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
+func TestStreamResumesAfterLastWholeEvent(t *testing.T) {
 	is := is.New(t)
-	script := &script{steps: []step{cut(events12 + "id: 3\ndata: c\n"), answer(200, events34, nil)}}
+	script := &script{steps: []step{cutAnswer(events12 + "id: 3\ndata: c\n"), answer(200, events34, nil)}}
 	fixture := newFixture(script.send, &testRates, testEndpoint(1), testEndpoint(2))
-	outcome := fixture.ask(t.Context(), "short", nil)
+	outcome := fixture.send(t.Context(), "short", nil)
 	is.Equal(script.calls[1].AfterEvent, "2")
 	is.True(outcome.ended)
 }
 
-// A caller comes back after a broken connection with the last id that it has.
+// A caller reconnects after a connection failure with the id of the last event it received.
 func TestCallerResumes(t *testing.T) {
 	is := is.New(t)
 	script := &script{steps: []step{answer(200, events34, nil)}}
 	fixture := newFixture(script.send, &testRates, testEndpoint(1))
-	fixture.ask(t.Context(), "short", func(request *relay.Request) { request.AfterEvent = "2" })
+	fixture.send(t.Context(), "short", func(request *relay.Request) { request.AfterEvent = "2" })
 	is.Equal(script.calls[0].AfterEvent, "2")
 }
 
@@ -200,13 +200,13 @@
 		{"unknown route", "none", nil, peridotpath.CodeNotFound},
 		{"unknown key", "save", func(_ *fixture, request *relay.Request) { request.Key = "other" }, peridotpath.CodeUnauthorized},
 		{"no key", "save", func(_ *fixture, request *relay.Request) { request.Key = "" }, peridotpath.CodeUnauthorized},
-		// The route may have been added since the routing was last known to be the newest.
+		// The route may have been added since the routing was last confirmed.
 		{"unknown route, routing old", "none", func(fixture *fixture, _ *relay.Request) { fixture.clock += 2 * time.Second }, peridotpath.CodeNotReady},
 		{"unknown key, routing old", "save", func(fixture *fixture, request *relay.Request) {
 			fixture.clock += 2 * time.Second
 			request.Key = "other"
 		}, peridotpath.CodeNotReady},
-		// The key may have been taken away meanwhile.
+		// The key may have been revoked since.
 		{"key, routing too old", "save", func(fixture *fixture, _ *relay.Request) { fixture.clock += 2 * time.Hour }, peridotpath.CodePlatformDown},
 		{"no endpoint", "save", func(fixture *fixture, _ *relay.Request) {
 			fixture.directory.Apply(nil, fixture.routing.Now())
@@ -217,7 +217,7 @@
 			is := is.New(t)
 			script := &script{}
 			fixture := newFixture(script.send, nil, testEndpoint(1))
-			outcome := fixture.ask(t.Context(), test.route, func(request *relay.Request) {
+			outcome := fixture.send(t.Context(), test.route, func(request *relay.Request) {
 				if test.change != nil {
 					test.change(fixture, request)
 				}
@@ -229,14 +229,13 @@
 	}
 }
 
-// A lookup ran at the one endpoint there is, and its answer was lost. There is no
-// other to ask; the caller must not be told that it has not run, though no second
-// attempt was made.
-func TestNoOtherEndpointAfterALostAnswer(t *testing.T) {
+// An idempotent request may have run at the only endpoint, and its answer was lost. Without
+// an endpoint for a retry, the result must not claim that the request has not run.
+func TestNoEndpointForRetryAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
-	script := &script{steps: []step{lost()}}
+	script := &script{steps: []step{lostAnswer()}}
 	fixture := newFixture(script.send, nil, testEndpoint(1))
-	outcome := fixture.ask(t.Context(), "look", nil)
+	outcome := fixture.send(t.Context(), "look", nil)
 	is.Equal(len(script.calls), 1)
 	is.Equal(outcome.status, http.StatusBadGateway)
 	is.True(!outcome.result.Code.NotRun())
@@ -247,93 +246,93 @@
 	script := &script{steps: []step{answer(200, "page", nil)}}
 	fixture := newFixture(script.send, nil, testEndpoint(1))
 	fixture.clock += 2 * time.Hour
-	outcome := fixture.ask(t.Context(), "open", func(request *relay.Request) { request.Key = "" })
+	outcome := fixture.send(t.Context(), "open", func(request *relay.Request) { request.Key = "" })
 	is.Equal(outcome.status, http.StatusOK)
 	is.Equal(script.calls[0].Customer, peridotpath.CustomerID(""))
 }
 
-// An instance is frozen between the check of a key and the sending, for longer
-// than a key may be used unconfirmed. Nothing may be sent on that check.
-func TestFrozenBeforeSending(t *testing.T) {
+// The process is paused between the key check and the sending, for longer than the key
+// lifetime. The request must not be sent on the outdated check.
+func TestKeyExpiresBeforeSending(t *testing.T) {
 	is := is.New(t)
-	script := &script{steps: []step{unsent(), answer(200, "done", nil)}}
+	script := &script{steps: []step{unsentCall(), answer(200, "done", nil)}}
 	fixture := newFixture(script.send, nil, testEndpoint(1), testEndpoint(2))
 	first := script.steps[0]
 	script.steps[0] = func(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
 		fixture.clock += 2 * time.Hour
 		return first(ctx, call)
 	}
-	outcome := fixture.ask(t.Context(), "save", nil)
+	outcome := fixture.send(t.Context(), "save", nil)
 	is.Equal(len(script.calls), 1)
 	is.Equal(outcome.status, http.StatusServiceUnavailable)
 }
 
-// An endpoint never answers. The caller gets an answer when its time is up, and
-// the endpoint's work is cancelled then.
+// An endpoint never answers. At the deadline the caller receives a result, and the call to
+// the endpoint is cancelled.
 func TestDeadline(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		script := &script{steps: []step{hang()}}
+		script := &script{steps: []step{noAnswer()}}
 		fixture := newFixture(script.send, nil, testEndpoint(1))
 		began := time.Now()
-		outcome := fixture.ask(t.Context(), "save", func(request *relay.Request) { request.Patience = 1500 * time.Millisecond })
+		outcome := fixture.send(t.Context(), "save", func(request *relay.Request) { request.Patience = 1500 * time.Millisecond })
 		is.Equal(time.Since(began), 1500*time.Millisecond)
 		is.Equal(outcome.status, http.StatusGatewayTimeout)
 		is.Equal(script.calls[0].Left, 1500*time.Millisecond)
 	})
 }
 
-// The caller leaves: the endpoint's work is cancelled and nothing is sent again.
-func TestCallerLeaves(t *testing.T) {
+// The caller disconnects: the call to the endpoint is cancelled and not retried.
+func TestCallerDisconnects(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		script := &script{steps: []step{hang()}}
+		script := &script{steps: []step{noAnswer()}}
 		fixture := newFixture(script.send, nil, testEndpoint(1), testEndpoint(2))
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(time.Second, leave)
-		outcome := fixture.ask(ctx, "look", nil)
+		outcome := fixture.send(ctx, "look", nil)
 		is.Equal(outcome.result.Code, peridotpath.CodeCallerGone)
 		is.Equal(len(script.calls), 1)
 	})
 }
 
-// An engine that others share prompts with is gone: everything at those engines
-// stands still for a second and a half, then goes on. Given up after 1.4 s, the
-// streams of a whole fleet were read again elsewhere at the same moment.
-func TestStandstillIsWaitedOut(t *testing.T) {
+// An engine that shares prompts with others becomes unreachable, and all requests at those
+// engines stall for a second and a half. A timeout of 1.4 s would cancel these streams and
+// prefill all of them again on other engines at the same moment.
+func TestShortStallIsTolerated(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		script := &script{steps: []step{timed(io.EOF, pieceAt{0, events12}, pieceAt{1550 * time.Millisecond, events34})}}
+		script := &script{steps: []step{timedStream(io.EOF, timedPart{0, events12}, timedPart{1550 * time.Millisecond, events34})}}
 		fixture := newFixture(script.send, &testRates, testEndpoint(1), testEndpoint(2))
-		outcome := fixture.ask(t.Context(), "short", nil)
+		outcome := fixture.send(t.Context(), "short", nil)
 		is.Equal(len(script.calls), 1)
 		is.True(outcome.ended)
 	})
 }
 
-// A stream is silent for longer than that: it goes on at another endpoint before
-// the caller gives up, which it does after two seconds.
-func TestSilentStreamGoesOnElsewhere(t *testing.T) {
+// A stream that stalls for longer resumes at another endpoint before the client timeout of
+// two seconds.
+func TestStalledStreamFailsOver(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		silent := timed(io.EOF, pieceAt{0, events12}, pieceAt{time.Hour, ""})
+		silent := timedStream(io.EOF, timedPart{0, events12}, timedPart{time.Hour, ""})
 		script := &script{steps: []step{silent, answer(200, events34, nil)}}
 		fixture := newFixture(script.send, &testRates, testEndpoint(1), testEndpoint(2))
-		outcome := fixture.ask(t.Context(), "short", nil)
+		outcome := fixture.send(t.Context(), "short", nil)
 		is.Equal(outcome.body, events12+events34)
 		is.True(outcome.maxPause < 2*time.Second)
 	})
 }
 
-// A stream that has run for half of its time breaks. There is no time to write
-// the whole answer anew, but only the rest is left: it must not be broken off.
-func TestStreamBreaksLate(t *testing.T) {
+// A stream fails after half of its time. The remaining time is too short for the whole
+// answer but not for its rest, so the stream must be resumed and not aborted.
+func TestStreamResumesNearDeadline(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		late := timed(errReset, pieceAt{0, events12}, pieceAt{1200 * time.Millisecond, events34}, pieceAt{1960 * time.Millisecond, ""})
+		late := timedStream(errReset, timedPart{0, events12}, timedPart{1200 * time.Millisecond, events34}, timedPart{1960 * time.Millisecond, ""})
 		script := &script{steps: []step{late, answer(200, "id: 5\ndata: e\n\n", nil)}}
 		fixture := newFixture(script.send, &testRates, testEndpoint(1), testEndpoint(2))
-		outcome := fixture.ask(t.Context(), "short", func(request *relay.Request) {
+		outcome := fixture.send(t.Context(), "short", func(request *relay.Request) {
 			request.Patience, request.Answer = 2*time.Second, 40*46
 		})
 		is.True(outcome.ended)
@@ -341,9 +340,8 @@
 	})
 }
 
-// Half of the endpoints fail all that they are sent. Requests sent again stay
-// within the share that all instances together may use.
-func TestBudget(t *testing.T) {
+// Guards against more retries than an instance's share of the fleet's budget.
+func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	budget := &relay.Budget{Ratio: 0.2, Slack: 40, Window: 10 * time.Second, Instances: func() int { return 4 }}
@@ -358,29 +356,29 @@
 	}
 	is.Equal(spent, 25) // 0.2 of 100, and half of this instance's quarter of 40
 	is.True(!budget.Spend("llm", now.Add(9*time.Second)))
-	is.True(budget.Spend("llm", now.Add(11*time.Second))) // the slack is there again
+	is.True(budget.Spend("llm", now.Add(11*time.Second))) // the slack is available again
 }
 
-// Endpoints refuse whatever is sent; callers get the refusal and a time to come
-// back, not a flood of attempts.
-func TestBudgetIsKeptUnderRefusals(t *testing.T) {
+// All endpoints refuse all requests. Callers receive refusals with a retry delay, and the
+// attempts stay within the retry budget.
+func TestRetryBudgetUnderRefusals(t *testing.T) {
 	is := is.New(t)
 	calls := 0
 	send := func(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
 		calls++
-		return refused()(ctx, call)
+		return refusedCall()(ctx, call)
 	}
 	fixture := newFixture(send, nil, testEndpoint(1), testEndpoint(2), testEndpoint(3))
 	for range 400 {
-		outcome := fixture.ask(t.Context(), "save", nil)
+		outcome := fixture.send(t.Context(), "save", nil)
 		is.Equal(outcome.status, http.StatusServiceUnavailable)
 		is.True(outcome.result.RetryAfter > 0)
 	}
 	is.True(calls <= 400+400/5+50)
 }
 
-// The operators' rank goes before the length class's own: an airline that paid
-// for urgency is admitted before a desk's lookups.
+// A customer's configured rank shifts the engine priority that follows from the route's TTFT
+// target.
 func TestEnginePriority(t *testing.T) {
 	tests := []struct {
 		route string
@@ -394,7 +392,7 @@
 		routing.Version++
 		routing.Keys["key"] = peridotpath.KeyHolder{Customer: "desk", Priority: test.rank, HasPriority: true}
 		fixture.routing.Apply(routing, fixture.routing.Now())
-		fixture.ask(t.Context(), test.route, nil)
+		fixture.send(t.Context(), test.route, nil)
 		if have := script.calls[0].Priority; have != test.want {
 			t.Errorf("%s of rank %d: have %d, want %d", test.route, test.rank, have, test.want)
 		}
--- a/peridotpath/relay/request.go
+++ b/peridotpath/relay/request.go
@@ -1,7 +1,11 @@
-// Package relay takes a request to an endpoint and its answer back: it checks
-// the request against the routing in force, has it placed, sends it, and sends it
-// elsewhere where that is allowed. It speaks no protocol of its own: Send and
-// Caller are what an adapter fills in.
+// Package relay is the reverse proxy core: it authorises a request by the active
+// routing, places it on endpoints, forwards it and relays the answer. A failed attempt
+// is retried on another endpoint where the route allows that, within a retry budget
+// that keeps the outage of some endpoints from overloading the others; a resumable
+// stream continues after the last event that the caller has. Long prompts wait in a
+// prefill queue that is ordered across all instances, so that bursts of them do not
+// block the short ones. The package is independent of protocols: adapters implement
+// Sender, Checker and Caller.
 package relay
 
 import (
@@ -13,31 +17,32 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Request is one request of a caller, whole.
+// Request is one request of a caller, with its whole body.
 type Request struct {
 	ID peridotpath.RequestID
-	// Method, Target and Body go to the endpoint as they came. Target is the path
-	// with its query.
+	// Method, Target and Body are forwarded unchanged. Target is the path with its
+	// query.
 	Method, Target string
-	// Authority is the host as the caller wrote it.
+	// Authority is the host as received from the caller.
 	Authority string
 	Host      peridotpath.Host
 	// Path selects the route.
 	Path string
-	// Header is what goes to the endpoint as it came.
+	// Header is forwarded to the endpoint unchanged.
 	Header http.Header
 	Body   []byte
-	// Key is the API key; empty where there was none.
+	// Key is the API key; empty if the request has none.
 	Key peridotpath.APIKey
-	// Prompt and Answer are the tokens that the caller says its prompt has and
-	// its answer may have; zero for what is no prompt.
+	// Prompt is the length of the prompt and Request.Answer the maximum length of the
+	// answer, as declared by the caller; zero for a request without a prompt.
 	Prompt, Answer peridotpath.Tokens
-	// AnswerHint is how long the caller thinks its answer will be; zero if unsaid.
+	// AnswerHint is the answer length that the caller expects; zero if not declared.
 	AnswerHint peridotpath.Tokens
-	// AfterEvent is the id of the last event that the caller has of this stream.
+	// AfterEvent is the id of the last event of this stream that the caller has
+	// received.
 	AfterEvent string
 	Arrived    time.Time
-	// Patience is how long the caller waits; zero if it did not say.
+	// Patience is the caller's timeout; zero if not declared.
 	Patience time.Duration
 }
 
@@ -47,60 +52,62 @@
 	Endpoint *peridotpath.Endpoint
 	Helpers  []Helper
 	Customer peridotpath.CustomerID
-	// Left is how long the endpoint may work on it.
+	// Left is the time that remains until the request's deadline.
 	Left time.Duration
-	// Priority is the engine's, from 0, the most urgent, to 9.
+	// Priority is the engine's scheduling priority, from 0, the most urgent, to 9.
 	Priority int
-	// AfterEvent is the id of the last event that the caller has.
+	// AfterEvent is the id of the last event that the caller has received.
 	AfterEvent string
 }
 
-// Helper is an engine that reads a part of a prompt.
+// Helper is an engine that prefills a part of a prompt.
 type Helper struct {
 	Endpoint *peridotpath.Endpoint
-	// Ticket names memory that was reserved there; empty for none.
+	// Ticket is the id of the KV cache reservation at the engine; empty for none.
 	Ticket string
 }
 
-// Answer is an endpoint's answer, whose body is still to be read.
+// Answer is an endpoint's answer, whose body is not read yet.
 type Answer struct {
 	Status int
-	// Header goes to the caller as it came.
+	// Header is forwarded to the caller unchanged.
 	Header http.Header
 	Body   io.ReadCloser
-	// NotRun says that the endpoint promises not to have run the request.
+	// NotRun reports that the endpoint guarantees not to have run the request.
 	NotRun bool
-	// Elsewhere says that another endpoint has the address now.
+	// Elsewhere reports that the address belongs to another endpoint now.
 	Elsewhere bool
-	// Genuine says that it is the endpoint's own answer to this very request.
+	// Genuine reports that the expected endpoint gave the answer, and to this request.
 	Genuine bool
-	// Fault names the address of a helper that was to blame for a refusal.
+	// Fault is the id or address of the helper that caused a refusal; empty for none.
 	Fault string
-	// Limit is how much the endpoint takes from all instances together, as long as it
-	// says so; nil where it named nothing that can be read, NoLimit where it named nothing.
+	// Limit is the rate that the endpoint accepts from all instances together; it
+	// applies for as long as answers carry it. Limit is nil where the answer carries
+	// none or an invalid one; Answer.NoLimit reports that it carries none.
 	Limit   *peridotpath.Rate
 	NoLimit bool
-	// RetryAfter is when the endpoint would take the request; zero if unsaid.
+	// RetryAfter is the delay after which the endpoint would accept the request; zero
+	// if not declared.
 	RetryAfter time.Duration
 }
 
-// Caller takes the answer. One of Refuse, Answer and Begin is called first, once.
+// Caller receives the answer. One of Refuse, Answer and Begin is called first, once.
 type Caller struct {
-	// Refuse ends the request with a result of ours.
+	// Refuse ends the request with a result of this instance.
 	Refuse func(peridotpath.Result)
-	// Answer ends the request with an endpoint's whole answer.
+	// Answer ends the request with an endpoint's complete answer.
 	Answer func(status int, header http.Header, body []byte)
 	// Begin starts a stream, Event sends one whole event, and End ends it.
 	Begin func(status int, header http.Header)
 	Event func(raw []byte) error
 	End   func()
-	// Break ends a stream that has begun so that it does not look complete.
+	// Break aborts a stream that has begun, so that it does not look complete.
 	Break func()
 }
 
 // Sender sends a call. Its error is of class outbound.ErrNotSent or ErrLost.
 type Sender func(ctx context.Context, call *Call) (*Answer, error)
 
-// Checker asks an endpoint for any answer. It returns nil if the endpoint is there, and
-// an error of class ErrGone where something else answers or nobody listens.
+// Checker probes an endpoint. It returns nil if the endpoint answers, and an error of
+// class ErrGone if another endpoint answers or the connection is refused.
 type Checker func(ctx context.Context, endpoint *peridotpath.Endpoint) error
--- a/peridotpath/relay/start.go
+++ b/peridotpath/relay/start.go
@@ -6,60 +6,59 @@
 )
 
 const (
-	// startHold bounds the hold of a request by an instance that has just started, and
-	// startShare is the part of its time that it may be held: there must be enough left
-	// to serve it, or to come back.
-	startHold  = 1500 * time.Millisecond
-	startShare = 0.4
+	// maxStartHold bounds how long a starting instance holds a request, and maxStartHoldShare
+	// the share of the caller's timeout for it: the rest is for the answer or a retry.
+	maxStartHold      = 1500 * time.Millisecond
+	maxStartHoldShare = 0.4
 )
 
-// awaitRouting holds a request of an instance that is about to know its routing.
+// awaitRouting holds a request while a starting instance loads its routing.
 //
-// The load that this is made for is the second after a loss of all instances: every
-// caller whose request was cut comes back at once, and mostly once only. Refused since
-// the routing was still being read, most of them were never served, though it was there
-// half a second later.
+// It matters in the second after an outage of all instances: every caller whose request
+// was cut retries at once, and mostly only once. A refusal at that moment loses most of
+// these requests, though the routing is loaded half a second later.
 func (relay *Relay) awaitRouting(ctx context.Context, request *Request) {
-	hold(ctx, relay.Routed, startLimit(request))
+	awaitClosed(ctx, relay.Routed, startHoldLimit(request))
 }
 
-// awaitEndpoints holds a request whose route is known at an instance that is about to know
-// its endpoints, for no longer than the answer's aim.
+// awaitEndpoints holds a request while a starting instance loads its endpoints, for at
+// most the route's TTFT target.
 //
-// The load that this is made for is the start of an instance that hears its peers and not
-// the store: it has their routing at once, and no endpoints. Short requests stood for a
-// second and were refused, late for their callers to go elsewhere.
+// It matters for an instance that starts while it reaches its peers but not the store:
+// it receives the routing from its peers at once, but no endpoints. Without the bound,
+// short requests are held for a second and then refused, too late for a retry at another
+// instance.
 func (exchange *exchange) awaitEndpoints(ctx context.Context) {
-	limit := startLimit(exchange.request)
-	if aim := exchange.route.AnswerAim; aim > 0 {
-		limit = min(limit, aim)
+	limit := startHoldLimit(exchange.request)
+	if target := exchange.route.AnswerAim; target > 0 {
+		limit = min(limit, target)
 	}
-	hold(ctx, exchange.relay.Started, limit-time.Since(exchange.request.Arrived))
+	awaitClosed(ctx, exchange.relay.Started, limit-time.Since(exchange.request.Arrived))
 }
 
-// startLimit is how long a request may be held by a start.
-func startLimit(request *Request) time.Duration {
+// startHoldLimit returns how long a starting instance may hold the request.
+func startHoldLimit(request *Request) time.Duration {
 	if request.Patience > 0 {
-		return min(startHold, time.Duration(startShare*float64(request.Patience)))
+		return min(maxStartHold, time.Duration(maxStartHoldShare*float64(request.Patience)))
 	}
-	return startHold
+	return maxStartHold
 }
 
-// hold waits until what is awaited has come, for the span at most. Nothing is awaited of
-// a nil channel.
-func hold(ctx context.Context, awaited <-chan struct{}, span time.Duration) {
-	if awaited == nil || span <= 0 {
+// awaitClosed waits until the channel is closed, for at most the timeout. It returns at
+// once for a nil channel.
+func awaitClosed(ctx context.Context, ready <-chan struct{}, timeout time.Duration) {
+	if ready == nil || timeout <= 0 {
 		return
 	}
 	select {
-	case <-awaited:
+	case <-ready:
 		return
 	default:
 	}
-	timer := time.NewTimer(span)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-awaited:
+	case <-ready:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
--- a/peridotpath/relay/start_test.go
+++ b/peridotpath/relay/start_test.go
@@ -15,10 +15,10 @@
 	"peridotpath.example/peridotpath/routing"
 )
 
-// All instances lost their power and start again; their callers come back at once, and
-// only once. They were refused since the routing was still being read, and never
-// served. They are held while it is about to come, and refused where it does not.
-func TestRequestsOfAStart(t *testing.T) {
+// All instances restart after a power failure, and callers retry at once and only once. A
+// refusal while the routing is loaded loses these requests: they are held until it is
+// loaded, and refused if it is not loaded in time.
+func TestRequestDuringStart(t *testing.T) {
 	const never = 24 * time.Hour
 	tests := map[string]struct {
 		known    time.Duration
@@ -27,10 +27,10 @@
 		status   int
 		took     time.Duration
 	}{
-		"the routing comes":             {known: 400 * time.Millisecond, over: 400 * time.Millisecond, patience: 10 * time.Second, status: http.StatusOK, took: 400 * time.Millisecond},
-		"the store is away":             {known: never, over: 50 * time.Millisecond, patience: 10 * time.Second, status: http.StatusServiceUnavailable, took: 50 * time.Millisecond},
-		"it takes too long":             {known: never, over: time.Hour, patience: 10 * time.Second, status: http.StatusServiceUnavailable, took: 1500 * time.Millisecond},
-		"its caller has to ask another": {known: never, over: time.Hour, patience: time.Second, status: http.StatusServiceUnavailable, took: 400 * time.Millisecond},
+		"the routing is loaded":          {known: 400 * time.Millisecond, over: 400 * time.Millisecond, patience: 10 * time.Second, status: http.StatusOK, took: 400 * time.Millisecond},
+		"the store is unreachable":       {known: never, over: 50 * time.Millisecond, patience: 10 * time.Second, status: http.StatusServiceUnavailable, took: 50 * time.Millisecond},
+		"loading takes too long":         {known: never, over: time.Hour, patience: 10 * time.Second, status: http.StatusServiceUnavailable, took: 1500 * time.Millisecond},
+		"the caller needs time to retry": {known: never, over: time.Hour, patience: time.Second, status: http.StatusServiceUnavailable, took: 400 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 				})
 				defer over.Stop()
 				began := time.Now()
-				outcome := fixture.ask(t.Context(), "look", func(request *relay.Request) { request.Patience = test.patience })
+				outcome := fixture.send(t.Context(), "look", func(request *relay.Request) { request.Patience = test.patience })
 				is.Equal(outcome.status, test.status)
 				is.Equal(time.Since(began), test.took)
 				if test.status != http.StatusOK {
@@ -61,8 +61,9 @@
 	}
 }
 
-// bar notes three endpoints that ended under the request, some time ago.
-func (fixture *fixture) bar(target string) {
+// quarantineRequest quarantines a request by recording three endpoints that crashed while
+// they ran it.
+func (fixture *fixture) quarantineRequest(target string) {
 	content := peridotpath.FingerprintOf("desk", "host", http.MethodPost, target, nil)
 	for endpoint := range peridotpath.EndpointKey(3) {
 		fixture.relay.Quarantine.Ended(content, endpoint+1, time.Now())
@@ -70,10 +71,10 @@
 	}
 }
 
-// An instance starts and hears its peers' routing, but nobody tells it the endpoints. A short
-// request is refused while its caller can still be served in time elsewhere; one that is
-// barred waits for nothing.
-func TestRequestWhileEndpointsAreUnknown(t *testing.T) {
+// An instance starts and receives the routing from its peers, but no endpoints. A short
+// request is refused while its caller still has time for a retry at another instance, and a
+// quarantined one at once.
+func TestRequestBeforeEndpointsAreLoaded(t *testing.T) {
 	tests := map[string]struct {
 		route  string
 		comes  time.Duration
@@ -81,10 +82,10 @@
 		want   peridotpath.Code
 		took   time.Duration
 	}{
-		"short, in vain":    {route: "look", comes: time.Hour, want: peridotpath.CodeNoEndpoint, took: 300 * time.Millisecond},
-		"short, in time":    {route: "look", comes: 200 * time.Millisecond, took: 200 * time.Millisecond},
-		"with a longer aim": {route: "long", comes: time.Hour, want: peridotpath.CodeNoEndpoint, took: 1500 * time.Millisecond},
-		"barred":            {route: "look", comes: time.Hour, barred: true, want: peridotpath.CodeQuarantined},
+		"short, not loaded":  {route: "look", comes: time.Hour, want: peridotpath.CodeNoEndpoint, took: 300 * time.Millisecond},
+		"short, loaded":      {route: "look", comes: 200 * time.Millisecond, took: 200 * time.Millisecond},
+		"with longer target": {route: "long", comes: time.Hour, want: peridotpath.CodeNoEndpoint, took: 1500 * time.Millisecond},
+		"quarantined":        {route: "look", comes: time.Hour, barred: true, want: peridotpath.CodeQuarantined},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -107,10 +108,10 @@
 				over := time.AfterFunc(test.comes, func() { close(started) })
 				defer over.Stop()
 				if test.barred {
-					fixture.bar("/" + test.route + "/x")
+					fixture.quarantineRequest("/" + test.route + "/x")
 				}
 				began := time.Now()
-				outcome := fixture.ask(t.Context(), test.route, nil)
+				outcome := fixture.send(t.Context(), test.route, nil)
 				is.Equal(outcome.result.Code, test.want)
 				is.Equal(time.Since(began), test.took)
 			})
