--- /dev/null
+++ b/peridotpath/relay/crash.go
@@ -0,0 +1,36 @@
+package relay
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"github.com/zeebo/errs"
+
+	"peridotpath.example/peridotpath"
+)
+
+// ErrGone is the class of errors that prove an endpoint's end: its address refuses
+// connections, or belongs to another endpoint now.
+var ErrGone = errs.Class("endpoint gone")
+
+// crashProbeTimeout bounds the probe of an endpoint that broke a connection. A machine
+// whose process has ended refuses the connection at once, and a running endpoint
+// answers probes while it works.
+const crashProbeTimeout = 200 * time.Millisecond
+
+// hasCrashed probes an endpoint whose connection failed and reports whether its process
+// has ended. A reset on the network, a lost answer and an error of the endpoint look the
+// same as a crash at first; only after a crash does its address refuse connections.
+// Concurrent calls for one endpoint share a probe.
+func (relay *Relay) hasCrashed(ctx context.Context, endpoint *peridotpath.Endpoint) bool {
+	key := endpoint.Key()
+	crashed, _, _ := relay.crashProbes.Do(strconv.FormatUint(uint64(key), 36), func() (any, error) {
+		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
+		defer stop()
+		err := relay.Check(ctx, endpoint)
+		relay.Log.Info().Str("endpoint", string(endpoint.ID)).Bool("gone", ErrGone.Has(err)).AnErr("answer", err).Msg("broken_off")
+		return ErrGone.Has(err), nil
+	})
+	return crashed.(bool)
+}
--- /dev/null
+++ b/peridotpath/relay/crashing_endpoints_test.go
@@ -0,0 +1,156 @@
+package relay_test
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"syscall"
+	"time"
+
+	"peridotpath.example/peridotpath"
+	"peridotpath.example/peridotpath/outbound"
+	"peridotpath.example/peridotpath/relay"
+)
+
+const (
+	// crashAfter is the time from the start of a fatal request to the endpoint's crash.
+	crashAfter = 100 * time.Millisecond
+	// restartTime is the time from a crash to the restart.
+	restartTime = 3 * time.Second
+	// answerEvents is the number of events of an answer, and eventInterval the time
+	// between two.
+	answerEvents  = 10
+	eventInterval = 80 * time.Millisecond
+)
+
+// crashingEndpoints are endpoints that crash on some bodies, or when the test ends them.
+type crashingEndpoints struct {
+	// crashes reports whether a body crashes endpoints.
+	crashes func(body string) bool
+	// limit, when set, returns the rate limit that an endpoint announces; nil for none.
+	limit func(id peridotpath.EndpointID) *peridotpath.Rate
+
+	mutex      sync.Mutex
+	processes  map[peridotpath.EndpointID]*endpointProcess
+	runs       []requestRun
+	crashCount int
+}
+
+// requestRun is a request that an endpoint started to run.
+type requestRun struct {
+	body      string
+	endpoint  peridotpath.EndpointID
+	startedAt time.Time
+	// crashedAt is when the request crashed the endpoint; zero if it did not.
+	crashedAt time.Time
+}
+
+// endpointProcess is the process of an endpoint, from a start to a crash.
+type endpointProcess struct {
+	crashed chan struct{}
+	down    bool
+}
+
+func newCrashingEndpoints(count int, crashes func(body string) bool) (*crashingEndpoints, []peridotpath.Endpoint) {
+	crashing := &crashingEndpoints{crashes: crashes, processes: map[peridotpath.EndpointID]*endpointProcess{}}
+	var endpoints []peridotpath.Endpoint
+	for i := range count {
+		endpoint := testEndpoint(i)
+		endpoints = append(endpoints, endpoint)
+		crashing.processes[endpoint.ID] = &endpointProcess{crashed: make(chan struct{})}
+	}
+	return crashing, endpoints
+}
+
+// crash crashes an endpoint, which restarts after restartTime.
+func (endpoints *crashingEndpoints) crash(id peridotpath.EndpointID) {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	process := endpoints.processes[id]
+	if process.down {
+		return
+	}
+	process.down = true
+	endpoints.crashCount++
+	close(process.crashed)
+	time.AfterFunc(restartTime, func() {
+		endpoints.mutex.Lock()
+		defer endpoints.mutex.Unlock()
+		process.down, process.crashed = false, make(chan struct{})
+	})
+}
+
+func (endpoints *crashingEndpoints) send(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	process, body := endpoints.processes[call.Endpoint.ID], string(call.Request.Body)
+	if process.down {
+		return nil, outbound.ErrNotSent.Wrap(syscall.ECONNREFUSED)
+	}
+	endpoints.runs = append(endpoints.runs, requestRun{body: body, endpoint: call.Endpoint.ID, startedAt: time.Now()})
+	if endpoints.crashes(body) {
+		run := len(endpoints.runs) - 1
+		time.AfterFunc(crashAfter, func() {
+			endpoints.mutex.Lock()
+			endpoints.runs[run].crashedAt = time.Now()
+			endpoints.mutex.Unlock()
+			endpoints.crash(call.Endpoint.ID)
+		})
+	}
+	stream := &crashingStream{ctx: ctx, crashed: process.crashed, next: time.Now().Add(eventInterval)}
+	if endpoints.crashes(body) {
+		stream.next = time.Now().Add(time.Hour)
+	}
+	answer := &relay.Answer{Status: http.StatusOK, Header: http.Header{}, Genuine: true, Body: stream, NoLimit: true}
+	if endpoints.limit != nil {
+		answer.Limit = endpoints.limit(call.Endpoint.ID)
+		answer.NoLimit = answer.Limit == nil
+	}
+	return answer, nil
+}
+
+// check probes an endpoint; the address of a crashed one refuses connections.
+func (endpoints *crashingEndpoints) check(_ context.Context, endpoint *peridotpath.Endpoint) error {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	if endpoints.processes[endpoint.ID].down {
+		return relay.ErrGone.Wrap(syscall.ECONNREFUSED)
+	}
+	return nil
+}
+
+// crashingStream is an answer body that fails when its endpoint crashes.
+type crashingStream struct {
+	ctx     context.Context
+	crashed <-chan struct{}
+	next    time.Time
+	sent    int
+	rest    strings.Reader
+}
+
+func (stream *crashingStream) Read(into []byte) (int, error) {
+	if stream.rest.Len() > 0 {
+		return stream.rest.Read(into)
+	}
+	if stream.sent == answerEvents {
+		return 0, io.EOF
+	}
+	timer := time.NewTimer(time.Until(stream.next))
+	defer timer.Stop()
+	select {
+	case <-stream.ctx.Done():
+		return 0, stream.ctx.Err()
+	case <-stream.crashed:
+		return 0, io.ErrUnexpectedEOF
+	case <-timer.C:
+	}
+	stream.next = stream.next.Add(eventInterval)
+	stream.sent++
+	stream.rest = *strings.NewReader(fmt.Sprintf("id: %d\ndata: x\n\n", stream.sent))
+	return stream.rest.Read(into)
+}
+
+func (*crashingStream) Close() error { return nil }
--- /dev/null
+++ b/peridotpath/relay/event_reader.go
@@ -0,0 +1,72 @@
+package relay
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+
+	"github.com/zeebo/errs"
+)
+
+// Error is the class of this package's errors.
+var Error = errs.Class("relay")
+
+const (
+	// eventBufferBytes is the size of a stream's read buffer, which holds several ordinary
+	// events.
+	eventBufferBytes = 4 << 10
+	// maxEventBytes bounds the memory of an event that an endpoint never terminates.
+	maxEventBytes = 1 << 20
+)
+
+// eventReader reads server-sent events whole and unchanged, so that they can be forwarded.
+type eventReader struct {
+	buffered *bufio.Reader
+	event    []byte
+}
+
+func newEventReader(stream io.Reader) *eventReader {
+	return &eventReader{buffered: bufio.NewReaderSize(stream, eventBufferBytes)}
+}
+
+// next returns the next event, including its terminating empty line, and its id. It
+// returns io.EOF at the end, and io.ErrUnexpectedEOF if the stream ends within an event.
+// The returned slice is valid until the next call.
+func (reader *eventReader) next() (raw []byte, id string, err error) {
+	reader.event = reader.event[:0]
+	for {
+		start := len(reader.event)
+		if err := reader.readLine(); err != nil {
+			if errors.Is(err, io.EOF) && len(reader.event) > 0 {
+				return nil, "", io.ErrUnexpectedEOF
+			}
+			return nil, "", err
+		}
+		line := bytes.TrimRight(reader.event[start:], "\r\n")
+		if len(line) == 0 {
+			if start == 0 {
+				reader.event = reader.event[:0]
+				continue
+			}
+			return reader.event, id, nil
+		}
+		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
+			id = string(bytes.TrimSpace(value))
+		}
+	}
+}
+
+// readLine appends one line, including its terminator, to the event.
+func (reader *eventReader) readLine() error {
+	for {
+		part, err := reader.buffered.ReadSlice('\n')
+		reader.event = append(reader.event, part...)
+		if len(reader.event) > maxEventBytes {
+			return Error.New("event larger than %d bytes", maxEventBytes)
+		}
+		if !errors.Is(err, bufio.ErrBufferFull) {
+			return err
+		}
+	}
+}
--- /dev/null
+++ b/peridotpath/relay/fatal_test.go
@@ -0,0 +1,221 @@
+package relay_test
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"testing"
+	"time"
+
+	"peridotpath.example/peridotpath"
+	"peridotpath.example/peridotpath/facts"
+	"peridotpath.example/peridotpath/internal/virtual"
+	"peridotpath.example/peridotpath/relay"
+)
+
+const (
+	// fatalBody is a body that no endpoint survives.
+	fatalBody = "fatal"
+	// maxQuarantineDelay is the time after the third crash by which all instances must have
+	// quarantined a request, and maxLateRuns how often it may run after that.
+	maxQuarantineDelay = 3 * time.Second
+	maxLateRuns        = 3
+)
+
+// workload is a workload of requests with their bodies.
+type workload []timedRequest
+
+type timedRequest struct {
+	at    time.Duration
+	route string
+	body  string
+}
+
+// withPoisson adds the arrivals of a Poisson process, with bodies by request number.
+func (workload workload) withPoisson(random *rand.Rand, route string, from, until time.Duration, perSecond float64, body func(i int) string) workload {
+	for i, arrival := range poisson(random, from, until, perSecond, func(at time.Duration) arrival { return arrival{at: at} }) {
+		workload = append(workload, timedRequest{at: arrival.at, route: route, body: body(i)})
+	}
+	return workload
+}
+
+func uniqueBody(i int) string { return fmt.Sprintf("body %d", i) }
+
+func sameBody(body string) func(int) string { return func(int) string { return body } }
+
+// runRequests sends a workload to random instances and returns each caller's outcome.
+func runRequests(crashing *crashingEndpoints, fleet *fleet, random *rand.Rand, load workload) []*outcome {
+	for _, one := range fleet.relays {
+		one.relay.Check = crashing.check
+	}
+	outcomes := make([]*outcome, len(load))
+	began := time.Now()
+	var all sync.WaitGroup
+	for i, ask := range load {
+		one := fleet.relays[random.IntN(len(fleet.relays))]
+		all.Go(func() {
+			time.Sleep(ask.at - time.Since(began))
+			outcomes[i] = one.send(context.Background(), ask.route, func(request *relay.Request) {
+				request.ID, request.Body = peridotpath.RequestID(fmt.Sprint("r", i)), []byte(ask.body)
+				request.Prompt, request.Answer = 2000, 400
+			})
+		})
+	}
+	all.Wait()
+	return outcomes
+}
+
+// lateRuns returns how many runs of a body started later than maxQuarantineDelay after its third
+// crash, and how many endpoints it crashed.
+func (endpoints *crashingEndpoints) lateRuns(body string) (late, ended int) {
+	endpoints.mutex.Lock()
+	defer endpoints.mutex.Unlock()
+	var third time.Time
+	for _, run := range endpoints.runs {
+		if run.body != body || run.crashedAt.IsZero() {
+			continue
+		}
+		if ended++; ended == 3 {
+			third = run.crashedAt
+		}
+	}
+	for _, run := range endpoints.runs {
+		if run.body == body && !third.IsZero() && run.startedAt.After(third.Add(maxQuarantineDelay)) {
+			late++
+		}
+	}
+	return late, ended
+}
+
+func served(load workload, outcomes []*outcome, body func(string) bool) (good, asked int) {
+	for i, outcome := range outcomes {
+		if !body(load[i].body) {
+			continue
+		}
+		asked++
+		if outcome.status == http.StatusOK && !outcome.broken {
+			good++
+		}
+	}
+	return good, asked
+}
+
+// Guards against a request that crashes every endpoint on which it is retried.
+func TestFatalRequestIsQuarantined(t *testing.T) {
+	for _, test := range []struct {
+		route  string
+		engine *peridotpath.EngineRates
+	}{
+		{"short", &testRates}, {"look", nil}, {"save", nil},
+	} {
+		t.Run(test.route, func(t *testing.T) {
+			virtual.Test(t, func(t *testing.T) {
+				random := rand.New(rand.NewPCG(29, 1))
+				crashing, endpoints := newCrashingEndpoints(12, func(body string) bool { return body == fatalBody })
+				fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(crashing.send, test.engine, endpoints...) })
+				load := workload{}.withPoisson(random, test.route, 0, 20*time.Second, 40, uniqueBody)
+				load = load.withPoisson(random, test.route, 2*time.Second, 18*time.Second, 6, sameBody(fatalBody))
+				outcomes := runRequests(crashing, fleet, random, load)
+				late, ended := crashing.lateRuns(fatalBody)
+				good, asked := served(load, outcomes, func(body string) bool { return body != fatalBody })
+				t.Logf("%d endpoints crashed, %d late runs; %d of %d other requests served", ended, late, good, asked)
+				if late > maxLateRuns {
+					t.Errorf("runs later than %v after the third crash: %d, want %d at most", maxQuarantineDelay, late, maxLateRuns)
+				}
+				time.Sleep(restartTime)
+			})
+		})
+	}
+}
+
+// Guards against a quarantine that other instances do not learn of because digests are lost
+// or an instance is partitioned.
+func TestFatalRequestIsQuarantinedDespiteLostDigests(t *testing.T) {
+	for seed := range uint64(5) {
+		virtual.Test(t, func(t *testing.T) {
+			random, chance := rand.New(rand.NewPCG(29, seed)), rand.New(rand.NewPCG(30, seed))
+			ctx, cancel := context.WithCancel(t.Context())
+			began := time.Now()
+			crashing, endpoints := newCrashingEndpoints(12, func(body string) bool { return body == fatalBody })
+			fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(crashing.send, nil, endpoints...) })
+			fleet.lost = func(from, to int) bool {
+				// The first instance is partitioned shortly after the request's first arrival.
+				cut := (from == 0 || to == 0) && time.Since(began) > 2200*time.Millisecond && time.Since(began) < 4*time.Second
+				return cut || chance.IntN(3) == 0
+			}
+			go fleet.sendPeriodically(ctx, 250*time.Millisecond)
+			load := workload{}.withPoisson(random, "look", 0, 20*time.Second, 40, uniqueBody)
+			load = load.withPoisson(random, "look", 2*time.Second, 18*time.Second, 6, sameBody(fatalBody))
+			outcomes := runRequests(crashing, fleet, random, load)
+			late, ended := crashing.lateRuns(fatalBody)
+			good, asked := served(load, outcomes, func(body string) bool { return body != fatalBody })
+			t.Logf("seed %d: %d endpoints crashed, %d late runs; %d of %d other requests served", seed, ended, late, good, asked)
+			if late > maxLateRuns {
+				t.Errorf("seed %d: runs later than %v after the third crash: %d, want %d at most", seed, maxQuarantineDelay, late, maxLateRuns)
+			}
+			cancel()
+			time.Sleep(restartTime)
+		})
+	}
+}
+
+// Guards against a quarantine of content that many callers send while endpoints crash for
+// other reasons.
+func TestPopularContentIsNotQuarantined(t *testing.T) {
+	for _, test := range []struct {
+		route     string
+		engine    *peridotpath.EngineRates
+		perSecond float64
+	}{
+		{"look", nil, 60}, {"look", nil, 2}, {"short", &testRates, 60}, {"short", &testRates, 2}, {"save", nil, 4},
+	} {
+		for seed := range uint64(3) {
+			virtual.Test(t, func(t *testing.T) {
+				random := rand.New(rand.NewPCG(29, seed))
+				crashing, endpoints := newCrashingEndpoints(24, func(string) bool { return false })
+				fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(crashing.send, test.engine, endpoints...) })
+				load := workload{}.withPoisson(random, test.route, 0, 20*time.Second, test.perSecond, sameBody("popular"))
+				for at := time.Second; at < 19*time.Second; at += 500 * time.Millisecond {
+					id := endpoints[random.IntN(len(endpoints))].ID
+					time.AfterFunc(at, func() { crashing.crash(id) })
+				}
+				outcomes := runRequests(crashing, fleet, random, load)
+				good, asked := served(load, outcomes, func(string) bool { return true })
+				refused := 0
+				for _, outcome := range outcomes {
+					if outcome.result.Code != peridotpath.CodeOK && outcome.result.Code.NotRun() {
+						refused++
+					}
+				}
+				t.Logf("%s, %v a second, seed %d: %d of %d served, %d refused", test.route, test.perSecond, seed, good, asked, refused)
+				if refused > 0 {
+					t.Errorf("%s, %v a second, seed %d: refused %d of %d, want none", test.route, test.perSecond, seed, refused, asked)
+				}
+				time.Sleep(restartTime)
+			})
+		}
+	}
+}
+
+// Guards against a suspected request that waits for a trial before each of its attempts.
+func TestSuspectedRequestWaitsForOneTrial(t *testing.T) {
+	virtual.Test(t, func(t *testing.T) {
+		script := &script{steps: []step{unsentCall(), unsentCall()}}
+		fixture := newFixture(script.send, nil, testEndpoint(0), testEndpoint(1))
+		content := facts.Subject(peridotpath.FingerprintOf("desk", "host", http.MethodPost, "/look/x", []byte("body")))
+		for endpoint := range uint64(2) {
+			fixture.facts.Observe(facts.Fact{Kind: facts.KindCrashed, Subject: content, Detail: endpoint, ObservedAt: time.Now()})
+		}
+		time.Sleep(200 * time.Millisecond)
+		fixture.facts.Observe(facts.Fact{Kind: facts.KindTrial, Subject: content, Value: 1, ObservedAt: time.Now()})
+		outcome := fixture.send(t.Context(), "look", func(request *relay.Request) { request.Body = []byte("body") })
+		if len(script.calls) != 2 || !outcome.result.Code.NotRun() {
+			t.Errorf("%d calls, %v; want both endpoints tried and none to have run it", len(script.calls), outcome.result)
+		}
+		if most := 500 * time.Millisecond; outcome.took > most {
+			t.Errorf("refused after %v, want %v at most", outcome.took, most)
+		}
+	})
+}
--- /dev/null
+++ b/peridotpath/relay/prefill_queue.go
@@ -0,0 +1,115 @@
+package relay
+
+import (
+	"context"
+	"time"
+
+	"peridotpath.example/peridotpath"
+	"peridotpath.example/peridotpath/clock"
+	"peridotpath.example/peridotpath/placement"
+	"peridotpath.example/peridotpath/telemetry"
+)
+
+// Long prompts wait in a prefill queue at the instances instead of at the engines. All
+// instances derive the same queue order from the entries that they exchange.
+//
+// The queue serves bursts of long prompts, such as a dozen within two seconds, each of
+// which takes one engine seconds to prefill. Sent at once, they are prefilled
+// concurrently on all engines and delay each other's parts: all of them, and the short
+// prompts beside them, miss their latency targets. Dispatched one after another, each
+// prefill is split across all engines with few decoding requests and takes a fraction
+// of a second.
+const (
+	// maxUnqueuedPrefill is the prefill time on one engine above which a prompt is queued. A
+	// shorter prefill fits between the events of decoding requests.
+	maxUnqueuedPrefill = 150 * time.Millisecond
+	// minQueuedTTFT is the smallest TTFT target of a request that is queued. A request
+	// with a shorter target misses it after any wait, and its client timeout expires
+	// before the queue of long prompts is prefilled, so that it would never be sent.
+	minQueuedTTFT = 4 * maxUnqueuedPrefill
+	// queuePollInterval is the interval at which a queued prompt polls its queue position, and
+	// queuePollPerPeer what each peer adds: the cost of a poll grows with the in-flight
+	// requests of all instances.
+	queuePollInterval = 10 * time.Millisecond
+	queuePollPerPeer  = 200 * time.Microsecond
+	// delayPerRank is how much later a prompt is queued for each rank of lower priority:
+	// one rank outweighs an arrival that is up to a second earlier.
+	delayPerRank = time.Second
+	// dispatchLead is how long before the engines are free the next prompt is
+	// dispatched, so that they are not idle while it is on its way.
+	dispatchLead = 120 * time.Millisecond
+	// The interference cost that a prompt may impose on others is bounded by a share
+	// of its own value. The share is initialCostShare on arrival and grows by costShareGrowth
+	// until the TTFT target: nearly equal losses of others are acceptable before the
+	// prompt loses all of its value. After the target most of the value is lost, and
+	// the share is lateCostShare.
+	initialCostShare, costShareGrowth, lateCostShare = 0.1, 0.8, 0.2
+	// maxLateQueueShare is the share of its total time after which a prompt that misses its
+	// target is refused: its caller then has time for a retry.
+	maxLateQueueShare = 0.4
+	// maxPrefillShare is the largest share of the engines' time that long prompts use:
+	// some engines decode other requests, and parts of a split prefill do not end at
+	// the same time.
+	maxPrefillShare = 0.6
+)
+
+// awaitDispatch queues the request until it is first in the prefill queue and the engines
+// have capacity for it, then places it.
+func (exchange *exchange) awaitDispatch(ctx context.Context, model placement.Model, prefillTime time.Duration) *peridotpath.Result {
+	tracker := exchange.relay.Book
+	pollInterval := queuePollInterval + time.Duration(tracker.LivePeerCount(time.Now()))*queuePollPerPeer
+	queuedAt := exchange.request.Arrived.Add(time.Duration(exchange.priority) * delayPerRank)
+	entry := tracker.Join(placement.NewQueuedPrompt(queuedAt, prefillTime))
+	defer tracker.Dequeue(entry)
+	for {
+		if result := exchange.checkQuarantine(); result != nil {
+			return result
+		}
+		now := time.Now()
+		candidates := exchange.candidates(now)
+		if len(candidates) == 0 {
+			return exchange.noEndpointRefusal()
+		}
+		ahead, prefillAhead := tracker.QueuedAhead(entry, exchange.relay.Instance, now)
+		work := exchange.placementWork(now)
+		capacity := maxPrefillShare * float64(len(candidates))
+		untilPrefilled := time.Duration(float64(prefillAhead+prefillTime) / capacity)
+		if untilLastStart := work.FirstEventTimeout(); untilPrefilled > untilLastStart {
+			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortRetryAfter, untilPrefilled-untilLastStart))
+		}
+		missesTarget := work.Waited+untilPrefilled > work.TTFTTarget
+		if missesTarget && work.Waited > time.Duration(maxLateQueueShare*float64(work.Waited+work.TimeLeft)) {
+			return exchange.refusal(peridotpath.CodeQueueTimeout, max(shortRetryAfter, untilPrefilled))
+		}
+		blocked := false
+		if ahead == 0 {
+			plan, found := placement.PlanPrompt(model, work, candidates, tracker.Snapshot(now))
+			if found && isWorthDispatching(plan, work) && exchange.beginInFlight(plan, now) {
+				telemetry.TurnWait(work.Waited)
+				return nil
+			}
+			// The head of the queue waits for KV cache, or for engines with less
+			// interference cost: later prompts need not wait for that (head-of-line
+			// blocking).
+			blocked = !found || plan.PrefillDelay <= dispatchLead
+		}
+		tracker.UpdateQueued(entry, missesTarget, blocked)
+		if !clock.Pause(ctx, pollInterval) {
+			return exchange.contextResult(ctx)
+		}
+	}
+}
+
+// isWorthDispatching reports whether to dispatch by this plan instead of waiting for a cheaper
+// one.
+func isWorthDispatching(plan placement.Plan, work placement.Work) bool {
+	if plan.PrefillDelay > dispatchLead {
+		return false
+	}
+	allowed := lateCostShare
+	if timeToFirstEvent := work.Waited + plan.TimeToFirstEvent; timeToFirstEvent <= work.TTFTTarget {
+		elapsedShare := float64(timeToFirstEvent) / float64(work.TTFTTarget)
+		allowed = initialCostShare + costShareGrowth*elapsedShare*elapsedShare
+	}
+	return plan.InterferenceCost <= allowed*placement.PromptValue(work.PromptTokens)
+}
--- /dev/null
+++ b/peridotpath/relay/rate_limit.go
@@ -0,0 +1,59 @@
+package relay
+
+import (
+	"time"
+
+	"peridotpath.example/peridotpath"
+	"peridotpath.example/peridotpath/placement"
+)
+
+// recordRateLimit records the rate limit that the attempt's endpoint announces.
+func (exchange *exchange) recordRateLimit(answer *Answer) {
+	primary, now := exchange.plan.Writer, time.Now()
+	switch {
+	case answer.Elsewhere || !answer.NotRun && !answer.Genuine:
+		// Another endpoint gave the answer.
+	case answer.Limit != nil:
+		exchange.relay.Throttle.RecordLimit(primary, *answer.Limit, now)
+	case answer.NoLimit:
+		exchange.relay.Throttle.RecordNoLimit(primary, exchange.sentAt, now)
+	}
+}
+
+// rateLimitFilter returns a function that reports whether an endpoint's rate limit admits a
+// request now. The function records the shortest wait of those that do not.
+func (exchange *exchange) rateLimitFilter(now time.Time) func(peridotpath.EndpointKey) bool {
+	throttle := exchange.relay.Throttle
+	if throttle.HasNoLimits() {
+		return func(peridotpath.EndpointKey) bool { return true }
+	}
+	contenders := exchange.relay.Book.Snapshot(now).UnreportedRequests()
+	return func(key peridotpath.EndpointKey) bool {
+		wait := throttle.TimeUntilAllowed(key, contenders, now)
+		if wait > 0 && (exchange.rateLimitWait == 0 || wait < exchange.rateLimitWait) {
+			exchange.rateLimitWait = wait
+		}
+		return wait == 0
+	}
+}
+
+// noEndpointRefusal returns the refusal of a request that no endpoint is eligible for.
+func (exchange *exchange) noEndpointRefusal() *peridotpath.Result {
+	if exchange.rateLimitWait > 0 {
+		return exchange.refusal(peridotpath.CodeLimited, max(shortRetryAfter, exchange.rateLimitWait))
+	}
+	return exchange.refusal(peridotpath.CodeNoEndpoint, shortRetryAfter)
+}
+
+// takeRateLimits counts the plan against its endpoints' rate limits, and reports whether they
+// admit it.
+func (exchange *exchange) takeRateLimits(plan *placement.Plan, now time.Time) bool {
+	if exchange.relay.Throttle.HasNoLimits() {
+		return true
+	}
+	keys := []peridotpath.EndpointKey{plan.Writer.Key()}
+	for _, helper := range plan.Helpers {
+		keys = append(keys, helper.Key())
+	}
+	return exchange.relay.Throttle.TakeTokens(keys, now)
+}
