--- a/peridotpath/clock/poll_schedule.go
+++ b/peridotpath/clock/poll_schedule.go
@@ -6,28 +6,28 @@
 	"time"
 )
 
-// Pace schedules the polls of data that several instances poll and share with each other:
+// PollSchedule schedules the polls of data that several instances poll and share with each other:
 // an instance polls only when its data is older than the interval, so that all instances
 // together poll hardly more often than one. Set the exported fields before use.
-type Pace struct {
-	// Least is the age of the data from which one of the instances polls, and Pace.Spread
+type PollSchedule struct {
+	// MinAge is the age of the data from which one of the instances polls, and Pace.MaxDelay
 	// the largest additional delay of an instance.
-	Least, Spread time.Duration
-	// Retry is the delay after a failed poll.
-	Retry time.Duration
-	// Others returns the number of other instances that poll; nil for none.
-	Others func() int
-	// Gap is the minimum time between two polls, regardless of the age and of wakes.
-	Gap time.Duration
-	// Before returns how many nearby instances poll before this one; nil for a random
-	// order. Pace.Known reports whether valid data was read yet; nil means that it was.
-	// Pace.Before is required if Pace.Known is set.
-	Before func() int
-	Known  func() bool
+	MinAge, MaxDelay time.Duration
+	// RetryDelay is the delay after a failed poll.
+	RetryDelay time.Duration
+	// PeerCount returns the number of other instances that poll; nil for none.
+	PeerCount func() int
+	// MinInterval is the minimum time between two polls, regardless of the age and of wakes.
+	MinInterval time.Duration
+	// PrecedingPeers returns how many nearby instances poll before this one; nil for a random
+	// order. Pace.HasData reports whether valid data was read yet; nil means that it was.
+	// Pace.PrecedingPeers is required if Pace.HasData is set.
+	PrecedingPeers func() int
+	HasData        func() bool
 
 	woken    Signal
 	lastPoll time.Time
-	// wokenEarly reports that a wake ended the last Pace.Wait.
+	// wokenEarly reports that a wake ended the last PollSchedule.WaitUntilDue.
 	wokenEarly bool
 	// emptyDelay is the delay after a poll that returned no data.
 	emptyDelay time.Duration
@@ -50,11 +50,11 @@
 // instances that start at once would saturate the store's link with the same reply for each
 // of them, which delays all of them by a second. With staggered polls, the first
 // instance of each location reads the data and shares it, which ends the others' delays.
-func (schedule *Pace) firstPollDelay() time.Duration {
-	if schedule.Known == nil || schedule.Known() {
+func (schedule *PollSchedule) firstPollDelay() time.Duration {
+	if schedule.HasData == nil || schedule.HasData() {
 		return 0
 	}
-	return time.Duration(schedule.Before()) * firstPollTime
+	return time.Duration(schedule.PrecedingPeers()) * firstPollTime
 }
 
 // fullDelayRank is the number of preceding instances from which a poll has the full delay.
@@ -63,18 +63,18 @@
 // pollDelay returns the additional delay of this instance's polls. If an order is known, the
 // delay follows it: with random delays, a dozen of a hundred instances fetch the same change
 // while the first of them is still reading it.
-func (schedule *Pace) pollDelay() time.Duration {
-	step := float64(schedule.Spread)
+func (schedule *PollSchedule) pollDelay() time.Duration {
+	step := float64(schedule.MaxDelay)
 	preceding := 0
-	if schedule.Before != nil {
+	if schedule.PrecedingPeers != nil {
 		step /= fullDelayRank
-		preceding = schedule.Before()
+		preceding = schedule.PrecedingPeers()
 	}
-	return min(time.Duration((float64(preceding)+rand.Float64())*step), schedule.Spread)
+	return min(time.Duration((float64(preceding)+rand.Float64())*step), schedule.MaxDelay)
 }
 
-// Found records whether a poll returned data.
-func (schedule *Pace) Found(found bool) {
+// RecordPoll records whether a poll returned data.
+func (schedule *PollSchedule) RecordPoll(found bool) {
 	if found {
 		schedule.emptyDelay = 0
 		return
@@ -86,33 +86,33 @@
 // peer resets.
 const ageCheckInterval = 100 * time.Millisecond
 
-// Wake ends the current Pace.Wait, or the next one. It does not block.
-func (schedule *Pace) Wake() { schedule.woken.Raise() }
+// Wake ends the current PollSchedule.WaitUntilDue, or the next one. It does not block.
+func (schedule *PollSchedule) Wake() { schedule.woken.Raise() }
 
-// Early reports whether a wake ended the last Pace.Wait.
-func (schedule *Pace) Early() bool { return schedule.wokenEarly }
+// WokenEarly reports whether a wake ended the last PollSchedule.WaitUntilDue.
+func (schedule *PollSchedule) WokenEarly() bool { return schedule.wokenEarly }
 
-// Due reports whether data of that age is due for a poll by at least one instance.
-func (schedule *Pace) Due(age time.Duration) bool { return age >= schedule.Least }
+// IsDue reports whether data of that age is due for a poll by at least one instance.
+func (schedule *PollSchedule) IsDue(age time.Duration) bool { return age >= schedule.MinAge }
 
 // retryPerInstance is the average time between two polls of all instances together while polls
 // fail. Without it, many instances would poll an unreachable service hundreds of times a
 // second and overload it when it recovers.
 const retryPerInstance = 60 * time.Millisecond
 
-// Rest waits after a failed poll and returns false if ctx ends first. A wake ends it: the
+// WaitAfterFailure waits after a failed poll and returns false if ctx ends first. A wake ends it: the
 // service may be unreachable only from here while a peer has newer data.
-func (schedule *Pace) Rest(ctx context.Context) bool {
-	delay := schedule.Retry
-	if schedule.Others != nil {
-		delay = max(delay, time.Duration(schedule.Others())*retryPerInstance)
+func (schedule *PollSchedule) WaitAfterFailure(ctx context.Context) bool {
+	delay := schedule.RetryDelay
+	if schedule.PeerCount != nil {
+		delay = max(delay, time.Duration(schedule.PeerCount())*retryPerInstance)
 	}
 	return schedule.sleepJittered(ctx, delay)
 }
 
 // sleepJittered waits for the duration, with jitter of up to half of it so that instances do not
-// poll in step, and returns false if ctx ends first. A wake ends it, and the next Pace.Wait.
-func (schedule *Pace) sleepJittered(ctx context.Context, delay time.Duration) bool {
+// poll in step, and returns false if ctx ends first. A wake ends it, and the next PollSchedule.WaitUntilDue.
+func (schedule *PollSchedule) sleepJittered(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(delay)))
 	defer timer.Stop()
 	select {
@@ -126,11 +126,11 @@
 	}
 }
 
-// Wait waits until the data is old enough for a poll and returns false if ctx ends first.
-func (schedule *Pace) Wait(ctx context.Context, age func() time.Duration) bool {
+// WaitUntilDue waits until the data is old enough for a poll and returns false if ctx ends first.
+func (schedule *PollSchedule) WaitUntilDue(ctx context.Context, age func() time.Duration) bool {
 	// The age stays high until there is data. Without the gap, all instances that start
 	// together would poll as fast as they receive replies.
-	if !Pause(ctx, schedule.Gap-time.Since(schedule.lastPoll)) {
+	if !Sleep(ctx, schedule.MinInterval-time.Since(schedule.lastPoll)) {
 		return false
 	}
 	schedule.wokenEarly = false
@@ -138,7 +138,7 @@
 		return false
 	}
 	defer func() { schedule.lastPoll = time.Now() }()
-	limit := schedule.Least + schedule.pollDelay()
+	limit := schedule.MinAge + schedule.pollDelay()
 	for {
 		left := limit - age()
 		if left <= 0 {
--- a/peridotpath/clock/poll_schedule_test.go
+++ b/peridotpath/clock/poll_schedule_test.go
@@ -23,9 +23,9 @@
 		began := time.Now()
 		ended := make(chan struct{}, 8)
 		for range 8 {
-			schedule := &clock.Pace{Least: 500 * time.Millisecond, Spread: 400 * time.Millisecond, Gap: 60 * time.Millisecond}
+			schedule := &clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 			go func() {
-				for schedule.Wait(ctx, func() time.Duration { return time.Since(began) - time.Duration(last.Load()) }) {
+				for schedule.WaitUntilDue(ctx, func() time.Duration { return time.Since(began) - time.Duration(last.Load()) }) {
 					polls.Add(1)
 					last.Store(int64(time.Since(began)))
 				}
@@ -48,8 +48,8 @@
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		schedule, polls := &clock.Pace{Least: time.Second, Gap: 50 * time.Millisecond}, 0
-		for schedule.Wait(ctx, func() time.Duration { return time.Hour }) {
+		schedule, polls := &clock.PollSchedule{MinAge: time.Second, MinInterval: 50 * time.Millisecond}, 0
+		for schedule.WaitUntilDue(ctx, func() time.Duration { return time.Hour }) {
 			schedule.Wake()
 			polls++
 		}
@@ -65,10 +65,10 @@
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
-		schedule, polls := &clock.Pace{Least: time.Second, Gap: 60 * time.Millisecond}, 0
-		for schedule.Wait(ctx, func() time.Duration { return time.Hour }) {
+		schedule, polls := &clock.PollSchedule{MinAge: time.Second, MinInterval: 60 * time.Millisecond}, 0
+		for schedule.WaitUntilDue(ctx, func() time.Duration { return time.Hour }) {
 			polls++
-			schedule.Found(false)
+			schedule.RecordPoll(false)
 		}
 		t.Logf("%d polls in 10 s", polls)
 		is.True(polls <= 32) // one in a third of a second; the gap allows five times that
@@ -77,14 +77,14 @@
 		ctx, cancel = context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		began := time.Now()
-		schedule.Found(false)
+		schedule.RecordPoll(false)
 		time.AfterFunc(100*time.Millisecond, schedule.Wake)
-		is.True(schedule.Wait(ctx, func() time.Duration { return time.Hour }))
+		is.True(schedule.WaitUntilDue(ctx, func() time.Duration { return time.Hour }))
 		is.True(time.Since(began) < 200*time.Millisecond) // a peer has data
 
-		schedule.Found(true)
+		schedule.RecordPoll(true)
 		began = time.Now()
-		is.True(schedule.Wait(ctx, func() time.Duration { return time.Hour }))
+		is.True(schedule.WaitUntilDue(ctx, func() time.Duration { return time.Hour }))
 		is.True(time.Since(began) < 200*time.Millisecond) // the delay is reset
 	})
 }
@@ -95,13 +95,13 @@
 func TestWakeEndsRetryDelay(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		schedule := &clock.Pace{Least: time.Second, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond, Others: func() int { return 75 }}
+		schedule := &clock.PollSchedule{MinAge: time.Second, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond, PeerCount: func() int { return 75 }}
 		began := time.Now()
 		time.AfterFunc(300*time.Millisecond, schedule.Wake)
-		is.True(schedule.Rest(t.Context()))
-		is.True(schedule.Wait(t.Context(), func() time.Duration { return 0 }))
+		is.True(schedule.WaitAfterFailure(t.Context()))
+		is.True(schedule.WaitUntilDue(t.Context(), func() time.Duration { return 0 }))
 		is.Equal(time.Since(began), 300*time.Millisecond)
-		is.True(schedule.Rest(t.Context()))
+		is.True(schedule.WaitAfterFailure(t.Context()))
 		is.True(time.Since(began) > 2*time.Second) // without a wake the delay is long
 	})
 }
@@ -140,13 +140,13 @@
 			{"third instance, not woken", 2, time.Hour, 300 * time.Millisecond, 900 * time.Millisecond},
 		} {
 			is := is.New(t)
-			schedule := &clock.Pace{
-				Least: time.Second, Gap: 60 * time.Millisecond,
-				Known: func() bool { return false }, Before: func() int { return test.before },
+			schedule := &clock.PollSchedule{
+				MinAge: time.Second, MinInterval: 60 * time.Millisecond,
+				HasData: func() bool { return false }, PrecedingPeers: func() int { return test.before },
 			}
 			began := time.Now()
 			wake := time.AfterFunc(test.wake, schedule.Wake)
-			is.True(schedule.Wait(t.Context(), func() time.Duration { return time.Hour }))
+			is.True(schedule.WaitUntilDue(t.Context(), func() time.Duration { return time.Hour }))
 			wake.Stop()
 			if waited := time.Since(began); waited < test.least || waited > test.most {
 				t.Errorf("%s: waited %v, want %v to %v", test.name, waited, test.least, test.most)
--- a/peridotpath/directory/era_test.go
+++ b/peridotpath/directory/era_test.go
@@ -124,9 +124,9 @@
 					}
 					return endpoints
 				},
-				Pace: clock.Pace{
-					Least: 900 * time.Millisecond, Spread: 800 * time.Millisecond, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond,
-					Before: func() int { return min(i, 9) }, Known: func() bool { return fleet.followers[i].Directory.Current() != nil },
+				Pace: clock.PollSchedule{
+					MinAge: 900 * time.Millisecond, MaxDelay: 800 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond,
+					PrecedingPeers: func() int { return min(i, 9) }, HasData: func() bool { return fleet.followers[i].Directory.Current() != nil },
 				},
 			})
 		}
--- a/peridotpath/directory/follower.go
+++ b/peridotpath/directory/follower.go
@@ -28,7 +28,7 @@
 	Eras *keyvalue.Eras
 	// Now returns the time since boot, which advances while the machine is suspended.
 	Now  func() time.Duration
-	Pace clock.Pace
+	Pace clock.PollSchedule
 	// OnConfirmed is called after each successful read.
 	OnConfirmed func()
 	Log         zerolog.Logger
@@ -45,7 +45,7 @@
 // is old and no peer has confirmed it, until ctx ends. If a read fails, the snapshot stays
 // in use: endpoints keep running while the store is unreachable.
 func (follower *Follower) Run(ctx context.Context) error {
-	for follower.Pace.Wait(ctx, follower.effectiveAge) {
+	for follower.Pace.WaitUntilDue(ctx, follower.effectiveAge) {
 		if follower.readFromPeer(ctx) {
 			continue
 		}
@@ -63,7 +63,7 @@
 		if !follower.storeFailed.Swap(true) {
 			follower.Log.Warn().Err(err).Dur("age", follower.Age()).Msg("endpoints_unread")
 		}
-		follower.Pace.Rest(ctx)
+		follower.Pace.WaitAfterFailure(ctx)
 	}
 	return ctx.Err()
 }
@@ -76,7 +76,7 @@
 // the first in the order of the Pace read at once, and the others receive its result.
 func (follower *Follower) effectiveAge() time.Duration {
 	if overdue := follower.Directory.OverdueBy(follower.Now()); overdue > 0 {
-		return max(follower.Age(), follower.Pace.Least+overdue)
+		return max(follower.Age(), follower.Pace.MinAge+overdue)
 	}
 	return follower.Age()
 }
@@ -137,7 +137,7 @@
 	peer, ok := follower.newer.Take()
 	if !ok {
 		// An earlier wake has already fetched the snapshot that this one is for.
-		return !follower.Pace.Due(follower.effectiveAge())
+		return !follower.Pace.IsDue(follower.effectiveAge())
 	}
 	asked := follower.Now()
 	have, _ := follower.history.Newest()
--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -150,10 +150,10 @@
 	instance.startup = newStartup(instance.hasRouting, instance.hasRoutingAndEndpoints, instance.storeFailing)
 	instance.relay = &relay.Relay{
 		Instance: settings.InstanceID, DataCentre: settings.DataCentre, Log: log, Routing: instance.routing,
-		Endpoints: instance.cellEndpoints, AllEndpoints: instance.directory.Current, Book: instance.loads, Send: adapter.Send, Check: adapter.Check,
-		Served: &telemetry.Sampler{PerSecond: servedLogLinesPerSecond},
-		Keeper: instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, Doubt: instance.paces.ProbeOverdue, Stall: settings.StallTime, Routed: instance.startup.routingReady, Started: instance.startup.finished,
-		Budget: &relay.Budget{
+		Endpoints: instance.cellEndpoints, AllEndpoints: instance.directory.Current, LoadTracker: instance.loads, Send: adapter.Send, Check: adapter.Check,
+		ServedSampler: &telemetry.Sampler{PerSecond: servedLogLinesPerSecond},
+		Keeper:        instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, OnOverdueFirstEvent: instance.paces.ProbeOverdue, EngineStallTime: settings.StallTime, RoutingReady: instance.startup.routingReady, StartDone: instance.startup.finished,
+		RetryBudget: &relay.RetryBudget{
 			Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow,
 			Instances: instance.estimateFleetSize,
 		},
@@ -256,12 +256,12 @@
 
 // pollPace returns the pace at which one kind of data is read from the store. The order of
 // the instances depends on the content, so that the reads are shared among them.
-func (instance *Instance) pollPace(hasSnapshot func() bool, content func() uint64) clock.Pace {
+func (instance *Instance) pollPace(hasSnapshot func() bool, content func() uint64) clock.PollSchedule {
 	limit := float64(instance.Settings.MaxPropagationDelay)
-	return clock.Pace{
-		Least: time.Duration(minPollAgeShare * limit), Spread: time.Duration(pollSpreadShare * limit), Retry: pollRetryPause, Gap: minPollGap,
-		Others: func() int { return instance.loads.LivePeerCount(time.Now()) },
-		Known:  hasSnapshot, Before: func() int { return min(instance.gossip.Rank(content()), maxPollRank) },
+	return clock.PollSchedule{
+		MinAge: time.Duration(minPollAgeShare * limit), MaxDelay: time.Duration(pollSpreadShare * limit), RetryDelay: pollRetryPause, MinInterval: minPollGap,
+		PeerCount: func() int { return instance.loads.LivePeerCount(time.Now()) },
+		HasData:   hasSnapshot, PrecedingPeers: func() int { return min(instance.gossip.Rank(content()), maxPollRank) },
 	}
 }
 
--- a/peridotpath/keyvalue/memory/link.go
+++ b/peridotpath/keyvalue/memory/link.go
@@ -111,12 +111,12 @@
 		}
 		return nothing, keyvalue.ErrUnavailable.New("fault: no answer")
 	}
-	if !clock.Pause(ctx, fate.Delay) {
+	if !clock.Sleep(ctx, fate.Delay) {
 		return nothing, keyvalue.ErrUnavailable.Wrap(ctx.Err())
 	}
 	result, err := call(ctx)
 	era := link.era()
-	if !clock.Pause(ctx, fate.AnswerDelay) || fate.Unanswered {
+	if !clock.Sleep(ctx, fate.AnswerDelay) || fate.Unanswered {
 		return nothing, keyvalue.ErrUnavailable.New("fault: answer lost")
 	}
 	if link.Eras != nil {
--- a/peridotpath/lease/lease.go
+++ b/peridotpath/lease/lease.go
@@ -154,7 +154,7 @@
 		case err != nil:
 			holder.count("lease_errors_total")
 			holder.Logger.Warn().Str("event", "lease_not_won").Str("key", holder.Key).Err(err).Send()
-			clock.Pause(ctx, holder.retry())
+			clock.Sleep(ctx, holder.retry())
 		case tenure != nil:
 			holder.keep(ctx, tenure)
 		}
@@ -275,7 +275,7 @@
 	holder.Logger.Info().Str("event", "lease_won").Str("key", holder.Key).Uint64("fencing", uint64(tenure.fencing)).Send()
 	defer holder.tenure.Store(nil)
 	wait := holder.Settings.TTLMS.Duration() / 3
-	for clock.Pause(ctx, wait) {
+	for clock.Sleep(ctx, wait) {
 		renewed, err := holder.renew(ctx, tenure)
 		switch {
 		case err == nil:
--- a/peridotpath/peer/relay.go
+++ b/peridotpath/peer/relay.go
@@ -71,7 +71,7 @@
 	if !same {
 		return 0
 	}
-	clock.Pause(ctx, refusedPause)
+	clock.Sleep(ctx, refusedPause)
 	return refusedPause
 }
 
--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -21,7 +21,7 @@
 	// route's ITL target (inter-token latency).
 	firstEventStallFactor = 3
 	nextEventStallFactor  = 3
-	// stallMargin is added to Relay.Stall. A shorter timeout would abandon, and
+	// stallMargin is added to Relay.EngineStallTime. A shorter timeout would abandon, and
 	// prefill anew, every prompt on each engine that shared one with the unreachable
 	// engine. Callers abandon a stream after two seconds, half a second after such a
 	// stall ends.
@@ -41,7 +41,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	now := time.Now()
-	defer relay.Book.RemoveInFlight(exchange.inFlight)
+	defer relay.LoadTracker.RemoveInFlight(exchange.inFlight)
 	// The process may have been paused since the key was checked.
 	if exchange.customer != "" && !relay.Routing.KeysUsable() {
 		return outcomeUnsent, errKeysExpired
@@ -72,12 +72,12 @@
 	defer answer.Body.Close()
 	exchange.recordRateLimit(answer)
 	switch {
-	case answer.Elsewhere:
+	case answer.Misdirected:
 		return outcomeElsewhere, nil
 	case answer.NotRun:
-		exchange.retryAfter, exchange.blamedHelper = answer.RetryAfter, answer.Fault
+		exchange.retryAfter, exchange.blamedHelper = answer.RetryAfter, answer.BlamedHelper
 		return outcomeRefused, nil
-	case !answer.Genuine:
+	case !answer.MatchesRequest:
 		return outcomeFailed, errAnswerMismatch
 	}
 	if exchange.route.Streaming && answer.Status == http.StatusOK {
@@ -103,7 +103,7 @@
 	tickets, err := exchange.relay.Keeper.Acquire(ctx, exchange.plan.HelperReservations)
 	var notFree *reservation.ReserveError
 	if errors.As(err, &notFree) {
-		exchange.relay.Book.EjectFull(notFree.Endpoint, time.Now())
+		exchange.relay.LoadTracker.EjectFull(notFree.Endpoint, time.Now())
 	}
 	return tickets, err
 }
@@ -111,12 +111,12 @@
 func (exchange *exchange) newCall(now time.Time, tickets []*reservation.Reservation) *Call {
 	call := &Call{
 		Request: exchange.request, Endpoint: exchange.plan.Writer, Customer: exchange.customer,
-		Left: exchange.deadline.Sub(now), Priority: enginePriority(exchange.route, exchange.priority), AfterEvent: exchange.lastEventID,
+		TimeLeft: exchange.deadline.Sub(now), Priority: enginePriority(exchange.route, exchange.priority), LastEventID: exchange.lastEventID,
 	}
 	for i, endpoint := range exchange.plan.Helpers {
 		helper := Helper{Endpoint: endpoint}
 		if i < len(tickets) {
-			helper.Ticket = tickets[i].ID
+			helper.ReservationID = tickets[i].ID
 		}
 		call.Helpers = append(call.Helpers, helper)
 	}
@@ -161,7 +161,7 @@
 	if !exchange.canFailOver() {
 		return &stallWatch{}
 	}
-	stall := exchange.relay.Stall + stallMargin
+	stall := exchange.relay.EngineStallTime + stallMargin
 	first := firstEventStallFactor*exchange.plan.TimeToFirstEvent + stall
 	span := max(stall, nextEventStallFactor*exchange.route.ITLTarget)
 	return &stallWatch{timer: time.AfterFunc(first, func() { cancel(errStalled) }), nextEventTimeout: span}
@@ -174,16 +174,16 @@
 	overdueMargin = 150 * time.Millisecond
 )
 
-// watchFirstEvent calls Relay.Doubt with the attempt's engines when the first event is overdue.
+// watchFirstEvent calls Relay.OnOverdueFirstEvent with the attempt's engines when the first event is overdue.
 func (exchange *exchange) watchFirstEvent() *time.Timer {
-	if exchange.relay.Doubt == nil || exchange.spec.Engine == nil {
+	if exchange.relay.OnOverdueFirstEvent == nil || exchange.spec.Engine == nil {
 		return nil
 	}
 	plan, flight := exchange.plan, exchange.inFlight
 	overdue := time.Duration(overdueFactor*float64(plan.TimeToFirstEvent)) + overdueMargin
 	return time.AfterFunc(overdue, func() {
-		if exchange.relay.Book.AwaitsFirstEvent(flight) {
-			exchange.relay.Doubt(append([]*peridotpath.Endpoint{plan.Writer}, plan.Helpers...)...)
+		if exchange.relay.LoadTracker.AwaitsFirstEvent(flight) {
+			exchange.relay.OnOverdueFirstEvent(append([]*peridotpath.Endpoint{plan.Writer}, plan.Helpers...)...)
 		}
 	})
 }
@@ -221,7 +221,7 @@
 		if errors.Is(err, io.EOF) && seen > 0 {
 			exchange.beginStream(answer)
 			exchange.caller.End()
-			exchange.relay.Book.ClearEjection(exchange.plan.Writer.Key())
+			exchange.relay.LoadTracker.ClearEjection(exchange.plan.Writer.Key())
 			return outcomeDone, nil
 		}
 		if err != nil {
@@ -230,7 +230,7 @@
 		watch.recordEvent()
 		if seen == 0 {
 			exchange.recordFirstEvent()
-			exchange.relay.Book.MarkDecoding(exchange.inFlight)
+			exchange.relay.LoadTracker.MarkDecoding(exchange.inFlight)
 		}
 		seen++
 		exchange.beginStream(answer)
@@ -266,10 +266,10 @@
 	if exchange.eventCount > 0 {
 		return
 	}
-	exchange.timeToFirstEvent = time.Since(exchange.request.Arrived)
+	exchange.timeToFirstEvent = time.Since(exchange.request.ArrivedAt)
 	telemetry.FirstToken(exchange.lengthClass(), exchange.timeToFirstEvent)
 	telemetry.Predicted(exchange.lengthClass(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
-	exchange.relay.Book.ObserveFirstEvent(exchange.plan.Writer.Key(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
+	exchange.relay.LoadTracker.ObserveFirstEvent(exchange.plan.Writer.Key(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
 }
 
 // relayWhole reads a non-streamed answer to its end before it sends the first byte, so that
@@ -286,7 +286,7 @@
 		exchange.lastFailure = &failedAnswer{answer: answer, body: body}
 		return outcomeErrored, nil
 	}
-	exchange.relay.Book.ClearEjection(exchange.plan.Writer.Key())
+	exchange.relay.LoadTracker.ClearEjection(exchange.plan.Writer.Key())
 	exchange.caller.Answer(answer.Status, answer.Header, body)
 	return outcomeDone, nil
 }
--- a/peridotpath/relay/budget.go
+++ b/peridotpath/relay/budget.go
@@ -7,11 +7,11 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Budget bounds the retries of each service. The bound holds for all instances together:
+// RetryBudget bounds the retries of each service. The bound holds for all instances together:
 // each uses its share. Without it, the retries after an outage of some endpoints
 // overload all others.
-type Budget struct {
-	// Ratio is the number of retries allowed per request, and Budget.Slack the number
+type RetryBudget struct {
+	// Ratio is the number of retries allowed per request, and RetryBudget.Slack the number
 	// allowed beyond that, per window.
 	Ratio  float64
 	Slack  int
@@ -32,16 +32,16 @@
 // covers instances that were replaced within the window and had used their share.
 const usableSlackShare = 0.5
 
-// Note counts one request of the service.
-func (budget *Budget) Note(service peridotpath.Service, now time.Time) {
+// RecordRequest counts one request of the service.
+func (budget *RetryBudget) RecordRequest(service peridotpath.Service, now time.Time) {
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
 	history := budget.historyOf(service)
 	history.requests = append(dropBefore(history.requests, now.Add(-budget.Window)), now)
 }
 
-// Spend takes one retry from the service's budget and reports whether one was left.
-func (budget *Budget) Spend(service peridotpath.Service, now time.Time) bool {
+// TakeRetry takes one retry from the service's budget and reports whether one was left.
+func (budget *RetryBudget) TakeRetry(service peridotpath.Service, now time.Time) bool {
 	instances := max(budget.Instances(), 1)
 	budget.mutex.Lock()
 	defer budget.mutex.Unlock()
@@ -57,7 +57,7 @@
 	return true
 }
 
-func (budget *Budget) historyOf(service peridotpath.Service) *retryHistory {
+func (budget *RetryBudget) historyOf(service peridotpath.Service) *retryHistory {
 	if budget.histories == nil {
 		budget.histories = map[peridotpath.Service]*retryHistory{}
 	}
--- a/peridotpath/relay/budget_machine_test.go
+++ b/peridotpath/relay/budget_machine_test.go
@@ -14,7 +14,7 @@
 // that they admitted.
 type budgetMachine struct {
 	now               time.Time
-	budgets           []*relay.Budget
+	budgets           []*relay.RetryBudget
 	replaced          []bool
 	requests, retries []time.Time
 }
@@ -26,8 +26,8 @@
 	machineWindow    = 10 * time.Second
 )
 
-func (machine *budgetMachine) newBudget() *relay.Budget {
-	return &relay.Budget{Ratio: machineRatio, Slack: machineSlack, Window: machineWindow, Instances: func() int { return machineInstances }}
+func (machine *budgetMachine) newBudget() *relay.RetryBudget {
+	return &relay.RetryBudget{Ratio: machineRatio, Slack: machineSlack, Window: machineWindow, Instances: func() int { return machineInstances }}
 }
 
 func (machine *budgetMachine) wait(random *rapid.T) {
@@ -37,7 +37,7 @@
 func (machine *budgetMachine) serve(random *rapid.T) {
 	budget := machine.budgets[rapid.IntRange(0, machineInstances-1).Draw(random, "instance")]
 	for range rapid.IntRange(1, 30).Draw(random, "requests") {
-		budget.Note("llm", machine.now)
+		budget.RecordRequest("llm", machine.now)
 		machine.requests = append(machine.requests, machine.now)
 	}
 }
@@ -45,7 +45,7 @@
 func (machine *budgetMachine) retry(random *rapid.T) {
 	budget := machine.budgets[rapid.IntRange(0, machineInstances-1).Draw(random, "instance")]
 	for range rapid.IntRange(1, 30).Draw(random, "wanted") {
-		if budget.Spend("llm", machine.now) {
+		if budget.TakeRetry("llm", machine.now) {
 			machine.retries = append(machine.retries, machine.now)
 		}
 	}
--- a/peridotpath/relay/burst_test.go
+++ b/peridotpath/relay/burst_test.go
@@ -75,8 +75,8 @@
 		all.Go(func() {
 			time.Sleep(arrival.at - time.Since(began))
 			outcomes[i] = one.send(ctx, arrival.route, func(request *relay.Request) {
-				request.Prompt, request.Answer = arrival.prompt, arrival.answer
-				request.Patience = 15 * time.Second
+				request.PromptTokens, request.MaxAnswerTokens = arrival.prompt, arrival.answer
+				request.Timeout = 15 * time.Second
 			})
 		})
 	}
--- a/peridotpath/relay/candidates.go
+++ b/peridotpath/relay/candidates.go
@@ -22,7 +22,7 @@
 
 func (exchange *exchange) filterCandidates(members []directory.Member, now time.Time) []placement.Candidate {
 	candidates := make([]placement.Candidate, 0, len(members))
-	ejected := exchange.relay.Book.EjectedEndpoints(now)
+	ejected := exchange.relay.LoadTracker.EjectedEndpoints(now)
 	withinLimit := exchange.rateLimitFilter(now)
 	for _, member := range members {
 		if exchange.excluded[member.Key] || !withinLimit(member.Key) {
--- a/peridotpath/relay/crash.go
+++ b/peridotpath/relay/crash.go
@@ -10,9 +10,9 @@
 	"peridotpath.example/peridotpath"
 )
 
-// ErrGone is the class of errors that prove an endpoint's end: its address refuses
+// ErrEndpointGone is the class of errors that prove an endpoint's end: its address refuses
 // connections, or belongs to another endpoint now.
-var ErrGone = errs.Class("endpoint gone")
+var ErrEndpointGone = errs.Class("endpoint gone")
 
 // crashProbeTimeout bounds the probe of an endpoint that broke a connection. A machine
 // whose process has ended refuses the connection at once, and a running endpoint
@@ -29,8 +29,8 @@
 		ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), crashProbeTimeout)
 		defer stop()
 		err := relay.Check(ctx, endpoint)
-		relay.Log.Info().Str("endpoint", string(endpoint.ID)).Bool("gone", ErrGone.Has(err)).AnErr("answer", err).Msg("broken_off")
-		return ErrGone.Has(err), nil
+		relay.Log.Info().Str("endpoint", string(endpoint.ID)).Bool("gone", ErrEndpointGone.Has(err)).AnErr("answer", err).Msg("broken_off")
+		return ErrEndpointGone.Has(err), nil
 	})
 	return crashed.(bool)
 }
--- a/peridotpath/relay/crash_test.go
+++ b/peridotpath/relay/crash_test.go
@@ -23,7 +23,7 @@
 	}{
 		{nil, false},
 		{errReset, false},
-		{relay.ErrGone.Wrap(errReset), true},
+		{relay.ErrEndpointGone.Wrap(errReset), true},
 	} {
 		is := is.New(t)
 		script := &script{steps: []step{lostAnswer(), answer(200, "ok", nil)}}
--- a/peridotpath/relay/crashing_endpoints_test.go
+++ b/peridotpath/relay/crashing_endpoints_test.go
@@ -104,10 +104,10 @@
 	if endpoints.crashes(body) {
 		stream.next = time.Now().Add(time.Hour)
 	}
-	answer := &relay.Answer{Status: http.StatusOK, Header: http.Header{}, Genuine: true, Body: stream, NoLimit: true}
+	answer := &relay.Answer{Status: http.StatusOK, Header: http.Header{}, MatchesRequest: true, Body: stream, HasNoRateLimit: true}
 	if endpoints.limit != nil {
-		answer.Limit = endpoints.limit(call.Endpoint.ID)
-		answer.NoLimit = answer.Limit == nil
+		answer.RateLimit = endpoints.limit(call.Endpoint.ID)
+		answer.HasNoRateLimit = answer.RateLimit == nil
 	}
 	return answer, nil
 }
@@ -117,7 +117,7 @@
 	endpoints.mutex.Lock()
 	defer endpoints.mutex.Unlock()
 	if endpoints.processes[endpoint.ID].down {
-		return relay.ErrGone.Wrap(syscall.ECONNREFUSED)
+		return relay.ErrEndpointGone.Wrap(syscall.ECONNREFUSED)
 	}
 	return nil
 }
--- a/peridotpath/relay/engine_test.go
+++ b/peridotpath/relay/engine_test.go
@@ -88,16 +88,16 @@
 		return nil, outbound.ErrNotSent.New("no such engine")
 	}
 	count := 1 + len(call.Helpers)
-	share := engine.model.PrefillTime(call.Request.Prompt) / time.Duration(count)
-	events := int(call.Request.Answer) / engine.model.Rates.StepsPerIteration
-	request := &fakeRequest{primary: engine, prompt: call.Request.Prompt, pendingPrefills: count, left: max(events, 1), events: make(chan struct{}, 10_000), cancelled: ctx.Done()}
+	share := engine.model.PrefillTime(call.Request.PromptTokens) / time.Duration(count)
+	events := int(call.Request.MaxAnswerTokens) / engine.model.Rates.StepsPerIteration
+	request := &fakeRequest{primary: engine, prompt: call.Request.PromptTokens, pendingPrefills: count, left: max(events, 1), events: make(chan struct{}, 10_000), cancelled: ctx.Done()}
 	engine.requests = append(engine.requests, request)
 	engine.add(&fakePrefill{left: share, own: true, request: request})
 	for _, helper := range call.Helpers {
 		engines.engines[helper.Endpoint.ID].add(&fakePrefill{left: share, request: request})
 	}
 	return &relay.Answer{
-		Status: http.StatusOK, Header: http.Header{}, Genuine: true,
+		Status: http.StatusOK, Header: http.Header{}, MatchesRequest: true,
 		Body: &fakeStream{ctx: ctx, events: request.events},
 	}, nil
 }
--- a/peridotpath/relay/exchange.go
+++ b/peridotpath/relay/exchange.go
@@ -83,7 +83,7 @@
 
 // run makes attempts until one succeeds or no further one is allowed.
 func (exchange *exchange) run(ctx context.Context) {
-	exchange.relay.Budget.Note(exchange.service, time.Now())
+	exchange.relay.RetryBudget.RecordRequest(exchange.service, time.Now())
 	if result := exchange.checkQuarantine(); result != nil {
 		exchange.fail(*result)
 		return
@@ -99,7 +99,7 @@
 			return
 		}
 		if result := exchange.checkQuarantine(); result != nil {
-			exchange.relay.Book.RemoveInFlight(exchange.inFlight)
+			exchange.relay.LoadTracker.RemoveInFlight(exchange.inFlight)
 			exchange.fail(*result)
 			return
 		}
@@ -108,7 +108,7 @@
 		if outcome == outcomeDone {
 			exchange.recordSurvival()
 			exchange.recordResult(peridotpath.CodeOK)
-			if exchange.relay.Served.Allow(time.Now()) {
+			if exchange.relay.ServedSampler.Allow(time.Now()) {
 				exchange.addLogFields(exchange.relay.Log.Info(), peridotpath.CodeOK).Msg("served")
 			}
 			return
@@ -131,13 +131,13 @@
 		return exchange.placeWithoutEngine()
 	}
 	model := placement.Model{Rates: exchange.spec.Engine}
-	exchange.prefillTime = model.PrefillTime(exchange.request.Prompt)
+	exchange.prefillTime = model.PrefillTime(exchange.request.PromptTokens)
 	if exchange.prefillTime > maxUnqueuedPrefill && exchange.route.TTFTTarget >= minQueuedTTFT {
 		return exchange.awaitDispatch(ctx, model, exchange.prefillTime)
 	}
 	for {
 		now := time.Now()
-		candidates, view := exchange.candidates(now), exchange.relay.Book.Snapshot(now)
+		candidates, view := exchange.candidates(now), exchange.relay.LoadTracker.Snapshot(now)
 		if len(candidates) == 0 {
 			return exchange.noEndpointRefusal()
 		}
@@ -159,7 +159,7 @@
 		if len(candidates) == 0 {
 			return exchange.noEndpointRefusal()
 		}
-		plan, found := placement.PlanPlain(exchange.placementWork(now), candidates, exchange.relay.Book.Snapshot(now))
+		plan, found := placement.PlanPlain(exchange.placementWork(now), candidates, exchange.relay.LoadTracker.Snapshot(now))
 		if !found {
 			return exchange.refusal(peridotpath.CodeCannotFinish, shortRetryAfter)
 		}
@@ -176,14 +176,14 @@
 		return false
 	}
 	exchange.plan = plan
-	exchange.inFlight = exchange.relay.Book.AddInFlight(plan.InFlight(exchange.placementWork(now), now))
+	exchange.inFlight = exchange.relay.LoadTracker.AddInFlight(plan.InFlight(exchange.placementWork(now), now))
 	return true
 }
 
 func (exchange *exchange) placementWork(now time.Time) placement.Work {
 	left := exchange.deadline.Sub(now)
-	answer := exchange.request.Answer
-	if hint := exchange.request.AnswerHint; hint > 0 {
+	answer := exchange.request.MaxAnswerTokens
+	if hint := exchange.request.ExpectedAnswerTokens; hint > 0 {
 		answer = min(answer, hint)
 	}
 	if exchange.lastEventID != "" {
@@ -195,9 +195,9 @@
 		left = time.Hour
 	}
 	return placement.Work{
-		PromptTokens: exchange.request.Prompt, AnswerTokens: answer,
+		PromptTokens: exchange.request.PromptTokens, AnswerTokens: answer,
 		TTFTTarget: exchange.route.TTFTTarget, ITLTarget: exchange.route.ITLTarget,
-		Waited: now.Sub(exchange.request.Arrived), TimeLeft: left, ClientTimeout: exchange.untilClientTimeout(now), DataCentre: exchange.relay.DataCentre,
+		Waited: now.Sub(exchange.request.ArrivedAt), TimeLeft: left, ClientTimeout: exchange.untilClientTimeout(now), DataCentre: exchange.relay.DataCentre,
 	}
 }
 
@@ -208,7 +208,7 @@
 	if silence == 0 || exchange.streamBegun {
 		return 0
 	}
-	return max(silence-now.Sub(exchange.request.Arrived), 1)
+	return max(silence-now.Sub(exchange.request.ArrivedAt), 1)
 }
 
 // fingerprint returns the hash of the request's content, computed on first use.
@@ -236,7 +236,7 @@
 	exchange.addLogFields(exchange.relay.Log.Info(), result.Code).Dur("retry_after", result.RetryAfter).Msg("failed")
 	switch {
 	case exchange.streamBegun:
-		exchange.caller.Break()
+		exchange.caller.Abort()
 	case exchange.lastFailure != nil && result.Code != peridotpath.CodeCallerGone:
 		exchange.caller.Answer(exchange.lastFailure.answer.Status, exchange.lastFailure.answer.Header, exchange.lastFailure.body)
 	default:
--- a/peridotpath/relay/fatal_test.go
+++ b/peridotpath/relay/fatal_test.go
@@ -59,7 +59,7 @@
 			time.Sleep(ask.at - time.Since(began))
 			outcomes[i] = one.send(context.Background(), ask.route, func(request *relay.Request) {
 				request.ID, request.Body = peridotpath.RequestID(fmt.Sprint("r", i)), []byte(ask.body)
-				request.Prompt, request.Answer = 2000, 400
+				request.PromptTokens, request.MaxAnswerTokens = 2000, 400
 			})
 		})
 	}
--- a/peridotpath/relay/fixture_test.go
+++ b/peridotpath/relay/fixture_test.go
@@ -88,12 +88,12 @@
 	fixture.directory.Apply(endpoints, fixture.routing.Now())
 	fixture.relay = &relay.Relay{
 		Instance: "edge-1", DataCentre: "a", Log: zerolog.Nop(), Routing: fixture.routing,
-		Endpoints: fixture.directory.Current, AllEndpoints: fixture.directory.Current, Book: fixture.book, Send: send, Quarantine: keeper,
-		Throttle: &throttle.Throttle{SenderID: rand.Uint64(), Facts: fixture.facts, Log: zerolog.Nop()},
-		Check:    func(context.Context, *peridotpath.Endpoint) error { return nil },
-		Served:   &telemetry.Sampler{PerSecond: 10},
-		Budget:   &relay.Budget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, Instances: func() int { return 1 }},
-		Stall:    1500 * time.Millisecond,
+		Endpoints: fixture.directory.Current, AllEndpoints: fixture.directory.Current, LoadTracker: fixture.book, Send: send, Quarantine: keeper,
+		Throttle:        &throttle.Throttle{SenderID: rand.Uint64(), Facts: fixture.facts, Log: zerolog.Nop()},
+		Check:           func(context.Context, *peridotpath.Endpoint) error { return nil },
+		ServedSampler:   &telemetry.Sampler{PerSecond: 10},
+		RetryBudget:     &relay.RetryBudget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, Instances: func() int { return 1 }},
+		EngineStallTime: 1500 * time.Millisecond,
 		Keeper: &reservation.Manager{
 			Instance: "edge-1", Incarnation: 1, Log: zerolog.Nop(),
 			Reserve: func(context.Context, *peridotpath.Endpoint, string, peridotpath.Tokens, time.Duration) (bool, error) {
@@ -139,7 +139,7 @@
 			return nil
 		},
 		End:   func() { outcome.ended = true },
-		Break: func() { outcome.broken = true },
+		Abort: func() { outcome.broken = true },
 	}
 }
 
@@ -147,14 +147,14 @@
 func (fixture *fixture) send(ctx context.Context, route string, change func(*relay.Request)) *outcome {
 	request := &relay.Request{
 		ID: "r1", Method: http.MethodPost, Target: "/" + route + "/x", Path: "/" + route + "/x", Host: "host",
-		Header: http.Header{}, Key: "key", Arrived: time.Now(), Patience: 10 * time.Second,
+		Header: http.Header{}, Key: "key", ArrivedAt: time.Now(), Timeout: 10 * time.Second,
 	}
 	if change != nil {
 		change(request)
 	}
 	outcome := &outcome{}
 	fixture.relay.Serve(ctx, request, outcome.caller())
-	outcome.took = time.Since(request.Arrived)
+	outcome.took = time.Since(request.ArrivedAt)
 	return outcome
 }
 
--- a/peridotpath/relay/liveness_test.go
+++ b/peridotpath/relay/liveness_test.go
@@ -35,8 +35,8 @@
 		engines.failed = call.Endpoint.ID
 		engines.firstReservations = map[string]bool{}
 		for _, helper := range call.Helpers {
-			if helper.Ticket != "" {
-				engines.firstReservations[helper.Ticket] = true
+			if helper.ReservationID != "" {
+				engines.firstReservations[helper.ReservationID] = true
 			}
 		}
 	}
@@ -105,7 +105,7 @@
 		fixture := newFailingFixture(t, fleet)
 		began := time.Now()
 		outcome := fixture.send(t.Context(), "long", func(request *relay.Request) {
-			request.Prompt, request.Answer, request.Patience = 600_000, 100, 30*time.Second
+			request.PromptTokens, request.MaxAnswerTokens, request.Timeout = 600_000, 100, 30*time.Second
 		})
 		time.Sleep(200 * time.Millisecond)
 		fleet.mutex.Lock()
@@ -131,7 +131,7 @@
 		}
 		fixture.relay.Send = slow
 		outcome := fixture.send(t.Context(), "long", func(request *relay.Request) {
-			request.Prompt, request.Answer, request.Patience = 600_000, 100, 30*time.Second
+			request.PromptTokens, request.MaxAnswerTokens, request.Timeout = 600_000, 100, 30*time.Second
 		})
 		is.True(outcome.ended)
 		is.Equal(fleet.calls, 1)
--- a/peridotpath/relay/outcome.go
+++ b/peridotpath/relay/outcome.go
@@ -68,9 +68,9 @@
 	case outcomeFailed, outcomeBroken:
 		exchange.sent++
 		exchange.mayHaveRun = true
-		exchange.relay.Book.EjectFailed(key, now)
+		exchange.relay.LoadTracker.EjectFailed(key, now)
 	case outcomeUnsent, outcomeElsewhere:
-		exchange.relay.Book.EjectFailed(key, now)
+		exchange.relay.LoadTracker.EjectFailed(key, now)
 	}
 	if exchange.excluded == nil {
 		exchange.excluded = map[peridotpath.EndpointKey]bool{}
@@ -83,11 +83,11 @@
 func (exchange *exchange) attributeRefusal(key peridotpath.EndpointKey, now time.Time) {
 	for _, helper := range exchange.plan.Helpers {
 		if exchange.blamedHelper != "" && (exchange.blamedHelper == string(helper.ID) || exchange.blamedHelper == helper.Address.String()) {
-			exchange.relay.Book.EjectFailed(helper.Key(), now)
+			exchange.relay.LoadTracker.EjectFailed(helper.Key(), now)
 			return
 		}
 	}
-	exchange.relay.Book.EjectFull(key, now)
+	exchange.relay.LoadTracker.EjectFull(key, now)
 }
 
 // contextResult returns the result of a request whose deadline has passed or whose
@@ -122,7 +122,7 @@
 	// An attempt that reached no endpoint adds no load, so its retry takes nothing from
 	// the budget.
 	if exchange.sent > 0 || outcome == outcomeElsewhere {
-		if !exchange.relay.Budget.Spend(exchange.service, time.Now()) {
+		if !exchange.relay.RetryBudget.TakeRetry(exchange.service, time.Now()) {
 			telemetry.BudgetSpent()
 			return final
 		}
--- a/peridotpath/relay/prefill_queue.go
+++ b/peridotpath/relay/prefill_queue.go
@@ -56,9 +56,9 @@
 // awaitDispatch queues the request until it is first in the prefill queue and the engines
 // have capacity for it, then places it.
 func (exchange *exchange) awaitDispatch(ctx context.Context, model placement.Model, prefillTime time.Duration) *peridotpath.Result {
-	tracker := exchange.relay.Book
+	tracker := exchange.relay.LoadTracker
 	pollInterval := queuePollInterval + time.Duration(tracker.LivePeerCount(time.Now()))*queuePollPerPeer
-	queuedAt := exchange.request.Arrived.Add(time.Duration(exchange.priority) * delayPerRank)
+	queuedAt := exchange.request.ArrivedAt.Add(time.Duration(exchange.priority) * delayPerRank)
 	entry := tracker.Join(placement.NewQueuedPrompt(queuedAt, prefillTime))
 	defer tracker.Dequeue(entry)
 	for {
@@ -94,7 +94,7 @@
 			blocked = !found || plan.PrefillDelay <= dispatchLead
 		}
 		tracker.UpdateQueued(entry, missesTarget, blocked)
-		if !clock.Pause(ctx, pollInterval) {
+		if !clock.Sleep(ctx, pollInterval) {
 			return exchange.contextResult(ctx)
 		}
 	}
--- a/peridotpath/relay/quarantine.go
+++ b/peridotpath/relay/quarantine.go
@@ -49,7 +49,7 @@
 		case now.Sub(exchange.trialWaitSince) > maxTrialWait:
 			return nil
 		}
-		if !clock.Pause(ctx, trialPollInterval) {
+		if !clock.Sleep(ctx, trialPollInterval) {
 			return exchange.contextResult(ctx)
 		}
 	}
--- a/peridotpath/relay/rate_limit.go
+++ b/peridotpath/relay/rate_limit.go
@@ -11,11 +11,11 @@
 func (exchange *exchange) recordRateLimit(answer *Answer) {
 	primary, now := exchange.plan.Writer, time.Now()
 	switch {
-	case answer.Elsewhere || !answer.NotRun && !answer.Genuine:
+	case answer.Misdirected || !answer.NotRun && !answer.MatchesRequest:
 		// Another endpoint gave the answer.
-	case answer.Limit != nil:
-		exchange.relay.Throttle.RecordLimit(primary, *answer.Limit, now)
-	case answer.NoLimit:
+	case answer.RateLimit != nil:
+		exchange.relay.Throttle.RecordLimit(primary, *answer.RateLimit, now)
+	case answer.HasNoRateLimit:
 		exchange.relay.Throttle.RecordNoLimit(primary, exchange.sentAt, now)
 	}
 }
@@ -27,7 +27,7 @@
 	if throttle.HasNoLimits() {
 		return func(peridotpath.EndpointKey) bool { return true }
 	}
-	contenders := exchange.relay.Book.Snapshot(now).UnreportedRequests()
+	contenders := exchange.relay.LoadTracker.Snapshot(now).UnreportedRequests()
 	return func(key peridotpath.EndpointKey) bool {
 		wait := throttle.TimeUntilAllowed(key, contenders, now)
 		if wait > 0 && (exchange.rateLimitWait == 0 || wait < exchange.rateLimitWait) {
--- a/peridotpath/relay/relay.go
+++ b/peridotpath/relay/relay.go
@@ -27,27 +27,27 @@
 	// Endpoints returns the preferred endpoints, AllEndpoints also the fallback ones,
 	// which receive requests only when none of Endpoints is eligible.
 	Endpoints, AllEndpoints func() *directory.Snapshot
-	Book                    *placement.LoadTracker
-	Budget                  *Budget
+	LoadTracker             *placement.LoadTracker
+	RetryBudget             *RetryBudget
 	Send                    Sender
 	Check                   Checker
 	Keeper                  *reservation.Manager
 	// Quarantine refuses requests that crash the endpoints they run on.
 	Quarantine *quarantine.Quarantine
-	// Doubt, when set, is called with the engines of an attempt whose first event is
+	// OnOverdueFirstEvent, when set, is called with the engines of an attempt whose first event is
 	// overdue.
-	Doubt func(endpoints ...*peridotpath.Endpoint)
+	OnOverdueFirstEvent func(endpoints ...*peridotpath.Endpoint)
 	// Throttle enforces the rate limits that endpoints announce.
 	Throttle *throttle.Throttle
-	// Served samples the log lines of successful requests.
-	Served *telemetry.Sampler
-	// Routed is closed once the instance has its routing, Relay.Started once it has all
+	// ServedSampler samples the log lines of successful requests.
+	ServedSampler *telemetry.Sampler
+	// RoutingReady is closed once the instance has its routing, Relay.StartDone once it has all
 	// data that it needs to serve. Both are also closed when the start times out, and
 	// are nil for an instance that has started.
-	Routed, Started <-chan struct{}
-	// Stall is how long an engine blocks when an engine that it depends on becomes
+	RoutingReady, StartDone <-chan struct{}
+	// EngineStallTime is how long an engine blocks when an engine that it depends on becomes
 	// unreachable; after that it resumes or aborts the request itself.
-	Stall time.Duration
+	EngineStallTime time.Duration
 
 	crashProbes singleflight.Group
 }
@@ -95,7 +95,7 @@
 		return nil, relay.unknownRefusal(peridotpath.CodeNotFound)
 	}
 	exchange := &exchange{relay: relay, request: request, caller: caller, route: route, priority: route.Priority}
-	exchange.lastEventID = request.AfterEvent
+	exchange.lastEventID = request.LastEventID
 	if table.NeedsKey(route) {
 		holder, known := table.Holder(request.Key)
 		if !known {
@@ -111,13 +111,13 @@
 	}
 	exchange.service = relay.pickService(route)
 	exchange.spec = table.Service(exchange.service)
-	exchange.deadline = request.Arrived.Add(requestTimeout(request, route))
+	exchange.deadline = request.ArrivedAt.Add(requestTimeout(request, route))
 	return exchange, nil
 }
 
-// Limits returns the largest headers and the largest body that the active routing
+// SizeLimits returns the largest headers and the largest body that the active routing
 // allows; zero means unlimited.
-func (relay *Relay) Limits() (header, body peridotpath.Bytes) {
+func (relay *Relay) SizeLimits() (header, body peridotpath.Bytes) {
 	if table := relay.Routing.Current(); table != nil {
 		return table.Routing.MaxHeader, table.Routing.MaxBody
 	}
@@ -139,8 +139,8 @@
 	if route.Timeout > 0 {
 		limit = route.Timeout
 	}
-	if request.Patience > 0 {
-		limit = min(limit, request.Patience)
+	if request.Timeout > 0 {
+		limit = min(limit, request.Timeout)
 	}
 	return limit
 }
--- a/peridotpath/relay/relay_test.go
+++ b/peridotpath/relay/relay_test.go
@@ -48,7 +48,7 @@
 
 func answer(status int, text string, change func(*relay.Answer)) step {
 	return func(context.Context, *relay.Call) (*relay.Answer, error) {
-		answer := &relay.Answer{Status: status, Header: http.Header{}, Genuine: true, Body: io.NopCloser(strings.NewReader(text))}
+		answer := &relay.Answer{Status: status, Header: http.Header{}, MatchesRequest: true, Body: io.NopCloser(strings.NewReader(text))}
 		if change != nil {
 			change(answer)
 		}
@@ -105,7 +105,7 @@
 			}
 			writer.CloseWithError(end)
 		}()
-		return &relay.Answer{Status: 200, Header: http.Header{}, Genuine: true, Body: reader}, nil
+		return &relay.Answer{Status: 200, Header: http.Header{}, MatchesRequest: true, Body: reader}, nil
 	}
 }
 
@@ -134,10 +134,10 @@
 		{name: "failed, repeated", route: "look", steps: []step{answer(500, "bad", nil), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
 		{name: "failed twice", route: "look", steps: []step{answer(500, "bad", nil), answer(500, "worse", nil)}, status: 500, body: "worse", calls: 2},
 		// The answer belongs to another request.
-		{name: "answer to another request", route: "save", steps: []step{answer(200, "other", func(answer *relay.Answer) { answer.Genuine = false })}, status: 502, calls: 1},
-		{name: "answer to another request, repeated", route: "look", steps: []step{answer(200, "other", func(answer *relay.Answer) { answer.Genuine = false }), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
+		{name: "answer to another request", route: "save", steps: []step{answer(200, "other", func(answer *relay.Answer) { answer.MatchesRequest = false })}, status: 502, calls: 1},
+		{name: "answer to another request, repeated", route: "look", steps: []step{answer(200, "other", func(answer *relay.Answer) { answer.MatchesRequest = false }), answer(200, "found", nil)}, status: 200, body: "found", calls: 2},
 		// The address belongs to another endpoint now, which did not run the request.
-		{name: "misdirected", route: "save", steps: []step{answer(421, "", func(answer *relay.Answer) { answer.Elsewhere, answer.NotRun = true, true }), answer(200, "done", nil)}, status: 200, body: "done", calls: 2},
+		{name: "misdirected", route: "save", steps: []step{answer(421, "", func(answer *relay.Answer) { answer.Misdirected, answer.NotRun = true, true }), answer(200, "done", nil)}, status: 200, body: "done", calls: 2},
 		{name: "stream", route: "short", steps: []step{answer(200, events12+events34, nil)}, status: 200, body: events12 + events34, calls: 1},
 		// The endpoint crashes within an event: the partial event is dropped, and the
 		// stream resumes at another endpoint after the last whole one.
@@ -177,7 +177,7 @@
 	script := &script{steps: []step{cutAnswer(events12 + "id: 3\ndata: c\n"), answer(200, events34, nil)}}
 	fixture := newFixture(script.send, &testRates, testEndpoint(1), testEndpoint(2))
 	outcome := fixture.send(t.Context(), "short", nil)
-	is.Equal(script.calls[1].AfterEvent, "2")
+	is.Equal(script.calls[1].LastEventID, "2")
 	is.True(outcome.ended)
 }
 
@@ -186,8 +186,8 @@
 	is := is.New(t)
 	script := &script{steps: []step{answer(200, events34, nil)}}
 	fixture := newFixture(script.send, &testRates, testEndpoint(1))
-	fixture.send(t.Context(), "short", func(request *relay.Request) { request.AfterEvent = "2" })
-	is.Equal(script.calls[0].AfterEvent, "2")
+	fixture.send(t.Context(), "short", func(request *relay.Request) { request.LastEventID = "2" })
+	is.Equal(script.calls[0].LastEventID, "2")
 }
 
 func TestRefusals(t *testing.T) {
@@ -275,10 +275,10 @@
 		script := &script{steps: []step{noAnswer()}}
 		fixture := newFixture(script.send, nil, testEndpoint(1))
 		began := time.Now()
-		outcome := fixture.send(t.Context(), "save", func(request *relay.Request) { request.Patience = 1500 * time.Millisecond })
+		outcome := fixture.send(t.Context(), "save", func(request *relay.Request) { request.Timeout = 1500 * time.Millisecond })
 		is.Equal(time.Since(began), 1500*time.Millisecond)
 		is.Equal(outcome.status, http.StatusGatewayTimeout)
-		is.Equal(script.calls[0].Left, 1500*time.Millisecond)
+		is.Equal(script.calls[0].TimeLeft, 1500*time.Millisecond)
 	})
 }
 
@@ -333,7 +333,7 @@
 		script := &script{steps: []step{late, answer(200, "id: 5\ndata: e\n\n", nil)}}
 		fixture := newFixture(script.send, &testRates, testEndpoint(1), testEndpoint(2))
 		outcome := fixture.send(t.Context(), "short", func(request *relay.Request) {
-			request.Patience, request.Answer = 2*time.Second, 40*46
+			request.Timeout, request.MaxAnswerTokens = 2*time.Second, 40*46
 		})
 		is.True(outcome.ended)
 		is.Equal(outcome.events, 5)
@@ -344,19 +344,19 @@
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	budget := &relay.Budget{Ratio: 0.2, Slack: 40, Window: 10 * time.Second, Instances: func() int { return 4 }}
+	budget := &relay.RetryBudget{Ratio: 0.2, Slack: 40, Window: 10 * time.Second, Instances: func() int { return 4 }}
 	for range 100 {
-		budget.Note("llm", now)
+		budget.RecordRequest("llm", now)
 	}
 	spent := 0
 	for range 100 {
-		if budget.Spend("llm", now) {
+		if budget.TakeRetry("llm", now) {
 			spent++
 		}
 	}
 	is.Equal(spent, 25) // 0.2 of 100, and half of this instance's quarter of 40
-	is.True(!budget.Spend("llm", now.Add(9*time.Second)))
-	is.True(budget.Spend("llm", now.Add(11*time.Second))) // the slack is available again
+	is.True(!budget.TakeRetry("llm", now.Add(9*time.Second)))
+	is.True(budget.TakeRetry("llm", now.Add(11*time.Second))) // the slack is available again
 }
 
 // All endpoints refuse all requests. Callers receive refusals with a retry delay, and the
--- a/peridotpath/relay/request.go
+++ b/peridotpath/relay/request.go
@@ -33,17 +33,17 @@
 	Body   []byte
 	// Key is the API key; empty if the request has none.
 	Key peridotpath.APIKey
-	// Prompt is the length of the prompt and Request.Answer the maximum length of the
+	// PromptTokens is the length of the prompt and Request.MaxAnswerTokens the maximum length of the
 	// answer, as declared by the caller; zero for a request without a prompt.
-	Prompt, Answer peridotpath.Tokens
-	// AnswerHint is the answer length that the caller expects; zero if not declared.
-	AnswerHint peridotpath.Tokens
-	// AfterEvent is the id of the last event of this stream that the caller has
+	PromptTokens, MaxAnswerTokens peridotpath.Tokens
+	// ExpectedAnswerTokens is the answer length that the caller expects; zero if not declared.
+	ExpectedAnswerTokens peridotpath.Tokens
+	// LastEventID is the id of the last event of this stream that the caller has
 	// received.
-	AfterEvent string
-	Arrived    time.Time
-	// Patience is the caller's timeout; zero if not declared.
-	Patience time.Duration
+	LastEventID string
+	ArrivedAt   time.Time
+	// Timeout is the caller's timeout; zero if not declared.
+	Timeout time.Duration
 }
 
 // Call is one request as it is sent to one endpoint.
@@ -52,19 +52,19 @@
 	Endpoint *peridotpath.Endpoint
 	Helpers  []Helper
 	Customer peridotpath.CustomerID
-	// Left is the time that remains until the request's deadline.
-	Left time.Duration
+	// TimeLeft is the time that remains until the request's deadline.
+	TimeLeft time.Duration
 	// Priority is the engine's scheduling priority, from 0, the most urgent, to 9.
 	Priority int
-	// AfterEvent is the id of the last event that the caller has received.
-	AfterEvent string
+	// LastEventID is the id of the last event that the caller has received.
+	LastEventID string
 }
 
 // Helper is an engine that prefills a part of a prompt.
 type Helper struct {
 	Endpoint *peridotpath.Endpoint
-	// Ticket is the id of the KV cache reservation at the engine; empty for none.
-	Ticket string
+	// ReservationID is the id of the KV cache reservation at the engine; empty for none.
+	ReservationID string
 }
 
 // Answer is an endpoint's answer, whose body is not read yet.
@@ -75,17 +75,17 @@
 	Body   io.ReadCloser
 	// NotRun reports that the endpoint guarantees not to have run the request.
 	NotRun bool
-	// Elsewhere reports that the address belongs to another endpoint now.
-	Elsewhere bool
-	// Genuine reports that the expected endpoint gave the answer, and to this request.
-	Genuine bool
-	// Fault is the id or address of the helper that caused a refusal; empty for none.
-	Fault string
-	// Limit is the rate that the endpoint accepts from all instances together; it
+	// Misdirected reports that the address belongs to another endpoint now.
+	Misdirected bool
+	// MatchesRequest reports that the expected endpoint gave the answer, and to this request.
+	MatchesRequest bool
+	// BlamedHelper is the id or address of the helper that caused a refusal; empty for none.
+	BlamedHelper string
+	// RateLimit is the rate that the endpoint accepts from all instances together; it
 	// applies for as long as answers carry it. Limit is nil where the answer carries
-	// none or an invalid one; Answer.NoLimit reports that it carries none.
-	Limit   *peridotpath.Rate
-	NoLimit bool
+	// none or an invalid one; Answer.HasNoRateLimit reports that it carries none.
+	RateLimit      *peridotpath.Rate
+	HasNoRateLimit bool
 	// RetryAfter is the delay after which the endpoint would accept the request; zero
 	// if not declared.
 	RetryAfter time.Duration
@@ -101,13 +101,13 @@
 	Begin func(status int, header http.Header)
 	Event func(raw []byte) error
 	End   func()
-	// Break aborts a stream that has begun, so that it does not look complete.
-	Break func()
+	// Abort aborts a stream that has begun, so that it does not look complete.
+	Abort func()
 }
 
 // Sender sends a call. Its error is of class outbound.ErrNotSent or ErrLost.
 type Sender func(ctx context.Context, call *Call) (*Answer, error)
 
 // Checker probes an endpoint. It returns nil if the endpoint answers, and an error of
-// class ErrGone if another endpoint answers or the connection is refused.
+// class ErrEndpointGone if another endpoint answers or the connection is refused.
 type Checker func(ctx context.Context, endpoint *peridotpath.Endpoint) error
--- a/peridotpath/relay/slow_test.go
+++ b/peridotpath/relay/slow_test.go
@@ -38,7 +38,7 @@
 			},
 			OwnsEndpoint: func(key peridotpath.EndpointKey) bool { return one.book.IsOwner(one.relay.Instance, key) },
 		}
-		one.relay.Doubt = watch.ProbeOverdue
+		one.relay.OnOverdueFirstEvent = watch.ProbeOverdue
 		one.book.ReportedSlowdowns = func(now time.Time) map[peridotpath.EndpointKey]float64 {
 			slow := map[peridotpath.EndpointKey]float64{}
 			for key, pace := range watch.SlowEngines(now) {
--- a/peridotpath/relay/start.go
+++ b/peridotpath/relay/start.go
@@ -18,7 +18,7 @@
 // was cut retries at once, and mostly only once. A refusal at that moment loses most of
 // these requests, though the routing is loaded half a second later.
 func (relay *Relay) awaitRouting(ctx context.Context, request *Request) {
-	awaitClosed(ctx, relay.Routed, startHoldLimit(request))
+	awaitClosed(ctx, relay.RoutingReady, startHoldLimit(request))
 }
 
 // awaitEndpoints holds a request while a starting instance loads its endpoints, for at
@@ -33,13 +33,13 @@
 	if target := exchange.route.TTFTTarget; target > 0 {
 		limit = min(limit, target)
 	}
-	awaitClosed(ctx, exchange.relay.Started, limit-time.Since(exchange.request.Arrived))
+	awaitClosed(ctx, exchange.relay.StartDone, limit-time.Since(exchange.request.ArrivedAt))
 }
 
 // startHoldLimit returns how long a starting instance may hold the request.
 func startHoldLimit(request *Request) time.Duration {
-	if request.Patience > 0 {
-		return min(maxStartHold, time.Duration(maxStartHoldShare*float64(request.Patience)))
+	if request.Timeout > 0 {
+		return min(maxStartHold, time.Duration(maxStartHoldShare*float64(request.Timeout)))
 	}
 	return maxStartHold
 }
--- a/peridotpath/relay/start_test.go
+++ b/peridotpath/relay/start_test.go
@@ -40,7 +40,7 @@
 				fixture := newFixture(script.send, nil, testEndpoint(0))
 				fixture.relay.Routing = &routing.State{Now: fixture.routing.Now, KeyLifetime: time.Hour, Log: zerolog.Nop()}
 				started := make(chan struct{})
-				fixture.relay.Routed, fixture.relay.Started = started, started
+				fixture.relay.RoutingReady, fixture.relay.StartDone = started, started
 				over := time.AfterFunc(test.over, func() {
 					if test.known == test.over {
 						fixture.relay.Routing.Apply(testRouting(nil), fixture.relay.Routing.Now())
@@ -49,7 +49,7 @@
 				})
 				defer over.Stop()
 				began := time.Now()
-				outcome := fixture.send(t.Context(), "look", func(request *relay.Request) { request.Patience = test.patience })
+				outcome := fixture.send(t.Context(), "look", func(request *relay.Request) { request.Timeout = test.patience })
 				is.Equal(outcome.status, test.status)
 				is.Equal(time.Since(began), test.took)
 				if test.status != http.StatusOK {
@@ -95,7 +95,7 @@
 				fixture := newFixture(script.send, nil, testEndpoint(0))
 				routed, started := make(chan struct{}), make(chan struct{})
 				close(routed)
-				fixture.relay.Routed, fixture.relay.Started = routed, started
+				fixture.relay.RoutingReady, fixture.relay.StartDone = routed, started
 				endpoints := fixture.relay.Endpoints
 				known := time.Now().Add(test.comes)
 				fixture.relay.Endpoints = func() *directory.Snapshot {
--- a/peridotpath/relay/telemetry.go
+++ b/peridotpath/relay/telemetry.go
@@ -11,7 +11,7 @@
 
 // recordResult updates the metrics for a completed request.
 func (exchange *exchange) recordResult(code peridotpath.Code) {
-	class, took := exchange.lengthClass(), time.Since(exchange.request.Arrived)
+	class, took := exchange.lengthClass(), time.Since(exchange.request.ArrivedAt)
 	telemetry.Result(code)
 	telemetry.Total(class, took)
 	telemetry.Relayed(exchange.route.Kind(), class, took)
@@ -23,7 +23,7 @@
 	if exchange.spec.Engine != nil {
 		kvTokens = exchange.spec.Engine.KVTokens
 	}
-	return peridotpath.ClassOf(exchange.request.Prompt+exchange.request.Answer, kvTokens)
+	return peridotpath.ClassOf(exchange.request.PromptTokens+exchange.request.MaxAnswerTokens, kvTokens)
 }
 
 // addLogFields adds the request's identity, placement and timing to a log event.
@@ -31,8 +31,8 @@
 	event = event.Str("request", string(exchange.request.ID)).Str("route", string(exchange.route.Name)).
 		Stringer("kind", exchange.route.Kind()).Stringer("length", exchange.lengthClass()).
 		Str("service", string(exchange.service)).Str("customer", string(exchange.customer)).
-		Int64("prompt", int64(exchange.request.Prompt)).Int("tries", exchange.tries).Int("sent", exchange.sent).
-		Dur("aim", exchange.route.TTFTTarget).Dur("took", time.Since(exchange.request.Arrived)).Int64("routing_age", exchange.relay.Routing.LoggedAge()).
+		Int64("prompt", int64(exchange.request.PromptTokens)).Int("tries", exchange.tries).Int("sent", exchange.sent).
+		Dur("aim", exchange.route.TTFTTarget).Dur("took", time.Since(exchange.request.ArrivedAt)).Int64("routing_age", exchange.relay.Routing.LoggedAge()).
 		Int("code", int(code)).Str("result", code.String())
 	if exchange.hasFingerprint {
 		event = event.Stringer("content", exchange.contentFingerprint)
@@ -42,7 +42,7 @@
 	}
 	if exchange.plan.Writer != nil {
 		event = event.Str("endpoint", string(exchange.plan.Writer.ID)).Int("helpers", len(exchange.plan.Helpers)).
-			Dur("predicted", exchange.plan.TimeToFirstEvent).Dur("waited", exchange.sentAt.Sub(exchange.request.Arrived)).Float64("loss", exchange.plan.Cost)
+			Dur("predicted", exchange.plan.TimeToFirstEvent).Dur("waited", exchange.sentAt.Sub(exchange.request.ArrivedAt)).Float64("loss", exchange.plan.Cost)
 	}
 	if exchange.timeToFirstEvent > 0 {
 		event = event.Dur("first_event", exchange.timeToFirstEvent).Int("events", exchange.eventCount).
--- a/peridotpath/routing/era_test.go
+++ b/peridotpath/routing/era_test.go
@@ -57,7 +57,7 @@
 		store.eras = &keyvalue.Eras{Now: state.Now}
 		follower.Eras = store.eras
 		follower.Check = store.eras.Guard(&keyvalue.Store{Check: store.check}).Check
-		follower.Pace = clock.Pace{Least: 500 * time.Millisecond, Spread: 400 * time.Millisecond, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond}
+		follower.Pace = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 		store.write(3, 50, 8)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
--- a/peridotpath/routing/fleet_test.go
+++ b/peridotpath/routing/fleet_test.go
@@ -133,10 +133,10 @@
 			Before: func(version peridotpath.RoutingVersion) int {
 				return (behind + int(version)) % (count / dataCentres)
 			},
-			Pace: clock.Pace{
-				Least: 1400 * time.Millisecond, Spread: time.Second, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond,
-				Others: func() int { return count - 1 },
-				Known:  func() bool { return state.Current() != nil }, Before: func() int { return min(behind, 9) },
+			Pace: clock.PollSchedule{
+				MinAge: 1400 * time.Millisecond, MaxDelay: time.Second, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond,
+				PeerCount: func() int { return count - 1 },
+				HasData:   func() bool { return state.Current() != nil }, PrecedingPeers: func() int { return min(behind, 9) },
 			},
 		})
 	}
@@ -206,7 +206,7 @@
 	for i, follower := range fleet.followers {
 		all.Go(func() { _ = follower.Run(ctx) })
 		all.Go(func() {
-			for clock.Pause(ctx, heartbeat) {
+			for clock.Sleep(ctx, heartbeat) {
 				fleet.tell(i, dataCentres)
 			}
 		})
@@ -317,7 +317,7 @@
 		for _, follower := range fleet.followers {
 			eras := &keyvalue.Eras{Now: func() time.Duration { return time.Hour + time.Since(began) }}
 			follower.Eras = eras
-			follower.Pace.Known = func() bool { return follower.State.Current() != nil && eras.Settled() }
+			follower.Pace.HasData = func() bool { return follower.State.Current() != nil && eras.Settled() }
 			list := func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
 				version, err := keyvalue.VersionOf(keyvalue.Era(era.Load()), 3)
 				return nil, version, err
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -28,7 +28,7 @@
 	Eras *keyvalue.Eras
 	// Ask asks a peer for what it has read.
 	Ask  func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error)
-	Pace clock.Pace
+	Pace clock.PollSchedule
 	// Before returns how many instances nearby are to ask a far one for that version
 	// before this one does.
 	Before func(version peridotpath.RoutingVersion) int
@@ -63,19 +63,19 @@
 // It asks whether what it has still holds, and does not wait for changes: a
 // wait that hears nothing does not say that nothing has changed.
 func (follower *Follower) Run(ctx context.Context) error {
-	for follower.Pace.Wait(ctx, follower.State.Age) {
+	for follower.Pace.WaitUntilDue(ctx, follower.State.Age) {
 		if follower.askPeers(ctx) {
 			continue
 		}
 		err := follower.look(ctx)
 		if err == nil {
-			follower.Pace.Found(follower.State.Current() != nil)
+			follower.Pace.RecordPoll(follower.State.Current() != nil)
 			follower.Confirmed()
 			continue
 		}
 		if ctx.Err() == nil {
 			follower.lost(err)
-			follower.Pace.Rest(ctx)
+			follower.Pace.WaitAfterFailure(ctx)
 		}
 	}
 	return ctx.Err()
@@ -137,7 +137,7 @@
 		peer, noted := follower.newer.Take()
 		if !noted {
 			// Woken for what another wake has brought already.
-			return asked == 0 && (follower.Pace.Early() || !follower.Pace.Due(follower.State.Age()))
+			return asked == 0 && (follower.Pace.WokenEarly() || !follower.Pace.IsDue(follower.State.Age()))
 		}
 		if follower.askPeer(ctx, peer) {
 			return true
--- a/peridotpath/routing/state_test.go
+++ b/peridotpath/routing/state_test.go
@@ -152,7 +152,7 @@
 	}
 	return &routing.Follower{
 		State: state, Key: "routing", Decode: decode, Check: store.check, Eras: &keyvalue.Eras{}, Ask: noPeer, Confirmed: func() {}, Log: zerolog.Nop(),
-		Pace: clock.Pace{Least: time.Minute, Gap: 60 * time.Millisecond},
+		Pace: clock.PollSchedule{MinAge: time.Minute, MinInterval: 60 * time.Millisecond},
 	}, state
 }
 
@@ -163,7 +163,7 @@
 		is := is.New(t)
 		store := &fakeStore{}
 		follower, state := newFollower(store)
-		follower.Pace = clock.Pace{Least: 500 * time.Millisecond, Spread: 400 * time.Millisecond, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond}
+		follower.Pace = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
@@ -289,7 +289,7 @@
 		is := is.New(t)
 		store := &fakeStore{}
 		follower, state := newFollower(store)
-		follower.Pace = clock.Pace{Least: 500 * time.Millisecond, Spread: 400 * time.Millisecond, Retry: 250 * time.Millisecond, Gap: 60 * time.Millisecond}
+		follower.Pace = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 		store.set(5, 2, nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
