--- a/peridotpath/keyvalue/era.go
+++ b/peridotpath/keyvalue/era.go
@@ -11,159 +11,160 @@
 	"github.com/rs/zerolog"
 )
 
-// Era counts how often the service came back from an older copy of itself. What it
-// had acknowledged since the copy was made is gone then, leases too, and it gives the
-// same numbers out again: the versions and leases of one era mean nothing in another.
+// Era is the store's epoch: the number of times that the service was restored from an
+// older copy. A restore loses the writes and leases acknowledged after the copy was made
+// and reuses their numbers, so versions and lease numbers are valid within one era only.
 type Era uint64
 
-// Settling is how long after the service came back from a copy what others write there
-// may still be missing or old: they write again what it has lost.
+// Settling is how long after a restore the entries of other writers may still be missing
+// or outdated. Within it they rewrite what the restore lost.
 const Settling = 2200 * time.Millisecond
 
-// Eras guards the use of a service that may come back from an older copy. Everything
-// that is held by a number of the service goes through it: a number of an era that has
-// ended is never sent, and an answer that came from another era than the call was made
-// for is no answer. Set the exported fields before use; the zero value works where the
-// service never goes back.
+// Eras tracks the current era of a service that may be restored from an older copy, and
+// guards calls to it: version and lease numbers of an earlier era are never sent, and a
+// reply from another era than the call was made in is rejected. Set the exported fields
+// before use; the zero value works where the service is never restored.
 type Eras struct {
-	// Now is a clock that goes on while the machine is suspended. Without one nothing settles
-	// that is not proved.
+	// Now is a clock that advances while the machine is suspended. Without one an era
+	// never settles by elapsed time.
 	Now func() time.Duration
-	// Risen is called when a new era was met, not at the first one; nil for nobody.
+	// Risen, if set, is called when the era changes. The first era seen is no change.
 	Risen func(from, to Era)
 	Log   zerolog.Logger
 
-	current atomic.Uint64
-	mutex   sync.Mutex
-	known   bool
-	// met is when the era was first met by any instance, as far as this one knows. A
-	// start meets an era of which it does not know when it began; guessed says that met
-	// is no more than that.
-	met     time.Duration
-	guessed bool
-	// began is when this instance met its first era.
-	began time.Duration
-	// position is the first version that was read in this era; what has a higher one was
+	current       atomic.Uint64
+	mutex         sync.Mutex
+	isInitialised bool
+	// firstSeenAt is when any instance first saw the current era, as far as this one knows.
+	// firstSeenUnknown is set for the era seen at the start of the process, of which that time
+	// is unknown.
+	firstSeenAt      time.Duration
+	firstSeenUnknown bool
+	// trackedSince is when this instance saw its first era.
+	trackedSince time.Duration
+	// firstReadVersion is the first version that was read in this era. A higher version was
 	// written in this era.
-	position Version
+	firstReadVersion Version
 }
 
-// Current returns the newest era that was met; zero before the first.
+// Current returns the newest era seen; zero before the first.
 func (eras *Eras) Current() Era { return Era(eras.current.Load()) }
 
-// Met takes in the era of an answer of the service.
+// Met records the era of a reply of the service.
 func (eras *Eras) Met(era Era) {
 	eras.mutex.Lock()
-	from, risen := eras.rise(era, eras.now())
+	from, replaced := eras.advance(era, eras.now())
 	eras.mutex.Unlock()
-	if risen {
-		eras.announce(from, era, "store")
+	if replaced {
+		eras.reportChange(from, era, "store")
 	}
 }
 
-// Heard takes in an era that another instance has met, and how long ago it was met first;
-// dated is false where that instance does not know.
+// Heard records an era that a peer has seen, and how long ago it was first seen; dated is
+// false where the peer does not know that time.
 func (eras *Eras) Heard(era Era, ago time.Duration, dated bool) {
 	eras.mutex.Lock()
-	met := eras.now() - ago
-	from, risen := eras.rise(era, met)
-	if dated && era == eras.Current() && (eras.guessed || met < eras.met) {
-		eras.met, eras.guessed = met, false
+	seenAt := eras.now() - ago
+	from, replaced := eras.advance(era, seenAt)
+	if dated && era == eras.Current() && (eras.firstSeenUnknown || seenAt < eras.firstSeenAt) {
+		eras.firstSeenAt, eras.firstSeenUnknown = seenAt, false
 	}
 	eras.mutex.Unlock()
-	if risen {
-		eras.announce(from, era, "peer")
+	if replaced {
+		eras.reportChange(from, era, "peer")
 	}
 }
 
-// rise makes an era the current one if it is newer, and reports whether it took another
-// one's place.
-func (eras *Eras) rise(era Era, met time.Duration) (Era, bool) {
+// advance makes era the current one if it is newer. It returns the era before and whether
+// that one was replaced; the first era seen replaces none.
+func (eras *Eras) advance(era Era, seenAt time.Duration) (Era, bool) {
 	from := eras.Current()
 	switch {
-	case !eras.known:
-		eras.known, eras.guessed = true, true
-		eras.met, eras.began = math.MinInt64/2, eras.now()
+	case !eras.isInitialised:
+		eras.isInitialised, eras.firstSeenUnknown = true, true
+		eras.firstSeenAt, eras.trackedSince = math.MinInt64/2, eras.now()
 	case era > from:
-		eras.met, eras.guessed, eras.position = met, false, 0
+		eras.firstSeenAt, eras.firstSeenUnknown, eras.firstReadVersion = seenAt, false, 0
 	default:
 		return from, false
 	}
 	eras.current.Store(uint64(era))
-	return from, !eras.guessed
+	return from, !eras.firstSeenUnknown
 }
 
-// The counters of what a new era costs.
+// Counters of era changes, and of the replies, calls and leases that they invalidate.
 var (
-	eraRises          = metrics.NewCounter("peridotpath_store_eras_total")
-	eraAnswersRefused = metrics.NewCounter(`peridotpath_store_era_given_up_total{what="answer"}`)
-	eraCallsRefused   = metrics.NewCounter(`peridotpath_store_era_given_up_total{what="call"}`)
-	eraLeasesGivenUp  = metrics.NewCounter(`peridotpath_store_era_given_up_total{what="lease"}`)
+	eraChanges           = metrics.NewCounter("peridotpath_store_eras_total")
+	staleRepliesRejected = metrics.NewCounter(`peridotpath_store_era_given_up_total{what="answer"}`)
+	staleCallsRejected   = metrics.NewCounter(`peridotpath_store_era_given_up_total{what="call"}`)
+	staleLeasesRejected  = metrics.NewCounter(`peridotpath_store_era_given_up_total{what="lease"}`)
 )
 
-func (eras *Eras) announce(from, to Era, source string) {
+func (eras *Eras) reportChange(from, to Era, source string) {
 	eras.Log.Warn().Uint64("era_before", uint64(from)).Uint64("era", uint64(to)).Str("source", source).Msg("store_went_back")
-	eraRises.Inc()
+	eraChanges.Inc()
 	if eras.Risen != nil {
 		eras.Risen(from, to)
 	}
 }
 
-// Suspect says that something from an earlier era is left in the service: the current
-// one is young, and where nothing else is known it counts as just met.
+// Suspect records that an entry of an earlier era is still in the store, so the restore
+// is recent: if the start of the current era is unknown, it is set to now.
 func (eras *Eras) Suspect() {
 	eras.mutex.Lock()
 	defer eras.mutex.Unlock()
-	if eras.guessed && eras.met < 0 {
-		eras.met = eras.now()
+	if eras.firstSeenUnknown && eras.firstSeenAt < 0 {
+		eras.firstSeenAt = eras.now()
 		eras.Log.Warn().Uint64("era", uint64(eras.Current())).Msg("store_era_is_young")
 	}
 }
 
-// Age returns how long ago the era was first met, as far as this instance knows; false
-// where it does not know that.
+// Age returns how long ago the current era was first seen by any instance; false where
+// this instance does not know.
 func (eras *Eras) Age() (time.Duration, bool) {
 	eras.mutex.Lock()
 	defer eras.mutex.Unlock()
-	return eras.now() - eras.met, eras.known && !eras.guessed
+	return eras.now() - eras.firstSeenAt, eras.isInitialised && !eras.firstSeenUnknown
 }
 
-// Unbroken returns for how long the service is known to have lost nothing. One that never
-// went back has lost nothing ever.
+// Unbroken returns for how long the service is known not to have lost a write. A service
+// that was never restored has lost none.
 func (eras *Eras) Unbroken() time.Duration {
 	eras.mutex.Lock()
 	defer eras.mutex.Unlock()
 	switch {
 	case eras.Current() == 0:
 		return math.MaxInt64
-	case eras.guessed:
-		return eras.now() - eras.began
+	case eras.firstSeenUnknown:
+		return eras.now() - eras.trackedSince
 	}
-	return eras.now() - eras.met
+	return eras.now() - eras.firstSeenAt
 }
 
-// Proves reports whether a reading that found the version shows the newest there is. In
-// the moments after the service came back from a copy an older state stands in it until
-// its writer has written again, and to take that for the newest would confirm what was
-// taken back long ago.
+// Proves reports whether a read that returned version saw the newest state of its key.
+// Just after a restore the store holds an older state until the key's writer has
+// rewritten it; accepting that state as the newest would confirm, for example, a key
+// that was revoked long ago.
 func (eras *Eras) Proves(version Version) bool {
 	eras.mutex.Lock()
 	defer eras.mutex.Unlock()
 	if version.Era() != eras.Current() {
 		return false
 	}
-	return eras.settled() || eras.position != 0 && version > eras.position
+	return eras.hasSettled() || eras.firstReadVersion != 0 && version > eras.firstReadVersion
 }
 
-// Settled reports whether what others write has been written again, as far as the service
-// had lost it.
+// Settled reports whether Settling has passed since the era began, by when other writers
+// have rewritten what the restore lost.
 func (eras *Eras) Settled() bool {
 	eras.mutex.Lock()
 	defer eras.mutex.Unlock()
-	return eras.settled()
+	return eras.hasSettled()
 }
 
-func (eras *Eras) settled() bool { return !eras.known || eras.now()-eras.met >= Settling }
+func (eras *Eras) hasSettled() bool {
+	return !eras.isInitialised || eras.now()-eras.firstSeenAt >= Settling
+}
 
 func (eras *Eras) now() time.Duration {
 	if eras.Now == nil {
@@ -172,17 +173,17 @@
 	return eras.Now()
 }
 
-// read notes a version up to which a reading was complete.
-func (eras *Eras) read(version Version) {
+// recordRead records the version up to which a read was complete.
+func (eras *Eras) recordRead(version Version) {
 	eras.mutex.Lock()
 	defer eras.mutex.Unlock()
-	if eras.position == 0 && version.Era() == eras.Current() {
-		eras.position = version
+	if eras.firstReadVersion == 0 && version.Era() == eras.Current() {
+		eras.firstReadVersion = version
 	}
 }
 
-// Guard returns the service as the rest of the system is to use it. The service must
-// call Met with the era of each of its answers before it returns it.
+// Guard wraps service with the era checks. The service must call Eras.Met with the era of
+// each reply before it returns the reply.
 func (eras *Eras) Guard(service *Store) *Store {
 	guard := &guard{eras: eras, service: service}
 	store := &Store{
@@ -206,13 +207,13 @@
 	service *Store
 }
 
-// ended is the error of an answer from an era that has ended meanwhile: what it says is
-// no longer so.
-func (guard *guard) ended(version Version) error {
+// checkEra returns an error if version belongs to another era than the current one: the
+// reply is outdated.
+func (guard *guard) checkEra(version Version) error {
 	if version == 0 || version.Era() == guard.eras.Current() {
 		return nil
 	}
-	eraAnswersRefused.Inc()
+	staleRepliesRejected.Inc()
 	return ErrUnavailable.New("answer of era %d in era %d", version.Era(), guard.eras.Current())
 }
 
@@ -223,28 +224,28 @@
 		return Entry{}, err
 	}
 	if entry.Version == 0 && before != guard.eras.Current() {
-		// No version tells of which era the absence is.
+		// A missing key has no version, and so no era: read again in the new one.
 		return guard.service.Get(ctx, key)
 	}
-	return entry, guard.ended(entry.Version)
+	return entry, guard.checkEra(entry.Version)
 }
 
 func (guard *guard) list(ctx context.Context, prefix string) ([]Entry, Version, error) {
 	entries, version, err := guard.service.List(ctx, prefix)
 	if err == nil {
-		err = guard.ended(version)
+		err = guard.checkEra(version)
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	guard.eras.read(version)
+	guard.eras.recordRead(version)
 	return entries, version, nil
 }
 
 func (guard *guard) listStale(ctx context.Context, prefix string) ([]Entry, Version, error) {
 	entries, version, err := guard.service.ListStale(ctx, prefix)
 	if err == nil {
-		err = guard.ended(version)
+		err = guard.checkEra(version)
 	}
 	if err != nil {
 		return nil, 0, err
@@ -252,36 +253,36 @@
 	return entries, version, nil
 }
 
-// mostChecks bounds how often a key is looked at anew as the era rose meanwhile.
-const mostChecks = 3
+// maxCheckAttempts bounds the reads of a key when the era changes during each of them.
+const maxCheckAttempts = 3
 
-// check asks for the key's entry where the version is one of another era: the same number
-// may stand for another write.
+// check reads the entry unconditionally where expect is of another era: the same number
+// may identify another write.
 func (guard *guard) check(ctx context.Context, key string, expect Version) (Entry, bool, error) {
-	for range mostChecks {
-		asked := guard.eras.Current()
-		if expect.Era() != asked {
+	for range maxCheckAttempts {
+		eraBefore := guard.eras.Current()
+		if expect.Era() != eraBefore {
 			expect = 0
 		}
 		entry, changed, err := guard.service.Check(ctx, key, expect)
 		if err != nil {
 			return Entry{}, false, err
 		}
-		if guard.eras.Current() == asked {
-			return entry, changed, guard.ended(entry.Version)
+		if guard.eras.Current() == eraBefore {
+			return entry, changed, guard.checkEra(entry.Version)
 		}
 	}
 	return Entry{}, false, ErrUnavailable.New("%s: the era rose again and again", key)
 }
 
 func (guard *guard) watch(ctx context.Context, prefix string, after Version, wait time.Duration) ([]Entry, Version, error) {
-	asked := guard.eras.Current()
-	if after != 0 && after.Era() != asked {
-		// Nothing follows from a version of another era: the whole is read.
+	eraBefore := guard.eras.Current()
+	if after != 0 && after.Era() != eraBefore {
+		// A version of another era is no position to continue from: list everything.
 		return guard.list(ctx, prefix)
 	}
 	entries, version, err := guard.service.Watch(ctx, prefix, after, wait)
-	if guard.eras.Current() != asked {
+	if guard.eras.Current() != eraBefore {
 		return guard.list(ctx, prefix)
 	}
 	return entries, version, err
@@ -290,31 +291,31 @@
 func (guard *guard) swap(ctx context.Context, key string, expect Version, value []byte, lease LeaseID) (Version, error) {
 	era := guard.eras.Current()
 	if expect != 0 && expect.Era() != era {
-		eraCallsRefused.Inc()
+		staleCallsRejected.Inc()
 		return 0, ErrConflict.New("%s: version %d of era %d in era %d", key, expect.Number(), expect.Era(), era)
 	}
 	if !lease.None() && lease.Era != era {
-		eraCallsRefused.Inc()
+		staleCallsRejected.Inc()
 		return 0, ErrLeaseGone.New("%d of era %d in era %d", lease.Number, lease.Era, era)
 	}
 	version, err := guard.service.Swap(ctx, key, expect, value, lease)
 	if err != nil {
 		return 0, err
 	}
-	if err := guard.ended(version); err != nil {
+	if err := guard.checkEra(version); err != nil {
 		return 0, err
 	}
 	if version.Era() == era {
-		guard.eras.read(version)
+		guard.eras.recordRead(version)
 		return version, nil
 	}
-	return 0, guard.undo(ctx, key, expect, version, lease)
+	return 0, guard.resolveCrossEraWrite(ctx, key, expect, version, lease)
 }
 
-// undo deals with a write that was made for one era and done in the next. One that hangs
-// on a lease hangs on whoever's lease has that number now, and is taken back; of one that
-// expected a version nobody knows what it replaced.
-func (guard *guard) undo(ctx context.Context, key string, expect, version Version, lease LeaseID) error {
+// resolveCrossEraWrite handles a write that was sent in one era and applied in the next.
+// A write under a lease is bound to whichever lease has that number now, and is deleted.
+// Of a write with an expected version it is unknown what it replaced.
+func (guard *guard) resolveCrossEraWrite(ctx context.Context, key string, expect, version Version, lease LeaseID) error {
 	if !lease.None() {
 		if _, err := guard.service.Swap(ctx, key, version, nil, LeaseID{}); err != nil {
 			guard.eras.Log.Warn().Str("key", key).Err(err).Msg("write_of_another_era_left")
@@ -328,17 +329,17 @@
 	return guard.service.Grant(ctx, ttl)
 }
 
-// renew does not send the number of a lease of another era: it may be somebody else's.
+// renew rejects a lease of another era: its number may belong to another client's lease.
 func (guard *guard) renew(ctx context.Context, lease LeaseID) error {
 	if lease.Era != guard.eras.Current() {
-		eraLeasesGivenUp.Inc()
+		staleLeasesRejected.Inc()
 		return ErrLeaseGone.New("%d of era %d in era %d", lease.Number, lease.Era, guard.eras.Current())
 	}
 	if err := guard.service.Renew(ctx, lease); err != nil {
 		return err
 	}
 	if lease.Era != guard.eras.Current() {
-		eraLeasesGivenUp.Inc()
+		staleLeasesRejected.Inc()
 		return ErrLeaseGone.New("%d of era %d in era %d", lease.Number, lease.Era, guard.eras.Current())
 	}
 	return nil
--- a/peridotpath/keyvalue/era_test.go
+++ b/peridotpath/keyvalue/era_test.go
@@ -13,71 +13,74 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// goingBack is a service that goes back, and one instance's guarded way to it.
-type goingBack struct {
+// restorableStore is a service that can be restored from a copy, and one instance's guarded
+// Store for it.
+type restorableStore struct {
 	service *memory.Memory
 	eras    *keyvalue.Eras
 	store   *keyvalue.Store
 	now     time.Duration
 }
 
-func newGoingBack(t *testing.T) *goingBack {
+func newRestorableStore(t *testing.T) *restorableStore {
 	t.Helper()
-	back := &goingBack{service: &memory.Memory{}, now: time.Hour}
-	back.eras = &keyvalue.Eras{Now: func() time.Duration { return back.now }}
-	server := httptest.NewServer(back.service)
+	restorable := &restorableStore{service: &memory.Memory{}, now: time.Hour}
+	restorable.eras = &keyvalue.Eras{Now: func() time.Duration { return restorable.now }}
+	server := httptest.NewServer(restorable.service)
 	t.Cleanup(server.Close)
-	back.store = keyvalue.Connect(netip.MustParseAddrPort(server.Listener.Addr().String()), back.eras)
-	return back
+	restorable.store = keyvalue.Connect(netip.MustParseAddrPort(server.Listener.Addr().String()), restorable.eras)
+	return restorable
 }
 
-// A key's number, a lease's number and a watch's number mean something else after the
-// service came back from a copy, and nothing that rests on them is done.
-func TestNumbersOfAnEndedEraAreNotSent(t *testing.T) {
+// After a restore the service reuses the numbers of keys, leases and watches. A call with
+// a number of the earlier era must not reach the service, where it would act on another
+// client's write or lease.
+func TestNumbersOfEarlierEraAreNotSent(t *testing.T) {
 	is := is.New(t)
 	ctx := t.Context()
-	back := newGoingBack(t)
-	other := back.service.Store() // somebody who knows nothing of eras
-	first, err := back.store.Swap(ctx, "a", 0, []byte("first"), keyvalue.LeaseID{})
+	restorable := newRestorableStore(t)
+	other := restorable.service.Store() // a client without era checks
+	first, err := restorable.store.Swap(ctx, "a", 0, []byte("first"), keyvalue.LeaseID{})
 	is.NoErr(err)
-	before := back.service.Copy()
-	lost, err := back.store.Swap(ctx, "a", first, []byte("lost"), keyvalue.LeaseID{})
+	before := restorable.service.Copy()
+	lost, err := restorable.store.Swap(ctx, "a", first, []byte("lost"), keyvalue.LeaseID{})
 	is.NoErr(err)
-	lease, err := back.store.Grant(ctx, time.Minute)
+	lease, err := restorable.store.Grant(ctx, time.Minute)
 	is.NoErr(err)
 
-	back.service.GoBack(before)
+	restorable.service.GoBack(before)
 	_, err = other.Swap(ctx, "a", first, []byte("another"), keyvalue.LeaseID{})
 	is.NoErr(err)
 	theirs, err := other.Grant(ctx, time.Second)
 	is.NoErr(err)
 	is.Equal(theirs.Number, lease.Number)
-	entry, err := back.store.Get(ctx, "a")
+	entry, err := restorable.store.Get(ctx, "a")
 	is.NoErr(err)
 	is.Equal(entry.Version.Number(), lost.Number())
-	is.True(entry.Version > lost) // a version never stands for two writes
+	is.True(entry.Version > lost) // two writes never share a version
 
-	_, err = back.store.Swap(ctx, "a", lost, []byte("mine"), keyvalue.LeaseID{})
+	_, err = restorable.store.Swap(ctx, "a", lost, []byte("mine"), keyvalue.LeaseID{})
 	is.True(keyvalue.ErrConflict.Has(err))
-	_, err = back.store.Swap(ctx, "b", 0, []byte("mine"), lease)
+	_, err = restorable.store.Swap(ctx, "b", 0, []byte("mine"), lease)
 	is.True(keyvalue.ErrLeaseGone.Has(err))
-	is.True(keyvalue.ErrLeaseGone.Has(back.store.Renew(ctx, lease)))
-	is.NoErr(back.store.Release(ctx, lease))
-	is.NoErr(other.Renew(ctx, theirs)) // it was not ended for its holder
+	is.True(keyvalue.ErrLeaseGone.Has(restorable.store.Renew(ctx, lease)))
+	is.NoErr(restorable.store.Release(ctx, lease))
+	is.NoErr(other.Renew(ctx, theirs)) // the other client's lease is still valid
 	entry, err = other.Get(ctx, "a")
 	is.NoErr(err)
 	is.Equal(entry.Value, []byte("another"))
 
-	// A watch would wait for a version that the service does not reach for long.
-	entries, version, err := back.store.Watch(ctx, "a", lost, time.Minute)
+	// A watch from the old version would wait for a number that the service reaches
+	// only much later.
+	entries, version, err := restorable.store.Watch(ctx, "a", lost, time.Minute)
 	is.NoErr(err)
 	is.Equal(len(entries), 1)
 	is.Equal(version.Era(), keyvalue.Era(1))
 }
 
-// A write under a lease is on its way when the service goes back, and is done in the next
-// era under whoever's lease has that number now.
-func TestWriteThatCrossesTheReturnIsTakenBack(t *testing.T) {
+// A write under a lease is in flight during a restore and is applied in the next era,
+// under another client's lease with the same number.
+func TestLeasedWriteAppliedInNextEraIsDeleted(t *testing.T) {
 	is := is.New(t)
 	eras := &keyvalue.Eras{}
 	eras.Met(3)
@@ -95,7 +98,7 @@
 	is.True(keyvalue.ErrLeaseGone.Has(err))
 	is.True(removed)
 
-	// What such a write replaced under another condition nobody knows.
+	// Without a lease it is unknown what such a write replaced.
 	eras = &keyvalue.Eras{}
 	eras.Met(3)
 	expect, err := keyvalue.VersionOf(3, 60)
@@ -110,8 +113,9 @@
 	is.True(keyvalue.ErrUnavailable.Has(err))
 }
 
-// An answer of the era before comes after one of the next; what it says is no longer so.
-func TestAnswerOfAnEndedEraIsNone(t *testing.T) {
+// A reply of the previous era arrives after one of the next era. It is outdated and must
+// be rejected.
+func TestReplyOfEarlierEraIsRejected(t *testing.T) {
 	is := is.New(t)
 	eras := &keyvalue.Eras{}
 	version, err := keyvalue.VersionOf(3, 60)
@@ -131,7 +135,7 @@
 	_, err = store.Get(t.Context(), "a")
 	is.NoErr(err)
 	eras.Met(4)
-	eras.Met(3) // late, too
+	eras.Met(3) // a delayed reply
 	is.Equal(eras.Current(), keyvalue.Era(4))
 	_, err = store.Get(t.Context(), "a")
 	is.True(keyvalue.ErrUnavailable.Has(err))
@@ -143,8 +147,9 @@
 	is.True(keyvalue.ErrUnavailable.Has(err))
 }
 
-// "Unchanged" is said in the next era of a number that was asked about in the one before.
-func TestUnchangedInAnotherEraIsAskedAnew(t *testing.T) {
+// A conditional get is sent in one era and answered "unchanged" in the next, where the
+// same number identifies another write.
+func TestUnchangedReplyOfNextEraIsReadAgain(t *testing.T) {
 	is := is.New(t)
 	eras := &keyvalue.Eras{}
 	eras.Met(3)
@@ -161,7 +166,7 @@
 			return keyvalue.Entry{Key: key, Version: another, Value: []byte("another")}, true, nil
 		},
 	})
-	for range 2 { // as the era is met, and afterwards
+	for range 2 { // while the era changes, and afterwards
 		entry, changed, err := store.Check(t.Context(), "a", known)
 		is.NoErr(err)
 		is.True(changed)
@@ -172,8 +177,9 @@
 	is.True(!changed)
 }
 
-// An older state stands in the service until its writers have written again.
-func TestOlderStateProvesNothing(t *testing.T) {
+// After a restore the store holds an older state until its writers have rewritten it; it
+// must not count as the newest.
+func TestRestoredStateIsNotNewest(t *testing.T) {
 	version := func(era keyvalue.Era, number uint64) keyvalue.Version {
 		version, err := keyvalue.VersionOf(era, number)
 		if err != nil {
@@ -188,7 +194,7 @@
 		return func(eras *keyvalue.Eras, _ *time.Duration) { eras.Heard(era, ago, dated) }
 	}
 	suspect := func(eras *keyvalue.Eras, _ *time.Duration) { eras.Suspect() }
-	// read lets a listing find the service at that number.
+	// read makes a list call that returns that version.
 	read := func(era keyvalue.Era, number uint64) step {
 		return func(eras *keyvalue.Eras, _ *time.Duration) {
 			store := eras.Guard(&keyvalue.Store{List: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
@@ -204,24 +210,24 @@
 		era   keyvalue.Era
 		want  bool
 	}{
-		"a service without eras":              {nil, 0, true},
-		"at a start":                          {[]step{met(5)}, 5, true},
-		"at a start in a young era":           {[]step{met(5), suspect}, 5, false},
-		"a while after that":                  {[]step{met(5), suspect, wait(keyvalue.Settling)}, 5, true},
-		"a peer knows that it is old":         {[]step{met(5), suspect, heard(5, time.Minute, true)}, 5, true},
-		"a peer knows that it is young":       {[]step{met(5), heard(5, time.Second, true)}, 5, false},
-		"a peer does not know":                {[]step{met(5), heard(5, time.Second, false)}, 5, true},
-		"the service went back":               {[]step{met(5), met(6)}, 6, false},
-		"it has settled":                      {[]step{met(5), met(6), wait(keyvalue.Settling)}, 6, true},
-		"a peer met it long before":           {[]step{met(5), met(6), heard(6, time.Minute, true)}, 6, true},
-		"a peer met it later":                 {[]step{met(5), met(6), wait(2 * time.Second), heard(6, time.Second, true), wait(time.Second)}, 6, true},
-		"it went back twice":                  {[]step{met(5), met(6), wait(time.Minute), met(7)}, 7, false},
-		"two returns at once":                 {[]step{met(5), met(7)}, 7, false},
-		"a version of the era before":         {[]step{met(5), met(6), wait(time.Minute)}, 5, false},
-		"written since it was read":           {[]step{met(5), met(6), read(6, 40)}, 6, true},
-		"written before it was read":          {[]step{met(5), met(6), read(6, 60)}, 6, false},
-		"read in the era before":              {[]step{met(5), read(5, 40), met(6)}, 6, false},
-		"heard of before the service is seen": {[]step{heard(6, time.Second, true), met(6)}, 6, false},
+		"service without eras":                {nil, 0, true},
+		"start":                               {[]step{met(5)}, 5, true},
+		"start in a recent era":               {[]step{met(5), suspect}, 5, false},
+		"settled after a start":               {[]step{met(5), suspect, wait(keyvalue.Settling)}, 5, true},
+		"peer reports an old era":             {[]step{met(5), suspect, heard(5, time.Minute, true)}, 5, true},
+		"peer reports a recent era":           {[]step{met(5), heard(5, time.Second, true)}, 5, false},
+		"peer reports no age":                 {[]step{met(5), heard(5, time.Second, false)}, 5, true},
+		"restored":                            {[]step{met(5), met(6)}, 6, false},
+		"restored and settled":                {[]step{met(5), met(6), wait(keyvalue.Settling)}, 6, true},
+		"peer saw the era long before":        {[]step{met(5), met(6), heard(6, time.Minute, true)}, 6, true},
+		"peer saw the era later":              {[]step{met(5), met(6), wait(2 * time.Second), heard(6, time.Second, true), wait(time.Second)}, 6, true},
+		"restored twice":                      {[]step{met(5), met(6), wait(time.Minute), met(7)}, 7, false},
+		"two restores between replies":        {[]step{met(5), met(7)}, 7, false},
+		"version of the previous era":         {[]step{met(5), met(6), wait(time.Minute)}, 5, false},
+		"written after the first read":        {[]step{met(5), met(6), read(6, 40)}, 6, true},
+		"written before the first read":       {[]step{met(5), met(6), read(6, 60)}, 6, false},
+		"read in the previous era":            {[]step{met(5), read(5, 40), met(6)}, 6, false},
+		"peer reports before the first reply": {[]step{heard(6, time.Second, true), met(6)}, 6, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -237,8 +243,8 @@
 	}
 }
 
-// Versions that the type cannot hold are refused and not cut off.
-func TestVersionHoldsItsParts(t *testing.T) {
+// An era or number that exceeds its bits is refused, not truncated.
+func TestVersionRefusesPartsOutOfRange(t *testing.T) {
 	is := is.New(t)
 	version, err := keyvalue.VersionOf(7, 1<<44-1)
 	is.NoErr(err)
--- a/peridotpath/keyvalue/http.go
+++ b/peridotpath/keyvalue/http.go
@@ -13,11 +13,10 @@
 )
 
 type (
-	// Call is the body of every call of the service's HTTP form, with the fields
-	// that the call needs. Key is the prefix for a listing and a watch; Delete
-	// tells a swap that deletes from one that writes an empty value. The
-	// stand-in speaks the same form; where the users' service speaks another,
-	// this file is what changes.
+	// Call is the request body of every call over HTTP, with the fields that the call
+	// needs. Key is the prefix of a list or watch. Delete distinguishes a swap that
+	// deletes from one that writes an empty value. The stand-in server uses the same
+	// protocol; an adapter to a service with another one replaces this file.
 	Call struct {
 		Key    string  `json:"key,omitempty"`
 		Expect Version `json:"expect,omitempty"`
@@ -28,23 +27,23 @@
 		WaitMS int64   `json:"wait_ms,omitempty"`
 		TTLMS  int64   `json:"ttl_ms,omitempty"`
 	}
-	// Reply is the body of every answer: the fields that the call gives, or the
-	// Error that goes with a status other than 200.
+	// Reply is the response body: the result fields of the call, or the Error with a
+	// status other than 200.
 	Reply struct {
 		Entry   Entry   `json:"entry"`
 		Entries []Entry `json:"entries,omitempty"`
 		Version Version `json:"version,omitempty"`
 		Lease   LeaseID `json:"lease,omitzero"`
 		Error   string  `json:"error,omitempty"`
-		// Era is in every answer.
+		// Era is set in every reply.
 		Era Era `json:"era,omitempty"`
 	}
 )
 
-// PathPrefix comes before a call's name in the service's HTTP form.
+// PathPrefix precedes the name of a call in the URL path.
 const PathPrefix = "/kv/"
 
-// The calls, by the name that comes after PathPrefix.
+// The names of the calls, which follow PathPrefix.
 const (
 	CallGet     = "get"
 	CallList    = "list"
@@ -56,15 +55,15 @@
 )
 
 const (
-	// callTimeout bounds one call; a watch has it on top of its own wait.
+	// callTimeout bounds one call; a watch adds it to its own wait.
 	callTimeout = 3 * time.Second
-	// maxReply bounds one answer, in bytes: a listing of some sixty full values.
-	maxReply = 64 << 20
+	// maxReplyBytes bounds one response body: a list of about sixty values of maximum size.
+	maxReplyBytes = 64 << 20
 )
 
-// Connect returns a Store that speaks to the service at address, guarded by eras.
+// Connect returns a Store that calls the service at address, guarded by eras.
 func Connect(address netip.AddrPort, eras *Eras) *Store {
-	client := &client{base: "http://" + address.String() + PathPrefix, met: eras.Met}
+	client := &client{base: "http://" + address.String() + PathPrefix, observeEra: eras.Met}
 	return eras.Guard(&Store{
 		Get: client.get, List: client.list, Swap: client.swap,
 		Grant: client.grant, Renew: client.renew, Release: client.release,
@@ -73,8 +72,8 @@
 }
 
 type client struct {
-	base string
-	met  func(Era)
+	base       string
+	observeEra func(Era)
 }
 
 func (client *client) get(ctx context.Context, key string) (Entry, error) {
@@ -91,7 +90,7 @@
 	call := Call{Key: key, Expect: expect, Value: value, Delete: value == nil, Lease: lease}
 	reply, err := client.call(ctx, CallSwap, call, callTimeout)
 	if err == nil && reply.Version == 0 {
-		return 0, noNumber(CallSwap)
+		return 0, missingNumberError(CallSwap)
 	}
 	return reply.Version, err
 }
@@ -99,15 +98,15 @@
 func (client *client) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	reply, err := client.call(ctx, CallGrant, Call{TTLMS: ttl.Milliseconds()}, callTimeout)
 	if err == nil && reply.Lease.None() {
-		return LeaseID{}, noNumber(CallGrant)
+		return LeaseID{}, missingNumberError(CallGrant)
 	}
 	return reply.Lease, err
 }
 
-// noNumber is the error of an answer that says "done" without the number that
-// goes with it, as a misdirected request to another server may get. Taken for
-// success, a claim would stand nowhere and its request would run.
-func noNumber(call string) error {
+// missingNumberError returns the error for a successful reply without a version or lease number,
+// which another server may send to a misdirected request. If it passed as success, a
+// request would run although its claim is not stored.
+func missingNumberError(call string) error {
 	return ErrUnavailable.New("%s: answer has no number", call)
 }
 
@@ -127,7 +126,7 @@
 	return reply.Entries, reply.Version, err
 }
 
-// call sends one call. The error's class says whether a write may stand.
+// call sends one call. The class of the error tells whether a write may have been applied.
 func (client *client) call(ctx context.Context, name string, call Call, timeout time.Duration) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -147,16 +146,16 @@
 		return Reply{}, ErrUnavailable.Wrap(err)
 	}
 	defer response.Body.Close()
-	reply, err := decode(response)
+	reply, err := decodeReply(response)
 	if !ErrUnavailable.Has(err) {
-		client.met(reply.Era)
+		client.observeEra(reply.Era)
 	}
 	return reply, err
 }
 
-func decode(response *http.Response) (Reply, error) {
+func decodeReply(response *http.Response) (Reply, error) {
 	var reply Reply
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxReply)).Decode(&reply); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxReplyBytes)).Decode(&reply); err != nil {
 		return Reply{}, ErrUnavailable.Wrap(err)
 	}
 	switch response.StatusCode {
--- a/peridotpath/keyvalue/http_test.go
+++ b/peridotpath/keyvalue/http_test.go
@@ -20,7 +20,7 @@
 
 var background = context.Background()
 
-// connect serves the handler on loopback and returns a Store that speaks to it.
+// connect serves the handler on loopback and returns a Store connected to it.
 func connect(t *testing.T, handler http.Handler) (*keyvalue.Store, *httptest.Server) {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -73,11 +73,10 @@
 	is.Equal(entry.Version, keyvalue.Version(0))
 }
 
-// A write goes wrong on its way. What the caller may conclude depends on the
-// class of the error: "not sent" and "conflict" say that nothing was written,
-// and a request may be refused as not run. Taken too lightly, a claim that
-// stands would be thought free.
-func TestErrorsTellWhetherAWriteMayStand(t *testing.T) {
+// A write fails in transit. The error class decides what the caller may conclude: "not
+// sent" and "conflict" mean that nothing was written, so a request may be refused as not
+// run. With either class after an applied write, a stored claim would count as free.
+func TestErrorClassTellsWhetherWriteMayBeApplied(t *testing.T) {
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(writer http.ResponseWriter, _ *http.Request) {
 			writer.WriteHeader(status)
@@ -96,14 +95,14 @@
 		want    *errs.Class
 	}{
 		"connection cut after the body was read": {cut, &keyvalue.ErrUnavailable},
-		"error of the service":                   {answer(503, `{"error":"down"}`), &keyvalue.ErrUnavailable},
-		"garbage":                                {answer(200, `<html>`), &keyvalue.ErrUnavailable},
-		"garbage that looks like a conflict":     {answer(409, `<html>`), &keyvalue.ErrUnavailable},
-		"answer of another server":               {answer(200, `{}`), &keyvalue.ErrUnavailable},
-		"answer cut in the middle":               {answer(200, `{"version": 7`), &keyvalue.ErrUnavailable},
+		"service error":                          {answer(503, `{"error":"down"}`), &keyvalue.ErrUnavailable},
+		"malformed body":                         {answer(200, `<html>`), &keyvalue.ErrUnavailable},
+		"conflict status with a malformed body":  {answer(409, `<html>`), &keyvalue.ErrUnavailable},
+		"reply of another server":                {answer(200, `{}`), &keyvalue.ErrUnavailable},
+		"truncated reply":                        {answer(200, `{"version": 7`), &keyvalue.ErrUnavailable},
 		"redirected":                             {answer(307, `{}`), &keyvalue.ErrUnavailable},
 		"conflict":                               {answer(409, `{"error":"other"}`), &keyvalue.ErrConflict},
-		"lease has lapsed":                       {answer(410, `{"error":"gone"}`), &keyvalue.ErrLeaseGone},
+		"lease expired":                          {answer(410, `{"error":"gone"}`), &keyvalue.ErrLeaseGone},
 		"refused as malformed":                   {answer(400, `{"error":"bad"}`), &keyvalue.ErrInvalid},
 	}
 	for name, test := range tests {
@@ -118,7 +117,7 @@
 	}
 }
 
-func TestServiceThatIsNotThere(t *testing.T) {
+func TestServiceUnreachable(t *testing.T) {
 	is := is.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -128,9 +127,9 @@
 	is.True(keyvalue.ErrNotSent.Has(err))
 }
 
-// The service hangs after it took the write and the caller's time runs out. The
-// write may stand, so the error must not say otherwise.
-func TestCallerWhoGivesUpWaiting(t *testing.T) {
+// The service hangs after it received the write, and the caller cancels. The write may
+// have been applied, so the error must be ErrUnavailable.
+func TestCancelledCallIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	arrived, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
--- a/peridotpath/keyvalue/memory/copy.go
+++ b/peridotpath/keyvalue/memory/copy.go
@@ -6,7 +6,7 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Copy is the service's state at one moment.
+// Copy is a point-in-time copy of the service's state.
 type Copy struct {
 	entries map[string]keyvalue.Entry
 	leases  map[uint64]lease
@@ -14,7 +14,7 @@
 	nextID  uint64
 }
 
-// Copy returns a copy of the state.
+// Copy returns a copy of the current state.
 func (memory *Memory) Copy() Copy {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
@@ -25,8 +25,8 @@
 	return Copy{entries: maps.Clone(memory.entries), leases: leases, version: memory.version, nextID: memory.nextID}
 }
 
-// GoBack puts the copy in the state's place, in a new era: what was acknowledged since is
-// gone, and its numbers are given out again.
+// GoBack restores the state from a copy and starts a new era: writes acknowledged since
+// the copy are lost, and their numbers are reused.
 func (memory *Memory) GoBack(to Copy) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
@@ -38,19 +38,19 @@
 	}
 	memory.version, memory.nextID = to.version, to.nextID
 	if memory.changed != nil {
-		memory.wake()
+		memory.notifyWatchers()
 	}
 }
 
-// Era returns how often the service went back.
+// Era returns how often the service was restored.
 func (memory *Memory) Era() keyvalue.Era {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	return memory.era
 }
 
-// stamp adds the era to a version that the service gives out.
-func (memory *Memory) stamp(version keyvalue.Version) keyvalue.Version {
+// versionInEra returns the version with the current era.
+func (memory *Memory) versionInEra(version keyvalue.Version) keyvalue.Version {
 	if version == 0 {
 		return 0
 	}
@@ -61,9 +61,9 @@
 	return stamped
 }
 
-// told is an entry as the service gives it out.
-func (memory *Memory) told(entry keyvalue.Entry) keyvalue.Entry {
-	entry.Version = memory.stamp(entry.Version)
+// entryInEra returns the entry with the current era in its version and lease.
+func (memory *Memory) entryInEra(entry keyvalue.Entry) keyvalue.Entry {
+	entry.Version = memory.versionInEra(entry.Version)
 	if !entry.Lease.None() {
 		entry.Lease.Era = memory.era
 	}
--- a/peridotpath/keyvalue/memory/link.go
+++ b/peridotpath/keyvalue/memory/link.go
@@ -9,50 +9,49 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Fate is what becomes of one call on its way to the service and back. The
-// zero value is a call that goes well.
+// Fate is the fault injected into one call. The zero value injects none.
 type Fate struct {
-	// Delay passes before the call arrives.
+	// Delay passes before the service receives the call.
 	Delay time.Duration
-	// AnswerDelay passes after it took effect.
+	// AnswerDelay passes between the effect of the call and its reply.
 	AnswerDelay time.Duration
-	// NotSent ends the call before it arrives.
+	// NotSent fails the call before the service receives it.
 	NotSent bool
-	// Unanswered loses the answer of a call that took effect.
+	// Unanswered drops the reply of a call that took effect.
 	Unanswered bool
-	// Late loses the call for its caller at once; a write still takes effect
+	// Late fails the call at once with ErrUnavailable; a write is still applied
 	// this much later.
 	Late time.Duration
 }
 
-// Link is one process's way to a Memory, with faults of its own.
+// Link is one process's connection to a Memory, with its own fault injection.
 type Link struct {
-	// Eras guards the way where the service may go back; nil where it does not.
+	// Eras guards the Store where the service may be restored; nil where it is not.
 	Eras *keyvalue.Eras
 
-	mu   sync.Mutex
-	fate func(call string) Fate
-	// era is that of the service.
+	mu          sync.Mutex
+	selectFault func(call string) Fate
+	// era returns the service's current era.
 	era func() keyvalue.Era
 }
 
-// Set chooses the fate of each call from now on; nil lets all go well.
+// Set sets the function that selects the fault of each call; nil injects none.
 func (link *Link) Set(fate func(call string) Fate) {
 	link.mu.Lock()
 	defer link.mu.Unlock()
-	link.fate = fate
+	link.selectFault = fate
 }
 
-func (link *Link) next(call string) Fate {
+func (link *Link) nextFault(call string) Fate {
 	link.mu.Lock()
 	defer link.mu.Unlock()
-	if link.fate == nil {
+	if link.selectFault == nil {
 		return Fate{}
 	}
-	return link.fate(call)
+	return link.selectFault(call)
 }
 
-// Store returns the service as seen over the link.
+// Store returns a Store that calls memory over the link.
 func (link *Link) Store(memory *Memory) *keyvalue.Store {
 	link.era = memory.Era
 	store := link.store(memory)
@@ -65,59 +64,59 @@
 func (link *Link) store(memory *Memory) *keyvalue.Store {
 	return &keyvalue.Store{
 		Get: func(ctx context.Context, key string) (keyvalue.Entry, error) {
-			return through(ctx, link, keyvalue.CallGet, func(ctx context.Context) (keyvalue.Entry, error) {
+			return callOverLink(ctx, link, keyvalue.CallGet, func(ctx context.Context) (keyvalue.Entry, error) {
 				return memory.get(ctx, key)
 			})
 		},
 		List: func(ctx context.Context, prefix string) ([]keyvalue.Entry, keyvalue.Version, error) {
-			return listing(ctx, link, keyvalue.CallList, func(ctx context.Context) ([]keyvalue.Entry, keyvalue.Version, error) {
+			return callListing(ctx, link, keyvalue.CallList, func(ctx context.Context) ([]keyvalue.Entry, keyvalue.Version, error) {
 				return memory.list(ctx, prefix)
 			})
 		},
 		Swap: func(ctx context.Context, key string, expect keyvalue.Version, value []byte, lease keyvalue.LeaseID) (keyvalue.Version, error) {
-			return through(ctx, link, keyvalue.CallSwap, func(ctx context.Context) (keyvalue.Version, error) {
+			return callOverLink(ctx, link, keyvalue.CallSwap, func(ctx context.Context) (keyvalue.Version, error) {
 				return memory.swap(ctx, key, expect, value, lease)
 			})
 		},
 		Grant: func(ctx context.Context, ttl time.Duration) (keyvalue.LeaseID, error) {
-			return through(ctx, link, keyvalue.CallGrant, func(ctx context.Context) (keyvalue.LeaseID, error) {
+			return callOverLink(ctx, link, keyvalue.CallGrant, func(ctx context.Context) (keyvalue.LeaseID, error) {
 				return memory.grant(ctx, ttl)
 			})
 		},
 		Renew: func(ctx context.Context, lease keyvalue.LeaseID) error {
-			return plain(ctx, link, keyvalue.CallRenew, func(ctx context.Context) error { return memory.renew(ctx, lease) })
+			return callWithoutResult(ctx, link, keyvalue.CallRenew, func(ctx context.Context) error { return memory.renew(ctx, lease) })
 		},
 		Release: func(ctx context.Context, lease keyvalue.LeaseID) error {
-			return plain(ctx, link, keyvalue.CallRelease, func(ctx context.Context) error { return memory.release(ctx, lease) })
+			return callWithoutResult(ctx, link, keyvalue.CallRelease, func(ctx context.Context) error { return memory.release(ctx, lease) })
 		},
 		Watch: func(ctx context.Context, prefix string, after keyvalue.Version, wait time.Duration) ([]keyvalue.Entry, keyvalue.Version, error) {
-			return listing(ctx, link, keyvalue.CallWatch, func(ctx context.Context) ([]keyvalue.Entry, keyvalue.Version, error) {
+			return callListing(ctx, link, keyvalue.CallWatch, func(ctx context.Context) ([]keyvalue.Entry, keyvalue.Version, error) {
 				return memory.watch(ctx, prefix, after, wait)
 			})
 		},
 	}
 }
 
-// through makes one call with the fate that was drawn for it.
-func through[T any](ctx context.Context, link *Link, name string, call func(context.Context) (T, error)) (T, error) {
-	var nothing T
-	fate := link.next(name)
+// callOverLink makes one call with the fault selected for it.
+func callOverLink[T any](ctx context.Context, link *Link, name string, call func(context.Context) (T, error)) (T, error) {
+	var zero T
+	fate := link.nextFault(name)
 	if fate.NotSent {
-		return nothing, keyvalue.ErrNotSent.New("fault")
+		return zero, keyvalue.ErrNotSent.New("fault: call not sent")
 	}
 	if fate.Late > 0 {
 		if isWrite(name) {
-			go arriveLate(fate.Late, call)
+			go applyLate(fate.Late, call)
 		}
-		return nothing, keyvalue.ErrUnavailable.New("fault: no answer")
+		return zero, keyvalue.ErrUnavailable.New("fault: no reply")
 	}
 	if !clock.Pause(ctx, fate.Delay) {
-		return nothing, keyvalue.ErrUnavailable.Wrap(ctx.Err())
+		return zero, keyvalue.ErrUnavailable.Wrap(ctx.Err())
 	}
 	result, err := call(ctx)
 	era := link.era()
 	if !clock.Pause(ctx, fate.AnswerDelay) || fate.Unanswered {
-		return nothing, keyvalue.ErrUnavailable.New("fault: answer lost")
+		return zero, keyvalue.ErrUnavailable.New("fault: reply lost")
 	}
 	if link.Eras != nil {
 		link.Eras.Met(era)
@@ -125,7 +124,7 @@
 	return result, err
 }
 
-func arriveLate[T any](after time.Duration, call func(context.Context) (T, error)) {
+func applyLate[T any](after time.Duration, call func(context.Context) (T, error)) {
 	time.Sleep(after)
 	_, _ = call(context.Background())
 }
@@ -134,23 +133,23 @@
 	return call != keyvalue.CallGet && call != keyvalue.CallList && call != keyvalue.CallWatch
 }
 
-func plain(ctx context.Context, link *Link, name string, call func(context.Context) error) error {
-	_, err := through(ctx, link, name, func(ctx context.Context) (struct{}, error) { return struct{}{}, call(ctx) })
+func callWithoutResult(ctx context.Context, link *Link, name string, call func(context.Context) error) error {
+	_, err := callOverLink(ctx, link, name, func(ctx context.Context) (struct{}, error) { return struct{}{}, call(ctx) })
 	return err
 }
 
-type entries struct {
+type listResult struct {
 	list    []keyvalue.Entry
 	version keyvalue.Version
 }
 
-func listing(
+func callListing(
 	ctx context.Context, link *Link, name string,
 	call func(context.Context) ([]keyvalue.Entry, keyvalue.Version, error),
 ) ([]keyvalue.Entry, keyvalue.Version, error) {
-	result, err := through(ctx, link, name, func(ctx context.Context) (entries, error) {
+	result, err := callOverLink(ctx, link, name, func(ctx context.Context) (listResult, error) {
 		list, version, err := call(ctx)
-		return entries{list, version}, err
+		return listResult{list, version}, err
 	})
 	return result.list, result.version, err
 }
--- a/peridotpath/keyvalue/memory/memory.go
+++ b/peridotpath/keyvalue/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory is a key-value service in one process's memory. The stand-in
-// serves it over HTTP, and tests use it directly, with faults switched on.
+// Package memory is an in-memory key-value service with fault injection. The stand-in
+// server offers it over HTTP, and tests call it directly.
 package memory
 
 import (
@@ -14,15 +14,15 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Memory is the service. Set the exported fields before use; the zero value
-// works and has no faults. Like the users' service it looks only at the numbers of
-// versions and leases that it is told, and not at the era that they are of.
+// Memory is the service. Set the exported fields before use; the zero value works and
+// injects no faults. As the platform's service, it compares only the numbers of the
+// versions and leases in a call, not their era.
 type Memory struct {
-	// Fault, when set, is asked before (applied false) and after (applied true)
-	// each call. An error it returns is what the caller gets; the write stands
-	// if it was already applied. It may block, to play a slow service.
+	// Fault, if set, is called before (applied false) and after (applied true) each
+	// call takes effect. Its error is returned to the caller; a write that was already
+	// applied is kept. It may block to simulate a slow service.
 	Fault func(ctx context.Context, call string, key string, applied bool) error
-	// Now is the clock; nil stands for time.Now.
+	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
 	mu      sync.Mutex
@@ -41,7 +41,7 @@
 	expires time.Time
 }
 
-// Store returns the service behind the seams that the system stands on.
+// Store returns a Store that calls the service directly.
 func (memory *Memory) Store() *keyvalue.Store {
 	return &keyvalue.Store{
 		Get: memory.get, List: memory.list, Swap: memory.swap,
@@ -50,16 +50,17 @@
 	}
 }
 
-// Calls returns how often each call was made so far, by name.
+// Calls returns the number of calls so far by name.
 func (memory *Memory) Calls() map[string]int {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	return maps.Clone(memory.calls)
 }
 
-// begin locks, counts the call and drops lapsed leases.
-func (memory *Memory) begin(ctx context.Context, call, key string) error {
-	if err := memory.fault(ctx, call, key, false); err != nil {
+// beginCall locks the state, counts the call and removes expired leases. On an error the
+// state is not locked.
+func (memory *Memory) beginCall(ctx context.Context, call, key string) error {
+	if err := memory.injectFault(ctx, call, key, false); err != nil {
 		return err
 	}
 	memory.mu.Lock()
@@ -71,11 +72,11 @@
 		memory.changed = make(chan struct{})
 	}
 	memory.calls[call]++
-	memory.expire()
+	memory.expireLeases()
 	return nil
 }
 
-func (memory *Memory) fault(ctx context.Context, call, key string, applied bool) error {
+func (memory *Memory) injectFault(ctx context.Context, call, key string, applied bool) error {
 	if memory.Fault == nil {
 		return nil
 	}
@@ -89,66 +90,66 @@
 	return memory.Now()
 }
 
-func (memory *Memory) expire() {
+func (memory *Memory) expireLeases() {
 	now := memory.now()
 	for id, held := range memory.leases {
 		if !now.Before(held.expires) {
-			memory.dropLease(id)
+			memory.deleteLease(id)
 		}
 	}
 }
 
-func (memory *Memory) dropLease(id uint64) {
+func (memory *Memory) deleteLease(id uint64) {
 	delete(memory.leases, id)
 	for key, entry := range memory.entries {
 		if entry.Lease.Number == id {
-			memory.remove(key)
+			memory.deleteEntry(key)
 		}
 	}
 }
 
-func (memory *Memory) remove(key string) {
+func (memory *Memory) deleteEntry(key string) {
 	memory.version++
 	delete(memory.entries, key)
 	memory.deleted[key] = keyvalue.Entry{Key: key, Version: memory.version, Deleted: true}
-	memory.wake()
+	memory.notifyWatchers()
 }
 
-func (memory *Memory) wake() {
+func (memory *Memory) notifyWatchers() {
 	close(memory.changed)
 	memory.changed = make(chan struct{})
 }
 
 func (memory *Memory) get(ctx context.Context, key string) (keyvalue.Entry, error) {
-	if err := memory.begin(ctx, keyvalue.CallGet, key); err != nil {
+	if err := memory.beginCall(ctx, keyvalue.CallGet, key); err != nil {
 		return keyvalue.Entry{}, err
 	}
-	entry := memory.told(memory.entries[key])
+	entry := memory.entryInEra(memory.entries[key])
 	memory.mu.Unlock()
-	if err := memory.fault(ctx, keyvalue.CallGet, key, true); err != nil {
+	if err := memory.injectFault(ctx, keyvalue.CallGet, key, true); err != nil {
 		return keyvalue.Entry{}, err
 	}
 	return entry, nil
 }
 
 func (memory *Memory) list(ctx context.Context, prefix string) ([]keyvalue.Entry, keyvalue.Version, error) {
-	if err := memory.begin(ctx, keyvalue.CallList, prefix); err != nil {
+	if err := memory.beginCall(ctx, keyvalue.CallList, prefix); err != nil {
 		return nil, 0, err
 	}
-	entries := memory.above(memory.entries, prefix, 0)
-	version := memory.stamp(memory.version)
+	entries := memory.entriesAfter(memory.entries, prefix, 0)
+	version := memory.versionInEra(memory.version)
 	memory.mu.Unlock()
-	if err := memory.fault(ctx, keyvalue.CallList, prefix, true); err != nil {
+	if err := memory.injectFault(ctx, keyvalue.CallList, prefix, true); err != nil {
 		return nil, 0, err
 	}
 	return entries, version, nil
 }
 
-func (memory *Memory) above(from map[string]keyvalue.Entry, prefix string, after uint64) []keyvalue.Entry {
+func (memory *Memory) entriesAfter(from map[string]keyvalue.Entry, prefix string, after uint64) []keyvalue.Entry {
 	var entries []keyvalue.Entry
 	for key, entry := range from {
 		if strings.HasPrefix(key, prefix) && entry.Version.Number() > after {
-			entries = append(entries, memory.told(entry))
+			entries = append(entries, memory.entryInEra(entry))
 		}
 	}
 	slices.SortFunc(entries, func(a, b keyvalue.Entry) int { return cmp.Compare(a.Key, b.Key) })
@@ -156,16 +157,16 @@
 }
 
 func (memory *Memory) swap(ctx context.Context, key string, expect keyvalue.Version, value []byte, id keyvalue.LeaseID) (keyvalue.Version, error) {
-	if err := memory.begin(ctx, keyvalue.CallSwap, key); err != nil {
+	if err := memory.beginCall(ctx, keyvalue.CallSwap, key); err != nil {
 		return 0, err
 	}
 	version, err := memory.swapLocked(key, expect, value, id.Number)
-	version = memory.stamp(version)
+	version = memory.versionInEra(version)
 	memory.mu.Unlock()
 	if err != nil {
 		return 0, err
 	}
-	if err := memory.fault(ctx, keyvalue.CallSwap, key, true); err != nil {
+	if err := memory.injectFault(ctx, keyvalue.CallSwap, key, true); err != nil {
 		return 0, err
 	}
 	return version, nil
@@ -182,29 +183,29 @@
 		return 0, keyvalue.ErrLeaseGone.New("lease %d", id)
 	}
 	if value == nil {
-		memory.remove(key)
+		memory.deleteEntry(key)
 		return memory.version, nil
 	}
 	memory.version++
 	delete(memory.deleted, key)
 	memory.entries[key] = keyvalue.Entry{Key: key, Value: append([]byte{}, value...), Version: memory.version, Lease: keyvalue.LeaseID{Number: id}}
-	memory.wake()
+	memory.notifyWatchers()
 	return memory.version, nil
 }
 
 func (memory *Memory) grant(ctx context.Context, ttl time.Duration) (keyvalue.LeaseID, error) {
-	if err := memory.begin(ctx, keyvalue.CallGrant, ""); err != nil {
+	if err := memory.beginCall(ctx, keyvalue.CallGrant, ""); err != nil {
 		return keyvalue.LeaseID{}, err
 	}
 	memory.nextID++
 	id := keyvalue.LeaseID{Era: memory.era, Number: memory.nextID}
 	memory.leases[id.Number] = &lease{ttl: ttl, expires: memory.now().Add(ttl)}
 	memory.mu.Unlock()
-	return id, memory.fault(ctx, keyvalue.CallGrant, "", true)
+	return id, memory.injectFault(ctx, keyvalue.CallGrant, "", true)
 }
 
 func (memory *Memory) renew(ctx context.Context, id keyvalue.LeaseID) error {
-	if err := memory.begin(ctx, keyvalue.CallRenew, ""); err != nil {
+	if err := memory.beginCall(ctx, keyvalue.CallRenew, ""); err != nil {
 		return err
 	}
 	held := memory.leases[id.Number]
@@ -215,56 +216,57 @@
 	if held == nil {
 		return keyvalue.ErrLeaseGone.New("lease %s", id)
 	}
-	return memory.fault(ctx, keyvalue.CallRenew, "", true)
+	return memory.injectFault(ctx, keyvalue.CallRenew, "", true)
 }
 
 func (memory *Memory) release(ctx context.Context, id keyvalue.LeaseID) error {
-	if err := memory.begin(ctx, keyvalue.CallRelease, ""); err != nil {
+	if err := memory.beginCall(ctx, keyvalue.CallRelease, ""); err != nil {
 		return err
 	}
-	memory.dropLease(id.Number)
+	memory.deleteLease(id.Number)
 	memory.mu.Unlock()
-	return memory.fault(ctx, keyvalue.CallRelease, "", true)
+	return memory.injectFault(ctx, keyvalue.CallRelease, "", true)
 }
 
 func (memory *Memory) watch(ctx context.Context, prefix string, after keyvalue.Version, wait time.Duration) ([]keyvalue.Entry, keyvalue.Version, error) {
-	if err := memory.begin(ctx, keyvalue.CallWatch, prefix); err != nil {
+	if err := memory.beginCall(ctx, keyvalue.CallWatch, prefix); err != nil {
 		return nil, 0, err
 	}
 	ctxWait, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		entries := append(memory.above(memory.entries, prefix, after.Number()), memory.above(memory.deleted, prefix, after.Number())...)
-		version, changed, lapse := memory.stamp(memory.version), memory.changed, memory.nextLapse()
+		entries := append(memory.entriesAfter(memory.entries, prefix, after.Number()), memory.entriesAfter(memory.deleted, prefix, after.Number())...)
+		version, changed, lapse := memory.versionInEra(memory.version), memory.changed, memory.untilNextExpiry()
 		memory.mu.Unlock()
 		if len(entries) > 0 {
-			return entries, version, memory.fault(ctx, keyvalue.CallWatch, prefix, true)
+			return entries, version, memory.injectFault(ctx, keyvalue.CallWatch, prefix, true)
 		}
 		if !waitForChange(ctxWait, changed, lapse) {
 			if ctx.Err() != nil {
 				return nil, after, keyvalue.ErrUnavailable.Wrap(ctx.Err())
 			}
-			return nil, version, memory.fault(ctx, keyvalue.CallWatch, prefix, true)
+			return nil, version, memory.injectFault(ctx, keyvalue.CallWatch, prefix, true)
 		}
 		memory.mu.Lock()
-		memory.expire()
+		memory.expireLeases()
 	}
 }
 
-// noLapse is how long a watch waits at a time while there is no lease.
-const noLapse = 24 * time.Hour
+// maxExpiryWait is the longest wait of a watch between two checks for expired leases; without
+// leases it applies unchanged.
+const maxExpiryWait = 24 * time.Hour
 
-// nextLapse returns how long it is until a lease lapses unless it is renewed;
-// noLapse when there is none. A lapse deletes entries, which watches report.
-func (memory *Memory) nextLapse() time.Duration {
-	next := noLapse
+// untilNextExpiry returns the time until the next lease expires unless it is renewed, at most
+// maxExpiryWait. The expiry deletes entries, which watches report.
+func (memory *Memory) untilNextExpiry() time.Duration {
+	next := maxExpiryWait
 	for _, held := range memory.leases {
 		next = min(next, held.expires.Sub(memory.now()))
 	}
 	return next
 }
 
-// waitForChange returns when something may have changed; false when ctx ended.
+// waitForChange waits for a write or a lease's expiry; it returns false if ctx ended first.
 func waitForChange(ctx context.Context, changed <-chan struct{}, lapse time.Duration) bool {
 	timer := time.NewTimer(max(lapse, time.Millisecond))
 	defer timer.Stop()
--- a/peridotpath/keyvalue/memory/memory_test.go
+++ b/peridotpath/keyvalue/memory/memory_test.go
@@ -14,7 +14,7 @@
 
 var background = context.Background()
 
-func TestLeaseTakesItsEntriesAlong(t *testing.T) {
+func TestLeaseExpiryDeletesEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := (&memory.Memory{}).Store()
@@ -27,14 +27,14 @@
 		begin := time.Now()
 		entries, _, err := store.Watch(background, "a", version, time.Minute)
 		is.NoErr(err)
-		is.Equal(time.Since(begin), 10*time.Second) // nobody else calls meanwhile
+		is.Equal(time.Since(begin), 10*time.Second) // expires without another call
 		is.True(entries[0].Deleted)
 		_, err = store.Swap(background, "a", 0, []byte("x"), lease)
 		is.True(keyvalue.ErrLeaseGone.Has(err))
 	})
 }
 
-func TestWatchEndsWithItsWaitOrItsCaller(t *testing.T) {
+func TestWatchTimeoutAndCancellation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := (&memory.Memory{}).Store()
@@ -50,8 +50,9 @@
 	})
 }
 
-// Each fate of a write, as its caller sees it and as the service has it.
-func TestFatesOfAWrite(t *testing.T) {
+// Each injected fault of a write: the error and delay at the caller, and whether the
+// service applies the write.
+func TestInjectedFaultsOfWrite(t *testing.T) {
 	tests := map[string]struct {
 		fate     memory.Fate
 		lasts    time.Duration
@@ -59,12 +60,12 @@
 		applied  bool
 		later    bool // applied after a minute
 	}{
-		"goes well":    {memory.Fate{}, 0, true, true, true},
-		"slow there":   {memory.Fate{Delay: 2 * time.Second}, 2 * time.Second, true, true, true},
-		"slow back":    {memory.Fate{AnswerDelay: 2 * time.Second}, 2 * time.Second, true, true, true},
+		"no fault":     {memory.Fate{}, 0, true, true, true},
+		"slow request": {memory.Fate{Delay: 2 * time.Second}, 2 * time.Second, true, true, true},
+		"slow reply":   {memory.Fate{AnswerDelay: 2 * time.Second}, 2 * time.Second, true, true, true},
 		"not sent":     {memory.Fate{NotSent: true}, 0, false, false, false},
-		"no answer":    {memory.Fate{Unanswered: true}, 0, false, true, true},
-		"arrives late": {memory.Fate{Late: 9 * time.Second}, 0, false, false, true},
+		"reply lost":   {memory.Fate{Unanswered: true}, 0, false, true, true},
+		"applied late": {memory.Fate{Late: 9 * time.Second}, 0, false, false, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/peridotpath/keyvalue/memory/serve.go
+++ b/peridotpath/keyvalue/memory/serve.go
@@ -9,7 +9,7 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// ServeHTTP serves the service in the HTTP form that keyvalue.Connect speaks.
+// ServeHTTP serves the HTTP protocol of keyvalue.Connect.
 func (memory *Memory) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	var call keyvalue.Call
 	if err := json.NewDecoder(request.Body).Decode(&call); err != nil {
--- a/peridotpath/keyvalue/store.go
+++ b/peridotpath/keyvalue/store.go
@@ -1,7 +1,8 @@
-// Package keyvalue speaks to the platform's key-value service: compare-and-swap,
-// leases and watches. Store is the narrow interface that the rest of the system
-// stands on; Connect makes one that speaks HTTP to the service. Eras guards it where
-// the service may come back from an older copy.
+// Package keyvalue is the client of the platform's key-value service: compare-and-swap,
+// leases and watches. Store is the interface that the rest of the system uses, and
+// Connect returns one that calls the service over HTTP. Eras tracks the store's epoch,
+// which changes when the service is restored from an older copy, and rejects version
+// numbers, leases and replies of an earlier epoch.
 package keyvalue
 
 import (
@@ -13,15 +14,16 @@
 	"github.com/zeebo/errs"
 )
 
-// Version is the service-wide number of the write that made an Entry, above it the era
-// that it belongs to, so that it grows with each write to any key, also where the service
-// goes back to an older copy. Zero stands for "no such key".
+// Version identifies the write that made an Entry: the era in the high bits and the
+// service-wide number of the write in the low bits. It grows with each write to any key,
+// also across a restore from an older copy. Zero means that the key does not exist.
 type Version uint64
 
-// numberBits is how much of a Version is the service's own number.
+// numberBits is the width of the service's own number within a Version.
 const numberBits = 44
 
-// VersionOf returns the version of the service's number in an era.
+// VersionOf returns the version with the given era and number; ErrInvalid where one of
+// them exceeds its bits.
 func VersionOf(era Era, number uint64) (Version, error) {
 	if number>>numberBits != 0 || uint64(era)>>(64-numberBits) != 0 {
 		return 0, ErrInvalid.New("no version holds number %d of era %d", number, era)
@@ -32,20 +34,20 @@
 // Era returns the era of the write; zero for "no such key".
 func (version Version) Era() Era { return Era(version >> numberBits) }
 
-// Number returns the number that the service gave the write.
+// Number returns the service's own number of the write.
 func (version Version) Number() uint64 { return uint64(version) & (1<<numberBits - 1) }
 
-// LeaseID names a lease; the zero value stands for none. It is no fencing number: a lease
-// that was granted early may take its key after a later one has come and gone.
-// The Version of the write that took the key is one.
+// LeaseID identifies a lease; the zero value means no lease. It cannot serve as a fencing
+// token: a lease granted earlier may acquire its key after a later one has expired.
+// The Version of the write that acquired the key can.
 type LeaseID struct {
-	// Era is when it was granted; in a later one the service may give the number to
-	// somebody else.
+	// Era is the era of the grant; in a later one the service may assign the number
+	// to another client.
 	Era    Era    `json:"era,omitempty"`
 	Number uint64 `json:"number,omitempty"`
 }
 
-// None reports whether it names no lease.
+// None reports whether lease is the zero value.
 func (lease LeaseID) None() bool { return lease == LeaseID{} }
 
 // String returns the number, with its era where there is one.
@@ -56,64 +58,64 @@
 	return fmt.Sprintf("%d of era %d", lease.Number, lease.Era)
 }
 
-// Entry is one key with its value.
+// Entry is a key with its value and version.
 type Entry struct {
 	Key     string  `json:"key"`
 	Value   []byte  `json:"value"`
 	Version Version `json:"version"`
-	// Lease is the lease that the entry dies with, if any.
+	// Lease is the lease whose expiry deletes the entry, if any.
 	Lease LeaseID `json:"lease,omitzero"`
-	// Deleted marks a deletion in what a watch returns.
+	// Deleted marks a deletion; only watches return such entries.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
 // MaxValue is the largest value that the service holds, in bytes.
 const MaxValue = 1 << 20
 
-// The classes of failure. A caller must treat any other error of Swap as
-// "unknown whether it took effect".
+// The error classes. After any other error of Swap it is unknown whether the write
+// was applied.
 var (
-	// ErrConflict says that the swap certainly did not take effect: the key's
-	// version was another.
+	// ErrConflict means that the write was not applied: the key had a version other
+	// than the expected one.
 	ErrConflict = errs.Class("keyvalue: conflict")
-	// ErrNotSent says that the call certainly never reached the service.
+	// ErrNotSent means that the call did not reach the service.
 	ErrNotSent = errs.Class("keyvalue: not sent")
-	// ErrUnavailable says that no answer came; a write may have taken effect.
+	// ErrUnavailable means that no valid reply was received; a write may have been applied.
 	ErrUnavailable = errs.Class("keyvalue: unavailable")
-	// ErrLeaseGone says that the lease has lapsed.
+	// ErrLeaseGone means that the lease has expired.
 	ErrLeaseGone = errs.Class("keyvalue: lease gone")
-	// ErrInvalid says that the service refused the call as malformed.
+	// ErrInvalid means that the call is malformed.
 	ErrInvalid = errs.Class("keyvalue: invalid")
 )
 
-// Store is the service as the rest of the system sees it. Each field is a
-// seam: tests and adapters set their own.
+// Store is the set of calls of the key-value service. Adapters and tests supply their
+// own functions.
 type Store struct {
-	// Get returns the entry; Version 0 when the key does not exist.
+	// Get returns the entry; its Version is 0 when the key does not exist.
 	Get func(ctx context.Context, key string) (Entry, error)
 	// List returns the entries under prefix, sorted by key, and the version up
 	// to which the listing is complete.
 	List func(ctx context.Context, prefix string) ([]Entry, Version, error)
-	// ListStale is List at a tenth of its price; what it returns may be seconds
-	// old. Nil where the service has no such call.
+	// ListStale is List at a tenth of its cost; its result may be seconds old. Nil
+	// where the service has no such call.
 	ListStale func(ctx context.Context, prefix string) ([]Entry, Version, error)
-	// Check returns the key's entry where its version is another than expect, and
-	// whether it is. Nil where the service has no such call.
+	// Check is a conditional get: it returns the entry if its version differs from
+	// expect, and whether it differs. Nil where the service has no such call.
 	Check func(ctx context.Context, key string, expect Version) (Entry, bool, error)
 	// Swap writes value if the key's version is expect (0: the key must not
 	// exist) and returns the new version. A nil value deletes the key.
 	Swap func(ctx context.Context, key string, expect Version, value []byte, lease LeaseID) (Version, error)
-	// Grant makes a lease that lapses ttl after its last renewal.
+	// Grant creates a lease that expires ttl after its last renewal.
 	Grant func(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// Renew prolongs the lease by its ttl from now.
+	// Renew extends the lease to its ttl from now.
 	Renew func(ctx context.Context, lease LeaseID) error
-	// Release ends the lease and deletes its entries.
+	// Release revokes the lease and deletes its entries.
 	Release func(ctx context.Context, lease LeaseID) error
-	// Watch waits until an entry under prefix has a version above after, or
-	// until wait is over, and returns what changed and the version to go on
-	// from. A waiting watch counts as one call of the service.
+	// Watch is a long poll: it waits until an entry under prefix has a version above
+	// after, or until wait has passed, and returns the changed entries and the version
+	// to continue from. The service counts a pending watch as one call.
 	Watch func(ctx context.Context, prefix string, after Version, wait time.Duration) ([]Entry, Version, error)
-	// Unbroken returns for how long the service is known to have lost nothing that it
-	// acknowledged; nil where it never does.
+	// Unbroken returns for how long the service is known not to have lost an
+	// acknowledged write; nil where it never loses one.
 	Unbroken func() time.Duration
 }
