--- a/peridotpath/lease/lease.go
+++ b/peridotpath/lease/lease.go
@@ -1,12 +1,13 @@
-// Package lease holds a lease of the platform's key-value service, so that one
-// instance at a time gives the orders for one data centre and service.
+// Package lease elects a leader for each data centre and service through a lease of the
+// platform's key-value service: the holder of the lease is the only instance that sends
+// orders to the engines.
 //
-// A lease does not keep a paused holder from acting. Three things together do:
-// the holder counts the lease from before its renewal was sent and stops a
-// margin early; each tenure has a higher fencing number, which some engines
-// check; and where engines ignore it, a new holder waits out the old lease and
-// the longest order before it begins. What remains is a holder that freezes
-// between its check and its send; see docs/CLAIMS.md.
+// A lease alone does not stop a holder that resumes after a pause. Three mechanisms
+// together do: the holder counts the lease from before its renewal was sent and stops a
+// clock margin early; each tenure has a higher fencing token, which some engines check;
+// and where engines ignore the token, a new holder waits until the old lease and the
+// longest order have ended. A holder that freezes between its check and its send is not
+// covered; see docs/CLAIMS.md.
 package lease
 
 import (
@@ -29,15 +30,15 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("lease")
 
-// Term is what a holder has at one moment.
+// Term is the fencing token and the remaining time of the current holder.
 type Term struct {
-	// Fencing is the tenure's number; a later tenure has a higher one.
+	// Fencing is the tenure's fencing token; a later tenure has a higher one.
 	Fencing peridotpath.FencingNumber
-	// Left is how long the holder may still act.
+	// Left is for how long the holder may still act.
 	Left time.Duration
 }
 
-// Holder gets and keeps one lease. Set the exported fields before Run.
+// Holder acquires and renews one lease. Set the exported fields before Run.
 type Holder struct {
 	Store *keyvalue.Store
 	// Key is the lease's key, one for each data centre and service.
@@ -45,54 +46,55 @@
 	Instance    peridotpath.InstanceID
 	Incarnation peridotpath.Incarnation
 	Settings    Settings
-	// WaitOut is set where any engine ignores fencing numbers.
+	// WaitOut makes a new holder wait for the orders of the one before. It is set
+	// where any engine ignores fencing tokens.
 	WaitOut bool
-	// Unused reports that no order was ever given under the lease, so that there
-	// is none to wait out; asked once the lease is won. nil stands for unknown.
+	// Unused reports whether no order was ever sent under the lease, so that there is
+	// none to wait for. It is called once the lease is acquired; nil means unknown.
 	Unused func(ctx context.Context) (bool, error)
 	Clock  clock.Clock
 	Logger zerolog.Logger
-	// Metrics takes the counters; nil stands for the default set.
+	// Metrics is the set of the counters; nil means the default set.
 	Metrics *metrics.Set
 
-	tenure  atomic.Pointer[tenure]
-	once    sync.Once
-	closing sync.Once
-	started atomic.Bool
-	stop    chan struct{}
-	ended   chan struct{}
+	tenure    atomic.Pointer[tenure]
+	setUpOnce sync.Once
+	closeOnce sync.Once
+	started   atomic.Bool
+	stop      chan struct{}
+	done      chan struct{}
 }
 
 func (holder *Holder) setUp() {
-	holder.once.Do(func() {
+	holder.setUpOnce.Do(func() {
 		holder.Settings.Defaults()
 		if holder.Metrics == nil {
 			holder.Metrics = metrics.GetDefaultSet()
 		}
-		holder.stop, holder.ended = make(chan struct{}), make(chan struct{})
+		holder.stop, holder.done = make(chan struct{}), make(chan struct{})
 	})
 }
 
-// tenure is one lease from when it was won. It is replaced, not changed, when
-// the lease is renewed.
+// tenure is one uninterrupted holding of the lease. It is immutable; a renewal stores a
+// new copy.
 type tenure struct {
 	lease   keyvalue.LeaseID
 	fencing peridotpath.FencingNumber
-	// won is after the lease was seen to be ours.
-	won clock.Instant
-	// renewed is before the last renewal that succeeded was sent.
-	renewed clock.Instant
-	// handedOver says that the holder before gave the lease back in good order,
-	// or that there was none: nothing that was sent is still on its way.
-	handedOver bool
+	// acquiredAt is a time after the acquisition was confirmed.
+	acquiredAt clock.Instant
+	// renewalSentAt is a time before the last successful renewal was sent.
+	renewalSentAt clock.Instant
+	// noOrderInFlight is set if no earlier order can be in flight: the holder before
+	// released the lease, or no order was ever sent.
+	noOrderInFlight bool
 }
 
-// claimant is the value of the lease's key.
-type claimant struct {
+// leaseRecord is the value stored under the lease's key.
+type leaseRecord struct {
 	Instance    peridotpath.InstanceID  `json:"instance"`
 	Incarnation peridotpath.Incarnation `json:"incarnation"`
-	// Released says that the holder has given the lease back. The entry then
-	// belongs to no lease and stays until somebody takes the key.
+	// Released is set when the holder has released the lease. The entry is then bound
+	// to no lease and remains until the next holder overwrites it.
 	Released bool `json:"released,omitempty"`
 }
 
@@ -101,8 +103,8 @@
 	return "leases/" + string(dataCentre) + "/" + string(service)
 }
 
-// Held returns the term if this process may act now. Ask right before each
-// action, and bound the action by Term.Left.
+// Held returns the term if this process may act now. Callers check it right before each
+// action and bound the action by Term.Left.
 func (holder *Holder) Held() (Term, bool) {
 	tenure := holder.tenure.Load()
 	if tenure == nil {
@@ -110,36 +112,35 @@
 	}
 	now := holder.Clock.Read()
 	settings := &holder.Settings
-	// The platform counts from when it got the renewal, which is later than
-	// when it was sent, so by its count the lease outlives this.
-	left := (settings.TTLMS - settings.MarginMS).Duration() - tenure.renewed.Elapsed(now)
-	if left <= 0 || !holder.waitedOut(tenure) {
+	// The platform counts from when it received the renewal, later than this
+	// process does, so the lease expires there after it ends here.
+	left := (settings.TTLMS - settings.MarginMS).Duration() - tenure.renewalSentAt.Elapsed(now)
+	if left <= 0 || !holder.oldOrdersEnded(tenure) {
 		return Term{}, false
 	}
 	return Term{Fencing: tenure.fencing, Left: left}, true
 }
 
-// quiet is how long a new holder gives no orders. An engine that ignores
-// fencing numbers would still take an order of the holder before: one sent at
-// the last moment of its lease, which then took as long as an order may. One
-// that gave the lease back has sent nothing that is still on its way, so that
-// replacing instances one after another leaves no time without orders.
-func (holder *Holder) quiet(tenure *tenure) time.Duration {
-	if !holder.WaitOut || tenure.handedOver {
+// oldOrdersWait is how long a new holder sends no orders. An engine that ignores fencing tokens
+// would still apply an order that the holder before sent at the last moment of its lease
+// and that takes the longest time allowed. A holder that released the lease has no order
+// in flight, so a rolling replacement of instances causes no such pause.
+func (holder *Holder) oldOrdersWait(tenure *tenure) time.Duration {
+	if !holder.WaitOut || tenure.noOrderInFlight {
 		return 0
 	}
 	return (holder.Settings.TTLMS + holder.Settings.LongestOrderMS).Duration()
 }
 
-// Run gets the lease whenever it is free and keeps it, until ctx ends or Close
-// is called; then it gives the lease back. End it only once no order of this
-// process is under way: the next holder may give its first at once.
+// Run acquires the lease whenever it is free and renews it until ctx ends or Close is
+// called; then it releases the lease. End it only once no order of this process is in
+// flight: the next holder may send its first order at once.
 func (holder *Holder) Run(ctx context.Context) error {
 	holder.setUp()
 	if holder.started.Swap(true) {
 		return Error.New("run: already running")
 	}
-	defer close(holder.ended)
+	defer close(holder.done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	watched := make(chan struct{})
@@ -149,14 +150,14 @@
 		<-watched
 	}()
 	for ctx.Err() == nil {
-		tenure, err := holder.win(ctx)
+		tenure, err := holder.tryAcquire(ctx)
 		switch {
 		case err != nil:
 			holder.count("lease_errors_total")
 			holder.Logger.Warn().Str("event", "lease_not_won").Str("key", holder.Key).Err(err).Send()
-			clock.Pause(ctx, holder.retry())
+			clock.Pause(ctx, holder.retryDelay())
 		case tenure != nil:
-			holder.keep(ctx, tenure)
+			holder.keepRenewed(ctx, tenure)
 		}
 	}
 	return nil
@@ -171,65 +172,64 @@
 	}
 }
 
-// Close ends Run, gives the lease back and waits for both. A Run that comes
-// after Close returns at once.
+// Close ends Run and waits until the lease is released. A Run after Close returns at once.
 func (holder *Holder) Close() error {
 	holder.setUp()
-	holder.closing.Do(func() { close(holder.stop) })
+	holder.closeOnce.Do(func() { close(holder.stop) })
 	if holder.started.Load() {
-		<-holder.ended
+		<-holder.done
 	}
 	return nil
 }
 
-// retry is how long a failed call is waited after: often enough to bring two
-// more tries within the margin, seldom enough for a platform in trouble.
-func (holder *Holder) retry() time.Duration { return holder.Settings.TTLMS.Duration() / 10 }
+// retryDelay is the delay after a failed call: short enough for two more attempts within the
+// margin, long enough not to load a failing platform.
+func (holder *Holder) retryDelay() time.Duration { return holder.Settings.TTLMS.Duration() / 10 }
 
-// win waits a while for the lease to be free and tries to get it. It returns
-// nil when another has it.
-func (holder *Holder) win(ctx context.Context) (*tenure, error) {
+// tryAcquire makes one attempt to acquire the lease. While another process holds it, it waits
+// for a change for up to Settings.WaitMS and returns nil.
+func (holder *Holder) tryAcquire(ctx context.Context) (*tenure, error) {
 	entry, err := holder.Store.Get(ctx, holder.Key)
 	if err != nil {
-		return nil, Error.New("read: %w", err)
+		return nil, Error.New("read key: %w", err)
 	}
 	released := isReleased(entry)
 	if entry.Version != 0 && !released {
 		_, _, err := holder.Store.Watch(ctx, holder.Key, entry.Version, holder.Settings.WaitMS.Duration())
 		return nil, Error.Wrap(err)
 	}
-	sent := holder.Clock.Read()
+	grantSentAt := holder.Clock.Read()
 	lease, err := holder.Store.Grant(ctx, holder.Settings.TTLMS.Duration())
 	if err != nil {
-		return nil, Error.New("grant: %w", err)
+		return nil, Error.New("grant lease: %w", err)
 	}
-	version, err := holder.take(ctx, entry.Version, lease)
+	version, err := holder.writeKey(ctx, entry.Version, lease)
 	if err != nil || version == 0 {
-		holder.giveBack(lease)
+		holder.releaseLease(lease)
 		return nil, err
 	}
-	// The version of the write that took the key is the fencing number: it
-	// grows with each write. Lease numbers do not do: one granted early may
-	// win late, after a higher one has come and gone.
+	// The fencing token is the version of the write that acquired the key, which
+	// grows with each write. Lease numbers are unsuitable: a lease granted early may
+	// acquire the key after one with a higher number has expired.
 	return &tenure{
 		lease: lease, fencing: peridotpath.FencingNumber(version),
-		renewed: sent, won: holder.Clock.Read(), handedOver: holder.handedOver(ctx, released),
+		renewalSentAt: grantSentAt, acquiredAt: holder.Clock.Read(), noOrderInFlight: holder.noOrderInFlight(ctx, released),
 	}, nil
 }
 
-// handedOver reports that nothing which was sent under the lease before can still be on
-// its way: its holder gave it back, or no order was ever given. Where the service came back
-// from a copy, both may be older than a tenure that is gone from it and whose holder does
-// not know yet.
-func (holder *Holder) handedOver(ctx context.Context, released bool) bool {
+// noOrderInFlight reports whether no order sent under an earlier lease can be in flight: its
+// holder released it, or no order was ever sent. Shortly after the store was restored from
+// an older copy neither is known: the restore may have lost a later tenure, whose holder
+// has not noticed yet.
+func (holder *Holder) noOrderInFlight(ctx context.Context, released bool) bool {
 	if holder.Store.Unbroken != nil && holder.Store.Unbroken() < (holder.Settings.TTLMS+holder.Settings.LongestOrderMS).Duration() {
 		return false
 	}
-	return released || holder.unused(ctx)
+	return released || holder.neverUsed(ctx)
 }
 
-// unused reports that no order can be on its way since none was ever given.
-func (holder *Holder) unused(ctx context.Context) bool {
+// neverUsed reports whether no order was ever sent. It returns false if that is unknown.
+func (holder *Holder) neverUsed(ctx context.Context) bool {
 	if !holder.WaitOut || holder.Unused == nil {
 		return false
 	}
@@ -237,16 +237,15 @@
 	return err == nil && unused
 }
 
-// isReleased reports whether the entry is what a holder left that gave its
-// lease back.
+// isReleased reports whether the entry marks a lease that its holder released.
 func isReleased(entry keyvalue.Entry) bool {
-	var left claimant
-	return entry.Version != 0 && json.Unmarshal(entry.Value, &left) == nil && left.Released
+	var record leaseRecord
+	return entry.Version != 0 && json.Unmarshal(entry.Value, &record) == nil && record.Released
 }
 
-// take writes the key under the lease. It returns zero when another was faster.
-func (holder *Holder) take(ctx context.Context, expect keyvalue.Version, lease keyvalue.LeaseID) (keyvalue.Version, error) {
-	value, err := json.Marshal(claimant{Instance: holder.Instance, Incarnation: holder.Incarnation})
+// writeKey writes the key under the lease. It returns zero if another process wrote it first.
+func (holder *Holder) writeKey(ctx context.Context, expect keyvalue.Version, lease keyvalue.LeaseID) (keyvalue.Version, error) {
+	value, err := json.Marshal(leaseRecord{Instance: holder.Instance, Incarnation: holder.Incarnation})
 	if err != nil {
 		return 0, Error.Wrap(err)
 	}
@@ -257,19 +256,19 @@
 	case keyvalue.ErrConflict.Has(err):
 		return 0, nil
 	}
-	// The answer was lost; the lease's number shows whether the write stands.
+	// The reply was lost; the lease of the stored entry shows whether the write was applied.
 	entry, readErr := holder.Store.Get(ctx, holder.Key)
 	if readErr != nil {
-		return 0, Error.New("take: %w; read back: %w", err, readErr)
+		return 0, Error.New("write key: %w; read back: %w", err, readErr)
 	}
 	if entry.Lease == lease {
 		return entry.Version, nil
 	}
-	return 0, Error.New("take: %w", err)
+	return 0, Error.New("write key: %w", err)
 }
 
-// keep renews the lease until it is lost or ctx ends.
-func (holder *Holder) keep(ctx context.Context, tenure *tenure) {
+// keepRenewed renews the lease until it expires or ctx ends, and releases it when ctx ends.
+func (holder *Holder) keepRenewed(ctx context.Context, tenure *tenure) {
 	holder.tenure.Store(tenure)
 	holder.count("lease_won_total")
 	holder.Logger.Info().Str("event", "lease_won").Str("key", holder.Key).Uint64("fencing", uint64(tenure.fencing)).Send()
@@ -288,29 +287,29 @@
 			return
 		default:
 			holder.count("lease_renewals_failed_total")
-			wait = holder.retry()
+			wait = holder.retryDelay()
 		}
 	}
 	holder.tenure.Store(nil)
-	if holder.waitedOut(tenure) {
-		holder.handOver(tenure)
+	if holder.oldOrdersEnded(tenure) {
+		holder.markReleased(tenure)
 	}
-	holder.giveBack(tenure.lease)
+	holder.releaseLease(tenure.lease)
 }
 
-// waitedOut reports whether the orders of the holder before are over. A holder
-// that is stopped sooner must not vouch for them: the next would give its first
-// order while one of a frozen holder is still on its way.
-func (holder *Holder) waitedOut(tenure *tenure) bool {
-	return holder.Clock.Read().Monotonic.Sub(tenure.won.Monotonic) >= holder.quiet(tenure)
+// oldOrdersEnded reports whether the orders of the holder before have ended. A holder that is
+// stopped sooner must not mark the lease as released: the next one would send its first
+// order while one of a frozen holder is still in flight.
+func (holder *Holder) oldOrdersEnded(tenure *tenure) bool {
+	return holder.Clock.Read().Monotonic.Sub(tenure.acquiredAt.Monotonic) >= holder.oldOrdersWait(tenure)
 }
 
-// handOver leaves word that this holder has ended in good order. When it fails
-// the next one waits, as after a holder that died.
-func (holder *Holder) handOver(tenure *tenure) {
+// markReleased marks the lease as released in the store. If the write fails, the next holder
+// waits as after a crash.
+func (holder *Holder) markReleased(tenure *tenure) {
 	ctx, cancel := context.WithTimeout(context.Background(), holder.Settings.TTLMS.Duration()/2)
 	defer cancel()
-	value, err := json.Marshal(claimant{Instance: holder.Instance, Incarnation: holder.Incarnation, Released: true})
+	value, err := json.Marshal(leaseRecord{Instance: holder.Instance, Incarnation: holder.Incarnation, Released: true})
 	if err != nil {
 		return
 	}
@@ -323,15 +322,15 @@
 	ctx, cancel := context.WithTimeout(ctx, holder.Settings.TTLMS.Duration()/2)
 	defer cancel()
 	renewed := *before
-	renewed.renewed = holder.Clock.Read()
+	renewed.renewalSentAt = holder.Clock.Read()
 	if err := holder.Store.Renew(ctx, before.lease); err != nil {
 		return nil, err
 	}
 	return &renewed, nil
 }
 
-// giveBack releases a lease that is not used. Failing that, it lapses.
-func (holder *Holder) giveBack(lease keyvalue.LeaseID) {
+// releaseLease releases the lease at the service; if that fails, the lease expires.
+func (holder *Holder) releaseLease(lease keyvalue.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), holder.Settings.TTLMS.Duration()/2)
 	defer cancel()
 	if err := holder.Store.Release(ctx, lease); err != nil {
--- a/peridotpath/lease/lease_test.go
+++ b/peridotpath/lease/lease_test.go
@@ -27,17 +27,17 @@
 // process is an instance with a holder.
 type process struct {
 	*lease.Holder
-	link  memory.Link
-	ended chan error
+	link     memory.Link
+	runError chan error
 
-	mu    sync.Mutex
-	shift time.Duration // of its wall clock
-	thaw  time.Time
-	crash context.CancelFunc
+	mu          sync.Mutex
+	clockOffset time.Duration // offset of the wall clock
+	frozenUntil time.Time
+	cancel      context.CancelFunc
 }
 
-func start(platform *memory.Memory, name string, change func(*lease.Holder)) *process {
-	process := &process{ended: make(chan error, 1)}
+func startProcess(platform *memory.Memory, name string, change func(*lease.Holder)) *process {
+	process := &process{runError: make(chan error, 1)}
 	process.Holder = &lease.Holder{
 		Store: process.link.Store(platform), Key: key, Instance: peridotpath.InstanceID(name), Incarnation: 1,
 		Settings: lease.Settings{TTLMS: 10_000, MarginMS: 2_000, LongestOrderMS: 30_000},
@@ -46,42 +46,43 @@
 	process.Clock.Wall = func() time.Time {
 		process.mu.Lock()
 		defer process.mu.Unlock()
-		return time.Now().Add(process.shift)
+		return time.Now().Add(process.clockOffset)
 	}
 	if change != nil {
 		change(process.Holder)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	process.crash = cancel
-	go func() { process.ended <- process.Run(ctx) }()
+	process.cancel = cancel
+	go func() { process.runError <- process.Run(ctx) }()
 	return process
 }
 
-// kill ends the process; nothing it still wants to say reaches the platform.
+// kill ends the process without a call to the platform.
 func (process *process) kill() {
 	process.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
-	process.crash()
-	if err := <-process.ended; err != nil {
+	process.cancel()
+	if err := <-process.runError; err != nil {
 		panic(err)
 	}
 }
 
-// freeze stops the process's calls for a while, as a pause of the machine does.
+// freeze delays the process's calls for span, as a pause of its machine would.
 func (process *process) freeze(span time.Duration) {
 	thaw := time.Now().Add(span)
 	process.mu.Lock()
-	process.thaw = thaw
+	process.frozenUntil = thaw
 	process.mu.Unlock()
 	process.link.Set(func(string) memory.Fate { return memory.Fate{Delay: max(0, time.Until(thaw))} })
 }
 
-func (process *process) frozen() bool {
+func (process *process) isFrozen() bool {
 	process.mu.Lock()
 	defer process.mu.Unlock()
-	return time.Now().Before(process.thaw)
+	return time.Now().Before(process.frozenUntil)
 }
 
-// waitHeld returns how long it took until the process may act, and its number.
+// waitHeld waits until the process holds the lease, and returns the time that took and
+// the fencing token.
 func waitHeld(is *is.I, process *process) (time.Duration, peridotpath.FencingNumber) {
 	begin := time.Now()
 	for time.Since(begin) < 5*time.Minute {
@@ -94,15 +95,15 @@
 	return 0, 0
 }
 
-// story runs a test in virtual time with two holders, of which the first holds.
-func story(t *testing.T, change func(*lease.Holder), test func(is *is.I, platform *memory.Memory, first, second *process)) {
+// testTwoHolders runs a test in virtual time with two processes, of which the first holds the lease.
+func testTwoHolders(t *testing.T, change func(*lease.Holder), test func(is *is.I, platform *memory.Memory, first, second *process)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		platform := &memory.Memory{}
-		first := start(platform, "a", change)
+		first := startProcess(platform, "a", change)
 		waitHeld(is, first)
-		second := start(platform, "b", change)
+		second := startProcess(platform, "b", change)
 		time.Sleep(time.Second)
 		test(is, platform, first, second)
 		is.NoErr(first.Close())
@@ -110,27 +111,26 @@
 	})
 }
 
-// The holder's machine pauses for half a minute in the middle of its work. The
-// lease lapses, another instance holds it and gives contrary orders. When the
-// first wakes it still has its tenure in memory and must not act on it.
-func TestHolderFrozenPastItsLease(t *testing.T) {
-	story(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
+// The holder's machine pauses for 30 s. The lease expires and another instance acquires
+// it and sends conflicting orders. The first resumes with its tenure in memory and must
+// not act on it.
+func TestFrozenHolderDoesNotActAfterExpiry(t *testing.T) {
+	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		before, _ := first.Held()
 		first.freeze(30 * time.Second)
 		took, fencing := waitHeld(is, second)
 		t.Logf("taken over after %v", took)
 		is.True(took <= 20*time.Second)
 		is.True(fencing > before.Fencing)
-		_, ok := first.Held() // as when it wakes, before it heard anything
+		_, ok := first.Held() // after it resumes, before any reply
 		is.True(!ok)
 	})
 }
 
-// The platform takes 2 s for each answer. The holder counts its lease from
-// before each renewal was sent, so that it stops before the platform does, and
-// all the same holds without a break.
-func TestSlowPlatformLeavesNoGapAndNoOverlap(t *testing.T) {
-	story(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
+// The platform takes 2 s for each reply. The holder counts its lease from before each
+// renewal was sent, so its term ends before the platform's, and still holds without a gap.
+func TestSlowPlatformCausesNoGapOrOverlap(t *testing.T) {
+	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		slow := func(string) memory.Fate { return memory.Fate{Delay: 2 * time.Second} }
 		first.link.Set(slow)
 		second.link.Set(slow)
@@ -143,11 +143,11 @@
 	})
 }
 
-// Renewals take effect at once but their answers take 4 s, and then the holder
-// is cut off. The platform has counted since long before the last answer.
+// Renewals take effect at once but their replies take 4 s, and then the holder is
+// disconnected. The platform has counted since 4 s before the last reply.
 func TestRenewalCountsFromBeforeItWasSent(t *testing.T) {
 	eager := func(holder *lease.Holder) { holder.Settings.WaitMS = 500 }
-	story(t, eager, func(is *is.I, platform *memory.Memory, first, second *process) {
+	testTwoHolders(t, eager, func(is *is.I, platform *memory.Memory, first, second *process) {
 		first.link.Set(func(string) memory.Fate { return memory.Fate{AnswerDelay: 4 * time.Second} })
 		time.Sleep(15 * time.Second)
 		first.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
@@ -157,17 +157,17 @@
 	})
 }
 
-// The holder's clock runs a tenth slow, so its ten seconds are eleven, and it is
-// cut off. It must have stopped, by that clock, when the next one begins.
+// The holder's clock runs 10 % slow, so that it measures 10 s in 11 s, and the holder is
+// disconnected. Its term must end, by that clock, before the next holder's begins.
 func TestMarginCoversASlowClock(t *testing.T) {
-	story(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
+	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		is.NoErr(first.Close())
 		begin := time.Now()
 		slow := func() time.Time { return begin.Add(time.Since(begin) * 9 / 10) }
-		third := start(platform, "c", func(holder *lease.Holder) { holder.Clock.Now, holder.Clock.Wall = slow, slow })
+		third := startProcess(platform, "c", func(holder *lease.Holder) { holder.Clock.Now, holder.Clock.Wall = slow, slow })
 		is.NoErr(second.Close())
 		waitHeld(is, third)
-		fourth := start(platform, "d", nil)
+		fourth := startProcess(platform, "d", nil)
 		third.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
 		waitHeld(is, fourth)
 		_, ok := third.Held()
@@ -177,11 +177,10 @@
 	})
 }
 
-// Renewals reach the platform but their answers are lost, then the platform is
-// gone. The holder cannot know that it still has the lease and must stop; it
-// goes on when the platform answers again.
-func TestHolderStopsWhenRenewalsGoUnanswered(t *testing.T) {
-	story(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
+// Renewals reach the platform but their replies are lost. The holder cannot know that it
+// still has the lease and must stop; it continues when replies arrive again.
+func TestHolderStopsWhenRenewalRepliesAreLost(t *testing.T) {
+	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		first.link.Set(func(string) memory.Fate { return memory.Fate{Unanswered: true} })
 		time.Sleep(9 * time.Second)
 		_, ok := first.Held()
@@ -192,13 +191,13 @@
 	})
 }
 
-// The answer to the write that takes the lease is lost. Without reading back,
-// the lease would be held by nobody for its whole time.
-func TestLostAnswerToTakingIsReadBack(t *testing.T) {
+// The reply to the write that acquires the lease is lost. Unless the key is read back,
+// no process would use the lease until it expires.
+func TestLostReplyToAcquisitionIsReadBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		platform := &memory.Memory{}
-		process := start(platform, "a", nil)
+		process := startProcess(platform, "a", nil)
 		process.link.Set(func(call string) memory.Fate { return memory.Fate{Unanswered: call == "swap"} })
 		took, _ := waitHeld(is, process)
 		is.True(took < 2*time.Second)
@@ -206,14 +205,14 @@
 	})
 }
 
-// One instance is granted a lease early and is slow to use it; meanwhile
-// another, with a higher lease number, holds and gives back. Were the lease
-// number the fencing number, engines would refuse the first one's orders.
-func TestFencingNumbersGrowWhateverTheLeaseNumbers(t *testing.T) {
+// One instance is granted a lease and is slow to acquire the key; meanwhile another, with
+// a higher lease number, holds and releases it. If the lease number were the fencing
+// token, engines would refuse the first instance's orders.
+func TestFencingTokensGrowIndependentlyOfLeaseNumbers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		platform := &memory.Memory{}
-		slow := start(platform, "slow", nil)
+		slow := startProcess(platform, "slow", nil)
 		slow.link.Set(func(call string) memory.Fate {
 			if call == "swap" {
 				return memory.Fate{Delay: 5 * time.Second}
@@ -221,7 +220,7 @@
 			return memory.Fate{}
 		})
 		time.Sleep(time.Second)
-		quick := start(platform, "quick", nil)
+		quick := startProcess(platform, "quick", nil)
 		_, first := waitHeld(is, quick)
 		is.NoErr(quick.Close())
 		_, second := waitHeld(is, slow)
@@ -230,12 +229,12 @@
 	})
 }
 
-// Engines ignore fencing numbers, and an order sent in the last moment of a
-// lease may take half a minute. A new holder that began at once would see its
-// own order overwritten by the old one; so it waits both times out.
-func TestNewHolderWaitsOutOldOrders(t *testing.T) {
+// Engines ignore fencing tokens, and an order sent at the last moment of a lease may take
+// 30 s. Without waiting for the lease and the order, a new holder's order would be
+// overwritten by the old one.
+func TestNewHolderWaitsForOldOrders(t *testing.T) {
 	change := func(holder *lease.Holder) { holder.WaitOut = true }
-	story(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
+	testTwoHolders(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
 		first.kill()
 		took, _ := waitHeld(is, second)
 		t.Logf("first order %v after the kill", took)
@@ -244,36 +243,35 @@
 	})
 }
 
-// All instances are replaced one after another. Each holder ends in good order,
-// so the next need not wait out orders that nobody sent: engines would go
-// without orders for most of the time that the roll takes.
-func TestHandedOverLeaseNeedsNoWait(t *testing.T) {
+// A rolling restart replaces all instances. Each holder releases the lease, so the next
+// one need not wait: otherwise engines would get no orders for most of the restart.
+func TestReleasedLeaseNeedsNoWait(t *testing.T) {
 	change := func(holder *lease.Holder) { holder.WaitOut = true }
-	story(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
+	testTwoHolders(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
 		is.NoErr(first.Close())
 		took, before := waitHeld(is, second)
 		is.True(took <= time.Second)
 		second.kill()
-		third := start(platform, "c", change)
+		third := startProcess(platform, "c", change)
 		took, after := waitHeld(is, third)
-		is.True(took >= 40*time.Second) // the one before died
+		is.True(took >= 40*time.Second) // the holder before crashed
 		is.True(after > before)
 		is.NoErr(third.Close())
 	})
 }
 
-// The fleet starts for the first time. Nobody has ever given an order, so the
-// first holder has none to wait out; a scholar's first volume waited for it. When
-// it cannot tell, it waits.
-func TestFirstHolderEverNeedsNoWait(t *testing.T) {
+// The fleet starts for the first time. No order was ever sent, so the first holder has
+// none to wait for; the wait delayed the first work of a new deployment. If it is unknown whether
+// an order was sent, the holder waits.
+func TestFirstHolderNeedsNoWait(t *testing.T) {
 	cases := map[string]struct {
 		unused bool
 		err    error
 		waits  bool
 	}{
-		"none was ever given": {true, nil, false},
-		"some were":           {false, nil, true},
-		"cannot tell":         {true, errors.New("platform down"), true},
+		"none was ever sent": {true, nil, false},
+		"some were":          {false, nil, true},
+		"cannot tell":        {true, errors.New("platform down"), true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -284,7 +282,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				platform := &memory.Memory{}
-				first := start(platform, "a", change)
+				first := startProcess(platform, "a", change)
 				took, _ := waitHeld(is, first)
 				is.Equal(took > time.Second, test.waits)
 				is.NoErr(first.Close())
@@ -293,34 +291,34 @@
 	}
 }
 
-// A holder dies, the next one wins the lease and is stopped in good order while
-// it still waits out the dead one's orders. It must not vouch for those: the
-// third would give orders beside one that is on its way.
-func TestStoppedWhileItWaitedItVouchesForNobody(t *testing.T) {
+// A holder crashes, and the next one acquires the lease and is closed while it still waits
+// for the crashed one's orders. It must not mark the lease as released: the third would
+// send orders while an old one is in flight.
+func TestHolderClosedWhileWaitingIsNotMarkedReleased(t *testing.T) {
 	change := func(holder *lease.Holder) { holder.WaitOut = true }
-	story(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
+	testTwoHolders(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
 		first.kill()
-		time.Sleep(20 * time.Second) // the second has the lease and waits
+		time.Sleep(20 * time.Second) // the second has the lease and waits for old orders
 		_, held := second.Held()
 		is.True(!held)
 		is.NoErr(second.Close())
-		third := start(platform, "c", change)
+		third := startProcess(platform, "c", change)
 		took, _ := waitHeld(is, third)
 		is.True(took >= 40*time.Second)
 		is.NoErr(third.Close())
 	})
 }
 
-// The holder is stopped for an upgrade and gives the lease back: the next one
-// need not wait for it to lapse. Or it is killed and comes back while its old
-// lease runs: it must not take the old lease for its own.
-func TestStopAndRestartOfTheHolder(t *testing.T) {
-	story(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
+// The holder is closed for an upgrade and releases the lease: the next one need not wait
+// until it expires. Or it is killed and restarts while its old lease is still valid: it
+// must not use the old lease as its own.
+func TestCloseAndRestartOfHolder(t *testing.T) {
+	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		is.NoErr(first.Close())
 		took, before := waitHeld(is, second)
 		is.True(took <= time.Second)
 		second.kill()
-		again := start(platform, "b", func(holder *lease.Holder) { holder.Incarnation = 2 })
+		again := startProcess(platform, "b", func(holder *lease.Holder) { holder.Incarnation = 2 })
 		took, after := waitHeld(is, again)
 		is.True(after > before)
 		t.Logf("held %v after the restart", took)
@@ -328,62 +326,62 @@
 	})
 }
 
-// watchdog looks at all holders ten times a second.
-type watchdog struct {
-	longest time.Duration
-	last    map[string]time.Time
-	fencing map[string]peridotpath.FencingNumber
-	highest peridotpath.FencingNumber
-	wrong   []string
+// checker checks the invariants over all holders ten times a second.
+type checker struct {
+	maxOrderTime   time.Duration
+	lastHeldAt     map[string]time.Time
+	fencing        map[string]peridotpath.FencingNumber
+	highestFencing peridotpath.FencingNumber
+	violations     []string
 }
 
-func (watchdog *watchdog) look(processes map[string]*process) {
+func (checker *checker) check(processes map[string]*process) {
 	holding := ""
 	for name, process := range processes {
 		term, ok := process.Held()
-		if process.frozen() || !ok {
+		if process.isFrozen() || !ok {
 			continue
 		}
 		if holding != "" {
-			watchdog.note("%s and %s hold at once", holding, name)
+			checker.report("%s and %s hold the lease at once", holding, name)
 		}
 		holding = name
-		if watchdog.fencing[name] != term.Fencing {
-			watchdog.began(name, term.Fencing)
+		if checker.fencing[name] != term.Fencing {
+			checker.checkNewTenure(name, term.Fencing)
 		}
-		watchdog.last[name] = time.Now()
+		checker.lastHeldAt[name] = time.Now()
 	}
 }
 
-// began checks the first moment of a tenure.
-func (watchdog *watchdog) began(name string, fencing peridotpath.FencingNumber) {
-	if fencing <= watchdog.highest {
-		watchdog.note("%s has number %d after %d", name, fencing, watchdog.highest)
+// checkNewTenure checks the start of a tenure.
+func (checker *checker) checkNewTenure(name string, fencing peridotpath.FencingNumber) {
+	if fencing <= checker.highestFencing {
+		checker.report("%s has fencing token %d after %d", name, fencing, checker.highestFencing)
 	}
-	watchdog.highest, watchdog.fencing[name] = fencing, fencing
-	for other, last := range watchdog.last {
-		if other != name && time.Since(last) < watchdog.longest {
-			watchdog.note("%s began %v after %s held", name, time.Since(last), other)
+	checker.highestFencing, checker.fencing[name] = fencing, fencing
+	for other, last := range checker.lastHeldAt {
+		if other != name && time.Since(last) < checker.maxOrderTime {
+			checker.report("%s began %v after %s held", name, time.Since(last), other)
 		}
 	}
 }
 
-func (watchdog *watchdog) note(format string, args ...any) {
-	watchdog.wrong = append(watchdog.wrong, fmt.Sprintf(format, args...))
+func (checker *checker) report(format string, args ...any) {
+	checker.violations = append(checker.violations, fmt.Sprintf(format, args...))
 }
 
 type step struct {
-	name  string
-	who   string
-	span  time.Duration
-	fates []memory.Fate
+	name    string
+	process string
+	span    time.Duration
+	fates   []memory.Fate
 }
 
 func drawStep(t *rapid.T) step {
 	step := step{
-		name: rapid.SampledFrom([]string{"links", "links", "heal", "freeze", "kill", "stop", "clock", "wait", "wait"}).Draw(t, "step"),
-		who:  rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"),
-		span: time.Duration(rapid.IntRange(0, 300).Draw(t, "span")) * 100 * time.Millisecond,
+		name:    rapid.SampledFrom([]string{"links", "links", "heal", "freeze", "kill", "stop", "clock", "wait", "wait"}).Draw(t, "step"),
+		process: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"),
+		span:    time.Duration(rapid.IntRange(0, 300).Draw(t, "span")) * 100 * time.Millisecond,
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "fates") {
 		step.fates = append(step.fates, rapid.SampledFrom([]memory.Fate{
@@ -393,8 +391,8 @@
 	return step
 }
 
-func take(platform *memory.Memory, processes map[string]*process, step step, change func(*lease.Holder)) {
-	process := processes[step.who]
+func runStep(platform *memory.Memory, processes map[string]*process, step step, change func(*lease.Holder)) {
+	process := processes[step.process]
 	switch step.name {
 	case "links":
 		next := 0
@@ -408,67 +406,67 @@
 		process.freeze(step.span)
 	case "kill":
 		process.kill()
-		processes[step.who] = start(platform, step.who, change)
+		processes[step.process] = startProcess(platform, step.process, change)
 	case "stop":
 		_ = process.Close()
-		processes[step.who] = start(platform, step.who, change)
+		processes[step.process] = startProcess(platform, step.process, change)
 	case "clock":
 		process.mu.Lock()
-		process.shift = (step.span - 15*time.Second) * 10
+		process.clockOffset = (step.span - 15*time.Second) * 10
 		process.mu.Unlock()
 	}
 }
 
-// Three instances want one lease, while they are frozen, killed and stopped,
-// their wall clocks step, and calls are slow, lost or late. At no moment may
-// two hold, the numbers only grow, and with engines that ignore the numbers a
-// new holder keeps still for as long as an order of the old one may take.
+// Three instances compete for one lease, while they are frozen, killed and closed, their
+// wall clocks step, and calls are slow, lost or late. At no moment may two hold it, the
+// fencing tokens only grow, and with engines that ignore the tokens a new holder waits for
+// as long as an order of the old one may take.
 func TestRandomHoldersNeverOverlap(t *testing.T) {
 	soak.Check(t, 3, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(drawStep), 10, 40).Draw(rt, "script")
 		waitOut := rapid.Bool().Draw(rt, "wait out")
-		watchdog := &watchdog{last: map[string]time.Time{}, fencing: map[string]peridotpath.FencingNumber{}}
+		checker := &checker{lastHeldAt: map[string]time.Time{}, fencing: map[string]peridotpath.FencingNumber{}}
 		if waitOut {
-			watchdog.longest = 30 * time.Second
+			checker.maxOrderTime = 30 * time.Second
 		}
 		change := func(holder *lease.Holder) { holder.WaitOut = waitOut }
 		synctest.Test(t, func(*testing.T) {
 			platform := &memory.Memory{}
 			processes := map[string]*process{}
 			for _, name := range []string{"a", "b", "c"} {
-				processes[name] = start(platform, name, change)
+				processes[name] = startProcess(platform, name, change)
 			}
 			for _, step := range script {
-				// One that was closed in good order has nothing on its way; all
-				// others' orders must be waited out.
-				if step.name == "stop" && !processes[step.who].frozen() {
-					delete(watchdog.last, step.who)
+				// A process that was closed has no order in flight; all others'
+				// orders must be waited for.
+				if step.name == "stop" && !processes[step.process].isFrozen() {
+					delete(checker.lastHeldAt, step.process)
 				}
-				take(platform, processes, step, change)
+				runStep(platform, processes, step, change)
 				for end := time.Now().Add(step.span); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-					watchdog.look(processes)
+					checker.check(processes)
 				}
 			}
 			for _, process := range processes {
 				process.link.Set(nil)
 			}
 			time.Sleep(2 * time.Minute)
-			watchdog.look(processes)
-			if len(watchdog.last) == 0 || time.Since(latest(watchdog.last)) > 0 {
-				watchdog.note("nobody holds with everything mended")
+			checker.check(processes)
+			if len(checker.lastHeldAt) == 0 || time.Since(latestTime(checker.lastHeldAt)) > 0 {
+				checker.report("no process holds the lease although all faults have ended")
 			}
 			for _, process := range processes {
 				_ = process.Close()
 			}
-			time.Sleep(time.Minute) // calls that arrive late
+			time.Sleep(time.Minute) // delayed writes are applied
 		})
-		if len(watchdog.wrong) > 0 {
-			rt.Fatal(strings.Join(watchdog.wrong, "\n"))
+		if len(checker.violations) > 0 {
+			rt.Fatal(strings.Join(checker.violations, "\n"))
 		}
 	})
 }
 
-func latest(times map[string]time.Time) time.Time {
+func latestTime(times map[string]time.Time) time.Time {
 	var last time.Time
 	for _, at := range times {
 		if at.After(last) {
@@ -484,19 +482,19 @@
 	settings.Defaults()
 	is.NoErr(settings.Validate("lease").OrNil())
 	settings.MarginMS, settings.WaitMS = settings.TTLMS, 1
-	is.Equal(len(settings.Validate("lease")), 3) // no time is left for an order either
+	is.Equal(len(settings.Validate("lease")), 3) // the third: no time remains for an order
 }
 
-// The service comes back from a copy that does not have the holder's lease, and in which it
-// looks as if no order had ever been given. Whoever wins the lease then waits until the
-// holder before knows, and its orders are over.
-func TestLeaseThatTheServiceLost(t *testing.T) {
+// The service is restored from a copy without the holder's lease, in which it seems that
+// no order was ever sent. The next process to acquire the lease must wait until the
+// holder before has noticed and its orders have ended.
+func TestLeaseLostByRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		began := time.Now()
 		platform := &memory.Memory{}
 		guarded := func(name string) *process {
-			return start(platform, name, func(holder *lease.Holder) {
+			return startProcess(platform, name, func(holder *lease.Holder) {
 				link := &memory.Link{Eras: &keyvalue.Eras{Now: func() time.Duration { return time.Since(began) + time.Hour }}}
 				holder.Store, holder.WaitOut = link.Store(platform), true
 				holder.Unused = func(context.Context) (bool, error) { return true, nil }
@@ -515,7 +513,7 @@
 		}
 		is.NoErr(first.Close())
 		_, later := waitHeld(is, third)
-		is.True(later > number) // also though the service gives its numbers out again
+		is.True(later > number) // although the service reuses its numbers
 		is.NoErr(third.Close())
 	})
 }
