--- a/peridotpath/routing/era_test.go
+++ b/peridotpath/routing/era_test.go
@@ -17,15 +17,16 @@
 	"peridotpath.example/peridotpath/routing"
 )
 
-// eraStore is a store that goes back, and one follower's guarded way to it.
-type eraStore struct {
+// restorableStore is a store that can be restored from an older copy, with the eras that one
+// follower has seen.
+type restorableStore struct {
 	fakeStore
 	eras *keyvalue.Eras
 	era  keyvalue.Era
 }
 
-// write puts a routing in the store under that number, in that era.
-func (store *eraStore) write(era keyvalue.Era, number uint64, routing peridotpath.RoutingVersion) {
+// write stores a routing with that version number in that era.
+func (store *restorableStore) write(era keyvalue.Era, number uint64, routing peridotpath.RoutingVersion) {
 	store.mutex.Lock()
 	store.era = era
 	store.mutex.Unlock()
@@ -36,8 +37,8 @@
 	store.set(version, routing, nil)
 }
 
-// check looks at numbers only, as the service does.
-func (store *eraStore) check(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
+// check compares version numbers only, as the service does.
+func (store *restorableStore) check(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
 	store.mutex.Lock()
 	era, version := store.era, store.version
 	store.mutex.Unlock()
@@ -48,11 +49,11 @@
 	return store.fakeStore.check(ctx, key, expect)
 }
 
-// followEras runs a follower before a store that goes back, for as long as work takes.
-func followEras(t *testing.T, work func(is *is.I, store *eraStore, follower *routing.Follower)) {
+// runWithRestores runs a follower of an restorableStore until work returns.
+func runWithRestores(t *testing.T, work func(is *is.I, store *restorableStore, follower *routing.Follower)) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := &eraStore{}
+		store := &restorableStore{}
 		follower, state := newFollower(&store.fakeStore)
 		store.eras = &keyvalue.Eras{Now: state.Now}
 		follower.Eras = store.eras
@@ -70,9 +71,10 @@
 	})
 }
 
-// The next routing is written under the number that a lost one had borne.
-func TestRoutingUnderANumberGivenOutAgain(t *testing.T) {
-	followEras(t, func(is *is.I, store *eraStore, follower *routing.Follower) {
+// After a restore the next routing is written with the version number of a lost one. The
+// follower must not mistake it for that one.
+func TestRoutingWithReusedVersionNumber(t *testing.T) {
+	runWithRestores(t, func(is *is.I, store *restorableStore, follower *routing.Follower) {
 		store.write(3, 60, 9)
 		time.Sleep(time.Second)
 		is.Equal(follower.State.Version(), peridotpath.RoutingVersion(9))
@@ -80,12 +82,12 @@
 		time.Sleep(time.Second)
 		is.Equal(follower.State.Version(), peridotpath.RoutingVersion(9)) // never an older one
 		last, ok := follower.Last()
-		is.True(ok) // and it is still told to those that start
+		is.True(ok) // it is still served to peers that start
 		is.Equal(last.Value, []byte{9})
 		store.write(4, 60, 10)
 		time.Sleep(time.Second)
 		is.Equal(follower.State.Version(), peridotpath.RoutingVersion(10))
-		store.write(5, 60, 10) // twice
+		store.write(5, 60, 10) // a second restore
 		time.Sleep(time.Second)
 		store.write(5, 61, 11)
 		time.Sleep(time.Second)
@@ -94,18 +96,18 @@
 	})
 }
 
-// A key is taken away, and the store loses that before any instance has read it. What it
-// shows then, unchanged, must not prolong the key.
-func TestKeyWhoseEndTheStoreLost(t *testing.T) {
-	followEras(t, func(is *is.I, store *eraStore, follower *routing.Follower) {
+// A key is revoked, and a restore loses the revocation before any instance has read it.
+// The restored routing must not extend the key's lifetime.
+func TestRevocationLostByRestore(t *testing.T) {
+	runWithRestores(t, func(is *is.I, store *restorableStore, follower *routing.Follower) {
 		state := follower.State
 		taken := state.Now()
 		store.set(0, 0, errors.New("away"))
 		time.Sleep(time.Second)
-		store.write(4, 50, 8) // the copy, without the routing that takes the key away
+		store.write(4, 50, 8) // the copy, without the revocation
 		for state.Now()-taken < 2900*time.Millisecond {
 			time.Sleep(100 * time.Millisecond)
-			is.True(state.Age() >= state.Now()-taken) // nothing of this confirms it
+			is.True(state.Age() >= state.Now()-taken) // no read confirms it
 		}
 		store.write(4, 61, 9)
 		time.Sleep(time.Second)
@@ -113,10 +115,10 @@
 	})
 }
 
-// Nothing was lost, so that nothing is written again: after a while what stands in the
-// store counts.
-func TestStoreSettlesByItself(t *testing.T) {
-	followEras(t, func(is *is.I, store *eraStore, follower *routing.Follower) {
+// The restore lost no write, so no writer rewrites the routing. After Settling the routing
+// in the store must count as the newest.
+func TestRestoredStoreSettles(t *testing.T) {
+	runWithRestores(t, func(is *is.I, store *restorableStore, follower *routing.Follower) {
 		store.write(4, 50, 8)
 		time.Sleep(keyvalue.Settling + time.Second)
 		is.True(follower.State.KeysUsable())
@@ -124,12 +126,12 @@
 	})
 }
 
-// An instance starts while an older routing stands in the store. Its peers have the newer
-// one; until they are heard it serves no key by the older one.
-func TestStartWhileTheStoreIsOlder(t *testing.T) {
+// An instance starts while a restored store holds an older routing and its peers have the
+// newer one. Until a peer reports, it must accept no key of the older one.
+func TestStartWithOlderStore(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		store := &eraStore{}
+		store := &restorableStore{}
 		follower, state := newFollower(&store.fakeStore)
 		store.eras = &keyvalue.Eras{Now: state.Now}
 		follower.Eras = store.eras
@@ -140,7 +142,7 @@
 			return readings.Routing{Version: newer, Value: []byte{9}, Age: 700 * time.Millisecond}, nil
 		}
 		store.write(4, 50, 8)
-		// It finds instances' entries of the era before.
+		// The store still has instance entries of the previous era.
 		store.eras.Met(4)
 		store.eras.Suspect()
 		ctx, cancel := context.WithCancel(t.Context())
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -16,144 +16,146 @@
 	"peridotpath.example/peridotpath/readings"
 )
 
-// Follower keeps a State up to date with the store. Set the exported fields
+// Follower keeps a State up to date from peers and the store. Set the exported fields
 // before Run.
 type Follower struct {
 	State *State
-	// Key is where the routing lies, and Decode reads it.
+	// Key is the store's key of the routing, and Decode decodes its value. Check is the
+	// store's conditional get.
 	Key    string
 	Decode func(value []byte) (*peridotpath.Routing, error)
 	Check  func(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error)
-	// Eras are those of the store.
+	// Eras tracks the store's epoch.
 	Eras *keyvalue.Eras
-	// Ask asks a peer for what it has read.
+	// Ask fetches a peer's newest routing, as a delta to have.
 	Ask  func(ctx context.Context, peer netip.AddrPort, have readings.Routing) (readings.Routing, error)
 	Pace clock.Pace
-	// Before returns how many instances nearby are to ask a far one for that version
-	// before this one does.
+	// Before returns this instance's position in the order in which the instances of its
+	// data centre fetch that version from a peer in another one.
 	Before func(version peridotpath.RoutingVersion) int
-	// Confirmed is called when this instance knows something that those nearby do not.
+	// Confirmed is called after a read from the store or from another data centre, whose
+	// result the peers of this data centre may not have.
 	Confirmed func()
 	Log       zerolog.Logger
 
-	failed atomic.Bool
-	newer  readings.Newer
-	// read holds what was put in force.
-	read readings.Routings
+	isFailing  atomic.Bool
+	newerPeers readings.Newer
+	// applied holds the routings applied last, which are served to peers.
+	applied readings.Routings
 
 	mutex sync.Mutex
-	// looked is the store's version at the last look.
-	looked keyvalue.Version
-	// proven is the newest version that was seen to be written in its era; Run's only.
-	proven keyvalue.Version
+	// lastReadVersion is the store's version at the last read.
+	lastReadVersion keyvalue.Version
+	// provenVersion is the newest version known to be written in its era. Only Run uses it.
+	provenVersion keyvalue.Version
 }
 
-// errUnsettled says that the store came back from a copy, and what was found there may be
-// older than what its writer has written.
-var errUnsettled = errs.New("routing: the store has gone back, and nothing shows that the routing was written since")
+// errStoreNotSettled means that the store was restored from a copy, so the routing in it may be
+// older than the one last written.
+var errStoreNotSettled = errs.New("routing: store was restored from an older copy and its routing is not known to be written since")
 
-// farTurn is about how long it takes to fetch a change from a peer in another data
-// centre and to tell those nearby.
-const farTurn = 80 * time.Millisecond
+// remoteFetchDelay is about the time to fetch a change from a peer in another data centre and to
+// gossip it within this one.
+const remoteFetchDelay = 80 * time.Millisecond
 
-// Run asks the store whenever the routing has not been confirmed for a while,
-// until ctx ends. What a peer has confirmed need not be asked again, so that all
-// instances together ask hardly more often than one.
+// Run reads the store whenever the routing has not been confirmed for the interval of
+// Pace, until ctx ends. Confirmations by peers postpone the read, so that all instances
+// together read hardly more often than one.
 //
-// It asks whether what it has still holds, and does not wait for changes: a
-// wait that hears nothing does not say that nothing has changed.
+// It polls with conditional gets rather than a watch: the silence of a watch does not
+// confirm that nothing has changed.
 func (follower *Follower) Run(ctx context.Context) error {
 	for follower.Pace.Wait(ctx, follower.State.Age) {
-		if follower.askPeers(ctx) {
+		if follower.fetchFromPeers(ctx) {
 			continue
 		}
-		err := follower.look(ctx)
+		err := follower.readStore(ctx)
 		if err == nil {
 			follower.Pace.Found(follower.State.Current() != nil)
 			follower.Confirmed()
 			continue
 		}
 		if ctx.Err() == nil {
-			follower.lost(err)
+			follower.reportFailure(err)
 			follower.Pace.Rest(ctx)
 		}
 	}
 	return ctx.Err()
 }
 
-// HearPeer takes in what a peer has read: it confirms what is in force here, or
-// says that there is something newer to be read.
+// HearPeer processes a peer's routing version: it confirms the active routing, or notes
+// the peer as the source of a newer one.
 //
-// What a far peer has is fetched by one instance of a data centre, and by the next
-// one only if nobody nearby has it after a while: when all ask the one that has read
-// it first, its link is full for seconds.
+// A version of a peer in another data centre is fetched by one instance of this one, and
+// by the next only if no nearby peer has it after remoteFetchDelay: requests of all instances fill
+// the link of the peer that read it first for seconds.
 func (follower *Follower) HearPeer(peer readings.Peer, version peridotpath.RoutingVersion, confirmed time.Duration) {
 	table := follower.State.Current()
 	switch {
 	case table != nil && table.Routing.Version == version:
 		follower.State.Confirm(version, confirmed)
 	case table == nil && version > 0, table != nil && table.Routing.Version < version:
-		follower.newer.Note(peer)
+		follower.newerPeers.Note(peer)
 		if peer.Near {
 			follower.Pace.Wake()
 		} else {
-			time.AfterFunc(time.Duration(follower.Before(version))*farTurn, follower.Pace.Wake)
+			time.AfterFunc(time.Duration(follower.Before(version))*remoteFetchDelay, follower.Pace.Wake)
 		}
 	}
 }
 
-// Last returns what was read last, for peers; false before the first reading.
+// Last returns the active routing for peers; false before the first.
 func (follower *Follower) Last() (readings.Routing, bool) {
-	reading, read := follower.read.Last()
+	snapshot, ok := follower.applied.Last()
 	table := follower.State.Current()
-	if !read || table == nil || table.Routing.Version != reading.Number {
+	if !ok || table == nil || table.Routing.Version != snapshot.Number {
 		return readings.Routing{}, false
 	}
-	reading.Age = follower.State.Age()
-	return reading, true
+	snapshot.Age = follower.State.Age()
+	return snapshot, true
 }
 
-// Of returns the reading of that version, for peers; false where it is not kept.
+// Of returns the routing of that version for peers; false where it is not kept.
 func (follower *Follower) Of(version keyvalue.Version) (readings.Routing, bool) {
-	return follower.read.Of(version)
+	return follower.applied.Of(version)
 }
 
-// Failing reports whether the last look at the store failed.
-func (follower *Follower) Failing() bool { return follower.failed.Load() }
+// Failing reports whether the last read of the store failed.
+func (follower *Follower) Failing() bool { return follower.isFailing.Load() }
 
-func (follower *Follower) lost(err error) {
-	if !follower.failed.Swap(true) {
+func (follower *Follower) reportFailure(err error) {
+	if !follower.isFailing.Swap(true) {
 		follower.Log.Warn().Err(err).Int64("routing_age", follower.State.LoggedAge()).Msg("routing_unconfirmed")
 	}
 }
 
-// mostAsked is how many peers are asked one after the other before the store is.
-const mostAsked = 2
+// maxPeersTried is how many peers are tried before the store is read.
+const maxPeersTried = 2
 
-// askPeers asks those that told of something newer, and reports whether that is in
-// force now, or known to be so already: then the store need not be asked.
-func (follower *Follower) askPeers(ctx context.Context) bool {
-	for asked := range mostAsked {
-		peer, noted := follower.newer.Take()
+// fetchFromPeers fetches the routing from peers that reported a newer version. It reports
+// whether the newer version is active, so that the store need not be read.
+func (follower *Follower) fetchFromPeers(ctx context.Context) bool {
+	for attempt := range maxPeersTried {
+		peer, noted := follower.newerPeers.Take()
 		if !noted {
-			// Woken for what another wake has brought already.
-			return asked == 0 && (follower.Pace.Early() || !follower.Pace.Due(follower.State.Age()))
+			// An earlier fetch has brought the version that this wake is for.
+			return attempt == 0 && (follower.Pace.Early() || !follower.Pace.Due(follower.State.Age()))
 		}
-		if follower.askPeer(ctx, peer) {
+		if follower.fetchFromPeer(ctx, peer) {
 			return true
 		}
 	}
 	return false
 }
 
-// askPeer asks one peer, and reports whether what it has is in force now.
-func (follower *Follower) askPeer(ctx context.Context, peer readings.Peer) bool {
+// fetchFromPeer fetches the routing from one peer, and reports whether it succeeded.
+func (follower *Follower) fetchFromPeer(ctx context.Context, peer readings.Peer) bool {
 	asked := follower.State.Now()
-	have, _ := follower.read.Last()
-	reading, err := follower.Ask(ctx, peer.Address, have)
+	have, _ := follower.applied.Last()
+	snapshot, err := follower.Ask(ctx, peer.Address, have)
 	if err == nil {
-		follower.Eras.Heard(reading.Version.Era(), 0, false)
-		err = follower.apply(reading.Version, reading.Value, asked-reading.Age)
+		follower.Eras.Heard(snapshot.Version.Era(), 0, false)
+		err = follower.apply(snapshot.Version, snapshot.Value, asked-snapshot.Age)
 	}
 	if err != nil {
 		follower.Log.Info().Err(err).Stringer("peer", peer.Address).Bool("near", peer.Near).Msg("peer_not_read")
@@ -165,47 +167,47 @@
 	return true
 }
 
-// look asks the store once. The time before the question counts: an answer says
-// nothing of what happened after the store gave it, however long it was on its way.
-func (follower *Follower) look(ctx context.Context) error {
+// readStore reads the store once. The confirmation counts from before the read was sent: a
+// reply covers no change after the store made it, however long it was in transit.
+func (follower *Follower) readStore(ctx context.Context) error {
 	follower.mutex.Lock()
-	read := follower.looked
+	known := follower.lastReadVersion
 	follower.mutex.Unlock()
 	asked := follower.State.Now()
-	entry, changed, err := follower.Check(ctx, follower.Key, read)
+	entry, changed, err := follower.Check(ctx, follower.Key, known)
 	if err != nil {
 		return err
 	}
-	if follower.failed.Swap(false) {
+	if follower.isFailing.Swap(false) {
 		follower.Log.Info().Int64("routing_age", follower.State.LoggedAge()).Msg("routing_confirmed_again")
 	}
 	switch {
 	case !changed:
-		return follower.confirm(read, asked)
+		return follower.confirmVersion(known, asked)
 	case entry.Version == 0 || len(entry.Value) == 0:
-		// There is none yet, or it was taken away; what is in force stays so,
-		// unconfirmed.
+		// The routing does not exist yet or was deleted. The active one is kept
+		// without a confirmation.
 		follower.mutex.Lock()
-		follower.looked = entry.Version
+		follower.lastReadVersion = entry.Version
 		follower.mutex.Unlock()
 		return nil
-	case entry.Version.Era() == read.Era():
-		// What changed between two looks in one era was written in it.
-		follower.proven = entry.Version
+	case entry.Version.Era() == known.Era():
+		// A change between two reads in one era was written in that era.
+		follower.provenVersion = entry.Version
 	case !follower.Eras.Proves(entry.Version):
-		if err := follower.apply(entry.Version, entry.Value, unproven); err != nil {
+		if err := follower.apply(entry.Version, entry.Value, unconfirmed); err != nil {
 			return err
 		}
-		return errUnsettled
+		return errStoreNotSettled
 	}
 	return follower.apply(entry.Version, entry.Value, asked)
 }
 
-// confirm says that what is in force was the newest at the time asked, as the store still
-// held the version that was looked at last.
-func (follower *Follower) confirm(looked keyvalue.Version, asked time.Duration) error {
-	if looked != follower.proven && !follower.Eras.Proves(looked) {
-		return errUnsettled
+// confirmVersion records that the active routing was the newest at the time asked, because the
+// store still had the version read last.
+func (follower *Follower) confirmVersion(version keyvalue.Version, asked time.Duration) error {
+	if version != follower.provenVersion && !follower.Eras.Proves(version) {
+		return errStoreNotSettled
 	}
 	if table := follower.State.Current(); table != nil {
 		follower.State.Confirm(table.Routing.Version, asked)
@@ -213,19 +215,20 @@
 	return nil
 }
 
-// unproven is the time asked of a reading that does not show the newest.
-const unproven time.Duration = 0
+// unconfirmed is the time asked of a routing that is not known to be the newest. It confirms
+// nothing.
+const unconfirmed time.Duration = 0
 
-// apply puts a reading in force, unless something newer is.
+// apply decodes and activates a routing, unless a newer one is active.
 func (follower *Follower) apply(version keyvalue.Version, value []byte, asked time.Duration) error {
 	routing, err := follower.Decode(value)
 	if err != nil {
 		return err
 	}
 	follower.mutex.Lock()
-	follower.looked = max(follower.looked, version)
+	follower.lastReadVersion = max(follower.lastReadVersion, version)
 	follower.mutex.Unlock()
-	follower.read.Add(readings.Routing{Version: version, Number: routing.Version, Value: value})
+	follower.applied.Add(readings.Routing{Version: version, Number: routing.Version, Value: value})
 	follower.State.Apply(routing, asked)
 	return nil
 }
--- a/peridotpath/routing/machine_test.go
+++ b/peridotpath/routing/machine_test.go
@@ -14,18 +14,18 @@
 	"peridotpath.example/peridotpath/routing"
 )
 
-// keysMachine drives a few instances that read one store and tell each other
-// what they know, while operators give keys and take them away. Answers come
-// late and out of order; an instance hears nothing for as long as it is not drawn.
+// keysMachine is a state machine of a few instances that read one store and gossip with
+// each other, while operators add and revoke keys. Replies are delayed and reordered; an
+// instance is disconnected for as long as it is not drawn.
 type keysMachine struct {
 	now       time.Duration
 	instances []*routing.State
-	// versions holds every state of the store, since when each has been the newest.
+	// versions holds every state of the store and the time when it was written.
 	versions []storedRouting
-	// takenAt is when a key was taken away; none that is in force is here.
-	takenAt map[peridotpath.APIKey]time.Duration
-	// answers are on their way to an instance.
-	answers []answerUnderWay
+	// revokedAt is the time of revocation of each revoked key.
+	revokedAt map[peridotpath.APIKey]time.Duration
+	// replies are the replies in transit.
+	replies []replyInTransit
 }
 
 type storedRouting struct {
@@ -33,24 +33,24 @@
 	since   time.Duration
 }
 
-type answerUnderWay struct {
+type replyInTransit struct {
 	to      int
 	routing *peridotpath.Routing
-	// whole says that it brings the routing, and does not only confirm it.
-	whole bool
-	asked time.Duration
+	// hasRouting is set if the reply holds the routing, rather than a confirmation only.
+	hasRouting bool
+	asked      time.Duration
 }
 
 const (
-	machineInstances = 3
-	machineLifetime  = 4500 * time.Millisecond
+	instanceCount = 3
+	keyLifetime   = 4500 * time.Millisecond
 )
 
 func newKeysMachine() *keysMachine {
-	machine := &keysMachine{now: time.Minute, takenAt: map[peridotpath.APIKey]time.Duration{}}
-	for range machineInstances {
+	machine := &keysMachine{now: time.Minute, revokedAt: map[peridotpath.APIKey]time.Duration{}}
+	for range instanceCount {
 		machine.instances = append(machine.instances, &routing.State{
-			Now: func() time.Duration { return machine.now }, KeyLifetime: machineLifetime, Log: zerolog.Nop(),
+			Now: func() time.Duration { return machine.now }, KeyLifetime: keyLifetime, Log: zerolog.Nop(),
 		})
 	}
 	machine.store(map[peridotpath.APIKey]peridotpath.KeyHolder{"key-0": {Customer: "desk"}})
@@ -66,104 +66,102 @@
 	return machine.versions[len(machine.versions)-1].routing
 }
 
-// wait lets time pass, up to more than a key's lifetime.
-func (machine *keysMachine) wait(random *rapid.T) {
+// advanceClock advances the clock by up to more than a key's lifetime.
+func (machine *keysMachine) advanceClock(random *rapid.T) {
 	machine.now += time.Duration(rapid.IntRange(1, 6000).Draw(random, "wait_ms")) * time.Millisecond
 }
 
-// give adds a key that was never there.
-func (machine *keysMachine) give(*rapid.T) {
+// addKey adds a new key.
+func (machine *keysMachine) addKey(*rapid.T) {
 	keys := maps.Clone(machine.newest().Keys)
 	keys[peridotpath.APIKey(fmt.Sprintf("key-%d", len(machine.versions)))] = peridotpath.KeyHolder{Customer: "desk"}
 	machine.store(keys)
 }
 
-// take takes one of the keys away.
-func (machine *keysMachine) take(random *rapid.T) {
+// revokeKeys revokes a random subset of the keys.
+func (machine *keysMachine) revokeKeys(random *rapid.T) {
 	keys := maps.Clone(machine.newest().Keys)
 	for key := range keys {
 		if rapid.Bool().Draw(random, "take "+string(key)) {
 			delete(keys, key)
-			machine.takenAt[key] = machine.now
+			machine.revokedAt[key] = machine.now
 		}
 	}
 	machine.store(keys)
 }
 
-// read lets an instance ask the store; what it answers is under way.
+// read makes an instance read the store; the reply is in transit.
 func (machine *keysMachine) read(random *rapid.T) {
-	machine.answers = append(machine.answers, answerUnderWay{
-		to:      rapid.IntRange(0, machineInstances-1).Draw(random, "reader"),
-		routing: machine.newest(), whole: rapid.Bool().Draw(random, "whole"), asked: machine.now,
+	machine.replies = append(machine.replies, replyInTransit{
+		to:      rapid.IntRange(0, instanceCount-1).Draw(random, "reader"),
+		routing: machine.newest(), hasRouting: rapid.Bool().Draw(random, "whole"), asked: machine.now,
 	})
 }
 
-// tell lets an instance tell another one what it holds, and how old that is.
-func (machine *keysMachine) tell(random *rapid.T) {
-	from := machine.instances[rapid.IntRange(0, machineInstances-1).Draw(random, "teller")]
+// sendToPeer makes an instance send its routing and the age of it to another.
+func (machine *keysMachine) sendToPeer(random *rapid.T) {
+	from := machine.instances[rapid.IntRange(0, instanceCount-1).Draw(random, "teller")]
 	if table := from.Current(); table != nil {
-		machine.answers = append(machine.answers, answerUnderWay{
-			to:      rapid.IntRange(0, machineInstances-1).Draw(random, "hearer"),
-			routing: table.Routing, whole: rapid.Bool().Draw(random, "whole"), asked: machine.now - from.Age(),
+		machine.replies = append(machine.replies, replyInTransit{
+			to:      rapid.IntRange(0, instanceCount-1).Draw(random, "hearer"),
+			routing: table.Routing, hasRouting: rapid.Bool().Draw(random, "whole"), asked: machine.now - from.Age(),
 		})
 	}
 }
 
-// readOld lets the store answer an instance with a state older than the one that
-// the instance has: a replica of the store that is behind, or one that lost
-// what it had acknowledged.
+// readOld makes the store reply to an instance with an older routing than the instance
+// has, as a lagging replica or one that lost acknowledged writes does.
 func (machine *keysMachine) readOld(random *rapid.T) {
-	to := rapid.IntRange(0, machineInstances-1).Draw(random, "reader")
+	to := rapid.IntRange(0, instanceCount-1).Draw(random, "reader")
 	table := machine.instances[to].Current()
 	if table == nil || table.Routing.Version < 2 {
-		random.Skip("nothing is older")
+		random.Skip("no older version")
 	}
 	old := rapid.IntRange(0, int(table.Routing.Version)-2).Draw(random, "version")
-	machine.answers = append(machine.answers, answerUnderWay{
-		to: to, routing: machine.versions[old].routing, whole: rapid.Bool().Draw(random, "whole"), asked: machine.now,
+	machine.replies = append(machine.replies, replyInTransit{
+		to: to, routing: machine.versions[old].routing, hasRouting: rapid.Bool().Draw(random, "whole"), asked: machine.now,
 	})
 }
 
-// arrive brings one of the answers that are under way, in any order.
-func (machine *keysMachine) arrive(random *rapid.T) {
-	if len(machine.answers) == 0 {
-		random.Skip("nothing is under way")
+// deliver delivers one of the replies in transit, in any order.
+func (machine *keysMachine) deliver(random *rapid.T) {
+	if len(machine.replies) == 0 {
+		random.Skip("no reply in transit")
 	}
-	at := rapid.IntRange(0, len(machine.answers)-1).Draw(random, "answer")
-	answer := machine.answers[at]
-	machine.answers = append(machine.answers[:at], machine.answers[at+1:]...)
+	at := rapid.IntRange(0, len(machine.replies)-1).Draw(random, "answer")
+	answer := machine.replies[at]
+	machine.replies = append(machine.replies[:at], machine.replies[at+1:]...)
 	state := machine.instances[answer.to]
-	if answer.whole {
+	if answer.hasRouting {
 		state.Apply(answer.routing, answer.asked)
 	} else {
 		state.Confirm(answer.routing.Version, answer.asked)
 	}
 }
 
-// check holds every instance to the promise: a key is not used later than its
-// lifetime after it was taken away.
+// check verifies that no instance uses a key later than its lifetime after the revocation.
 func (machine *keysMachine) check(random *rapid.T) {
 	for number, state := range machine.instances {
 		if !state.KeysUsable() {
 			continue
 		}
-		for key, takenAt := range machine.takenAt {
-			if _, known := state.Current().Holder(key); known && machine.now-takenAt >= machineLifetime {
-				random.Fatalf("instance %d uses %s, taken away %s ago", number, key, machine.now-takenAt)
+		for key, takenAt := range machine.revokedAt {
+			if _, known := state.Current().Holder(key); known && machine.now-takenAt >= keyLifetime {
+				random.Fatalf("instance %d uses %s, revoked %s ago", number, key, machine.now-takenAt)
 			}
 		}
 	}
 }
 
-// A key was taken away, and some instance still serves requests that bear it:
-// it was cut off, its answers came late or in another order, or a peer said that
-// what it holds is the newest. Whatever came, the key's lifetime bounds it.
-func TestRandomKeysEndInTime(t *testing.T) {
+// A key is revoked, and some instance still accepts it: it was disconnected, its replies
+// were delayed or reordered, or a peer confirmed an outdated routing. In each case the
+// key's lifetime must bound its use.
+func TestRandomRevokedKeysExpire(t *testing.T) {
 	soak.Check(t, 5, func(random *rapid.T) {
 		machine := newKeysMachine()
 		random.Repeat(map[string]func(*rapid.T){
-			"wait": machine.wait, "give": machine.give, "take": machine.take, "read": machine.read, "read_old": machine.readOld,
-			"tell": machine.tell, "arrive": machine.arrive, "": machine.check,
+			"wait": machine.advanceClock, "give": machine.addKey, "take": machine.revokeKeys, "read": machine.read, "read_old": machine.readOld,
+			"tell": machine.sendToPeer, "arrive": machine.deliver, "": machine.check,
 		})
 	})
 }
--- a/peridotpath/routing/state.go
+++ b/peridotpath/routing/state.go
@@ -10,26 +10,26 @@
 	"peridotpath.example/peridotpath"
 )
 
-// State is the routing in force at this instance. Set the exported fields before
-// use; readers never wait.
+// State is this instance's active routing and the time of its last confirmation. Set the
+// exported fields before use. Reads are lock-free.
 type State struct {
-	// Now is a clock that goes on while the machine is suspended.
+	// Now is a clock that advances while the machine is suspended.
 	Now func() time.Duration
-	// KeyLifetime is how long after the last confirmation a key may be used.
-	// A key that was taken away is refused everywhere within that time, also at
-	// an instance that is cut off, frozen or suspended, and so cannot be told.
+	// KeyLifetime is how long after the last confirmation a key may be used. A revoked
+	// key is refused everywhere within that time, also at an instance that is
+	// disconnected, frozen or suspended and does not receive the revocation.
 	KeyLifetime time.Duration
 	Log         zerolog.Logger
 
-	mutex     sync.Mutex
-	table     atomic.Pointer[Table]
-	confirmed atomic.Int64
+	mutex       sync.Mutex
+	table       atomic.Pointer[Table]
+	confirmedAt atomic.Int64
 }
 
-// Current returns the table in force; nil before the first.
+// Current returns the active table; nil before the first.
 func (state *State) Current() *Table { return state.table.Load() }
 
-// Version returns the version of the routing in force; zero before the first.
+// Version returns the version of the active routing; zero before the first.
 func (state *State) Version() peridotpath.RoutingVersion {
 	if table := state.table.Load(); table != nil {
 		return table.Routing.Version
@@ -37,15 +37,15 @@
 	return 0
 }
 
-// Apply puts a routing in force unless a newer one is, and confirms it. Asked is
-// the time before which the reading that brought it had not begun.
+// Apply activates a routing, unless a newer one is active, and confirms it. asked is a
+// time before the read that returned it was sent.
 func (state *State) Apply(routing *peridotpath.Routing, asked time.Duration) {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	current := state.table.Load()
 	if current != nil && routing.Version < current.Routing.Version {
-		// A late answer brings an older state back; acting on it would put a key
-		// in force again that was taken away.
+		// A delayed reply holds an older routing; applying it would restore a
+		// revoked key.
 		state.Log.Warn().Uint64("version", uint64(routing.Version)).
 			Uint64("in_force", uint64(current.Routing.Version)).Msg("older_routing_ignored")
 		return
@@ -55,48 +55,48 @@
 		state.Log.Info().Uint64("version", uint64(routing.Version)).Int("routes", len(routing.Routes)).
 			Int("keys", len(routing.Keys)).Msg("routing_in_force")
 	}
-	state.confirm(asked)
+	state.confirmSince(asked)
 }
 
-// Confirm says that the routing of that version was still the newest when a
-// reading began at the time asked.
+// Confirm records that the routing of that version was still the newest for a read that
+// was sent at the time asked.
 func (state *State) Confirm(version peridotpath.RoutingVersion, asked time.Duration) {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	if table := state.table.Load(); table != nil && table.Routing.Version == version {
-		state.confirm(asked)
+		state.confirmSince(asked)
 	}
 }
 
-func (state *State) confirm(asked time.Duration) {
-	if int64(asked) > state.confirmed.Load() {
-		state.confirmed.Store(int64(asked))
+func (state *State) confirmSince(asked time.Duration) {
+	if int64(asked) > state.confirmedAt.Load() {
+		state.confirmedAt.Store(int64(asked))
 	}
 }
 
-// Age returns how long ago the routing in force was last known to be the newest.
-// Without one it is longer than any bound.
+// Age returns the time since the active routing was last confirmed as the newest. Before
+// the first routing it exceeds every bound.
 func (state *State) Age() time.Duration {
-	confirmed := state.confirmed.Load()
+	confirmed := state.confirmedAt.Load()
 	if confirmed == 0 {
-		return never
+		return neverConfirmedAge
 	}
 	return state.Now() - time.Duration(confirmed)
 }
 
-// LoggedAge returns the age in milliseconds as logs show it: -1 where there is
-// no routing, which a long age would hide.
+// LoggedAge returns the age for logs in milliseconds: -1 where there is no routing, to
+// distinguish that from a long age.
 func (state *State) LoggedAge() int64 {
-	if state.confirmed.Load() == 0 {
+	if state.confirmedAt.Load() == 0 {
 		return -1
 	}
 	return state.Age().Milliseconds()
 }
 
-// never is the age of what was never confirmed.
-const never = 365 * 24 * time.Hour
+// neverConfirmedAge is the age of a routing that was never confirmed.
+const neverConfirmedAge = 365 * 24 * time.Hour
 
-// KeysUsable reports whether keys may be used now.
+// KeysUsable reports whether the last confirmation is recent enough for keys to be used.
 func (state *State) KeysUsable() bool {
 	return state.table.Load() != nil && state.Age() < state.KeyLifetime
 }
--- a/peridotpath/routing/state_test.go
+++ b/peridotpath/routing/state_test.go
@@ -59,10 +59,9 @@
 	}
 }
 
-// A customer's key is taken away while an instance is frozen. It wakes with the
-// old routing, and a watch or reading from before the freeze is all that it has:
-// the key must be refused until the routing is confirmed anew, also though the
-// monotonic clock stood still meanwhile.
+// A customer's key is revoked while an instance is frozen. It resumes with the old routing
+// and the reply to a read from before the freeze. The key must be refused until the
+// routing is confirmed again, although the monotonic clock stopped during the freeze.
 func TestKeyAfterFreeze(t *testing.T) {
 	is := is.New(t)
 	now := time.Minute
@@ -71,16 +70,16 @@
 	is.True(state.KeysUsable())
 	now += 4 * time.Second
 	is.True(state.KeysUsable())
-	now += time.Second // frozen, or cut off
+	now += time.Second // frozen or disconnected
 	is.True(!state.KeysUsable())
-	state.Confirm(3, now-5*time.Second) // an answer that was on its way all the while
+	state.Confirm(3, now-5*time.Second) // the reply to a read from before the freeze
 	is.True(!state.KeysUsable())
 	state.Confirm(3, now)
 	is.True(state.KeysUsable())
 }
 
-// A caller whose key was taken away gets in again: the reading that took it away
-// was followed by a late answer with the version before.
+// A revoked key is accepted again if a delayed reply with the version before the
+// revocation is applied after the newer one.
 func TestOlderRoutingIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Minute
@@ -89,7 +88,7 @@
 	now += 3 * time.Second
 	state.Apply(version(4), now)
 	is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(9))
-	is.Equal(state.Age(), 3*time.Second) // and confirms nothing
+	is.Equal(state.Age(), 3*time.Second) // it confirms nothing
 	state.Confirm(4, now)
 	is.Equal(state.Age(), 3*time.Second)
 }
@@ -143,8 +142,8 @@
 	return version(peridotpath.RoutingVersion(value[0])), nil
 }
 
-// newFollower returns a follower of the store that has no peer and looks once a
-// minute, and its state.
+// newFollower returns a follower that has no peer and reads the store once a minute, and
+// its state.
 func newFollower(store *fakeStore) (*routing.Follower, *routing.State) {
 	began := time.Now()
 	state := &routing.State{
@@ -156,8 +155,8 @@
 	}, state
 }
 
-// A change is in force within a look's interval, and what did not change is
-// confirmed by a call that brings nothing.
+// A change is active within the polling interval, and an unchanged routing is confirmed by
+// a conditional get without a value.
 func TestFollower(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -169,7 +168,7 @@
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(time.Second)
 		is.True(state.Current() == nil) // there is none yet
-		is.True(store.called() < 20)    // and it is not asked for as fast as it is answered
+		is.True(store.called() < 20)    // and the store is not polled without a pause
 		store.set(5, 2, nil)
 		time.Sleep(time.Second)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(2))
@@ -179,13 +178,13 @@
 		time.Sleep(time.Second)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(8))
 
-		// The store is away: what is known stays in force, but no key is used on it.
+		// The store is unreachable: the routing stays active, but keys expire.
 		store.set(6, 8, keyvalue.ErrUnavailable.New("away"))
 		time.Sleep(6 * time.Second)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(8))
 		is.True(!state.KeysUsable())
 
-		// A peer that reaches the store confirms it.
+		// A confirmation by a peer that reaches the store makes keys usable.
 		follower.HearPeer(peer, 8, state.Now()-100*time.Millisecond)
 		is.True(state.KeysUsable())
 		store.set(6, 8, nil)
@@ -196,9 +195,9 @@
 	})
 }
 
-// A peer tells of a newer version: it is asked for it at once, and the store is
-// not, however many instances hear of it.
-func TestFollowerAsksPeer(t *testing.T) {
+// A peer reports a newer version. It is fetched from that peer at once without a call to
+// the store, whose load would otherwise grow with the number of instances.
+func TestFollowerFetchesFromPeer(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &fakeStore{version: 1, routing: 1}
@@ -215,7 +214,7 @@
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(2))
 		is.Equal(store.called(), 1)
-		is.Equal(state.Age(), 400*time.Millisecond) // the peer's age counts on
+		is.Equal(state.Age(), 400*time.Millisecond) // the peer's age is carried over
 		last, ok := follower.Last()
 		is.True(ok)
 		is.Equal(last, readings.Routing{Version: 2, Number: 2, Value: []byte{2}, Age: 400 * time.Millisecond})
@@ -224,8 +223,8 @@
 	})
 }
 
-// A peer tells of a newer version and cannot be asked: the store is, at once.
-func TestFollowerHearsOfNewer(t *testing.T) {
+// A peer reports a newer version and cannot be reached: the store is read at once.
+func TestFollowerFallsBackToStore(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &fakeStore{version: 1, routing: 1}
@@ -243,11 +242,11 @@
 	})
 }
 
-// A peer in another data centre tells of a change. All instances here asked it at
-// once, or the store, though one could fetch it for all: only when nobody nearby has
-// it after a while is it this one's turn, and what a near peer has is not fetched from
-// afar.
-func TestFollowerWaitsItsTurnForAFarPeer(t *testing.T) {
+// A peer in another data centre reports a change. If all instances of this data centre
+// fetch it at once, from the peer or the store, its link is full, although one fetch
+// serves all. This instance fetches it only if no nearby peer has it after the delay for
+// its position, and prefers a nearby peer.
+func TestFollowerDelaysFetchFromRemoteDataCentre(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &fakeStore{version: 1, routing: 1}
@@ -266,25 +265,25 @@
 
 		follower.HearPeer(far, 2, state.Now())
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(len(asked), 0) // two others go before
+		is.Equal(len(asked), 0) // two others are first
 		follower.HearPeer(peer, 2, state.Now())
 		time.Sleep(time.Second)
-		is.Equal(<-asked, peer.Address) // and one of them had it
+		is.Equal(<-asked, peer.Address) // one of them has it
 
 		follower.HearPeer(far, 3, state.Now())
 		time.Sleep(time.Second)
-		is.Equal(<-asked, far.Address) // nobody nearby did
+		is.Equal(<-asked, far.Address) // no nearby peer has it
 		is.Equal(len(asked), 0)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(3))
-		is.Equal(store.called(), 1) // the store was asked at the start only
+		is.Equal(store.called(), 1) // the store is read at the start only
 		cancel()
 		is.True(errors.Is(<-ended, context.Canceled))
 	})
 }
 
-// The routing is taken away in the store. What is in force stays, unconfirmed, and the store
-// does not count as out of reach.
-func TestRoutingThatIsTakenAway(t *testing.T) {
+// The routing is deleted from the store. The active one is kept without a confirmation, and
+// the store does not count as unreachable.
+func TestDeletedRoutingStaysActive(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &fakeStore{}
--- a/peridotpath/routing/table.go
+++ b/peridotpath/routing/table.go
@@ -1,5 +1,8 @@
-// Package routing holds the operators' routing in force: which route takes a
-// request, whose key it bears, and for how long what is known may be acted on.
+// Package routing holds the active routing table: it matches requests to routes, looks up
+// the holders of API keys, and bounds how long keys may be used without confirmation.
+// With many instances, each reads the table from peers before the store: changes spread
+// by gossip, as deltas, once into each data centre, so the load on the store does not
+// grow with the number of instances.
 package routing
 
 import (
@@ -10,7 +13,7 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Table is one state of the routing, made for look-ups. It is not changed.
+// Table is one version of the routing, indexed by host. It is immutable.
 type Table struct {
 	Routing *peridotpath.Routing
 	// byHost holds each host's routes, longest prefix first.
@@ -32,8 +35,7 @@
 	return table
 }
 
-// Match returns the route of the host with the longest prefix that begins the
-// path, or nil.
+// Match returns the route of the host with the longest matching path prefix, or nil.
 func (table *Table) Match(host peridotpath.Host, path string) *peridotpath.Route {
 	for _, route := range table.byHost[host] {
 		if strings.HasPrefix(path, route.PathPrefix) {
@@ -43,18 +45,18 @@
 	return nil
 }
 
-// Holder returns whose key it is.
+// Holder returns the holder of the key; false for an unknown key.
 func (table *Table) Holder(key peridotpath.APIKey) (peridotpath.KeyHolder, bool) {
 	holder, known := table.Routing.Keys[key]
 	return holder, known
 }
 
-// NeedsKey reports whether requests on the route must bear a key.
+// NeedsKey reports whether requests on the route must carry a key.
 func (table *Table) NeedsKey(route *peridotpath.Route) bool {
 	return table.Routing.Keys != nil && !route.Public
 }
 
-// Service returns what the routing says of a service.
+// Service returns the specification of the service; zero where there is none.
 func (table *Table) Service(name peridotpath.Service) peridotpath.ServiceSpec {
 	return table.Routing.Services[name]
 }
