--- a/peridotpath/delta/delta.go
+++ b/peridotpath/delta/delta.go
@@ -1,6 +1,6 @@
-// Package delta packs a value for somebody who has an earlier one: what both
-// share is named and not sent. It speaks zstd with the earlier value as its
-// dictionary.
+// Package delta encodes a value as a delta to an earlier one that the receiver has, to keep
+// transfers of large, slightly changed documents small. It is zstd compression with the
+// earlier value as raw dictionary.
 package delta
 
 import (
@@ -12,21 +12,21 @@
 var Error = errs.Class("delta")
 
 const (
-	// dictionary is the number by which a packed value names the earlier one.
-	dictionary = 1
-	// minWindow and maxWindow bound how far back a packed value may refer, in bytes.
-	minWindow = 1 << 16
-	maxWindow = 1 << 24
+	// dictionaryID is the zstd dictionary ID of the earlier value.
+	dictionaryID = 1
+	// minWindowBytes and maxWindowBytes bound the zstd window size, in bytes.
+	minWindowBytes = 1 << 16
+	maxWindowBytes = 1 << 24
 )
 
-// Pack packs value for somebody who has base; an empty base is for anybody.
+// Pack encodes value as a delta to base. With an empty base the result stands alone.
 func Pack(value, base []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
-		zstd.WithWindowSize(window(len(value) + len(base))),
+		zstd.WithWindowSize(windowSize(len(value) + len(base))),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithEncoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithEncoderDictRaw(dictionaryID, base))
 	}
 	encoder, err := zstd.NewWriter(nil, options...)
 	if err != nil {
@@ -36,15 +36,15 @@
 	return encoder.EncodeAll(value, nil), nil
 }
 
-// Unpack returns the value that was packed for somebody who has base. A value of
-// more than limit bytes is refused before it takes any memory.
+// Unpack decodes a delta to base. A value of more than limit bytes is refused before
+// memory for it is allocated.
 func Unpack(packed, base []byte, limit int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(limit)),
-		zstd.WithDecoderMaxWindow(maxWindow),
+		zstd.WithDecoderMaxWindow(maxWindowBytes),
 	}
 	if len(base) > 0 {
-		options = append(options, zstd.WithDecoderDictRaw(dictionary, base))
+		options = append(options, zstd.WithDecoderDictRaw(dictionaryID, base))
 	}
 	decoder, err := zstd.NewReader(nil, options...)
 	if err != nil {
@@ -55,10 +55,10 @@
 	return value, Error.Wrap(err)
 }
 
-// window returns the least power of two that spans so many bytes.
-func window(span int) int {
-	size := minWindow
-	for size < span && size < maxWindow {
+// windowSize returns the least power of two of at least span bytes, within the bounds.
+func windowSize(span int) int {
+	size := minWindowBytes
+	for size < span && size < maxWindowBytes {
 		size *= 2
 	}
 	return size
--- a/peridotpath/delta/delta_test.go
+++ b/peridotpath/delta/delta_test.go
@@ -10,9 +10,9 @@
 	"peridotpath.example/peridotpath/delta"
 )
 
-const limit = 1 << 20
+const maxValueBytes = 1 << 20
 
-// document is a routing of so many routes; changed routes have other targets.
+// document returns a routing of that many routes; the changed ones have another target.
 func document(routes int, changed ...int) []byte {
 	var text bytes.Buffer
 	for i := range routes {
@@ -28,57 +28,56 @@
 	return text.Bytes()
 }
 
-// packAndUnpack checks that the value comes back for whoever has base, and returns
-// how many bytes travelled.
-func packAndUnpack(t *testing.T, value, base []byte) int {
+// roundTrip checks that value survives the round trip with base, and returns the
+// encoded length.
+func roundTrip(t *testing.T, value, base []byte) int {
 	t.Helper()
 	is := is.New(t)
 	packed, err := delta.Pack(value, base)
 	is.NoErr(err)
-	unpacked, err := delta.Unpack(packed, base, limit)
+	unpacked, err := delta.Unpack(packed, base, maxValueBytes)
 	is.NoErr(err)
 	is.True(bytes.Equal(unpacked, value))
 	return len(packed)
 }
 
-// A configuration of 1,100 routes changes in two of them, far apart. Whole it
-// takes the link of a small instance for a tenth of a second for each that asks;
-// what changed takes a few hundred bytes.
-func TestWhatChangedIsSmall(t *testing.T) {
+// A routing of 1,100 routes changes in two of them, far apart. Sent whole, it occupies the
+// link of a small instance for 0.1 s for each receiver; the delta takes a few hundred bytes.
+func TestSmallChangeGivesSmallDelta(t *testing.T) {
 	is := is.New(t)
 	before, after := document(1100), document(1100, 3, 900)
-	length := packAndUnpack(t, after, before)
+	length := roundTrip(t, after, before)
 	t.Logf("%d bytes, packed %d", len(after), length)
 	is.True(length < len(after)/100)
 }
 
-func TestPackedForAnybody(t *testing.T) {
+func TestEmptyBase(t *testing.T) {
 	is := is.New(t)
 	whole := document(1100)
-	is.True(packAndUnpack(t, whole, nil) < len(whole)/2)
+	is.True(roundTrip(t, whole, nil) < len(whole)/2)
 }
 
-// Whoever has another value than the one it was packed for learns that, and takes
-// no other value for the one that was sent.
-func TestAnotherBaseIsNoticed(t *testing.T) {
+// Decoding with a base other than the one used for encoding must fail rather than return
+// a wrong value.
+func TestWrongBaseFails(t *testing.T) {
 	is := is.New(t)
 	before, after := document(200), document(200, 3)
 	packed, err := delta.Pack(after, before)
 	is.NoErr(err)
-	value, err := delta.Unpack(packed, document(200, 7, 9), limit)
+	value, err := delta.Unpack(packed, document(200, 7, 9), maxValueBytes)
 	is.True(err != nil || !bytes.Equal(value, after))
-	is.True(err != nil) // a checksum tells
-	_, err = delta.Unpack(packed, nil, limit)
+	is.True(err != nil) // the checksum differs
+	_, err = delta.Unpack(packed, nil, maxValueBytes)
 	is.True(err != nil)
-	_, err = delta.Unpack([]byte("no zstd"), nil, limit)
+	_, err = delta.Unpack([]byte("no zstd"), nil, maxValueBytes)
 	is.True(err != nil)
 }
 
-// A few bytes that claim to be a gigabyte are refused.
-func TestLimit(t *testing.T) {
+// A short input that decodes to more than the limit (a decompression bomb) is refused.
+func TestValueAboveLimitIsRefused(t *testing.T) {
 	is := is.New(t)
-	packed, err := delta.Pack(make([]byte, 2*limit), nil)
+	packed, err := delta.Pack(make([]byte, 2*maxValueBytes), nil)
 	is.NoErr(err)
-	_, err = delta.Unpack(packed, nil, limit)
+	_, err = delta.Unpack(packed, nil, maxValueBytes)
 	is.True(err != nil)
 }
