--- a/peridotpath/settings/settings.go
+++ b/peridotpath/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings file of peridotd. A process learns its
-// addresses and its data centre from there and nowhere else.
+// Package settings reads and validates the settings file of peridotd, the only source of
+// an instance's addresses and data centre. Validation reports all faults at once, so that
+// an operator can correct the file in one go.
 package settings
 
 import (
@@ -16,21 +17,21 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("settings")
 
-// Settings are one instance's settings. Fields without omitempty must be given.
+// Settings are one instance's settings. Fields without omitempty are required.
 type Settings struct {
 	InstanceID peridotpath.InstanceID `json:"instance_id"`
 	DataCentre peridotpath.DataCentre `json:"data_centre"`
-	// CallerAddress is listened on for callers and the balancer's probes.
+	// CallerAddress is the listen address for callers and the balancer's probes.
 	CallerAddress netip.AddrPort `json:"caller_address"`
-	// PeerAddress is listened on for other instances and operators.
+	// PeerAddress is the listen address for other instances and operators.
 	PeerAddress netip.AddrPort `json:"peer_address"`
-	// KeyValueAddress is where the platform's key-value service listens.
+	// KeyValueAddress is the address of the platform's key-value service.
 	KeyValueAddress netip.AddrPort `json:"key_value_address"`
-	// MembershipAddress is where the platform's membership list is served.
+	// MembershipAddress is the address of the platform's membership service.
 	MembershipAddress netip.AddrPort `json:"membership_address"`
-	// Limits bound what the instance holds at a time.
+	// Limits bound the instance's memory and connections.
 	Limits Limits `json:"limits,omitempty"`
-	// Drain sets the pauses of a planned stop.
+	// Drain sets the delays of a graceful shutdown.
 	Drain Drain `json:"drain,omitempty"`
 	// ConfigReaders is how many instances of a data centre watch the platform.
 	ConfigReaders int `json:"config_readers,omitempty"`
@@ -38,25 +39,26 @@
 	LogLevel string `json:"log_level,omitempty"`
 }
 
-// Limits bound what an instance holds at a time.
+// Limits bound an instance's memory and connections.
 type Limits struct {
-	// BodyMemoryBytes bounds the request bodies held together.
+	// BodyMemoryBytes bounds the memory of all request bodies together.
 	BodyMemoryBytes peridotpath.Bytes `json:"body_memory_bytes,omitempty"`
 	// MaxBodyBytes bounds one request body.
 	MaxBodyBytes peridotpath.Bytes `json:"max_body_bytes,omitempty"`
 	// MaxHeaderBytes bounds one request's headers.
 	MaxHeaderBytes peridotpath.Bytes `json:"max_header_bytes,omitempty"`
-	// MaxConnections bounds the callers' connections.
+	// MaxConnections bounds the number of callers' connections.
 	MaxConnections int `json:"max_connections,omitempty"`
 }
 
-// Drain sets the pauses of a planned stop. Running requests are not limited
-// by it: they end by their own deadlines.
+// Drain sets the delays of a graceful shutdown. Requests in flight are not limited by them,
+// only by their own deadlines.
 type Drain struct {
-	// BalancerNoticeMS is how long new callers are still served after the
-	// instance has turned not ready, until the balancer has noticed.
+	// BalancerNoticeMS is how long new requests are still served after the readiness
+	// probe has turned to not ready, so that the balancer can take the instance out.
 	BalancerNoticeMS peridotpath.Millis `json:"balancer_notice_ms,omitempty"`
-	// HandoverMS is how long peers are still answered after the last request.
+	// HandoverMS is how long requests of peers are still served after the last caller's
+	// request.
 	HandoverMS peridotpath.Millis `json:"handover_ms,omitempty"`
 }
 
@@ -66,19 +68,19 @@
 	mebibyte = 1 << 20
 	gibibyte = 1 << 30
 
-	// defaultMaxBody takes a prompt of a million tokens, which is 4 to 6 MB.
-	defaultMaxBody = 16 * mebibyte
-	// defaultBodyMemory holds some forty of the longest prompts.
-	defaultBodyMemory = 256 * mebibyte
-	defaultMaxHeader  = 64 * kibibyte
-	defaultMaxConns   = 20_000
-	defaultNoticeMS   = 5_000
-	defaultHandoverMS = 1_000
-	defaultReaders    = 2
-	defaultLogLevel   = "info"
+	// defaultMaxBodyBytes fits a prompt of a million tokens, which is 4 to 6 MB.
+	defaultMaxBodyBytes = 16 * mebibyte
+	// defaultBodyMemoryBytes fits about forty of the longest prompts.
+	defaultBodyMemoryBytes  = 256 * mebibyte
+	defaultMaxHeaderBytes   = 64 * kibibyte
+	defaultMaxConnections   = 20_000
+	defaultBalancerNoticeMS = 5_000
+	defaultHandoverMS       = 1_000
+	defaultConfigReaders    = 2
+	defaultLogLevel         = "info"
 )
 
-// Read returns the settings in the file at path. The error lists every fault.
+// Read parses the settings file at path. The error lists every fault.
 func Read(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -91,7 +93,7 @@
 	return settings, nil
 }
 
-// Parse returns the settings in text with defaults filled in, and every fault.
+// Parse parses the settings in text, fills in defaults, and returns every fault.
 func Parse(text []byte) (*Settings, peridotpath.Faults) {
 	settings := &Settings{}
 	faults := strictjson.Decode(text, settings, strictjson.Complete)
@@ -102,17 +104,17 @@
 // Defaults fills every optional field that was left zero.
 func (settings *Settings) Defaults() {
 	limits, drain := &settings.Limits, &settings.Drain
-	peridotpath.SetDefault(&limits.BodyMemoryBytes, defaultBodyMemory)
-	peridotpath.SetDefault(&limits.MaxBodyBytes, defaultMaxBody)
-	peridotpath.SetDefault(&limits.MaxHeaderBytes, defaultMaxHeader)
-	peridotpath.SetDefault(&limits.MaxConnections, defaultMaxConns)
-	peridotpath.SetDefault(&drain.BalancerNoticeMS, defaultNoticeMS)
+	peridotpath.SetDefault(&limits.BodyMemoryBytes, defaultBodyMemoryBytes)
+	peridotpath.SetDefault(&limits.MaxBodyBytes, defaultMaxBodyBytes)
+	peridotpath.SetDefault(&limits.MaxHeaderBytes, defaultMaxHeaderBytes)
+	peridotpath.SetDefault(&limits.MaxConnections, defaultMaxConnections)
+	peridotpath.SetDefault(&drain.BalancerNoticeMS, defaultBalancerNoticeMS)
 	peridotpath.SetDefault(&drain.HandoverMS, defaultHandoverMS)
-	peridotpath.SetDefault(&settings.ConfigReaders, defaultReaders)
+	peridotpath.SetDefault(&settings.ConfigReaders, defaultConfigReaders)
 	peridotpath.SetDefault(&settings.LogLevel, defaultLogLevel)
 }
 
-// Validate returns every fault by path.
+// Validate returns every fault with the path of its field.
 func (settings *Settings) Validate() peridotpath.Faults {
 	var faults peridotpath.Faults
 	peridotpath.CheckName(&faults, "instance_id", string(settings.InstanceID))
--- a/peridotpath/settings/settings_test.go
+++ b/peridotpath/settings/settings_test.go
@@ -14,7 +14,7 @@
 
 const examplePath = "../../docs/examples/peridotd.json"
 
-func example(t *testing.T) string {
+func exampleText(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(examplePath)
 	if err != nil {
@@ -33,12 +33,12 @@
 
 func TestDefaults(t *testing.T) {
 	is := is.New(t)
-	whole, _ := settings.Parse([]byte(example(t)))
-	head, _, _ := strings.Cut(example(t), `,
+	whole, _ := settings.Parse([]byte(exampleText(t)))
+	head, _, _ := strings.Cut(exampleText(t), `,
   "limits"`)
 	short, faults := settings.Parse([]byte(head + "}"))
 	is.NoErr(faults.OrNil())
-	is.Equal(short, whole) // the example shows the defaults
+	is.Equal(short, whole) // the example file lists the defaults
 }
 
 func TestEachFault(t *testing.T) {
@@ -49,7 +49,7 @@
 		{"key given twice", `"log_level"`, `"data_centre": "b", "log_level"`, `data_centre: is given twice`},
 		{"another unit", `"handover_ms": 1000`, `"handover_s": 1`, `drain.handover_s: is unknown; the unit is part of the key: handover_ms`},
 		{"unit in the value", `1000`, `"1s"`, `drain.handover_ms: is "1s", must be a whole number of milliseconds, without a unit`},
-		{"half a unit", `5000`, `0.5`, `drain.balancer_notice_ms: is 0.5, must be a whole number of milliseconds, without a unit`},
+		{"fraction", `5000`, `0.5`, `drain.balancer_notice_ms: is 0.5, must be a whole number of milliseconds, without a unit`},
 		{"null", `"info"`, `null`, `log_level: is null, must be a string`},
 		{"not an object", `"limits": {`, `"limits": 3, "drain": {`, `limits: is 3, must be an object`},
 		{"host name", `127.0.0.1:7001`, `kv.example:7001`, `key_value_address: is "kv.example:7001": ParseAddr("kv.example"): unexpected character (at "kv.example")`},
@@ -58,16 +58,16 @@
 		{"same address", `127.0.0.1:8081`, `127.0.0.1:8080`, `peer_address: is the same as caller_address`},
 		{"empty id", `"colombo-a-1"`, `""`, `instance_id: is missing`},
 		{"limit too high", `16777216`, `16777216000`, `limits.max_body_bytes: is 16777216000, must be from 1048576 to 67108864`},
-		{"limit below its other", `268435456`, `1048576`, `limits.body_memory_bytes: is 1048576, must be from 16777216 to 68719476736`},
+		{"limit below another limit", `268435456`, `1048576`, `limits.body_memory_bytes: is 1048576, must be from 16777216 to 68719476736`},
 		{"negative", `20000`, `-1`, `limits.max_connections: is -1, must be from 10 to 1000000`},
 		{"level", `"info"`, `"loud"`, `log_level: is "loud", must be debug, info, warn or error`},
-		{"no JSON", `"config_readers": 2,`, `"config_readers": ,`, `$: line 18: invalid character ',' looking for beginning of value`},
+		{"malformed JSON", `"config_readers": 2,`, `"config_readers": ,`, `$: line 18: invalid character ',' looking for beginning of value`},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			text := strings.Replace(example(t), test.old, test.new, 1)
-			is.True(text != example(t))
+			text := strings.Replace(exampleText(t), test.old, test.new, 1)
+			is.True(text != exampleText(t))
 			_, faults := settings.Parse([]byte(text))
 			is.True(strings.Contains(faults.Error()+"\n", test.want+"\n"))
 			if t.Failed() {
@@ -77,7 +77,7 @@
 	}
 }
 
-// An operator mends a file in one go when all its faults are shown together.
+// All faults of a file are reported together, so that an operator can correct them in one go.
 func ExampleParse() {
 	_, faults := settings.Parse([]byte(`{"instance_id": "a b", "peer_address": 7, "colour": "red", "config_readers": 99}`))
 	fmt.Println(faults)
