--- a/peridotpath/telemetry/example_test.go
+++ b/peridotpath/telemetry/example_test.go
@@ -10,8 +10,8 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// An event is one line of key=value pairs that begins with its time, left out
-// here. What is below the level is not written.
+// An event is one line of key=value pairs that begins with the time, which this example
+// cuts off. Events below the log level are not written.
 func ExampleNewLog() {
 	var out bytes.Buffer
 	log, err := telemetry.NewLog(&out, zerolog.LevelInfoValue, "entry-1")
--- a/peridotpath/telemetry/lines.go
+++ b/peridotpath/telemetry/lines.go
@@ -5,48 +5,48 @@
 	"sync"
 )
 
-// Lines writes log lines in the background. A reader of the log that is slow or
-// stuck never holds a request: what does not fit the buffer is dropped and
-// counted. Set Out before the first Write.
+// Lines writes log lines asynchronously. A slow or blocked reader of the log never blocks a
+// request: lines that do not fit the buffer are dropped and counted. Set Out before the
+// first Write.
 type Lines struct {
 	Out io.Writer
 
-	once  sync.Once
-	lines chan []byte
-	ended chan struct{}
+	startOnce sync.Once
+	queue     chan []byte
+	done      chan struct{}
 }
 
-// linesHeld is how many lines wait to be written: some seconds of the busiest
-// instance, at most a megabyte.
-const linesHeld = 2048
+// maxQueuedLines is the buffer's capacity in lines: a few seconds of logs of the busiest
+// instance, at most 1 MB.
+const maxQueuedLines = 2048
 
 func (lines *Lines) start() {
-	lines.lines = make(chan []byte, linesHeld)
-	lines.ended = make(chan struct{})
+	lines.queue = make(chan []byte, maxQueuedLines)
+	lines.done = make(chan struct{})
 	go func() {
-		defer close(lines.ended)
-		for line := range lines.lines {
-			// There is nowhere to tell that the log cannot be written.
+		defer close(lines.done)
+		for line := range lines.queue {
+			// A failure to write the log cannot be logged.
 			_, _ = lines.Out.Write(line)
 		}
 	}()
 }
 
-// Write takes one line. It never waits and never fails.
+// Write queues one line. It never blocks or fails.
 func (lines *Lines) Write(line []byte) (int, error) {
-	lines.once.Do(lines.start)
+	lines.startOnce.Do(lines.start)
 	select {
-	case lines.lines <- append([]byte(nil), line...):
+	case lines.queue <- append([]byte(nil), line...):
 	default:
 		logLinesDropped.Inc()
 	}
 	return len(line), nil
 }
 
-// Close writes what is held and waits until that is done. No Write may follow.
+// Close waits until all queued lines are written. No Write may follow.
 func (lines *Lines) Close() error {
-	lines.once.Do(lines.start)
-	close(lines.lines)
-	<-lines.ended
+	lines.startOnce.Do(lines.start)
+	close(lines.queue)
+	<-lines.done
 	return nil
 }
--- a/peridotpath/telemetry/lines_test.go
+++ b/peridotpath/telemetry/lines_test.go
@@ -11,8 +11,9 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// Whoever reads the log is stuck. Requests go on; lines that do not fit are lost.
-func TestLinesNeverWait(t *testing.T) {
+// The reader of the log is blocked. Writes must not block; lines that exceed the buffer
+// are dropped.
+func TestLinesNeverBlock(t *testing.T) {
 	is := is.New(t)
 	reader, writer := io.Pipe()
 	lines := &telemetry.Lines{Out: writer}
@@ -55,7 +56,7 @@
 	is.True(sampler.Allow(now.Add(time.Second)))
 }
 
-// BenchmarkLine is what one line of a served request costs.
+// BenchmarkLine measures the cost of the log line of a served request.
 func BenchmarkLine(b *testing.B) {
 	lines := &telemetry.Lines{Out: io.Discard}
 	defer lines.Close()
--- a/peridotpath/telemetry/relay.go
+++ b/peridotpath/telemetry/relay.go
@@ -11,53 +11,52 @@
 )
 
 var (
-	// predictionError is how long first events took as a multiple of what was
-	// predicted.
-	predictionError [peridotpath.LengthClasses]*metrics.Histogram
-	kindTotal       [peridotpath.RequestKinds][peridotpath.LengthClasses]*metrics.Histogram
-	turnWait        = metrics.NewHistogram("peridotpath_turn_wait_seconds")
-	logLinesDropped = metrics.NewCounter("peridotpath_log_lines_dropped_total")
+	// ttftPredictionRatio is the ratio of the actual to the predicted time to first token.
+	ttftPredictionRatio [peridotpath.LengthClasses]*metrics.Histogram
+	relayTime           [peridotpath.RequestKinds][peridotpath.LengthClasses]*metrics.Histogram
+	prefillQueueWait    = metrics.NewHistogram("peridotpath_turn_wait_seconds")
+	logLinesDropped     = metrics.NewCounter("peridotpath_log_lines_dropped_total")
 )
 
 func init() {
 	for class := range peridotpath.LengthClasses {
-		predictionError[class] = metrics.NewHistogram(fmt.Sprintf("peridotpath_first_token_of_predicted{length=%q}", class))
+		ttftPredictionRatio[class] = metrics.NewHistogram(fmt.Sprintf("peridotpath_first_token_of_predicted{length=%q}", class))
 		for kind := range peridotpath.RequestKinds {
-			kindTotal[kind][class] = metrics.NewHistogram(fmt.Sprintf("peridotpath_relay_seconds{kind=%q,length=%q}", kind, class))
+			relayTime[kind][class] = metrics.NewHistogram(fmt.Sprintf("peridotpath_relay_seconds{kind=%q,length=%q}", kind, class))
 		}
 	}
 }
 
-// Relayed records the time from arrival to the end of a request by its kind,
-// failed ones included.
+// Relayed records the time from arrival to end of a request by its kind, including failed
+// requests.
 func Relayed(kind peridotpath.RequestKind, class peridotpath.LengthClass, span time.Duration) {
-	kindTotal[kind][class].Update(span.Seconds())
+	relayTime[kind][class].Update(span.Seconds())
 }
 
-// Predicted records how long a first event took against what was predicted.
+// Predicted records the ratio of the actual to the predicted time to first token.
 func Predicted(class peridotpath.LengthClass, predicted, seen time.Duration) {
 	if predicted > 0 {
-		predictionError[class].Update(seen.Seconds() / predicted.Seconds())
+		ttftPredictionRatio[class].Update(seen.Seconds() / predicted.Seconds())
 	}
 }
 
-// TurnWait records how long a long prompt waited for its turn.
-func TurnWait(span time.Duration) { turnWait.Update(span.Seconds()) }
+// TurnWait records how long a long prompt waited in the prefill queue.
+func TurnWait(span time.Duration) { prefillQueueWait.Update(span.Seconds()) }
 
-// Attempt counts an attempt that another may follow, by how it ended.
+// Attempt counts a failed attempt that may be retried, by its outcome.
 func Attempt(outcome string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("peridotpath_attempts_failed_total{outcome=%q}", outcome)).Inc()
 }
 
-// BudgetSpent counts a request that was not sent again since the budget was used up.
-func BudgetSpent() { budgetSpent.Inc() }
+// BudgetSpent counts a request that was not retried because the retry budget was exhausted.
+func BudgetSpent() { retryBudgetExhausted.Inc() }
 
-var budgetSpent = metrics.NewCounter("peridotpath_retries_refused_total{reason=\"budget\"}")
+var retryBudgetExhausted = metrics.NewCounter("peridotpath_retries_refused_total{reason=\"budget\"}")
 
-// gauges are what an instance tells of itself when it is asked.
+// gauges are the functions that read the gauges on a scrape.
 var gauges atomic.Pointer[Gauges]
 
-// Gauges are the values that are read when metrics are. Ages are in seconds.
+// Gauges are the functions that return gauge values on a scrape. Ages are in seconds.
 type Gauges struct {
 	RoutingAge, EndpointsAge func() float64
 	RoutingVersion           func() float64
@@ -84,5 +83,5 @@
 	}
 }
 
-// SetGauges takes the place of what was set before.
+// SetGauges replaces the functions of the gauges.
 func SetGauges(set *Gauges) { gauges.Store(set) }
--- a/peridotpath/telemetry/sampler.go
+++ b/peridotpath/telemetry/sampler.go
@@ -7,10 +7,10 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Sampler bounds the lines of what went well: some each second, the others
-// counted. Failures are no business of its, and are always logged.
+// Sampler limits the log lines of successful requests to a number in each second, and
+// counts those left out. Failures are always logged and bypass it.
 type Sampler struct {
-	// PerSecond is how many lines there may be in a second.
+	// PerSecond is the maximum number of lines in a second.
 	PerSecond int
 
 	mutex  sync.Mutex
@@ -18,7 +18,7 @@
 	lines  int
 }
 
-var logLinesSampled = metrics.NewCounter("peridotpath_log_lines_left_out_total")
+var logLinesLeftOut = metrics.NewCounter("peridotpath_log_lines_left_out_total")
 
 // Allow reports whether a line may be written now.
 func (sampler *Sampler) Allow(now time.Time) bool {
@@ -28,7 +28,7 @@
 		sampler.second, sampler.lines = second, 0
 	}
 	if sampler.lines >= sampler.PerSecond {
-		logLinesSampled.Inc()
+		logLinesLeftOut.Inc()
 		return false
 	}
 	sampler.lines++
--- a/peridotpath/telemetry/telemetry.go
+++ b/peridotpath/telemetry/telemetry.go
@@ -1,6 +1,7 @@
-// Package telemetry holds the metrics that the request path writes: a counter
-// for each refusal and retry reason, and times by length class. Each series is
-// made once at start, so that the path does no look-up by name.
+// Package telemetry holds the metrics and logs of the request path: counters by result and
+// retry reason, latency histograms by length class, a rate limit for log lines, and a log
+// writer that drops lines rather than blocking a request. The series of the request path
+// are created once at start, so that a request does no look-up by name.
 package telemetry
 
 import (
@@ -18,35 +19,35 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Reason names why an attempt was followed by another.
+// Reason is the reason of a retry.
 type Reason uint8
 
-// The reasons.
+// The reasons of retries.
 const (
 	RetryUnreached Reason = iota
 	RetryRefused
 	RetryFailed
 	RetryBadAnswer
 	RetryResumed
-	reasons
+	retryReasonCount
 )
 
-var reasonNames = [reasons]string{"unreached", "refused", "failed", "bad_answer", "resumed"}
+var reasonNames = [retryReasonCount]string{"unreached", "refused", "failed", "bad_answer", "resumed"}
 
 var (
-	results    = resultCounters()
-	retries    [reasons]*metrics.Counter
-	firstToken [peridotpath.LengthClasses]*metrics.Histogram
-	total      [peridotpath.LengthClasses]*metrics.Histogram
+	resultsTotal     = resultCounters()
+	retriesTotal     [retryReasonCount]*metrics.Counter
+	timeToFirstToken [peridotpath.LengthClasses]*metrics.Histogram
+	requestTime      [peridotpath.LengthClasses]*metrics.Histogram
 )
 
 func init() {
 	for reason, name := range reasonNames {
-		retries[reason] = metrics.NewCounter(fmt.Sprintf("peridotpath_retries_total{reason=%q}", name))
+		retriesTotal[reason] = metrics.NewCounter(fmt.Sprintf("peridotpath_retries_total{reason=%q}", name))
 	}
 	for class := range peridotpath.LengthClasses {
-		firstToken[class] = metrics.NewHistogram(fmt.Sprintf("peridotpath_first_token_seconds{length=%q}", class))
-		total[class] = metrics.NewHistogram(fmt.Sprintf("peridotpath_request_seconds{length=%q}", class))
+		timeToFirstToken[class] = metrics.NewHistogram(fmt.Sprintf("peridotpath_first_token_seconds{length=%q}", class))
+		requestTime[class] = metrics.NewHistogram(fmt.Sprintf("peridotpath_request_seconds{length=%q}", class))
 	}
 }
 
@@ -59,46 +60,46 @@
 	return counters
 }
 
-// WriteMetrics answers with all metrics of the process, as text.
+// WriteMetrics serves all metrics of the process in the Prometheus text format.
 func WriteMetrics(writer http.ResponseWriter, _ *http.Request) {
 	metrics.WritePrometheus(writer, true)
 }
 
 // Result counts one request's result.
 func Result(code peridotpath.Code) {
-	if counter := results[code]; counter != nil {
+	if counter := resultsTotal[code]; counter != nil {
 		counter.Inc()
 	}
 }
 
-// Retry counts one further attempt.
-func Retry(reason Reason) { retries[reason].Inc() }
+// Retry counts one retry.
+func Retry(reason Reason) { retriesTotal[reason].Inc() }
 
-// FirstToken records the time from arrival to the first token.
+// FirstToken records the time to first token (TTFT), counted from the request's arrival.
 func FirstToken(class peridotpath.LengthClass, span time.Duration) {
-	firstToken[class].Update(span.Seconds())
+	timeToFirstToken[class].Update(span.Seconds())
 }
 
-// Total records the time from arrival to the end of a request, failed ones
-// included: leaving those out would make the tail look better in an outage.
+// Total records the time from a request's arrival to its end. Failed requests are
+// included: without them the tail latency would look better during an outage.
 func Total(class peridotpath.LengthClass, span time.Duration) {
-	total[class].Update(span.Seconds())
+	requestTime[class].Update(span.Seconds())
 }
 
-// Times are quantiles of a length class's time to first token.
+// Times are quantiles of the time to first token of one length class.
 type Times struct {
 	Class         peridotpath.LengthClass
 	Count         uint64
 	P50, P95, P99 time.Duration
 }
 
-// FirstTokens returns the times to first token since the start, for classes
-// that have any. The histogram's buckets bound the error to a seventh.
+// FirstTokens returns the quantiles of the time to first token since the start, for each
+// length class with requests. The bucket width bounds the relative error to one seventh.
 func FirstTokens() []Times {
 	var all []Times
 	for class := range peridotpath.LengthClasses {
 		times := Times{Class: class}
-		buckets := bucketsOf(firstToken[class])
+		buckets := nonEmptyBuckets(timeToFirstToken[class])
 		for _, bucket := range buckets {
 			times.Count += bucket.count
 		}
@@ -118,8 +119,8 @@
 	count uint64
 }
 
-// bucketsOf returns the buckets that hold anything, lowest first.
-func bucketsOf(histogram *metrics.Histogram) []bucket {
+// nonEmptyBuckets returns the non-empty buckets, lowest first.
+func nonEmptyBuckets(histogram *metrics.Histogram) []bucket {
 	var buckets []bucket
 	histogram.VisitNonZeroBuckets(func(vmrange string, count uint64) {
 		_, high, _ := strings.Cut(vmrange, "...")
@@ -133,7 +134,7 @@
 	return buckets
 }
 
-// quantile returns the upper end of the bucket that the quantile lies in.
+// quantile returns the upper bound of the bucket that contains the quantile.
 func quantile(buckets []bucket, total uint64, part float64) time.Duration {
 	rank := uint64(math.Ceil(part * float64(total)))
 	for _, bucket := range buckets {
@@ -145,16 +146,16 @@
 	return 0
 }
 
-// CodeCount counts the results with one code.
+// CodeCount is the number of results with one code.
 type CodeCount struct {
 	Code  peridotpath.Code
 	Count uint64
 }
 
-// Results returns the counts of all codes that came up, by code.
+// Results returns the non-zero counts of results, sorted by code.
 func Results() []CodeCount {
 	var counts []CodeCount
-	for code, counter := range results {
+	for code, counter := range resultsTotal {
 		if count := counter.Get(); count > 0 {
 			counts = append(counts, CodeCount{Code: code, Count: count})
 		}
@@ -163,16 +164,16 @@
 	return counts
 }
 
-// ReasonCount counts the further attempts for one reason.
+// ReasonCount is the number of retries for one reason.
 type ReasonCount struct {
 	Reason string
 	Count  uint64
 }
 
-// Retries returns the counts of all retry reasons that came up.
+// Retries returns the non-zero counts of retries by reason.
 func Retries() []ReasonCount {
 	var counts []ReasonCount
-	for reason, counter := range retries {
+	for reason, counter := range retriesTotal {
 		if count := counter.Get(); count > 0 {
 			counts = append(counts, ReasonCount{Reason: reasonNames[reason], Count: count})
 		}
--- a/peridotpath/telemetry/telemetry_test.go
+++ b/peridotpath/telemetry/telemetry_test.go
@@ -9,8 +9,8 @@
 	"peridotpath.example/peridotpath"
 )
 
-// TestQuantilesOfFirstTokens holds the quantiles to the buckets' error.
-func TestQuantilesOfFirstTokens(t *testing.T) {
+// TestTimeToFirstTokenQuantiles checks the quantiles against the error bound of the buckets.
+func TestTimeToFirstTokenQuantiles(t *testing.T) {
 	is := is.New(t)
 	for i := 1; i <= 100; i++ {
 		FirstToken(peridotpath.Medium, time.Duration(i)*time.Millisecond)
