--- a/peridotpath/logline/logline.go
+++ b/peridotpath/logline/logline.go
@@ -1,4 +1,4 @@
-// Package logline reads the lines that instances log.
+// Package logline parses the key=value log lines of instances.
 package logline
 
 import (
@@ -10,16 +10,16 @@
 	"strings"
 )
 
-// Line is one line of an instance's log: its key=value pairs, and the text.
+// Line is one line of an instance's log: its key=value pairs and its raw text.
 type Line struct {
 	Pairs map[string]string
 	Text  string
 }
 
-// Event returns what the line is about.
+// Event returns the name of the event.
 func (line *Line) Event() string { return line.Pairs["event"] }
 
-// Number returns a pair's value; zero where there is none.
+// Number returns the value of key as a number; zero where it is missing or not a number.
 func (line *Line) Number(key string) float64 {
 	value, err := strconv.ParseFloat(line.Pairs[key], 64)
 	if err != nil {
@@ -28,11 +28,11 @@
 	return value
 }
 
-// maxLine bounds one line, in bytes; what is longer is no line of ours.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line, in bytes. Instances write no longer ones.
+const maxLineBytes = 1 << 20
 
-// Parse returns the pairs of a line; false for one without an event. Text
-// before the first pair, such as a collector's prefix, is passed over.
+// Parse parses the pairs of a line; false for a line without an event. Text before the
+// first pair, such as a log collector's prefix, is skipped.
 func Parse(text string) (Line, bool) {
 	line := Line{Pairs: map[string]string{}, Text: text}
 	for rest := text; rest != ""; {
@@ -53,7 +53,7 @@
 	return line, line.Pairs["event"] != ""
 }
 
-// cutValue returns the value at the start of text, unquoted, and what follows.
+// cutValue returns the unquoted value at the start of text, and the rest of text.
 func cutValue(text string) (value, rest string) {
 	if !strings.HasPrefix(text, `"`) {
 		end := strings.IndexAny(text, " \t")
@@ -64,7 +64,7 @@
 	}
 	quoted, err := strconv.QuotedPrefix(text)
 	if err != nil {
-		// The line was cut within the value.
+		// The line was truncated within the value.
 		return text[1:], ""
 	}
 	value, err = strconv.Unquote(quoted)
@@ -74,8 +74,8 @@
 	return value, text[len(quoted):]
 }
 
-// ReadFiles calls use for each line of the files that is an instance's, and
-// returns how many lines were passed over.
+// ReadFiles calls use for each event line of the files, and returns the number of other
+// lines.
 func ReadFiles(paths []string, use func(Line)) (skipped int, err error) {
 	for _, path := range paths {
 		count, err := readFile(path, use)
@@ -93,11 +93,12 @@
 		return 0, err
 	}
 	defer file.Close()
-	reader := bufio.NewReaderSize(file, maxLine)
+	reader := bufio.NewReaderSize(file, maxLineBytes)
 	for {
 		text, err := reader.ReadSlice('\n')
 		for errors.Is(err, bufio.ErrBufferFull) {
-			// Passed over to its end; what is kept of it parses as a cut line.
+			// The rest of an overlong line is skipped; the buffer parses as a
+			// truncated line.
 			_, err = reader.ReadSlice('\n')
 		}
 		if line, ok := Parse(strings.TrimRight(string(text), "\r\n")); ok {
