--- a/peridotpath/keyvalue/era.go
+++ b/peridotpath/keyvalue/era.go
@@ -182,8 +182,8 @@
 	}
 }
 
-// Guard wraps service with the era checks. The service must call Eras.Met with the era of
-// each reply before it returns the reply.
+// Guard wraps service with the era checks. The service must report the era of
+// each reply through Eras.Met before it returns the reply.
 func (eras *Eras) Guard(service *Store) *Store {
 	guard := &guard{eras: eras, service: service}
 	store := &Store{
--- a/peridotpath/keyvalue/store.go
+++ b/peridotpath/keyvalue/store.go
@@ -1,8 +1,8 @@
 // Package keyvalue is the client of the platform's key-value service: compare-and-swap,
 // leases and watches. Store is the interface that the rest of the system uses, and
-// Connect returns one that calls the service over HTTP. Eras tracks the store's epoch,
-// which changes when the service is restored from an older copy, and rejects version
-// numbers, leases and replies of an earlier epoch.
+// Connect returns one that calls the service over HTTP. The package also tracks the
+// store's epoch, which changes when the service is restored from an older copy, and
+// rejects version numbers, leases and replies of an earlier epoch.
 package keyvalue
 
 import (
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -20,11 +20,11 @@
 // before Run.
 type Follower struct {
 	State *State
-	// Key is the store's key of the routing, and Decode decodes its value. Check is the
-	// store's conditional get.
+	// Key is the store's key of the routing, and Decode decodes its value.
 	Key    string
 	Decode func(value []byte) (*peridotpath.Routing, error)
-	Check  func(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error)
+	// Check is the store's conditional get.
+	Check func(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error)
 	// Eras tracks the store's epoch.
 	Eras *keyvalue.Eras
 	// Ask fetches a peer's newest routing, as a delta to have.
--- a/peridotpath/routing/state.go
+++ b/peridotpath/routing/state.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Age returns the time since the active routing was last confirmed as the newest. Before
-// the first routing it exceeds every bound.
+// Age returns the time since the active routing was last confirmed as the newest. It
+// exceeds every bound until the first routing is applied.
 func (state *State) Age() time.Duration {
 	confirmed := state.confirmedAt.Load()
 	if confirmed == 0 {
