--- a/peridotpath/keyvalue/era_test.go
+++ b/peridotpath/keyvalue/era_test.go
@@ -188,12 +188,12 @@
 		return version
 	}
 	type step func(eras *keyvalue.Eras, now *time.Duration)
-	met := func(era keyvalue.Era) step { return func(eras *keyvalue.Eras, _ *time.Duration) { eras.Met(era) } }
+	observe := func(era keyvalue.Era) step { return func(eras *keyvalue.Eras, _ *time.Duration) { eras.Met(era) } }
 	wait := func(span time.Duration) step { return func(_ *keyvalue.Eras, now *time.Duration) { *now += span } }
-	heard := func(era keyvalue.Era, ago time.Duration, dated bool) step {
+	observePeer := func(era keyvalue.Era, ago time.Duration, dated bool) step {
 		return func(eras *keyvalue.Eras, _ *time.Duration) { eras.Heard(era, ago, dated) }
 	}
-	suspect := func(eras *keyvalue.Eras, _ *time.Duration) { eras.Suspect() }
+	assumeRecent := func(eras *keyvalue.Eras, _ *time.Duration) { eras.Suspect() }
 	// read makes a list call that returns that version.
 	read := func(era keyvalue.Era, number uint64) step {
 		return func(eras *keyvalue.Eras, _ *time.Duration) {
@@ -211,23 +211,23 @@
 		want  bool
 	}{
 		"service without eras":                {nil, 0, true},
-		"start":                               {[]step{met(5)}, 5, true},
-		"start in a recent era":               {[]step{met(5), suspect}, 5, false},
-		"settled after a start":               {[]step{met(5), suspect, wait(keyvalue.Settling)}, 5, true},
-		"peer reports an old era":             {[]step{met(5), suspect, heard(5, time.Minute, true)}, 5, true},
-		"peer reports a recent era":           {[]step{met(5), heard(5, time.Second, true)}, 5, false},
-		"peer reports no age":                 {[]step{met(5), heard(5, time.Second, false)}, 5, true},
-		"restored":                            {[]step{met(5), met(6)}, 6, false},
-		"restored and settled":                {[]step{met(5), met(6), wait(keyvalue.Settling)}, 6, true},
-		"peer saw the era long before":        {[]step{met(5), met(6), heard(6, time.Minute, true)}, 6, true},
-		"peer saw the era later":              {[]step{met(5), met(6), wait(2 * time.Second), heard(6, time.Second, true), wait(time.Second)}, 6, true},
-		"restored twice":                      {[]step{met(5), met(6), wait(time.Minute), met(7)}, 7, false},
-		"two restores between replies":        {[]step{met(5), met(7)}, 7, false},
-		"version of the previous era":         {[]step{met(5), met(6), wait(time.Minute)}, 5, false},
-		"written after the first read":        {[]step{met(5), met(6), read(6, 40)}, 6, true},
-		"written before the first read":       {[]step{met(5), met(6), read(6, 60)}, 6, false},
-		"read in the previous era":            {[]step{met(5), read(5, 40), met(6)}, 6, false},
-		"peer reports before the first reply": {[]step{heard(6, time.Second, true), met(6)}, 6, false},
+		"start":                               {[]step{observe(5)}, 5, true},
+		"start in a recent era":               {[]step{observe(5), assumeRecent}, 5, false},
+		"settled after a start":               {[]step{observe(5), assumeRecent, wait(keyvalue.Settling)}, 5, true},
+		"peer reports an old era":             {[]step{observe(5), assumeRecent, observePeer(5, time.Minute, true)}, 5, true},
+		"peer reports a recent era":           {[]step{observe(5), observePeer(5, time.Second, true)}, 5, false},
+		"peer reports no age":                 {[]step{observe(5), observePeer(5, time.Second, false)}, 5, true},
+		"restored":                            {[]step{observe(5), observe(6)}, 6, false},
+		"restored and settled":                {[]step{observe(5), observe(6), wait(keyvalue.Settling)}, 6, true},
+		"peer saw the era long before":        {[]step{observe(5), observe(6), observePeer(6, time.Minute, true)}, 6, true},
+		"peer saw the era later":              {[]step{observe(5), observe(6), wait(2 * time.Second), observePeer(6, time.Second, true), wait(time.Second)}, 6, true},
+		"restored twice":                      {[]step{observe(5), observe(6), wait(time.Minute), observe(7)}, 7, false},
+		"two restores between replies":        {[]step{observe(5), observe(7)}, 7, false},
+		"version of the previous era":         {[]step{observe(5), observe(6), wait(time.Minute)}, 5, false},
+		"written after the first read":        {[]step{observe(5), observe(6), read(6, 40)}, 6, true},
+		"written before the first read":       {[]step{observe(5), observe(6), read(6, 60)}, 6, false},
+		"read in the previous era":            {[]step{observe(5), read(5, 40), observe(6)}, 6, false},
+		"peer reports before the first reply": {[]step{observePeer(6, time.Second, true), observe(6)}, 6, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/peridotpath/lease/lease_test.go
+++ b/peridotpath/lease/lease_test.go
@@ -81,7 +81,7 @@
 	return time.Now().Before(process.frozenUntil)
 }
 
-// waitHeld waits until the process holds the lease, and returns the time that took and
+// waitHeld waits until the process holds the lease, and returns the elapsed time and
 // the fencing token.
 func waitHeld(is *is.I, process *process) (time.Duration, peridotpath.FencingNumber) {
 	begin := time.Now()
@@ -118,9 +118,9 @@
 	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		before, _ := first.Held()
 		first.freeze(30 * time.Second)
-		took, fencing := waitHeld(is, second)
-		t.Logf("taken over after %v", took)
-		is.True(took <= 20*time.Second)
+		elapsed, fencing := waitHeld(is, second)
+		t.Logf("acquired after %v", elapsed)
+		is.True(elapsed <= 20*time.Second)
 		is.True(fencing > before.Fencing)
 		_, ok := first.Held() // after it resumes, before any reply
 		is.True(!ok)
@@ -186,8 +186,8 @@
 		_, ok := first.Held()
 		is.True(!ok)
 		first.link.Set(nil)
-		took, _ := waitHeld(is, first)
-		is.True(took <= 2*time.Second)
+		elapsed, _ := waitHeld(is, first)
+		is.True(elapsed <= 2*time.Second)
 	})
 }
 
@@ -199,8 +199,8 @@
 		platform := &memory.Memory{}
 		process := startProcess(platform, "a", nil)
 		process.link.Set(func(call string) memory.Fate { return memory.Fate{Unanswered: call == "swap"} })
-		took, _ := waitHeld(is, process)
-		is.True(took < 2*time.Second)
+		elapsed, _ := waitHeld(is, process)
+		is.True(elapsed < 2*time.Second)
 		is.NoErr(process.Close())
 	})
 }
@@ -236,10 +236,10 @@
 	change := func(holder *lease.Holder) { holder.WaitOut = true }
 	testTwoHolders(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
 		first.kill()
-		took, _ := waitHeld(is, second)
-		t.Logf("first order %v after the kill", took)
-		is.True(took >= 40*time.Second)
-		is.True(took <= 60*time.Second)
+		elapsed, _ := waitHeld(is, second)
+		t.Logf("first order %v after the kill", elapsed)
+		is.True(elapsed >= 40*time.Second)
+		is.True(elapsed <= 60*time.Second)
 	})
 }
 
@@ -249,12 +249,12 @@
 	change := func(holder *lease.Holder) { holder.WaitOut = true }
 	testTwoHolders(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
 		is.NoErr(first.Close())
-		took, before := waitHeld(is, second)
-		is.True(took <= time.Second)
+		elapsed, before := waitHeld(is, second)
+		is.True(elapsed <= time.Second)
 		second.kill()
 		third := startProcess(platform, "c", change)
-		took, after := waitHeld(is, third)
-		is.True(took >= 40*time.Second) // the holder before crashed
+		elapsed, after := waitHeld(is, third)
+		is.True(elapsed >= 40*time.Second) // the holder before crashed
 		is.True(after > before)
 		is.NoErr(third.Close())
 	})
@@ -283,8 +283,8 @@
 				is := is.New(t)
 				platform := &memory.Memory{}
 				first := startProcess(platform, "a", change)
-				took, _ := waitHeld(is, first)
-				is.Equal(took > time.Second, test.waits)
+				elapsed, _ := waitHeld(is, first)
+				is.Equal(elapsed > time.Second, test.waits)
 				is.NoErr(first.Close())
 			})
 		})
@@ -303,8 +303,8 @@
 		is.True(!held)
 		is.NoErr(second.Close())
 		third := startProcess(platform, "c", change)
-		took, _ := waitHeld(is, third)
-		is.True(took >= 40*time.Second)
+		elapsed, _ := waitHeld(is, third)
+		is.True(elapsed >= 40*time.Second)
 		is.NoErr(third.Close())
 	})
 }
@@ -315,13 +315,13 @@
 func TestCloseAndRestartOfHolder(t *testing.T) {
 	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		is.NoErr(first.Close())
-		took, before := waitHeld(is, second)
-		is.True(took <= time.Second)
+		elapsed, before := waitHeld(is, second)
+		is.True(elapsed <= time.Second)
 		second.kill()
 		again := startProcess(platform, "b", func(holder *lease.Holder) { holder.Incarnation = 2 })
-		took, after := waitHeld(is, again)
+		elapsed, after := waitHeld(is, again)
 		is.True(after > before)
-		t.Logf("held %v after the restart", took)
+		t.Logf("held %v after the restart", elapsed)
 		is.NoErr(again.Close())
 	})
 }
--- a/peridotpath/routing/era_test.go
+++ b/peridotpath/routing/era_test.go
@@ -101,13 +101,13 @@
 func TestRevocationLostByRestore(t *testing.T) {
 	runWithRestores(t, func(is *is.I, store *restorableStore, follower *routing.Follower) {
 		state := follower.State
-		taken := state.Now()
+		revokedAt := state.Now()
 		store.set(0, 0, errors.New("away"))
 		time.Sleep(time.Second)
 		store.write(4, 50, 8) // the copy, without the revocation
-		for state.Now()-taken < 2900*time.Millisecond {
+		for state.Now()-revokedAt < 2900*time.Millisecond {
 			time.Sleep(100 * time.Millisecond)
-			is.True(state.Age() >= state.Now()-taken) // no read confirms it
+			is.True(state.Age() >= state.Now()-revokedAt) // no read confirms it
 		}
 		store.write(4, 61, 9)
 		time.Sleep(time.Second)
--- a/peridotpath/routing/fleet_test.go
+++ b/peridotpath/routing/fleet_test.go
@@ -154,12 +154,12 @@
 	if table == nil {
 		return
 	}
-	version, asked := table.Routing.Version, fleet.followers[from].State.Now()-fleet.followers[from].State.Age()
+	version, sentAt := table.Routing.Version, fleet.followers[from].State.Now()-fleet.followers[from].State.Age()
 	time.AfterFunc(digestDelay, func() {
 		for i, follower := range fleet.followers {
 			if i != from {
 				near := i%dataCentres == from%dataCentres
-				follower.HearPeer(readings.Peer{Address: addressOf(from), Near: near}, version, asked)
+				follower.HearPeer(readings.Peer{Address: addressOf(from), Near: near}, version, sentAt)
 			}
 		}
 	})
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -150,12 +150,12 @@
 
 // fetchFromPeer fetches the routing from one peer, and reports whether it succeeded.
 func (follower *Follower) fetchFromPeer(ctx context.Context, peer readings.Peer) bool {
-	asked := follower.State.Now()
+	sentAt := follower.State.Now()
 	have, _ := follower.applied.Last()
 	snapshot, err := follower.Ask(ctx, peer.Address, have)
 	if err == nil {
 		follower.Eras.Heard(snapshot.Version.Era(), 0, false)
-		err = follower.apply(snapshot.Version, snapshot.Value, asked-snapshot.Age)
+		err = follower.apply(snapshot.Version, snapshot.Value, sentAt-snapshot.Age)
 	}
 	if err != nil {
 		follower.Log.Info().Err(err).Stringer("peer", peer.Address).Bool("near", peer.Near).Msg("peer_not_read")
@@ -173,7 +173,7 @@
 	follower.mutex.Lock()
 	known := follower.lastReadVersion
 	follower.mutex.Unlock()
-	asked := follower.State.Now()
+	sentAt := follower.State.Now()
 	entry, changed, err := follower.Check(ctx, follower.Key, known)
 	if err != nil {
 		return err
@@ -183,7 +183,7 @@
 	}
 	switch {
 	case !changed:
-		return follower.confirmVersion(known, asked)
+		return follower.confirmVersion(known, sentAt)
 	case entry.Version == 0 || len(entry.Value) == 0:
 		// The routing does not exist yet or was deleted. The active one is kept
 		// without a confirmation.
@@ -200,27 +200,27 @@
 		}
 		return errStoreNotSettled
 	}
-	return follower.apply(entry.Version, entry.Value, asked)
+	return follower.apply(entry.Version, entry.Value, sentAt)
 }
 
-// confirmVersion records that the active routing was the newest at the time asked, because the
+// confirmVersion records that the active routing was the newest at the time sentAt, because the
 // store still had the version read last.
-func (follower *Follower) confirmVersion(version keyvalue.Version, asked time.Duration) error {
+func (follower *Follower) confirmVersion(version keyvalue.Version, sentAt time.Duration) error {
 	if version != follower.provenVersion && !follower.Eras.Proves(version) {
 		return errStoreNotSettled
 	}
 	if table := follower.State.Current(); table != nil {
-		follower.State.Confirm(table.Routing.Version, asked)
+		follower.State.Confirm(table.Routing.Version, sentAt)
 	}
 	return nil
 }
 
-// unconfirmed is the time asked of a routing that is not known to be the newest. It confirms
+// unconfirmed is the time sentAt of a routing that is not known to be the newest. It confirms
 // nothing.
 const unconfirmed time.Duration = 0
 
 // apply decodes and activates a routing, unless a newer one is active.
-func (follower *Follower) apply(version keyvalue.Version, value []byte, asked time.Duration) error {
+func (follower *Follower) apply(version keyvalue.Version, value []byte, sentAt time.Duration) error {
 	routing, err := follower.Decode(value)
 	if err != nil {
 		return err
@@ -229,6 +229,6 @@
 	follower.lastReadVersion = max(follower.lastReadVersion, version)
 	follower.mutex.Unlock()
 	follower.applied.Add(readings.Routing{Version: version, Number: routing.Version, Value: value})
-	follower.State.Apply(routing, asked)
+	follower.State.Apply(routing, sentAt)
 	return nil
 }
--- a/peridotpath/routing/machine_test.go
+++ b/peridotpath/routing/machine_test.go
@@ -38,7 +38,7 @@
 	routing *peridotpath.Routing
 	// hasRouting is set if the reply holds the routing, rather than a confirmation only.
 	hasRouting bool
-	asked      time.Duration
+	sentAt     time.Duration
 }
 
 const (
@@ -94,7 +94,7 @@
 func (machine *keysMachine) read(random *rapid.T) {
 	machine.replies = append(machine.replies, replyInTransit{
 		to:      rapid.IntRange(0, instanceCount-1).Draw(random, "reader"),
-		routing: machine.newest(), hasRouting: rapid.Bool().Draw(random, "whole"), asked: machine.now,
+		routing: machine.newest(), hasRouting: rapid.Bool().Draw(random, "whole"), sentAt: machine.now,
 	})
 }
 
@@ -104,7 +104,7 @@
 	if table := from.Current(); table != nil {
 		machine.replies = append(machine.replies, replyInTransit{
 			to:      rapid.IntRange(0, instanceCount-1).Draw(random, "hearer"),
-			routing: table.Routing, hasRouting: rapid.Bool().Draw(random, "whole"), asked: machine.now - from.Age(),
+			routing: table.Routing, hasRouting: rapid.Bool().Draw(random, "whole"), sentAt: machine.now - from.Age(),
 		})
 	}
 }
@@ -119,7 +119,7 @@
 	}
 	old := rapid.IntRange(0, int(table.Routing.Version)-2).Draw(random, "version")
 	machine.replies = append(machine.replies, replyInTransit{
-		to: to, routing: machine.versions[old].routing, hasRouting: rapid.Bool().Draw(random, "whole"), asked: machine.now,
+		to: to, routing: machine.versions[old].routing, hasRouting: rapid.Bool().Draw(random, "whole"), sentAt: machine.now,
 	})
 }
 
@@ -129,13 +129,13 @@
 		random.Skip("no reply in transit")
 	}
 	at := rapid.IntRange(0, len(machine.replies)-1).Draw(random, "answer")
-	answer := machine.replies[at]
+	reply := machine.replies[at]
 	machine.replies = append(machine.replies[:at], machine.replies[at+1:]...)
-	state := machine.instances[answer.to]
-	if answer.hasRouting {
-		state.Apply(answer.routing, answer.asked)
+	state := machine.instances[reply.to]
+	if reply.hasRouting {
+		state.Apply(reply.routing, reply.sentAt)
 	} else {
-		state.Confirm(answer.routing.Version, answer.asked)
+		state.Confirm(reply.routing.Version, reply.sentAt)
 	}
 }
 
@@ -145,9 +145,9 @@
 		if !state.KeysUsable() {
 			continue
 		}
-		for key, takenAt := range machine.revokedAt {
-			if _, known := state.Current().Holder(key); known && machine.now-takenAt >= keyLifetime {
-				random.Fatalf("instance %d uses %s, revoked %s ago", number, key, machine.now-takenAt)
+		for key, revokedAt := range machine.revokedAt {
+			if _, known := state.Current().Holder(key); known && machine.now-revokedAt >= keyLifetime {
+				random.Fatalf("instance %d uses %s, revoked %s ago", number, key, machine.now-revokedAt)
 			}
 		}
 	}
--- a/peridotpath/routing/state.go
+++ b/peridotpath/routing/state.go
@@ -37,9 +37,9 @@
 	return 0
 }
 
-// Apply activates a routing, unless a newer one is active, and confirms it. asked is a
+// Apply activates a routing, unless a newer one is active, and confirms it. sentAt is a
 // time before the read that returned it was sent.
-func (state *State) Apply(routing *peridotpath.Routing, asked time.Duration) {
+func (state *State) Apply(routing *peridotpath.Routing, sentAt time.Duration) {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	current := state.table.Load()
@@ -55,22 +55,22 @@
 		state.Log.Info().Uint64("version", uint64(routing.Version)).Int("routes", len(routing.Routes)).
 			Int("keys", len(routing.Keys)).Msg("routing_in_force")
 	}
-	state.confirmSince(asked)
+	state.confirmSince(sentAt)
 }
 
 // Confirm records that the routing of that version was still the newest for a read that
-// was sent at the time asked.
-func (state *State) Confirm(version peridotpath.RoutingVersion, asked time.Duration) {
+// was sent at the time sentAt.
+func (state *State) Confirm(version peridotpath.RoutingVersion, sentAt time.Duration) {
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	if table := state.table.Load(); table != nil && table.Routing.Version == version {
-		state.confirmSince(asked)
+		state.confirmSince(sentAt)
 	}
 }
 
-func (state *State) confirmSince(asked time.Duration) {
-	if int64(asked) > state.confirmedAt.Load() {
-		state.confirmedAt.Store(int64(asked))
+func (state *State) confirmSince(sentAt time.Duration) {
+	if int64(sentAt) > state.confirmedAt.Load() {
+		state.confirmedAt.Store(int64(sentAt))
 	}
 }
 
--- a/peridotpath/routing/state_test.go
+++ b/peridotpath/routing/state_test.go
@@ -251,10 +251,10 @@
 		is := is.New(t)
 		store := &fakeStore{version: 1, routing: 1}
 		far := readings.Peer{Address: netip.MustParseAddrPort("10.9.0.1:99")}
-		asked := make(chan netip.AddrPort, 10)
+		fetchedFrom := make(chan netip.AddrPort, 10)
 		follower, state := newFollower(store)
 		follower.Ask = func(_ context.Context, peer netip.AddrPort, have readings.Routing) (readings.Routing, error) {
-			asked <- peer
+			fetchedFrom <- peer
 			return readings.Routing{Version: have.Version + 1, Value: []byte{byte(have.Version + 1)}}, nil
 		}
 		follower.Before = func(peridotpath.RoutingVersion) int { return 2 }
@@ -265,15 +265,15 @@
 
 		follower.HearPeer(far, 2, state.Now())
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(len(asked), 0) // two others are first
+		is.Equal(len(fetchedFrom), 0) // two others are first
 		follower.HearPeer(peer, 2, state.Now())
 		time.Sleep(time.Second)
-		is.Equal(<-asked, peer.Address) // one of them has it
+		is.Equal(<-fetchedFrom, peer.Address) // one of them has it
 
 		follower.HearPeer(far, 3, state.Now())
 		time.Sleep(time.Second)
-		is.Equal(<-asked, far.Address) // no nearby peer has it
-		is.Equal(len(asked), 0)
+		is.Equal(<-fetchedFrom, far.Address) // no nearby peer has it
+		is.Equal(len(fetchedFrom), 0)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(3))
 		is.Equal(store.called(), 1) // the store is read at the start only
 		cancel()
