--- a/peridotd/daemon.go
+++ b/peridotd/daemon.go
@@ -64,7 +64,7 @@
 	// by more than the instance was gone; the number only tells runs apart.
 	incarnation := peridotpath.Incarnation(time.Now().UnixNano())
 	daemon := &daemon{settings: settings, log: log, incarnation: incarnation, signer: &cursor.Signer{}}
-	daemon.keyValue = keyvalue.Connect(settings.KeyValueAddress, &keyvalue.Eras{Now: clock.SinceBoot, Log: daemon.log, Risen: daemon.wentBack})
+	daemon.keyValue = keyvalue.Connect(settings.KeyValueAddress, &keyvalue.EraTracker{Now: clock.SinceBoot, Log: daemon.log, OnEraChange: daemon.wentBack})
 	daemon.config = &config.Store{KeyValue: daemon.keyValue, Log: log}
 	daemon.engines = &engine.Client{Instance: settings.InstanceID, Incarnation: incarnation}
 	daemon.scheduler = &decide.Scheduler{Seed: uint64(incarnation)}
--- a/peridotd/operate.go
+++ b/peridotd/operate.go
@@ -160,18 +160,18 @@
 }
 
 func addFigures(response *pb.StatusResponse) {
-	for _, times := range telemetry.FirstTokens() {
+	for _, times := range telemetry.TimeToFirstTokenQuantiles() {
 		response.Classes = append(response.Classes, &pb.ClassTimes{
 			Class: times.Class.String(), Count: times.Count,
 			P50Ms: times.P50.Milliseconds(), P95Ms: times.P95.Milliseconds(), P99Ms: times.P99.Milliseconds(),
 		})
 	}
-	for _, count := range telemetry.Results() {
+	for _, count := range telemetry.ResultCounts() {
 		if count.Code != peridotpath.CodeOK {
 			response.Refusals = append(response.Refusals, &pb.Count{Reason: count.Code.String(), Count: count.Count})
 		}
 	}
-	for _, count := range telemetry.Retries() {
+	for _, count := range telemetry.RetryCounts() {
 		response.Retries = append(response.Retries, &pb.Count{Reason: count.Reason, Count: count.Count})
 	}
 }
--- a/peridotd/relay.go
+++ b/peridotd/relay.go
@@ -66,13 +66,13 @@
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	// SIGHUP announces new settings; all that are used here last a process's life.
 	signal.Ignore(syscall.SIGHUP)
-	lines := &telemetry.Lines{Out: os.Stdout}
+	lines := &telemetry.LogWriter{Out: os.Stdout}
 	defer lines.Close()
 	log, err := telemetry.NewLog(lines, settings.LogLevel, settings.InstanceID)
 	if err != nil {
 		return err
 	}
-	eras := &keyvalue.Eras{Now: clock.SinceBoot, Log: log}
+	eras := &keyvalue.EraTracker{Now: clock.SinceBoot, Log: log}
 	adapter := instance.Adapter{
 		Store: platform.ConnectStore(settings.StoreAddress, eras), Eras: eras,
 		RoutingKey: platform.KeyRouting, DecodeRouting: platform.DecodeRouting,
--- a/peridotd/shift.go
+++ b/peridotd/shift.go
@@ -153,9 +153,9 @@
 	holder := &lease.Holder{
 		Store: daemon.keyValue, Key: lease.Key(dataCentre, service),
 		Instance: daemon.settings.InstanceID, Incarnation: daemon.incarnation,
-		Settings: lease.Settings{TTLMS: leaseTTLMS, MarginMS: leaseMarginMS, LongestOrderMS: longestOrderMS},
-		WaitOut:  side.someIgnoreFencing(site), Logger: daemon.log,
-		Unused: func(ctx context.Context) (bool, error) {
+		Settings:         lease.Settings{TTLMS: leaseTTLMS, MarginMS: leaseMarginMS, LongestOrderMS: longestOrderMS},
+		WaitForOldOrders: side.someIgnoreFencing(site), Logger: daemon.log,
+		NeverUsed: func(ctx context.Context) (bool, error) {
 			// Every order stands in the book before it is sent.
 			desired, err := book.Get(ctx)
 			return desired.Revision == 0, err
--- a/peridotpath/caller/server.go
+++ b/peridotpath/caller/server.go
@@ -230,14 +230,14 @@
 		code = result.Code
 		defer exchange.fail(result)
 	}
-	telemetry.Result(code)
+	telemetry.CountResult(code)
 	event := server.Log.Info().Str("request", string(exchange.id)).Int("code", int(code)).
 		Str("result", code.String()).Dur("took_ms", time.Since(exchange.arrived))
 	if exchange.customer != nil {
 		event = event.Str("customer", string(exchange.customer.ID))
 	}
 	if work := exchange.work; work != nil {
-		telemetry.Total(work.Class, time.Since(exchange.arrived))
+		telemetry.RecordRequestTime(work.Class, time.Since(exchange.arrived))
 		event = event.Str("profile", string(work.Profile.Name)).Str("length", work.Class.String()).Int("attempts", work.Attempts)
 	}
 	if result != nil && result.Detail != "" {
--- a/peridotpath/claim/dispatch_test.go
+++ b/peridotpath/claim/dispatch_test.go
@@ -55,13 +55,13 @@
 		held := instance.granted(is, "k1")
 		is.NoErr(held.Dispatch())
 		suspended.Store(int64(time.Hour))
-		instance.link.Set(cutOff)
+		instance.link.SetFaults(cutOff)
 		is.True(held.Dispatch() != nil)
 
-		instance.link.Set(func(call string) fate { return fate{Delay: 3900 * time.Millisecond} })
+		instance.link.SetFaults(func(call string) fate { return fate{RequestDelay: 3900 * time.Millisecond} })
 		time.Sleep(time.Minute)
 		held = instance.granted(is, "k2")
-		instance.link.Set(cutOff)
+		instance.link.SetFaults(cutOff)
 		time.Sleep(6 * time.Second)
 		is.NoErr(held.Dispatch())
 		time.Sleep(200 * time.Millisecond)
@@ -81,13 +81,13 @@
 		is.NoErr(held.Dispatch())
 		time.Sleep(30 * time.Second)
 		sent := false
-		first.link.Set(func(call string) fate {
-			lost := fate{NotSent: sent, Unanswered: call == "swap"}
+		first.link.SetFaults(func(call string) fate {
+			lost := fate{NotSent: sent, ReplyLost: call == "swap"}
 			sent = sent || call == "swap"
 			return lost
 		})
 		is.True(held.Dispatch() != nil)
-		first.link.Set(nil)
+		first.link.SetFaults(nil)
 		is.NoErr(held.Release(background, &peridotpath.Result{Code: peridotpath.CodeEndpointRefused}))
 		is.Equal(second.standing(is, "k"), claim.Granted)
 	})
--- a/peridotpath/claim/era_test.go
+++ b/peridotpath/claim/era_test.go
@@ -17,8 +17,8 @@
 func (fleet *fleet) startGuarded(id peridotpath.InstanceID) *instance {
 	return fleet.start(id, 1, func(ledger *claim.Ledger) {
 		began := time.Now()
-		eras := &keyvalue.Eras{Now: func() time.Duration { return time.Hour + time.Since(began) }}
-		eras.Risen = func(_, _ keyvalue.Era) { ledger.WentBack() }
+		eras := &keyvalue.EraTracker{Now: func() time.Duration { return time.Hour + time.Since(began) }}
+		eras.OnEraChange = func(_, _ keyvalue.Era) { ledger.WentBack() }
 		ledger.Store = (&memory.Link{Eras: eras}).Store(&fleet.platform)
 	})
 }
@@ -46,11 +46,11 @@
 				defer closeAll(is, second)
 				first.granted(is, "early")
 				second.standing(is, "other")
-				before := fleet.platform.Copy()
+				before := fleet.platform.Snapshot()
 				test.end(is, first.granted(is, "k"))
 				time.Sleep(time.Second)
 
-				fleet.platform.GoBack(before)
+				fleet.platform.Restore(before)
 				_, err := second.ask("k")
 				is.True(isCode(err, peridotpath.CodePlatformDown))
 				_, err = first.ask("met") // the first one meets the era, too
@@ -70,9 +70,9 @@
 		first, second := fleet.startGuarded("a"), fleet.startGuarded("b")
 		defer closeAll(is, second)
 		second.granted(is, "early")
-		before := fleet.platform.Copy()
+		before := fleet.platform.Snapshot()
 		is.NoErr(first.granted(is, "k").Dispatch())
-		fleet.platform.GoBack(before)
+		fleet.platform.Restore(before)
 		_, err := second.ask("k")
 		is.True(isCode(err, peridotpath.CodePlatformDown))
 		_, err = first.ask("met")
--- a/peridotpath/claim/fixture_test.go
+++ b/peridotpath/claim/fixture_test.go
@@ -20,7 +20,7 @@
 )
 
 // fate is short for the tests' many faults.
-type fate = memory.Fate
+type fate = memory.Fault
 
 // fleet is several ledgers over one platform.
 type fleet struct {
--- a/peridotpath/claim/ledger_test.go
+++ b/peridotpath/claim/ledger_test.go
@@ -23,9 +23,9 @@
 	story(t, func(is *is.I, fleet *fleet) {
 		first, second := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
 		defer closeAll(is, first, second)
-		slow := func(string) fate { return fate{Delay: time.Millisecond} }
-		first.link.Set(slow)
-		second.link.Set(slow)
+		slow := func(string) fate { return fate{RequestDelay: time.Millisecond} }
+		first.link.SetFaults(slow)
+		second.link.SetFaults(slow)
 		var standings [2]claim.Standing
 		var waits sync.WaitGroup
 		for i, instance := range []*instance{first, second} {
@@ -135,7 +135,7 @@
 			story(t, func(is *is.I, fleet *fleet) {
 				instance := fleet.start("a", 1, nil)
 				defer closeAll(is, instance)
-				instance.link.Set(func(string) fate { return fate{Delay: delay} })
+				instance.link.SetFaults(func(string) fate { return fate{RequestDelay: delay} })
 				start := time.Now()
 				var slowest time.Duration
 				var mu sync.Mutex
@@ -284,7 +284,7 @@
 		first, second := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
 		defer closeAll(is, second)
 		held := first.granted(is, "k")
-		first.link.Set(func(string) fate { return fate{Delay: time.Second} })
+		first.link.SetFaults(func(string) fate { return fate{RequestDelay: time.Second} })
 		go func() { _ = held.Finish(background, ok("yes")) }()
 		synctest.Wait()
 		is.NoErr(first.Close())
@@ -300,7 +300,7 @@
 	story(t, func(is *is.I, fleet *fleet) {
 		instance, other := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
 		defer closeAll(is, instance, other)
-		instance.link.Set(func(string) fate { return fate{Delay: time.Second} })
+		instance.link.SetFaults(func(string) fate { return fate{RequestDelay: time.Second} })
 		ctx, cancel := context.WithTimeout(background, 1500*time.Millisecond)
 		defer cancel()
 		_, err := instance.Claim(ctx, customer, "k", hash("body"))
--- a/peridotpath/claim/load_test.go
+++ b/peridotpath/claim/load_test.go
@@ -31,7 +31,7 @@
 					instances = append(instances, fleet.start(peridotpath.InstanceID(fmt.Sprint(i)), 1, func(ledger *claim.Ledger) {
 						ledger.Settings.Buckets = buckets
 					}))
-					instances[i].link.Set(func(string) fate { return fate{Delay: time.Millisecond, AnswerDelay: time.Millisecond} })
+					instances[i].link.SetFaults(func(string) fate { return fate{RequestDelay: time.Millisecond, ReplyDelay: time.Millisecond} })
 				}
 				defer closeAll(is, instances...)
 				var mu sync.Mutex
--- a/peridotpath/claim/platform_test.go
+++ b/peridotpath/claim/platform_test.go
@@ -22,10 +22,10 @@
 		instance := fleet.start("a", 1, nil)
 		defer closeAll(is, instance)
 		lose := true
-		instance.link.Set(func(call string) fate {
+		instance.link.SetFaults(func(call string) fate {
 			lost := lose && call == "swap"
 			lose = lose && !lost
-			return fate{Unanswered: lost}
+			return fate{ReplyLost: lost}
 		})
 		held := instance.granted(is, "k")
 		is.Equal(fleet.swaps(), 1)
@@ -42,10 +42,10 @@
 		first, second := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
 		defer closeAll(is, first, second)
 		sent := false
-		first.link.Set(func(call string) fate {
+		first.link.SetFaults(func(call string) fate {
 			if call == "swap" && !sent {
 				sent = true
-				return fate{Unanswered: true}
+				return fate{ReplyLost: true}
 			}
 			return fate{NotSent: sent}
 		})
@@ -53,7 +53,7 @@
 		is.True(isCode(err, peridotpath.CodePlatformDown))
 		is.Equal(second.standing(is, "k"), claim.RunningElsewhere)
 		is.Equal(first.Open(), 1)
-		first.link.Set(nil)
+		first.link.SetFaults(nil)
 		time.Sleep(6 * time.Second)
 		is.Equal(first.Open(), 0)
 		is.Equal(second.standing(is, "k"), claim.Granted)
@@ -69,16 +69,16 @@
 		first, second := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
 		defer closeAll(is, first, second)
 		sent := false
-		first.link.Set(func(call string) fate {
+		first.link.SetFaults(func(call string) fate {
 			if call == "swap" && !sent {
 				sent = true
-				return fate{Late: 30 * time.Second}
+				return fate{AppliedAfter: 30 * time.Second}
 			}
 			return fate{NotSent: sent}
 		})
 		_, err := first.ask("k")
 		is.True(isCode(err, peridotpath.CodePlatformDown))
-		first.link.Set(nil)
+		first.link.SetFaults(nil)
 		time.Sleep(time.Minute)
 		is.Equal(first.Open(), 0)
 		is.Equal(second.standing(is, "k"), claim.Granted)
@@ -95,7 +95,7 @@
 		defer closeAll(is, instance, other)
 		held := instance.granted(is, "running")
 		calls := 0
-		instance.link.Set(func(string) fate {
+		instance.link.SetFaults(func(string) fate {
 			calls++
 			return fate{NotSent: true}
 		})
@@ -114,7 +114,7 @@
 		is.NoErr(err)
 		is.Equal(string(answer.Body), "yes")
 		is.Equal(other.standing(is, "running"), claim.RunningElsewhere)
-		instance.link.Set(nil)
+		instance.link.SetFaults(nil)
 		time.Sleep(6 * time.Second)
 		is.Equal(other.standing(is, "running"), claim.Done)
 		is.Equal(instance.Open(), 0)
@@ -129,14 +129,14 @@
 		instance := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.MaxOpen = 10 })
 		defer closeAll(is, instance)
 		swaps := 0
-		instance.link.Set(func(call string) fate {
+		instance.link.SetFaults(func(call string) fate {
 			if call == "swap" {
 				swaps++
 			}
 			if swaps < 2 {
-				return fate{Delay: time.Second}
+				return fate{RequestDelay: time.Second}
 			}
-			return fate{Late: 30 * time.Second, NotSent: call == "get" || swaps > 2}
+			return fate{AppliedAfter: 30 * time.Second, NotSent: call == "get" || swaps > 2}
 		})
 		var waits sync.WaitGroup
 		waits.Go(func() { is.NoErr(instance.granted(is, "first").Finish(background, ok("yes"))) })
@@ -149,7 +149,7 @@
 		}
 		time.Sleep(time.Minute)
 		is.Equal(instance.Open(), 10)
-		instance.link.Set(nil)
+		instance.link.SetFaults(nil)
 		waits.Wait()
 		time.Sleep(time.Minute)
 		is.Equal(instance.Open(), 0)
--- a/peridotpath/claim/random_test.go
+++ b/peridotpath/claim/random_test.go
@@ -60,8 +60,8 @@
 
 func drawFate(t *rapid.T) fate {
 	return rapid.SampledFrom([]fate{
-		{}, {Delay: 2 * time.Second}, {Delay: time.Minute}, {NotSent: true}, {Unanswered: true},
-		{Late: time.Second}, {Late: 20 * time.Second},
+		{}, {RequestDelay: 2 * time.Second}, {RequestDelay: time.Minute}, {NotSent: true}, {ReplyLost: true},
+		{AppliedAfter: time.Second}, {AppliedAfter: 20 * time.Second},
 	}).Draw(t, "fate")
 }
 
@@ -93,7 +93,7 @@
 	defer process.mu.Unlock()
 	thaw := time.Now().Add(span)
 	process.thaw = thaw
-	process.link.Set(func(string) fate { return fate{Delay: max(0, time.Until(thaw))} })
+	process.link.SetFaults(func(string) fate { return fate{RequestDelay: max(0, time.Until(thaw))} })
 }
 
 // proceed waits until the process is not frozen; false when it was killed.
@@ -218,12 +218,12 @@
 		model.suspect(process)
 	case "links":
 		next := 0
-		process.link.Set(func(string) fate {
+		process.link.SetFaults(func(string) fate {
 			next++
 			return step.fates[next%len(step.fates)]
 		})
 	case "heal":
-		process.link.Set(nil)
+		process.link.SetFaults(nil)
 	case "freeze":
 		process.freeze(step.run)
 	}
--- a/peridotpath/claim/restore.go
+++ b/peridotpath/claim/restore.go
@@ -29,10 +29,10 @@
 
 // young returns how much longer a key without a record may be one whose claim was lost.
 func (bucket *bucket) young() time.Duration {
-	if bucket.ledger.Store.Unbroken == nil {
+	if bucket.ledger.Store.TimeSinceDataLoss == nil {
 		return 0
 	}
-	return restoreWithin - bucket.ledger.Store.Unbroken()
+	return restoreWithin - bucket.ledger.Store.TimeSinceDataLoss()
 }
 
 // rebuild writes what the service has lost of the bucket, if anything.
--- a/peridotpath/claim/settings.go
+++ b/peridotpath/claim/settings.go
@@ -75,7 +75,7 @@
 	faults.Range(prefix+".calls_per_second", int64(settings.CallsPerSecond), 1, 100)
 	faults.Range(prefix+".max_open", int64(settings.MaxOpen), 1, 1_000_000)
 	faults.Range(prefix+".max_records", int64(settings.MaxRecords), 1, 100_000)
-	faults.Range(prefix+".max_bytes", int64(settings.MaxBytes), 1<<10, keyvalue.MaxValue-(64<<10))
+	faults.Range(prefix+".max_bytes", int64(settings.MaxBytes), 1<<10, keyvalue.MaxValueBytes-(64<<10))
 	faults.Range(prefix+".max_answer", int64(settings.MaxAnswer), 0, 16<<10)
 	faults.Range(prefix+".answer_memory", int64(settings.AnswerMemory), 0, 1<<30)
 	return faults
--- a/peridotpath/clock/poll_schedule.go
+++ b/peridotpath/clock/poll_schedule.go
@@ -10,7 +10,7 @@
 // an instance polls only when its data is older than the interval, so that all instances
 // together poll hardly more often than one. Set the exported fields before use.
 type PollSchedule struct {
-	// MinAge is the age of the data from which one of the instances polls, and Pace.MaxDelay
+	// MinAge is the age of the data from which one of the instances polls, and PollSchedule.MaxDelay
 	// the largest additional delay of an instance.
 	MinAge, MaxDelay time.Duration
 	// RetryDelay is the delay after a failed poll.
@@ -20,8 +20,8 @@
 	// MinInterval is the minimum time between two polls, regardless of the age and of wakes.
 	MinInterval time.Duration
 	// PrecedingPeers returns how many nearby instances poll before this one; nil for a random
-	// order. Pace.HasData reports whether valid data was read yet; nil means that it was.
-	// Pace.PrecedingPeers is required if Pace.HasData is set.
+	// order. PollSchedule.HasData reports whether valid data was read yet; nil means that it was.
+	// PollSchedule.PrecedingPeers is required if PollSchedule.HasData is set.
 	PrecedingPeers func() int
 	HasData        func() bool
 
--- a/peridotpath/config/change.go
+++ b/peridotpath/config/change.go
@@ -74,7 +74,7 @@
 	// their longest it takes 13 kB of the document.
 	historyLength = 32
 	// maxDocument leaves room below the service's largest value.
-	maxDocument = keyvalue.MaxValue * 9 / 10
+	maxDocument = keyvalue.MaxValueBytes * 9 / 10
 )
 
 // Change checks a change and writes it with one compare-and-swap; accepted
--- a/peridotpath/config/size_test.go
+++ b/peridotpath/config/size_test.go
@@ -73,7 +73,7 @@
 		largest = max(largest, len(entry.Value))
 	}
 	t.Logf("%d customers in %d documents, the largest of %d bytes", manyCustomers, len(entries), largest)
-	is.True(largest < keyvalue.MaxValue/10)
+	is.True(largest < keyvalue.MaxValueBytes/10)
 }
 
 // BenchmarkChange is one customer's change among manyCustomers: check, swap and
--- a/peridotpath/cursor/secret_test.go
+++ b/peridotpath/cursor/secret_test.go
@@ -25,11 +25,11 @@
 			go func() { ended <- signer.Run(ctx, service.Store()) }()
 		}
 		first, second := &cursor.Signer{}, &cursor.Signer{}
-		before := service.Copy()
+		before := service.Snapshot()
 		run(first)
 		synctest.Wait()
 		text := string(cursor.At(nil, first.Token("volunteers", stream), 7))
-		service.GoBack(before)
+		service.Restore(before)
 		first.WentBack()
 		time.Sleep(3 * time.Second)
 		run(second)
--- a/peridotpath/directory/directory_test.go
+++ b/peridotpath/directory/directory_test.go
@@ -124,7 +124,7 @@
 		}
 		follower := &directory.Follower{
 			Directory: dir, Now: now, OnConfirmed: func() {}, Log: zerolog.Nop(),
-			Eras: &keyvalue.Eras{},
+			Eras: &keyvalue.EraTracker{},
 			List: func(context.Context) ([]keyvalue.Entry, keyvalue.Era, error) {
 				mutex.Lock()
 				defer mutex.Unlock()
--- a/peridotpath/directory/era_test.go
+++ b/peridotpath/directory/era_test.go
@@ -108,7 +108,7 @@
 		fleet := &followerFleet{entries: []keyvalue.Entry{{Key: "one"}, {Key: "two"}}}
 		for i := range count {
 			fleet.followers = append(fleet.followers, &directory.Follower{
-				Directory: &directory.Directory{Log: zerolog.Nop()}, Now: now, Log: zerolog.Nop(), Eras: &keyvalue.Eras{},
+				Directory: &directory.Directory{Log: zerolog.Nop()}, Now: now, Log: zerolog.Nop(), Eras: &keyvalue.EraTracker{},
 				List: fleet.list, OnConfirmed: func() { time.AfterFunc(10*time.Millisecond, func() { fleet.send(i) }) },
 				FetchFromPeer: func(_ context.Context, peer netip.AddrPort, _ readings.EndpointsSnapshot) (readings.EndpointsSnapshot, error) {
 					snapshot, ok := fleet.followers[peer.Addr().As4()[3]].Last()
--- a/peridotpath/directory/follower.go
+++ b/peridotpath/directory/follower.go
@@ -25,7 +25,7 @@
 	// FetchFromPeer fetches a peer's snapshot of the endpoints; have is the one held here.
 	FetchFromPeer func(ctx context.Context, peer netip.AddrPort, have readings.EndpointsSnapshot) (readings.EndpointsSnapshot, error)
 	// Eras holds the eras of the store.
-	Eras *keyvalue.Eras
+	Eras *keyvalue.EraTracker
 	// Now returns the time since boot, which advances while the machine is suspended.
 	Now  func() time.Duration
 	Pace clock.PollSchedule
@@ -143,7 +143,7 @@
 	have, _ := follower.history.Newest()
 	snapshot, err := follower.FetchFromPeer(ctx, peer.Address, have)
 	if err == nil {
-		follower.Eras.Heard(snapshot.Era, 0, false)
+		follower.Eras.ObservePeer(snapshot.Era, 0, false)
 		if era := follower.Eras.Current(); snapshot.Era != era {
 			err = Error.New("peer snapshot is of store era %d, expected era %d", snapshot.Era, era)
 		}
--- a/peridotpath/dispatch/attempt.go
+++ b/peridotpath/dispatch/attempt.go
@@ -18,7 +18,7 @@
 // attempt is what one placement came to.
 type attempt struct {
 	outcome decide.Outcome
-	reason  telemetry.Reason
+	reason  telemetry.RetryReason
 	// result is nil for a whole answer.
 	result *peridotpath.Result
 	// started says that content has gone to the caller: nothing is run again.
@@ -28,7 +28,7 @@
 }
 
 // failed is an attempt that failed at the endpoint and may have run.
-func failed(work *decide.Work, reason telemetry.Reason, code peridotpath.Code, detail string) attempt {
+func failed(work *decide.Work, reason telemetry.RetryReason, code peridotpath.Code, detail string) attempt {
 	return attempt{outcome: decide.Failed, reason: reason, result: mayHaveRun(work, code, detail)}
 }
 
--- a/peridotpath/dispatch/prompt.go
+++ b/peridotpath/dispatch/prompt.go
@@ -95,5 +95,5 @@
 func (dispatcher *Dispatcher) firstToken(work *decide.Work) {
 	now := time.Now()
 	dispatcher.Scheduler.FirstToken(now, work)
-	telemetry.FirstToken(work.Class, now.Sub(work.Arrived))
+	telemetry.RecordTimeToFirstToken(work.Class, now.Sub(work.Arrived))
 }
--- a/peridotpath/dispatch/relay.go
+++ b/peridotpath/dispatch/relay.go
@@ -100,7 +100,7 @@
 			return stream.cut(ctx, err)
 		}
 		fruitless++
-		telemetry.Retry(telemetry.RetryResumed)
+		telemetry.CountRetry(telemetry.RetryResumed)
 	}
 }
 
--- a/peridotpath/dispatch/run.go
+++ b/peridotpath/dispatch/run.go
@@ -40,7 +40,7 @@
 			return dispatcher.Scheduler.Retry(time.Now(), work, attempt.result)
 		})
 		if decision.Verdict == decide.Place {
-			telemetry.Retry(attempt.reason)
+			telemetry.CountRetry(attempt.reason)
 		}
 	}
 }
--- a/peridotpath/facts/facts.go
+++ b/peridotpath/facts/facts.go
@@ -245,7 +245,7 @@
 	}
 	oldest := slices.MinFunc(kept, func(a, b *entry) int { return a.fact.ObservedAt.Compare(b.fact.ObservedAt) })
 	table.remove(oldest.fact.key())
-	telemetry.FactForgotten(kind.String())
+	telemetry.CountDroppedFact(kind.String())
 }
 
 // ByKind returns the unexpired facts of a kind, in no order.
--- a/peridotpath/gossip/registry.go
+++ b/peridotpath/gossip/registry.go
@@ -27,7 +27,7 @@
 	DataCentre  peridotpath.DataCentre
 	SetPeers    func([]Peer)
 	// Eras holds the eras of the store.
-	Eras *keyvalue.Eras
+	Eras *keyvalue.EraTracker
 	Log  zerolog.Logger
 
 	lease keyvalue.LeaseID
@@ -181,7 +181,7 @@
 			return clock.Sleep(ctx, rand.N(spread))
 		case <-registry.listRequested.C():
 		}
-		if registry.lease.None() || time.Since(registry.listedAt) < renewalInterval {
+		if registry.lease.IsUnset() || time.Since(registry.listedAt) < renewalInterval {
 			// The next round lists them, or they were listed a moment ago.
 			continue
 		}
@@ -237,7 +237,7 @@
 		if registration.Era < registry.Eras.Current() {
 			// Entries expire within seconds, so that one of an earlier era shows that the
 			// current era began recently.
-			registry.Eras.Suspect()
+			registry.Eras.AssumeRecentRestore()
 		}
 	}
 	registry.listedAt, registry.listedCount = time.Now(), len(peers)
@@ -250,9 +250,9 @@
 // other instances are known already.
 func (registry *Registry) renewOrRegister(ctx context.Context) error {
 	before := registry.lease
-	if !before.None() {
+	if !before.IsUnset() {
 		err := registry.Store.Renew(ctx, before)
-		if !keyvalue.ErrLeaseGone.Has(err) {
+		if !keyvalue.ErrLeaseExpired.Has(err) {
 			return err
 		}
 		registry.lease = keyvalue.LeaseID{}
@@ -270,7 +270,7 @@
 		return err
 	}
 	registry.lease = lease
-	if before.None() || before.Era == lease.Era {
+	if before.IsUnset() || before.Era == lease.Era {
 		registry.listedAt = time.Time{}
 	}
 	return nil
--- a/peridotpath/gossip/registry_era_test.go
+++ b/peridotpath/gossip/registry_era_test.go
@@ -33,14 +33,14 @@
 func register(ctx context.Context, service *memory.Memory, number int) *registered {
 	began := time.Now()
 	one := &registered{ended: make(chan error, 1)}
-	one.link.Eras = &keyvalue.Eras{Now: func() time.Duration { return time.Hour + time.Since(began) }}
+	one.link.Eras = &keyvalue.EraTracker{Now: func() time.Duration { return time.Hour + time.Since(began) }}
 	store := one.link.Store(service)
 	store.ListStale = store.List
 	one.Registry = &gossip.Registry{
 		Store: store, Instance: peridotpath.InstanceID(fmt.Sprintf("edge-%d", number)), Incarnation: 1, Eras: one.link.Eras,
 		Address: listedAddress(number), DataCentre: "a", Log: zerolog.Nop(), SetPeers: func([]gossip.Peer) {},
 	}
-	one.link.Eras.Risen = func(_, _ keyvalue.Era) { one.RequestReregistration() }
+	one.link.Eras.OnEraChange = func(_, _ keyvalue.Era) { one.RequestReregistration() }
 	go func() { one.ended <- one.Run(ctx) }()
 	return one
 }
@@ -75,14 +75,14 @@
 			all = append(all, register(ctx, service, i))
 		}
 		time.Sleep(3 * time.Second)
-		before := service.Copy()
+		before := service.Snapshot()
 		for i := range late {
 			all = append(all, register(ctx, service, early+i))
 		}
 		time.Sleep(10 * time.Second)
 		is.Equal(len(entries(t, service)), early+late)
 
-		service.GoBack(before)
+		service.Restore(before)
 		var foreign []keyvalue.LeaseID
 		for range late {
 			lease, err := service.Store().Grant(ctx, 15*time.Second)
@@ -91,7 +91,7 @@
 		}
 		// One instance sees the new era first and gossips it.
 		for _, one := range all {
-			one.link.Eras.Heard(1, 0, true)
+			one.link.Eras.ObservePeer(1, 0, true)
 		}
 		writes := func() int { return service.Calls()[keyvalue.CallSwap] }
 		maxBurst, initial := 0, writes()
@@ -112,7 +112,7 @@
 			}
 		}
 		for _, lease := range foreign {
-			is.True(keyvalue.ErrLeaseGone.Has(service.Store().Renew(ctx, lease))) // no instance renewed it
+			is.True(keyvalue.ErrLeaseExpired.Has(service.Store().Renew(ctx, lease))) // no instance renewed it
 		}
 		cancel()
 		for _, one := range all {
@@ -135,11 +135,11 @@
 			is := is.New(t)
 			value, err := json.Marshal(map[string]any{"address": netip.MustParseAddrPort("10.0.0.2:9"), "data_centre": "a", "era": test.era})
 			is.NoErr(err)
-			eras := &keyvalue.Eras{Now: func() time.Duration { return time.Hour }}
+			eras := &keyvalue.EraTracker{Now: func() time.Duration { return time.Hour }}
 			registry := &gossip.Registry{
 				Store: &keyvalue.Store{
 					ListStale: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
-						eras.Met(5)
+						eras.Observe(5)
 						return []keyvalue.Entry{{Key: "one", Value: value}}, 1, nil
 					},
 					Grant: func(context.Context, time.Duration) (keyvalue.LeaseID, error) {
@@ -152,7 +152,7 @@
 			var all sync.WaitGroup
 			all.Go(func() { _ = registry.Run(ctx) })
 			is.NoErr(registry.AfterFirstList(func(context.Context) error { return nil })(ctx))
-			is.Equal(eras.Settled(), test.want)
+			is.Equal(eras.HasSettled(), test.want)
 			cancel()
 			all.Wait()
 		})
--- a/peridotpath/gossip/registry_test.go
+++ b/peridotpath/gossip/registry_test.go
@@ -65,7 +65,7 @@
 						},
 					},
 					Instance: "one", Incarnation: 1, Address: netip.MustParseAddrPort("10.0.0.1:9"), DataCentre: "a",
-					SetPeers: func([]gossip.Peer) { record("peers") }, Eras: &keyvalue.Eras{}, Log: zerolog.Nop(),
+					SetPeers: func([]gossip.Peer) { record("peers") }, Eras: &keyvalue.EraTracker{}, Log: zerolog.Nop(),
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 				defer cancel()
@@ -150,7 +150,7 @@
 	one := &listed{peers: map[netip.AddrPort]bool{}}
 	one.registry = &gossip.Registry{
 		Store: store, Instance: peridotpath.InstanceID(fmt.Sprintf("edge-%d", number)), Incarnation: 1,
-		Address: listedAddress(number), DataCentre: "a", Eras: &keyvalue.Eras{}, Log: zerolog.Nop(),
+		Address: listedAddress(number), DataCentre: "a", Eras: &keyvalue.EraTracker{}, Log: zerolog.Nop(),
 		SetPeers: func(peers []gossip.Peer) {
 			one.mutex.Lock()
 			defer one.mutex.Unlock()
--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -35,7 +35,7 @@
 	Store *keyvalue.Store
 	// Eras guards Store against calls across its eras. An era is the epoch of the store,
 	// which changes when it is restored from an older copy.
-	Eras *keyvalue.Eras
+	Eras *keyvalue.EraTracker
 	// RoutingKey is the key of the operators' routing; DecodeRouting decodes its value.
 	RoutingKey    string
 	DecodeRouting func(value []byte) (*peridotpath.Routing, error)
@@ -151,7 +151,7 @@
 	instance.relay = &relay.Relay{
 		Instance: settings.InstanceID, DataCentre: settings.DataCentre, Log: log, Routing: instance.routing,
 		Endpoints: instance.cellEndpoints, AllEndpoints: instance.directory.Current, LoadTracker: instance.loads, Send: adapter.Send, Check: adapter.Check,
-		ServedSampler: &telemetry.Sampler{PerSecond: servedLogLinesPerSecond},
+		ServedSampler: &telemetry.LogSampler{PerSecond: servedLogLinesPerSecond},
 		Keeper:        instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, OnOverdueFirstEvent: instance.paces.ProbeOverdue, EngineStallTime: settings.StallTime, RoutingReady: instance.startup.routingReady, StartDone: instance.startup.finished,
 		RetryBudget: &relay.RetryBudget{
 			Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow,
@@ -192,7 +192,7 @@
 
 // storeFailing reports whether reading the store failed last.
 func (instance *Instance) storeFailing() bool {
-	return instance.registry.Failing() || instance.routingFollower.Failing() || instance.endpointFollower.Failing()
+	return instance.registry.Failing() || instance.routingFollower.IsFailing() || instance.endpointFollower.Failing()
 }
 
 // ownsEndpoint reports whether this instance is the one that probes the pace of an engine.
@@ -230,7 +230,7 @@
 		DataCentre: settings.DataCentre, SnapshotPort: settings.SnapshotAddress.Port(),
 		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness, Log: instance.Log,
 	}
-	adapter.Eras.Risen = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
+	adapter.Eras.OnEraChange = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
 	instance.loads.OnChange = instance.gossip.RequestDigest
 	instance.facts.OnChange = instance.gossip.RequestDigest
 	instance.registry = &gossip.Registry{
@@ -239,11 +239,11 @@
 	}
 	instance.gossip.OnCellCountMismatch = instance.registry.RequestList
 	instance.routingFollower = &routing.Follower{
-		State: instance.routing, Key: adapter.RoutingKey, Decode: adapter.DecodeRouting, Check: adapter.Store.Check,
-		Eras: adapter.Eras, Ask: readings.FetchRouting, Confirmed: instance.gossip.RequestDigest, Log: instance.Log,
-		Before: func(version peridotpath.RoutingVersion) int { return instance.gossip.Rank(uint64(version)) },
+		State: instance.routing, Key: adapter.RoutingKey, Decode: adapter.DecodeRouting, GetIfChanged: adapter.Store.GetIfChanged,
+		Eras: adapter.Eras, FetchFromPeer: readings.FetchRouting, OnConfirmed: instance.gossip.RequestDigest, Log: instance.Log,
+		FetchPosition: func(version peridotpath.RoutingVersion) int { return instance.gossip.Rank(uint64(version)) },
 		Pace: instance.pollPace(
-			func() bool { return instance.routing.Current() != nil && adapter.Eras.Settled() },
+			func() bool { return instance.routing.Current() != nil && adapter.Eras.HasSettled() },
 			func() uint64 { return uint64(instance.routing.Version()) },
 		),
 	}
@@ -286,11 +286,11 @@
 
 // handlePeerFreshness applies the freshness of a peer's snapshot of the store.
 func (instance *Instance) handlePeerFreshness(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
-	instance.Adapter.Eras.Heard(fresh.Era, fresh.EraAge, fresh.EraAgeKnown)
+	instance.Adapter.Eras.ObservePeer(fresh.Era, fresh.EraAge, fresh.EraAgeKnown)
 	if fresh.RoutingVersion > 0 && fresh.EndpointsHash != 0 {
 		instance.registry.MarkPeerReady()
 	}
-	instance.routingFollower.HearPeer(peer, fresh.RoutingVersion, asked-fresh.RoutingAge)
+	instance.routingFollower.UpdateFromPeer(peer, fresh.RoutingVersion, asked-fresh.RoutingAge)
 	instance.endpointFollower.UpdateFromPeer(peer, fresh.EndpointsHash, asked-fresh.EndpointsAge)
 }
 
--- a/peridotpath/instance/instance_test.go
+++ b/peridotpath/instance/instance_test.go
@@ -48,7 +48,7 @@
 func staticStore(endpoint peridotpath.Endpoint) *keyvalue.Store {
 	entry, _ := json.Marshal(endpoint)
 	return &keyvalue.Store{
-		Check: func(_ context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
+		GetIfChanged: func(_ context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
 			return keyvalue.Entry{Key: key, Version: 1, Value: []byte("{}")}, expect != 1, nil
 		},
 		List: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
@@ -107,7 +107,7 @@
 	running.settings.Defaults()
 	endpoint := peridotpath.Endpoint{ID: "one", Service: "app", State: peridotpath.StateLive, Address: addresses[0], Slots: 5}
 	adapter := instance.Adapter{
-		Store: staticStore(endpoint), Eras: &keyvalue.Eras{}, DecodeRouting: decodeRouting, DecodeEndpoints: decodeEndpoints,
+		Store: staticStore(endpoint), Eras: &keyvalue.EraTracker{}, DecodeRouting: decodeRouting, DecodeEndpoints: decodeEndpoints,
 		CompactEndpoints: func(entries []keyvalue.Entry) []keyvalue.Entry { return entries }, ReadyPath: "/ready",
 		Send: func(ctx context.Context, _ *relay.Call) (*relay.Answer, error) {
 			running.calls.Add(1)
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -42,7 +42,7 @@
 		Routes: []rest.Route{{Method: http.MethodGet, Path: instance.Adapter.ReadyPath, Handler: instance.handleReady}},
 	}
 	peers := &readings.Server{
-		NewestRouting: instance.routingFollower.Last, RoutingByVersion: instance.routingFollower.Of,
+		NewestRouting: instance.routingFollower.Latest, RoutingByVersion: instance.routingFollower.AtVersion,
 		NewestEndpoints: instance.endpointFollower.Last, EndpointsByHash: instance.endpointFollower.ByContentHash,
 	}
 	instance.snapshotListener = &inbound.Listener{
--- a/peridotpath/instance/parts_test.go
+++ b/peridotpath/instance/parts_test.go
@@ -16,7 +16,7 @@
 func TestSenderNameIsUniquePerInstance(t *testing.T) {
 	is := is.New(t)
 	one := New(&Settings{InstanceID: "edge-1"}, Adapter{
-		Store: &keyvalue.Store{}, Eras: &keyvalue.Eras{}, Ingress: func(IngressDependencies) http.Handler { return http.NotFoundHandler() },
+		Store: &keyvalue.Store{}, Eras: &keyvalue.EraTracker{}, Ingress: func(IngressDependencies) http.Handler { return http.NotFoundHandler() },
 	}, zerolog.Nop())
 	is.True(one.incarnation != 0)
 	is.Equal(one.throttle.SenderID, throttle.SenderID("edge-1", one.incarnation))
--- a/peridotpath/keyvalue/era.go
+++ b/peridotpath/keyvalue/era.go
@@ -16,21 +16,21 @@
 // and reuses their numbers, so versions and lease numbers are valid within one era only.
 type Era uint64
 
-// Settling is how long after a restore the entries of other writers may still be missing
+// SettleTime is how long after a restore the entries of other writers may still be missing
 // or outdated. Within it they rewrite what the restore lost.
-const Settling = 2200 * time.Millisecond
+const SettleTime = 2200 * time.Millisecond
 
-// Eras tracks the current era of a service that may be restored from an older copy, and
+// EraTracker tracks the current era of a service that may be restored from an older copy, and
 // guards calls to it: version and lease numbers of an earlier era are never sent, and a
 // reply from another era than the call was made in is rejected. Set the exported fields
 // before use; the zero value works where the service is never restored.
-type Eras struct {
+type EraTracker struct {
 	// Now is a clock that advances while the machine is suspended. Without one an era
 	// never settles by elapsed time.
 	Now func() time.Duration
-	// Risen, if set, is called when the era changes. The first era seen is no change.
-	Risen func(from, to Era)
-	Log   zerolog.Logger
+	// OnEraChange, if set, is called when the era changes. The first era seen is no change.
+	OnEraChange func(from, to Era)
+	Log         zerolog.Logger
 
 	current       atomic.Uint64
 	mutex         sync.Mutex
@@ -48,48 +48,48 @@
 }
 
 // Current returns the newest era seen; zero before the first.
-func (eras *Eras) Current() Era { return Era(eras.current.Load()) }
+func (eraTracker *EraTracker) Current() Era { return Era(eraTracker.current.Load()) }
 
-// Met records the era of a reply of the service.
-func (eras *Eras) Met(era Era) {
-	eras.mutex.Lock()
-	from, replaced := eras.advance(era, eras.now())
-	eras.mutex.Unlock()
+// Observe records the era of a reply of the service.
+func (eraTracker *EraTracker) Observe(era Era) {
+	eraTracker.mutex.Lock()
+	from, replaced := eraTracker.advance(era, eraTracker.now())
+	eraTracker.mutex.Unlock()
 	if replaced {
-		eras.reportChange(from, era, "store")
+		eraTracker.reportChange(from, era, "store")
 	}
 }
 
-// Heard records an era that a peer has seen, and how long ago it was first seen; dated is
+// ObservePeer records an era that a peer has seen, and how long ago it was first seen; dated is
 // false where the peer does not know that time.
-func (eras *Eras) Heard(era Era, ago time.Duration, dated bool) {
-	eras.mutex.Lock()
-	seenAt := eras.now() - ago
-	from, replaced := eras.advance(era, seenAt)
-	if dated && era == eras.Current() && (eras.firstSeenUnknown || seenAt < eras.firstSeenAt) {
-		eras.firstSeenAt, eras.firstSeenUnknown = seenAt, false
-	}
-	eras.mutex.Unlock()
+func (eraTracker *EraTracker) ObservePeer(era Era, ago time.Duration, dated bool) {
+	eraTracker.mutex.Lock()
+	seenAt := eraTracker.now() - ago
+	from, replaced := eraTracker.advance(era, seenAt)
+	if dated && era == eraTracker.Current() && (eraTracker.firstSeenUnknown || seenAt < eraTracker.firstSeenAt) {
+		eraTracker.firstSeenAt, eraTracker.firstSeenUnknown = seenAt, false
+	}
+	eraTracker.mutex.Unlock()
 	if replaced {
-		eras.reportChange(from, era, "peer")
+		eraTracker.reportChange(from, era, "peer")
 	}
 }
 
 // advance makes era the current one if it is newer. It returns the era before and whether
 // that one was replaced; the first era seen replaces none.
-func (eras *Eras) advance(era Era, seenAt time.Duration) (Era, bool) {
-	from := eras.Current()
+func (eraTracker *EraTracker) advance(era Era, seenAt time.Duration) (Era, bool) {
+	from := eraTracker.Current()
 	switch {
-	case !eras.isInitialised:
-		eras.isInitialised, eras.firstSeenUnknown = true, true
-		eras.firstSeenAt, eras.trackedSince = math.MinInt64/2, eras.now()
+	case !eraTracker.isInitialised:
+		eraTracker.isInitialised, eraTracker.firstSeenUnknown = true, true
+		eraTracker.firstSeenAt, eraTracker.trackedSince = math.MinInt64/2, eraTracker.now()
 	case era > from:
-		eras.firstSeenAt, eras.firstSeenUnknown, eras.firstReadVersion = seenAt, false, 0
+		eraTracker.firstSeenAt, eraTracker.firstSeenUnknown, eraTracker.firstReadVersion = seenAt, false, 0
 	default:
 		return from, false
 	}
-	eras.current.Store(uint64(era))
-	return from, !eras.firstSeenUnknown
+	eraTracker.current.Store(uint64(era))
+	return from, !eraTracker.firstSeenUnknown
 }
 
 // Counters of era changes, and of the replies, calls and leases that they invalidate.
@@ -100,101 +100,101 @@
 	staleLeasesRejected  = metrics.NewCounter(`peridotpath_store_era_given_up_total{what="lease"}`)
 )
 
-func (eras *Eras) reportChange(from, to Era, source string) {
-	eras.Log.Warn().Uint64("era_before", uint64(from)).Uint64("era", uint64(to)).Str("source", source).Msg("store_went_back")
+func (eraTracker *EraTracker) reportChange(from, to Era, source string) {
+	eraTracker.Log.Warn().Uint64("era_before", uint64(from)).Uint64("era", uint64(to)).Str("source", source).Msg("store_went_back")
 	eraChanges.Inc()
-	if eras.Risen != nil {
-		eras.Risen(from, to)
+	if eraTracker.OnEraChange != nil {
+		eraTracker.OnEraChange(from, to)
 	}
 }
 
-// Suspect records that an entry of an earlier era is still in the store, so the restore
+// AssumeRecentRestore records that an entry of an earlier era is still in the store, so the restore
 // is recent: if the start of the current era is unknown, it is set to now.
-func (eras *Eras) Suspect() {
-	eras.mutex.Lock()
-	defer eras.mutex.Unlock()
-	if eras.firstSeenUnknown && eras.firstSeenAt < 0 {
-		eras.firstSeenAt = eras.now()
-		eras.Log.Warn().Uint64("era", uint64(eras.Current())).Msg("store_era_is_young")
+func (eraTracker *EraTracker) AssumeRecentRestore() {
+	eraTracker.mutex.Lock()
+	defer eraTracker.mutex.Unlock()
+	if eraTracker.firstSeenUnknown && eraTracker.firstSeenAt < 0 {
+		eraTracker.firstSeenAt = eraTracker.now()
+		eraTracker.Log.Warn().Uint64("era", uint64(eraTracker.Current())).Msg("store_era_is_young")
 	}
 }
 
 // Age returns how long ago the current era was first seen by any instance; false where
 // this instance does not know.
-func (eras *Eras) Age() (time.Duration, bool) {
-	eras.mutex.Lock()
-	defer eras.mutex.Unlock()
-	return eras.now() - eras.firstSeenAt, eras.isInitialised && !eras.firstSeenUnknown
+func (eraTracker *EraTracker) Age() (time.Duration, bool) {
+	eraTracker.mutex.Lock()
+	defer eraTracker.mutex.Unlock()
+	return eraTracker.now() - eraTracker.firstSeenAt, eraTracker.isInitialised && !eraTracker.firstSeenUnknown
 }
 
-// Unbroken returns for how long the service is known not to have lost a write. A service
+// TimeSinceDataLoss returns for how long the service is known not to have lost a write. A service
 // that was never restored has lost none.
-func (eras *Eras) Unbroken() time.Duration {
-	eras.mutex.Lock()
-	defer eras.mutex.Unlock()
+func (eraTracker *EraTracker) TimeSinceDataLoss() time.Duration {
+	eraTracker.mutex.Lock()
+	defer eraTracker.mutex.Unlock()
 	switch {
-	case eras.Current() == 0:
+	case eraTracker.Current() == 0:
 		return math.MaxInt64
-	case eras.firstSeenUnknown:
-		return eras.now() - eras.trackedSince
+	case eraTracker.firstSeenUnknown:
+		return eraTracker.now() - eraTracker.trackedSince
 	}
-	return eras.now() - eras.firstSeenAt
+	return eraTracker.now() - eraTracker.firstSeenAt
 }
 
-// Proves reports whether a read that returned version saw the newest state of its key.
+// IsUpToDate reports whether a read that returned version saw the newest state of its key.
 // Just after a restore the store holds an older state until the key's writer has
 // rewritten it; accepting that state as the newest would confirm, for example, a key
 // that was revoked long ago.
-func (eras *Eras) Proves(version Version) bool {
-	eras.mutex.Lock()
-	defer eras.mutex.Unlock()
-	if version.Era() != eras.Current() {
+func (eraTracker *EraTracker) IsUpToDate(version Version) bool {
+	eraTracker.mutex.Lock()
+	defer eraTracker.mutex.Unlock()
+	if version.Era() != eraTracker.Current() {
 		return false
 	}
-	return eras.hasSettled() || eras.firstReadVersion != 0 && version > eras.firstReadVersion
+	return eraTracker.hasSettled() || eraTracker.firstReadVersion != 0 && version > eraTracker.firstReadVersion
 }
 
-// Settled reports whether Settling has passed since the era began, by when other writers
+// HasSettled reports whether Settling has passed since the era began, by when other writers
 // have rewritten what the restore lost.
-func (eras *Eras) Settled() bool {
-	eras.mutex.Lock()
-	defer eras.mutex.Unlock()
-	return eras.hasSettled()
+func (eraTracker *EraTracker) HasSettled() bool {
+	eraTracker.mutex.Lock()
+	defer eraTracker.mutex.Unlock()
+	return eraTracker.hasSettled()
 }
 
-func (eras *Eras) hasSettled() bool {
-	return !eras.isInitialised || eras.now()-eras.firstSeenAt >= Settling
+func (eraTracker *EraTracker) hasSettled() bool {
+	return !eraTracker.isInitialised || eraTracker.now()-eraTracker.firstSeenAt >= SettleTime
 }
 
-func (eras *Eras) now() time.Duration {
-	if eras.Now == nil {
+func (eraTracker *EraTracker) now() time.Duration {
+	if eraTracker.Now == nil {
 		return 0
 	}
-	return eras.Now()
+	return eraTracker.Now()
 }
 
 // recordRead records the version up to which a read was complete.
-func (eras *Eras) recordRead(version Version) {
-	eras.mutex.Lock()
-	defer eras.mutex.Unlock()
-	if eras.firstReadVersion == 0 && version.Era() == eras.Current() {
-		eras.firstReadVersion = version
+func (eraTracker *EraTracker) recordRead(version Version) {
+	eraTracker.mutex.Lock()
+	defer eraTracker.mutex.Unlock()
+	if eraTracker.firstReadVersion == 0 && version.Era() == eraTracker.Current() {
+		eraTracker.firstReadVersion = version
 	}
 }
 
 // Guard wraps service with the era checks. The service must report the era of
-// each reply through Eras.Met before it returns the reply.
-func (eras *Eras) Guard(service *Store) *Store {
-	guard := &guard{eras: eras, service: service}
+// each reply through EraTracker.Observe before it returns the reply.
+func (eraTracker *EraTracker) Guard(service *Store) *Store {
+	guard := &guard{eras: eraTracker, service: service}
 	store := &Store{
 		Get: guard.get, Swap: guard.swap, Grant: guard.grant, Renew: guard.renew, Release: guard.release,
-		List: guard.list, Unbroken: eras.Unbroken,
+		List: guard.list, TimeSinceDataLoss: eraTracker.TimeSinceDataLoss,
 	}
 	if service.ListStale != nil {
 		store.ListStale = guard.listStale
 	}
-	if service.Check != nil {
-		store.Check = guard.check
+	if service.GetIfChanged != nil {
+		store.GetIfChanged = guard.check
 	}
 	if service.Watch != nil {
 		store.Watch = guard.watch
@@ -203,7 +203,7 @@
 }
 
 type guard struct {
-	eras    *Eras
+	eras    *EraTracker
 	service *Store
 }
 
@@ -264,7 +264,7 @@
 		if expect.Era() != eraBefore {
 			expect = 0
 		}
-		entry, changed, err := guard.service.Check(ctx, key, expect)
+		entry, changed, err := guard.service.GetIfChanged(ctx, key, expect)
 		if err != nil {
 			return Entry{}, false, err
 		}
@@ -294,9 +294,9 @@
 		staleCallsRejected.Inc()
 		return 0, ErrConflict.New("%s: version %d of era %d in era %d", key, expect.Number(), expect.Era(), era)
 	}
-	if !lease.None() && lease.Era != era {
+	if !lease.IsUnset() && lease.Era != era {
 		staleCallsRejected.Inc()
-		return 0, ErrLeaseGone.New("%d of era %d in era %d", lease.Number, lease.Era, era)
+		return 0, ErrLeaseExpired.New("%d of era %d in era %d", lease.Number, lease.Era, era)
 	}
 	version, err := guard.service.Swap(ctx, key, expect, value, lease)
 	if err != nil {
@@ -316,11 +316,11 @@
 // A write under a lease is bound to whichever lease has that number now, and is deleted.
 // Of a write with an expected version it is unknown what it replaced.
 func (guard *guard) resolveCrossEraWrite(ctx context.Context, key string, expect, version Version, lease LeaseID) error {
-	if !lease.None() {
+	if !lease.IsUnset() {
 		if _, err := guard.service.Swap(ctx, key, version, nil, LeaseID{}); err != nil {
 			guard.eras.Log.Warn().Str("key", key).Err(err).Msg("write_of_another_era_left")
 		}
-		return ErrLeaseGone.New("%d of era %d in era %d", lease.Number, lease.Era, version.Era())
+		return ErrLeaseExpired.New("%d of era %d in era %d", lease.Number, lease.Era, version.Era())
 	}
 	return ErrUnavailable.New("%s: expected version %d of era %d, written in era %d", key, expect.Number(), expect.Era(), version.Era())
 }
@@ -333,14 +333,14 @@
 func (guard *guard) renew(ctx context.Context, lease LeaseID) error {
 	if lease.Era != guard.eras.Current() {
 		staleLeasesRejected.Inc()
-		return ErrLeaseGone.New("%d of era %d in era %d", lease.Number, lease.Era, guard.eras.Current())
+		return ErrLeaseExpired.New("%d of era %d in era %d", lease.Number, lease.Era, guard.eras.Current())
 	}
 	if err := guard.service.Renew(ctx, lease); err != nil {
 		return err
 	}
 	if lease.Era != guard.eras.Current() {
 		staleLeasesRejected.Inc()
-		return ErrLeaseGone.New("%d of era %d in era %d", lease.Number, lease.Era, guard.eras.Current())
+		return ErrLeaseExpired.New("%d of era %d in era %d", lease.Number, lease.Era, guard.eras.Current())
 	}
 	return nil
 }
--- a/peridotpath/keyvalue/era_test.go
+++ b/peridotpath/keyvalue/era_test.go
@@ -17,7 +17,7 @@
 // Store for it.
 type restorableStore struct {
 	service *memory.Memory
-	eras    *keyvalue.Eras
+	eras    *keyvalue.EraTracker
 	store   *keyvalue.Store
 	now     time.Duration
 }
@@ -25,7 +25,7 @@
 func newRestorableStore(t *testing.T) *restorableStore {
 	t.Helper()
 	restorable := &restorableStore{service: &memory.Memory{}, now: time.Hour}
-	restorable.eras = &keyvalue.Eras{Now: func() time.Duration { return restorable.now }}
+	restorable.eras = &keyvalue.EraTracker{Now: func() time.Duration { return restorable.now }}
 	server := httptest.NewServer(restorable.service)
 	t.Cleanup(server.Close)
 	restorable.store = keyvalue.Connect(netip.MustParseAddrPort(server.Listener.Addr().String()), restorable.eras)
@@ -42,13 +42,13 @@
 	other := restorable.service.Store() // a client without era checks
 	first, err := restorable.store.Swap(ctx, "a", 0, []byte("first"), keyvalue.LeaseID{})
 	is.NoErr(err)
-	before := restorable.service.Copy()
+	before := restorable.service.Snapshot()
 	lost, err := restorable.store.Swap(ctx, "a", first, []byte("lost"), keyvalue.LeaseID{})
 	is.NoErr(err)
 	lease, err := restorable.store.Grant(ctx, time.Minute)
 	is.NoErr(err)
 
-	restorable.service.GoBack(before)
+	restorable.service.Restore(before)
 	_, err = other.Swap(ctx, "a", first, []byte("another"), keyvalue.LeaseID{})
 	is.NoErr(err)
 	theirs, err := other.Grant(ctx, time.Second)
@@ -62,8 +62,8 @@
 	_, err = restorable.store.Swap(ctx, "a", lost, []byte("mine"), keyvalue.LeaseID{})
 	is.True(keyvalue.ErrConflict.Has(err))
 	_, err = restorable.store.Swap(ctx, "b", 0, []byte("mine"), lease)
-	is.True(keyvalue.ErrLeaseGone.Has(err))
-	is.True(keyvalue.ErrLeaseGone.Has(restorable.store.Renew(ctx, lease)))
+	is.True(keyvalue.ErrLeaseExpired.Has(err))
+	is.True(keyvalue.ErrLeaseExpired.Has(restorable.store.Renew(ctx, lease)))
 	is.NoErr(restorable.store.Release(ctx, lease))
 	is.NoErr(other.Renew(ctx, theirs)) // the other client's lease is still valid
 	entry, err = other.Get(ctx, "a")
@@ -82,30 +82,30 @@
 // under another client's lease with the same number.
 func TestLeasedWriteAppliedInNextEraIsDeleted(t *testing.T) {
 	is := is.New(t)
-	eras := &keyvalue.Eras{}
-	eras.Met(3)
-	version, err := keyvalue.VersionOf(4, 70)
+	eras := &keyvalue.EraTracker{}
+	eras.Observe(3)
+	version, err := keyvalue.NewVersion(4, 70)
 	is.NoErr(err)
 	var removed bool
 	store := eras.Guard(&keyvalue.Store{
 		Swap: func(_ context.Context, _ string, expect keyvalue.Version, value []byte, _ keyvalue.LeaseID) (keyvalue.Version, error) {
-			eras.Met(4)
+			eras.Observe(4)
 			removed = value == nil && expect == version
 			return version, nil
 		},
 	})
 	_, err = store.Swap(t.Context(), "a", 0, []byte("mine"), keyvalue.LeaseID{Era: 3, Number: 5})
-	is.True(keyvalue.ErrLeaseGone.Has(err))
+	is.True(keyvalue.ErrLeaseExpired.Has(err))
 	is.True(removed)
 
 	// Without a lease it is unknown what such a write replaced.
-	eras = &keyvalue.Eras{}
-	eras.Met(3)
-	expect, err := keyvalue.VersionOf(3, 60)
+	eras = &keyvalue.EraTracker{}
+	eras.Observe(3)
+	expect, err := keyvalue.NewVersion(3, 60)
 	is.NoErr(err)
 	store = eras.Guard(&keyvalue.Store{
 		Swap: func(context.Context, string, keyvalue.Version, []byte, keyvalue.LeaseID) (keyvalue.Version, error) {
-			eras.Met(4)
+			eras.Observe(4)
 			return version, nil
 		},
 	})
@@ -117,8 +117,8 @@
 // be rejected.
 func TestReplyOfEarlierEraIsRejected(t *testing.T) {
 	is := is.New(t)
-	eras := &keyvalue.Eras{}
-	version, err := keyvalue.VersionOf(3, 60)
+	eras := &keyvalue.EraTracker{}
+	version, err := keyvalue.NewVersion(3, 60)
 	is.NoErr(err)
 	entry := keyvalue.Entry{Key: "a", Version: version}
 	store := eras.Guard(&keyvalue.Store{
@@ -129,13 +129,13 @@
 		ListStale: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
 			return []keyvalue.Entry{entry}, version, nil
 		},
-		Check: func(context.Context, string, keyvalue.Version) (keyvalue.Entry, bool, error) { return entry, true, nil },
+		GetIfChanged: func(context.Context, string, keyvalue.Version) (keyvalue.Entry, bool, error) { return entry, true, nil },
 	})
-	eras.Met(3)
+	eras.Observe(3)
 	_, err = store.Get(t.Context(), "a")
 	is.NoErr(err)
-	eras.Met(4)
-	eras.Met(3) // a delayed reply
+	eras.Observe(4)
+	eras.Observe(3) // a delayed reply
 	is.Equal(eras.Current(), keyvalue.Era(4))
 	_, err = store.Get(t.Context(), "a")
 	is.True(keyvalue.ErrUnavailable.Has(err))
@@ -143,7 +143,7 @@
 	is.True(keyvalue.ErrUnavailable.Has(err))
 	_, _, err = store.ListStale(t.Context(), "a")
 	is.True(keyvalue.ErrUnavailable.Has(err))
-	_, _, err = store.Check(t.Context(), "a", 0)
+	_, _, err = store.GetIfChanged(t.Context(), "a", 0)
 	is.True(keyvalue.ErrUnavailable.Has(err))
 }
 
@@ -151,15 +151,15 @@
 // same number identifies another write.
 func TestUnchangedReplyOfNextEraIsReadAgain(t *testing.T) {
 	is := is.New(t)
-	eras := &keyvalue.Eras{}
-	eras.Met(3)
-	known, err := keyvalue.VersionOf(3, 60)
+	eras := &keyvalue.EraTracker{}
+	eras.Observe(3)
+	known, err := keyvalue.NewVersion(3, 60)
 	is.NoErr(err)
-	another, err := keyvalue.VersionOf(4, 60)
+	another, err := keyvalue.NewVersion(4, 60)
 	is.NoErr(err)
 	store := eras.Guard(&keyvalue.Store{
-		Check: func(_ context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
-			eras.Met(4)
+		GetIfChanged: func(_ context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
+			eras.Observe(4)
 			if expect.Number() == another.Number() {
 				return keyvalue.Entry{}, false, nil
 			}
@@ -167,12 +167,12 @@
 		},
 	})
 	for range 2 { // while the era changes, and afterwards
-		entry, changed, err := store.Check(t.Context(), "a", known)
+		entry, changed, err := store.GetIfChanged(t.Context(), "a", known)
 		is.NoErr(err)
 		is.True(changed)
 		is.Equal(entry.Value, []byte("another"))
 	}
-	_, changed, err := store.Check(t.Context(), "a", another)
+	_, changed, err := store.GetIfChanged(t.Context(), "a", another)
 	is.NoErr(err)
 	is.True(!changed)
 }
@@ -181,22 +181,26 @@
 // must not count as the newest.
 func TestRestoredStateIsNotNewest(t *testing.T) {
 	version := func(era keyvalue.Era, number uint64) keyvalue.Version {
-		version, err := keyvalue.VersionOf(era, number)
+		version, err := keyvalue.NewVersion(era, number)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return version
 	}
-	type step func(eras *keyvalue.Eras, now *time.Duration)
-	observe := func(era keyvalue.Era) step { return func(eras *keyvalue.Eras, _ *time.Duration) { eras.Met(era) } }
-	wait := func(span time.Duration) step { return func(_ *keyvalue.Eras, now *time.Duration) { *now += span } }
+	type step func(eras *keyvalue.EraTracker, now *time.Duration)
+	observe := func(era keyvalue.Era) step {
+		return func(eras *keyvalue.EraTracker, _ *time.Duration) { eras.Observe(era) }
+	}
+	wait := func(span time.Duration) step {
+		return func(_ *keyvalue.EraTracker, now *time.Duration) { *now += span }
+	}
 	observePeer := func(era keyvalue.Era, ago time.Duration, dated bool) step {
-		return func(eras *keyvalue.Eras, _ *time.Duration) { eras.Heard(era, ago, dated) }
+		return func(eras *keyvalue.EraTracker, _ *time.Duration) { eras.ObservePeer(era, ago, dated) }
 	}
-	assumeRecent := func(eras *keyvalue.Eras, _ *time.Duration) { eras.Suspect() }
+	assumeRecent := func(eras *keyvalue.EraTracker, _ *time.Duration) { eras.AssumeRecentRestore() }
 	// read makes a list call that returns that version.
 	read := func(era keyvalue.Era, number uint64) step {
-		return func(eras *keyvalue.Eras, _ *time.Duration) {
+		return func(eras *keyvalue.EraTracker, _ *time.Duration) {
 			store := eras.Guard(&keyvalue.Store{List: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
 				return nil, version(era, number), nil
 			}})
@@ -213,12 +217,12 @@
 		"service without eras":                {nil, 0, true},
 		"start":                               {[]step{observe(5)}, 5, true},
 		"start in a recent era":               {[]step{observe(5), assumeRecent}, 5, false},
-		"settled after a start":               {[]step{observe(5), assumeRecent, wait(keyvalue.Settling)}, 5, true},
+		"settled after a start":               {[]step{observe(5), assumeRecent, wait(keyvalue.SettleTime)}, 5, true},
 		"peer reports an old era":             {[]step{observe(5), assumeRecent, observePeer(5, time.Minute, true)}, 5, true},
 		"peer reports a recent era":           {[]step{observe(5), observePeer(5, time.Second, true)}, 5, false},
 		"peer reports no age":                 {[]step{observe(5), observePeer(5, time.Second, false)}, 5, true},
 		"restored":                            {[]step{observe(5), observe(6)}, 6, false},
-		"restored and settled":                {[]step{observe(5), observe(6), wait(keyvalue.Settling)}, 6, true},
+		"restored and settled":                {[]step{observe(5), observe(6), wait(keyvalue.SettleTime)}, 6, true},
 		"peer saw the era long before":        {[]step{observe(5), observe(6), observePeer(6, time.Minute, true)}, 6, true},
 		"peer saw the era later":              {[]step{observe(5), observe(6), wait(2 * time.Second), observePeer(6, time.Second, true), wait(time.Second)}, 6, true},
 		"restored twice":                      {[]step{observe(5), observe(6), wait(time.Minute), observe(7)}, 7, false},
@@ -232,11 +236,11 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			now := time.Hour
-			eras := &keyvalue.Eras{Now: func() time.Duration { return now }}
+			eras := &keyvalue.EraTracker{Now: func() time.Duration { return now }}
 			for _, step := range test.steps {
 				step(eras, &now)
 			}
-			if have := eras.Proves(version(test.era, 50)); have != test.want {
+			if have := eras.IsUpToDate(version(test.era, 50)); have != test.want {
 				t.Errorf("have %v, want %v", have, test.want)
 			}
 		})
@@ -246,12 +250,12 @@
 // An era or number that exceeds its bits is refused, not truncated.
 func TestVersionRefusesPartsOutOfRange(t *testing.T) {
 	is := is.New(t)
-	version, err := keyvalue.VersionOf(7, 1<<44-1)
+	version, err := keyvalue.NewVersion(7, 1<<44-1)
 	is.NoErr(err)
 	is.Equal(version.Era(), keyvalue.Era(7))
 	is.Equal(version.Number(), uint64(1<<44-1))
-	_, err = keyvalue.VersionOf(7, 1<<44)
+	_, err = keyvalue.NewVersion(7, 1<<44)
 	is.True(keyvalue.ErrInvalid.Has(err))
-	_, err = keyvalue.VersionOf(1<<20, 1)
+	_, err = keyvalue.NewVersion(1<<20, 1)
 	is.True(keyvalue.ErrInvalid.Has(err))
 }
--- a/peridotpath/keyvalue/http.go
+++ b/peridotpath/keyvalue/http.go
@@ -62,8 +62,8 @@
 )
 
 // Connect returns a Store that calls the service at address, guarded by eras.
-func Connect(address netip.AddrPort, eras *Eras) *Store {
-	client := &client{base: "http://" + address.String() + PathPrefix, observeEra: eras.Met}
+func Connect(address netip.AddrPort, eras *EraTracker) *Store {
+	client := &client{base: "http://" + address.String() + PathPrefix, observeEra: eras.Observe}
 	return eras.Guard(&Store{
 		Get: client.get, List: client.list, Swap: client.swap,
 		Grant: client.grant, Renew: client.renew, Release: client.release,
@@ -97,7 +97,7 @@
 
 func (client *client) grant(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	reply, err := client.call(ctx, CallGrant, Call{TTLMS: ttl.Milliseconds()}, callTimeout)
-	if err == nil && reply.Lease.None() {
+	if err == nil && reply.Lease.IsUnset() {
 		return LeaseID{}, missingNumberError(CallGrant)
 	}
 	return reply.Lease, err
@@ -164,7 +164,7 @@
 	case http.StatusConflict:
 		return reply, ErrConflict.New("%s", reply.Error)
 	case http.StatusGone:
-		return reply, ErrLeaseGone.New("%s", reply.Error)
+		return reply, ErrLeaseExpired.New("%s", reply.Error)
 	case http.StatusBadRequest:
 		return reply, ErrInvalid.New("%s", reply.Error)
 	default:
--- a/peridotpath/keyvalue/http_test.go
+++ b/peridotpath/keyvalue/http_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
-	return keyvalue.Connect(netip.MustParseAddrPort(server.Listener.Addr().String()), &keyvalue.Eras{}), server
+	return keyvalue.Connect(netip.MustParseAddrPort(server.Listener.Addr().String()), &keyvalue.EraTracker{}), server
 }
 
 func TestSessionOverHTTP(t *testing.T) {
@@ -46,7 +46,7 @@
 	entry, err = store.Get(background, "a")
 	is.NoErr(err)
 	is.Equal(entry.Version, second)
-	_, err = store.Swap(background, "a", second, bytes.Repeat([]byte{1}, keyvalue.MaxValue+1), keyvalue.LeaseID{})
+	_, err = store.Swap(background, "a", second, bytes.Repeat([]byte{1}, keyvalue.MaxValueBytes+1), keyvalue.LeaseID{})
 	is.True(keyvalue.ErrInvalid.Has(err))
 
 	lease, err := store.Grant(background, time.Minute)
@@ -60,7 +60,7 @@
 	is.Equal(entries[1].Value, binary)
 	is.Equal(version, bound)
 	is.NoErr(store.Release(background, lease))
-	is.True(keyvalue.ErrLeaseGone.Has(store.Renew(background, lease)))
+	is.True(keyvalue.ErrLeaseExpired.Has(store.Renew(background, lease)))
 	entries, _, err = store.Watch(background, "b", bound, time.Minute)
 	is.NoErr(err)
 	is.True(entries[0].Deleted)
@@ -102,7 +102,7 @@
 		"truncated reply":                        {answer(200, `{"version": 7`), &keyvalue.ErrUnavailable},
 		"redirected":                             {answer(307, `{}`), &keyvalue.ErrUnavailable},
 		"conflict":                               {answer(409, `{"error":"other"}`), &keyvalue.ErrConflict},
-		"lease expired":                          {answer(410, `{"error":"gone"}`), &keyvalue.ErrLeaseGone},
+		"lease expired":                          {answer(410, `{"error":"gone"}`), &keyvalue.ErrLeaseExpired},
 		"refused as malformed":                   {answer(400, `{"error":"bad"}`), &keyvalue.ErrInvalid},
 	}
 	for name, test := range tests {
@@ -123,7 +123,7 @@
 	is.NoErr(err)
 	address := netip.MustParseAddrPort(listener.Addr().String())
 	is.NoErr(listener.Close())
-	_, err = keyvalue.Connect(address, &keyvalue.Eras{}).Swap(background, "a", 0, []byte("x"), keyvalue.LeaseID{})
+	_, err = keyvalue.Connect(address, &keyvalue.EraTracker{}).Swap(background, "a", 0, []byte("x"), keyvalue.LeaseID{})
 	is.True(keyvalue.ErrNotSent.Has(err))
 }
 
--- a/peridotpath/keyvalue/memory/copy.go
+++ b/peridotpath/keyvalue/memory/copy.go
@@ -6,28 +6,28 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Copy is a point-in-time copy of the service's state.
-type Copy struct {
+// Snapshot is a point-in-time copy of the service's state.
+type Snapshot struct {
 	entries map[string]keyvalue.Entry
 	leases  map[uint64]lease
 	version keyvalue.Version
 	nextID  uint64
 }
 
-// Copy returns a copy of the current state.
-func (memory *Memory) Copy() Copy {
+// Snapshot returns a copy of the current state.
+func (memory *Memory) Snapshot() Snapshot {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	leases := map[uint64]lease{}
 	for id, held := range memory.leases {
 		leases[id] = *held
 	}
-	return Copy{entries: maps.Clone(memory.entries), leases: leases, version: memory.version, nextID: memory.nextID}
+	return Snapshot{entries: maps.Clone(memory.entries), leases: leases, version: memory.version, nextID: memory.nextID}
 }
 
-// GoBack restores the state from a copy and starts a new era: writes acknowledged since
+// Restore restores the state from a copy and starts a new era: writes acknowledged since
 // the copy are lost, and their numbers are reused.
-func (memory *Memory) GoBack(to Copy) {
+func (memory *Memory) Restore(to Snapshot) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.era++
@@ -54,7 +54,7 @@
 	if version == 0 {
 		return 0
 	}
-	stamped, err := keyvalue.VersionOf(memory.era, version.Number())
+	stamped, err := keyvalue.NewVersion(memory.era, version.Number())
 	if err != nil {
 		panic(err)
 	}
@@ -64,7 +64,7 @@
 // entryInEra returns the entry with the current era in its version and lease.
 func (memory *Memory) entryInEra(entry keyvalue.Entry) keyvalue.Entry {
 	entry.Version = memory.versionInEra(entry.Version)
-	if !entry.Lease.None() {
+	if !entry.Lease.IsUnset() {
 		entry.Lease.Era = memory.era
 	}
 	return entry
--- a/peridotpath/keyvalue/memory/link.go
+++ b/peridotpath/keyvalue/memory/link.go
@@ -9,44 +9,44 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Fate is the fault injected into one call. The zero value injects none.
-type Fate struct {
-	// Delay passes before the service receives the call.
-	Delay time.Duration
-	// AnswerDelay passes between the effect of the call and its reply.
-	AnswerDelay time.Duration
+// Fault is the fault injected into one call. The zero value injects none.
+type Fault struct {
+	// RequestDelay passes before the service receives the call.
+	RequestDelay time.Duration
+	// ReplyDelay passes between the effect of the call and its reply.
+	ReplyDelay time.Duration
 	// NotSent fails the call before the service receives it.
 	NotSent bool
-	// Unanswered drops the reply of a call that took effect.
-	Unanswered bool
-	// Late fails the call at once with ErrUnavailable; a write is still applied
+	// ReplyLost drops the reply of a call that took effect.
+	ReplyLost bool
+	// AppliedAfter fails the call at once with ErrUnavailable; a write is still applied
 	// this much later.
-	Late time.Duration
+	AppliedAfter time.Duration
 }
 
 // Link is one process's connection to a Memory, with its own fault injection.
 type Link struct {
 	// Eras guards the Store where the service may be restored; nil where it is not.
-	Eras *keyvalue.Eras
+	Eras *keyvalue.EraTracker
 
 	mu          sync.Mutex
-	selectFault func(call string) Fate
+	selectFault func(call string) Fault
 	// era returns the service's current era.
 	era func() keyvalue.Era
 }
 
-// Set sets the function that selects the fault of each call; nil injects none.
-func (link *Link) Set(fate func(call string) Fate) {
+// SetFaults sets the function that selects the fault of each call; nil injects none.
+func (link *Link) SetFaults(fate func(call string) Fault) {
 	link.mu.Lock()
 	defer link.mu.Unlock()
 	link.selectFault = fate
 }
 
-func (link *Link) nextFault(call string) Fate {
+func (link *Link) nextFault(call string) Fault {
 	link.mu.Lock()
 	defer link.mu.Unlock()
 	if link.selectFault == nil {
-		return Fate{}
+		return Fault{}
 	}
 	return link.selectFault(call)
 }
@@ -104,22 +104,22 @@
 	if fate.NotSent {
 		return zero, keyvalue.ErrNotSent.New("fault: call not sent")
 	}
-	if fate.Late > 0 {
+	if fate.AppliedAfter > 0 {
 		if isWrite(name) {
-			go applyLate(fate.Late, call)
+			go applyLate(fate.AppliedAfter, call)
 		}
 		return zero, keyvalue.ErrUnavailable.New("fault: no reply")
 	}
-	if !clock.Sleep(ctx, fate.Delay) {
+	if !clock.Sleep(ctx, fate.RequestDelay) {
 		return zero, keyvalue.ErrUnavailable.Wrap(ctx.Err())
 	}
 	result, err := call(ctx)
 	era := link.era()
-	if !clock.Sleep(ctx, fate.AnswerDelay) || fate.Unanswered {
+	if !clock.Sleep(ctx, fate.ReplyDelay) || fate.ReplyLost {
 		return zero, keyvalue.ErrUnavailable.New("fault: reply lost")
 	}
 	if link.Eras != nil {
-		link.Eras.Met(era)
+		link.Eras.Observe(era)
 	}
 	return result, err
 }
--- a/peridotpath/keyvalue/memory/memory.go
+++ b/peridotpath/keyvalue/memory/memory.go
@@ -173,14 +173,14 @@
 }
 
 func (memory *Memory) swapLocked(key string, expect keyvalue.Version, value []byte, id uint64) (keyvalue.Version, error) {
-	if len(value) > keyvalue.MaxValue {
+	if len(value) > keyvalue.MaxValueBytes {
 		return 0, keyvalue.ErrInvalid.New("%s: value has %d bytes", key, len(value))
 	}
 	if current := memory.entries[key].Version; current.Number() != expect.Number() {
 		return 0, keyvalue.ErrConflict.New("%s is at version %d, not %d", key, current, expect)
 	}
 	if id != 0 && memory.leases[id] == nil {
-		return 0, keyvalue.ErrLeaseGone.New("lease %d", id)
+		return 0, keyvalue.ErrLeaseExpired.New("lease %d", id)
 	}
 	if value == nil {
 		memory.deleteEntry(key)
@@ -214,7 +214,7 @@
 	}
 	memory.mu.Unlock()
 	if held == nil {
-		return keyvalue.ErrLeaseGone.New("lease %s", id)
+		return keyvalue.ErrLeaseExpired.New("lease %s", id)
 	}
 	return memory.injectFault(ctx, keyvalue.CallRenew, "", true)
 }
--- a/peridotpath/keyvalue/memory/memory_test.go
+++ b/peridotpath/keyvalue/memory/memory_test.go
@@ -30,7 +30,7 @@
 		is.Equal(time.Since(begin), 10*time.Second) // expires without another call
 		is.True(entries[0].Deleted)
 		_, err = store.Swap(background, "a", 0, []byte("x"), lease)
-		is.True(keyvalue.ErrLeaseGone.Has(err))
+		is.True(keyvalue.ErrLeaseExpired.Has(err))
 	})
 }
 
@@ -54,25 +54,25 @@
 // service applies the write.
 func TestInjectedFaultsOfWrite(t *testing.T) {
 	tests := map[string]struct {
-		fate     memory.Fate
+		fate     memory.Fault
 		lasts    time.Duration
 		answered bool
 		applied  bool
 		later    bool // applied after a minute
 	}{
-		"no fault":     {memory.Fate{}, 0, true, true, true},
-		"slow request": {memory.Fate{Delay: 2 * time.Second}, 2 * time.Second, true, true, true},
-		"slow reply":   {memory.Fate{AnswerDelay: 2 * time.Second}, 2 * time.Second, true, true, true},
-		"not sent":     {memory.Fate{NotSent: true}, 0, false, false, false},
-		"reply lost":   {memory.Fate{Unanswered: true}, 0, false, true, true},
-		"applied late": {memory.Fate{Late: 9 * time.Second}, 0, false, false, true},
+		"no fault":     {memory.Fault{}, 0, true, true, true},
+		"slow request": {memory.Fault{RequestDelay: 2 * time.Second}, 2 * time.Second, true, true, true},
+		"slow reply":   {memory.Fault{ReplyDelay: 2 * time.Second}, 2 * time.Second, true, true, true},
+		"not sent":     {memory.Fault{NotSent: true}, 0, false, false, false},
+		"reply lost":   {memory.Fault{ReplyLost: true}, 0, false, true, true},
+		"applied late": {memory.Fault{AppliedAfter: 9 * time.Second}, 0, false, false, true},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				platform, link := &memory.Memory{}, &memory.Link{}
-				link.Set(func(string) memory.Fate { return test.fate })
+				link.SetFaults(func(string) memory.Fault { return test.fate })
 				begin := time.Now()
 				_, err := link.Store(platform).Swap(background, "a", 0, []byte("x"), keyvalue.LeaseID{})
 				is.Equal(time.Since(begin), test.lasts)
--- a/peridotpath/keyvalue/memory/serve.go
+++ b/peridotpath/keyvalue/memory/serve.go
@@ -57,7 +57,7 @@
 	case err == nil:
 	case keyvalue.ErrConflict.Has(err):
 		status = http.StatusConflict
-	case keyvalue.ErrLeaseGone.Has(err):
+	case keyvalue.ErrLeaseExpired.Has(err):
 		status = http.StatusGone
 	case keyvalue.ErrInvalid.Has(err):
 		status = http.StatusBadRequest
--- a/peridotpath/keyvalue/store.go
+++ b/peridotpath/keyvalue/store.go
@@ -22,9 +22,9 @@
 // numberBits is the width of the service's own number within a Version.
 const numberBits = 44
 
-// VersionOf returns the version with the given era and number; ErrInvalid where one of
+// NewVersion returns the version with the given era and number; ErrInvalid where one of
 // them exceeds its bits.
-func VersionOf(era Era, number uint64) (Version, error) {
+func NewVersion(era Era, number uint64) (Version, error) {
 	if number>>numberBits != 0 || uint64(era)>>(64-numberBits) != 0 {
 		return 0, ErrInvalid.New("no version holds number %d of era %d", number, era)
 	}
@@ -47,8 +47,8 @@
 	Number uint64 `json:"number,omitempty"`
 }
 
-// None reports whether lease is the zero value.
-func (lease LeaseID) None() bool { return lease == LeaseID{} }
+// IsUnset reports whether lease is the zero value.
+func (lease LeaseID) IsUnset() bool { return lease == LeaseID{} }
 
 // String returns the number, with its era where there is one.
 func (lease LeaseID) String() string {
@@ -69,8 +69,8 @@
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// MaxValue is the largest value that the service holds, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the largest value that the service holds, in bytes.
+const MaxValueBytes = 1 << 20
 
 // The error classes. After any other error of Swap it is unknown whether the write
 // was applied.
@@ -82,8 +82,8 @@
 	ErrNotSent = errs.Class("keyvalue: not sent")
 	// ErrUnavailable means that no valid reply was received; a write may have been applied.
 	ErrUnavailable = errs.Class("keyvalue: unavailable")
-	// ErrLeaseGone means that the lease has expired.
-	ErrLeaseGone = errs.Class("keyvalue: lease gone")
+	// ErrLeaseExpired means that the lease has expired.
+	ErrLeaseExpired = errs.Class("keyvalue: lease gone")
 	// ErrInvalid means that the call is malformed.
 	ErrInvalid = errs.Class("keyvalue: invalid")
 )
@@ -99,9 +99,9 @@
 	// ListStale is List at a tenth of its cost; its result may be seconds old. Nil
 	// where the service has no such call.
 	ListStale func(ctx context.Context, prefix string) ([]Entry, Version, error)
-	// Check is a conditional get: it returns the entry if its version differs from
+	// GetIfChanged is a conditional get: it returns the entry if its version differs from
 	// expect, and whether it differs. Nil where the service has no such call.
-	Check func(ctx context.Context, key string, expect Version) (Entry, bool, error)
+	GetIfChanged func(ctx context.Context, key string, expect Version) (Entry, bool, error)
 	// Swap writes value if the key's version is expect (0: the key must not
 	// exist) and returns the new version. A nil value deletes the key.
 	Swap func(ctx context.Context, key string, expect Version, value []byte, lease LeaseID) (Version, error)
@@ -115,7 +115,7 @@
 	// after, or until wait has passed, and returns the changed entries and the version
 	// to continue from. The service counts a pending watch as one call.
 	Watch func(ctx context.Context, prefix string, after Version, wait time.Duration) ([]Entry, Version, error)
-	// Unbroken returns for how long the service is known not to have lost an
+	// TimeSinceDataLoss returns for how long the service is known not to have lost an
 	// acknowledged write; nil where it never loses one.
-	Unbroken func() time.Duration
+	TimeSinceDataLoss func() time.Duration
 }
--- a/peridotpath/lease/lease.go
+++ b/peridotpath/lease/lease.go
@@ -34,8 +34,8 @@
 type Term struct {
 	// Fencing is the tenure's fencing token; a later tenure has a higher one.
 	Fencing peridotpath.FencingNumber
-	// Left is for how long the holder may still act.
-	Left time.Duration
+	// Remaining is for how long the holder may still act.
+	Remaining time.Duration
 }
 
 // Holder acquires and renews one lease. Set the exported fields before Run.
@@ -46,14 +46,14 @@
 	Instance    peridotpath.InstanceID
 	Incarnation peridotpath.Incarnation
 	Settings    Settings
-	// WaitOut makes a new holder wait for the orders of the one before. It is set
+	// WaitForOldOrders makes a new holder wait for the orders of the one before. It is set
 	// where any engine ignores fencing tokens.
-	WaitOut bool
-	// Unused reports whether no order was ever sent under the lease, so that there is
+	WaitForOldOrders bool
+	// NeverUsed reports whether no order was ever sent under the lease, so that there is
 	// none to wait for. It is called once the lease is acquired; nil means unknown.
-	Unused func(ctx context.Context) (bool, error)
-	Clock  clock.Clock
-	Logger zerolog.Logger
+	NeverUsed func(ctx context.Context) (bool, error)
+	Clock     clock.Clock
+	Logger    zerolog.Logger
 	// Metrics is the set of the counters; nil means the default set.
 	Metrics *metrics.Set
 
@@ -104,7 +104,7 @@
 }
 
 // Held returns the term if this process may act now. Callers check it right before each
-// action and bound the action by Term.Left.
+// action and bound the action by Term.Remaining.
 func (holder *Holder) Held() (Term, bool) {
 	tenure := holder.tenure.Load()
 	if tenure == nil {
@@ -118,7 +118,7 @@
 	if left <= 0 || !holder.oldOrdersEnded(tenure) {
 		return Term{}, false
 	}
-	return Term{Fencing: tenure.fencing, Left: left}, true
+	return Term{Fencing: tenure.fencing, Remaining: left}, true
 }
 
 // oldOrdersWait is how long a new holder sends no orders. An engine that ignores fencing tokens
@@ -126,7 +126,7 @@
 // and that takes the longest time allowed. A holder that released the lease has no order
 // in flight, so a rolling replacement of instances causes no such pause.
 func (holder *Holder) oldOrdersWait(tenure *tenure) time.Duration {
-	if !holder.WaitOut || tenure.noOrderInFlight {
+	if !holder.WaitForOldOrders || tenure.noOrderInFlight {
 		return 0
 	}
 	return (holder.Settings.TTLMS + holder.Settings.LongestOrderMS).Duration()
@@ -222,7 +222,7 @@
 // an older copy neither is known: the restore may have lost a later tenure, whose holder
 // has not noticed yet.
 func (holder *Holder) noOrderInFlight(ctx context.Context, released bool) bool {
-	if holder.Store.Unbroken != nil && holder.Store.Unbroken() < (holder.Settings.TTLMS+holder.Settings.LongestOrderMS).Duration() {
+	if holder.Store.TimeSinceDataLoss != nil && holder.Store.TimeSinceDataLoss() < (holder.Settings.TTLMS+holder.Settings.LongestOrderMS).Duration() {
 		return false
 	}
 	return released || holder.neverUsed(ctx)
@@ -230,10 +230,10 @@
 
 // neverUsed reports whether no order was ever sent. It returns false if that is unknown.
 func (holder *Holder) neverUsed(ctx context.Context) bool {
-	if !holder.WaitOut || holder.Unused == nil {
+	if !holder.WaitForOldOrders || holder.NeverUsed == nil {
 		return false
 	}
-	unused, err := holder.Unused(ctx)
+	unused, err := holder.NeverUsed(ctx)
 	return err == nil && unused
 }
 
@@ -281,7 +281,7 @@
 			tenure = renewed
 			holder.tenure.Store(tenure)
 			wait = holder.Settings.TTLMS.Duration() / 3
-		case keyvalue.ErrLeaseGone.Has(err):
+		case keyvalue.ErrLeaseExpired.Has(err):
 			holder.count("lease_lost_total")
 			holder.Logger.Warn().Str("event", "lease_lost").Str("key", holder.Key).Send()
 			return
--- a/peridotpath/lease/lease_test.go
+++ b/peridotpath/lease/lease_test.go
@@ -59,7 +59,7 @@
 
 // kill ends the process without a call to the platform.
 func (process *process) kill() {
-	process.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
+	process.link.SetFaults(func(string) memory.Fault { return memory.Fault{NotSent: true} })
 	process.cancel()
 	if err := <-process.runError; err != nil {
 		panic(err)
@@ -72,7 +72,7 @@
 	process.mu.Lock()
 	process.frozenUntil = thaw
 	process.mu.Unlock()
-	process.link.Set(func(string) memory.Fate { return memory.Fate{Delay: max(0, time.Until(thaw))} })
+	process.link.SetFaults(func(string) memory.Fault { return memory.Fault{RequestDelay: max(0, time.Until(thaw))} })
 }
 
 func (process *process) isFrozen() bool {
@@ -131,14 +131,14 @@
 // renewal was sent, so its term ends before the platform's, and still holds without a gap.
 func TestSlowPlatformCausesNoGapOrOverlap(t *testing.T) {
 	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
-		slow := func(string) memory.Fate { return memory.Fate{Delay: 2 * time.Second} }
-		first.link.Set(slow)
-		second.link.Set(slow)
+		slow := func(string) memory.Fault { return memory.Fault{RequestDelay: 2 * time.Second} }
+		first.link.SetFaults(slow)
+		second.link.SetFaults(slow)
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
 			term, ok := first.Held()
 			is.True(ok)
-			is.True(term.Left <= 8*time.Second)
+			is.True(term.Remaining <= 8*time.Second)
 		}
 	})
 }
@@ -148,9 +148,9 @@
 func TestRenewalCountsFromBeforeItWasSent(t *testing.T) {
 	eager := func(holder *lease.Holder) { holder.Settings.WaitMS = 500 }
 	testTwoHolders(t, eager, func(is *is.I, platform *memory.Memory, first, second *process) {
-		first.link.Set(func(string) memory.Fate { return memory.Fate{AnswerDelay: 4 * time.Second} })
+		first.link.SetFaults(func(string) memory.Fault { return memory.Fault{ReplyDelay: 4 * time.Second} })
 		time.Sleep(15 * time.Second)
-		first.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
+		first.link.SetFaults(func(string) memory.Fault { return memory.Fault{NotSent: true} })
 		waitHeld(is, second)
 		_, ok := first.Held()
 		is.True(!ok)
@@ -168,7 +168,7 @@
 		is.NoErr(second.Close())
 		waitHeld(is, third)
 		fourth := startProcess(platform, "d", nil)
-		third.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
+		third.link.SetFaults(func(string) memory.Fault { return memory.Fault{NotSent: true} })
 		waitHeld(is, fourth)
 		_, ok := third.Held()
 		is.True(!ok)
@@ -181,11 +181,11 @@
 // still has the lease and must stop; it continues when replies arrive again.
 func TestHolderStopsWhenRenewalRepliesAreLost(t *testing.T) {
 	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
-		first.link.Set(func(string) memory.Fate { return memory.Fate{Unanswered: true} })
+		first.link.SetFaults(func(string) memory.Fault { return memory.Fault{ReplyLost: true} })
 		time.Sleep(9 * time.Second)
 		_, ok := first.Held()
 		is.True(!ok)
-		first.link.Set(nil)
+		first.link.SetFaults(nil)
 		elapsed, _ := waitHeld(is, first)
 		is.True(elapsed <= 2*time.Second)
 	})
@@ -198,7 +198,7 @@
 		is := is.New(t)
 		platform := &memory.Memory{}
 		process := startProcess(platform, "a", nil)
-		process.link.Set(func(call string) memory.Fate { return memory.Fate{Unanswered: call == "swap"} })
+		process.link.SetFaults(func(call string) memory.Fault { return memory.Fault{ReplyLost: call == "swap"} })
 		elapsed, _ := waitHeld(is, process)
 		is.True(elapsed < 2*time.Second)
 		is.NoErr(process.Close())
@@ -213,11 +213,11 @@
 		is := is.New(t)
 		platform := &memory.Memory{}
 		slow := startProcess(platform, "slow", nil)
-		slow.link.Set(func(call string) memory.Fate {
+		slow.link.SetFaults(func(call string) memory.Fault {
 			if call == "swap" {
-				return memory.Fate{Delay: 5 * time.Second}
+				return memory.Fault{RequestDelay: 5 * time.Second}
 			}
-			return memory.Fate{}
+			return memory.Fault{}
 		})
 		time.Sleep(time.Second)
 		quick := startProcess(platform, "quick", nil)
@@ -233,7 +233,7 @@
 // 30 s. Without waiting for the lease and the order, a new holder's order would be
 // overwritten by the old one.
 func TestNewHolderWaitsForOldOrders(t *testing.T) {
-	change := func(holder *lease.Holder) { holder.WaitOut = true }
+	change := func(holder *lease.Holder) { holder.WaitForOldOrders = true }
 	testTwoHolders(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
 		first.kill()
 		elapsed, _ := waitHeld(is, second)
@@ -246,7 +246,7 @@
 // A rolling restart replaces all instances. Each holder releases the lease, so the next
 // one need not wait: otherwise engines would get no orders for most of the restart.
 func TestReleasedLeaseNeedsNoWait(t *testing.T) {
-	change := func(holder *lease.Holder) { holder.WaitOut = true }
+	change := func(holder *lease.Holder) { holder.WaitForOldOrders = true }
 	testTwoHolders(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
 		is.NoErr(first.Close())
 		elapsed, before := waitHeld(is, second)
@@ -276,8 +276,8 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			change := func(holder *lease.Holder) {
-				holder.WaitOut = true
-				holder.Unused = func(context.Context) (bool, error) { return test.unused, test.err }
+				holder.WaitForOldOrders = true
+				holder.NeverUsed = func(context.Context) (bool, error) { return test.unused, test.err }
 			}
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -295,7 +295,7 @@
 // for the crashed one's orders. It must not mark the lease as released: the third would
 // send orders while an old one is in flight.
 func TestHolderClosedWhileWaitingIsNotMarkedReleased(t *testing.T) {
-	change := func(holder *lease.Holder) { holder.WaitOut = true }
+	change := func(holder *lease.Holder) { holder.WaitForOldOrders = true }
 	testTwoHolders(t, change, func(is *is.I, platform *memory.Memory, first, second *process) {
 		first.kill()
 		time.Sleep(20 * time.Second) // the second has the lease and waits for old orders
@@ -374,7 +374,7 @@
 	name    string
 	process string
 	span    time.Duration
-	fates   []memory.Fate
+	fates   []memory.Fault
 }
 
 func drawStep(t *rapid.T) step {
@@ -384,8 +384,8 @@
 		span:    time.Duration(rapid.IntRange(0, 300).Draw(t, "span")) * 100 * time.Millisecond,
 	}
 	for range rapid.IntRange(1, 4).Draw(t, "fates") {
-		step.fates = append(step.fates, rapid.SampledFrom([]memory.Fate{
-			{}, {}, {Delay: 2 * time.Second}, {Delay: 20 * time.Second}, {AnswerDelay: 4 * time.Second}, {NotSent: true}, {Unanswered: true}, {Late: 9 * time.Second},
+		step.fates = append(step.fates, rapid.SampledFrom([]memory.Fault{
+			{}, {}, {RequestDelay: 2 * time.Second}, {RequestDelay: 20 * time.Second}, {ReplyDelay: 4 * time.Second}, {NotSent: true}, {ReplyLost: true}, {AppliedAfter: 9 * time.Second},
 		}).Draw(t, "fate"))
 	}
 	return step
@@ -396,12 +396,12 @@
 	switch step.name {
 	case "links":
 		next := 0
-		process.link.Set(func(string) memory.Fate {
+		process.link.SetFaults(func(string) memory.Fault {
 			next++
 			return step.fates[next%len(step.fates)]
 		})
 	case "heal":
-		process.link.Set(nil)
+		process.link.SetFaults(nil)
 	case "freeze":
 		process.freeze(step.span)
 	case "kill":
@@ -429,7 +429,7 @@
 		if waitOut {
 			checker.maxOrderTime = 30 * time.Second
 		}
-		change := func(holder *lease.Holder) { holder.WaitOut = waitOut }
+		change := func(holder *lease.Holder) { holder.WaitForOldOrders = waitOut }
 		synctest.Test(t, func(*testing.T) {
 			platform := &memory.Memory{}
 			processes := map[string]*process{}
@@ -448,7 +448,7 @@
 				}
 			}
 			for _, process := range processes {
-				process.link.Set(nil)
+				process.link.SetFaults(nil)
 			}
 			time.Sleep(2 * time.Minute)
 			checker.check(processes)
@@ -495,15 +495,15 @@
 		platform := &memory.Memory{}
 		guarded := func(name string) *process {
 			return startProcess(platform, name, func(holder *lease.Holder) {
-				link := &memory.Link{Eras: &keyvalue.Eras{Now: func() time.Duration { return time.Since(began) + time.Hour }}}
-				holder.Store, holder.WaitOut = link.Store(platform), true
-				holder.Unused = func(context.Context) (bool, error) { return true, nil }
+				link := &memory.Link{Eras: &keyvalue.EraTracker{Now: func() time.Duration { return time.Since(began) + time.Hour }}}
+				holder.Store, holder.WaitForOldOrders = link.Store(platform), true
+				holder.NeverUsed = func(context.Context) (bool, error) { return true, nil }
 			})
 		}
-		before := platform.Copy()
+		before := platform.Snapshot()
 		first := guarded("a")
 		_, number := waitHeld(is, first)
-		platform.GoBack(before)
+		platform.Restore(before)
 		third := guarded("c")
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
--- a/peridotpath/order/fixture_test.go
+++ b/peridotpath/order/fixture_test.go
@@ -159,7 +159,7 @@
 	process := &process{ended: make(chan error, 2)}
 	process.holder = &lease.Holder{
 		Store: process.link.Store(&site.platform), Key: lease.Key("colombo-a", "claims-llm"),
-		Instance: peridotpath.InstanceID(name), WaitOut: waitOut, Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
+		Instance: peridotpath.InstanceID(name), WaitForOldOrders: waitOut, Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
 	reconciler := &order.Reconciler{
 		Desired: site.book.Get, Held: process.holder.Held,
@@ -173,7 +173,7 @@
 			return site.engines[endpoint.ID].read(), nil
 		},
 		Send: func(ctx context.Context, endpoint peridotpath.Endpoint, given order.Order) error {
-			if term, held := process.holder.Held(); !held || term.Left < given.Limit {
+			if term, held := process.holder.Held(); !held || term.Remaining < given.Limit {
 				process.outlived.Add(1)
 			}
 			weights := site.engines[endpoint.ID].read().NeedsWeights(given.Want)
@@ -202,12 +202,12 @@
 func (process *process) freeze(span time.Duration) {
 	thaw := time.Now().Add(span)
 	process.thaw.Store(thaw.UnixNano())
-	process.link.Set(func(string) memory.Fate { return memory.Fate{Delay: max(0, time.Until(thaw))} })
+	process.link.SetFaults(func(string) memory.Fault { return memory.Fault{RequestDelay: max(0, time.Until(thaw))} })
 }
 
 // kill ends the process; its lease is not given back.
 func (process *process) kill(is *is.I) {
-	process.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
+	process.link.SetFaults(func(string) memory.Fault { return memory.Fault{NotSent: true} })
 	process.stop(is)
 }
 
--- a/peridotpath/order/order_test.go
+++ b/peridotpath/order/order_test.go
@@ -78,7 +78,7 @@
 			process.thawReads.Store(process.thaw.Swap(0))
 		},
 		"little of the lease left": func(process *process) {
-			process.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
+			process.link.SetFaults(func(string) memory.Fault { return memory.Fault{NotSent: true} })
 			time.Sleep(30 * time.Second)
 		},
 	} {
@@ -174,11 +174,11 @@
 	is := is.New(t)
 	platform, link := &memory.Memory{}, &memory.Link{}
 	book := &order.Book{Store: link.Store(platform), Key: "orders/x"}
-	link.Set(func(call string) memory.Fate { return memory.Fate{Unanswered: call == "swap"} })
+	link.SetFaults(func(call string) memory.Fault { return memory.Fault{ReplyLost: call == "swap"} })
 	desired, err := book.Change(background, order.Change{ID: "1", Set: map[peridotpath.EndpointID]order.State{"e": newState}})
 	is.NoErr(err)
 	is.Equal(desired.Revision, peridotpath.Revision(1))
-	link.Set(nil)
+	link.SetFaults(nil)
 	again, err := book.Change(background, order.Change{ID: "1"}) // the operator's own repeat
 	is.NoErr(err)
 	is.Equal(again, desired)
--- a/peridotpath/order/reconciler.go
+++ b/peridotpath/order/reconciler.go
@@ -134,7 +134,7 @@
 func (reconciler *Reconciler) send(ctx context.Context, endpoint peridotpath.Endpoint, repair repair) error {
 	limit := reconciler.Settings.LongestOrderMS.Duration()
 	term, held := reconciler.Held()
-	if !held || term.Left < limit {
+	if !held || term.Remaining < limit {
 		return Error.New("send: too little of the lease is left")
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
--- a/peridotpath/peer/documents.go
+++ b/peridotpath/peer/documents.go
@@ -77,8 +77,8 @@
 	update := config.Update{AgeMS: peridotpath.Millis(reply.AgeMs)}
 	for _, document := range reply.Documents {
 		reader := flate.NewReader(bytes.NewReader(document.Deflated))
-		text, err := io.ReadAll(io.LimitReader(reader, keyvalue.MaxValue+1))
-		if err != nil || len(text) > keyvalue.MaxValue {
+		text, err := io.ReadAll(io.LimitReader(reader, keyvalue.MaxValueBytes+1))
+		if err != nil || len(text) > keyvalue.MaxValueBytes {
 			return config.Update{}, Error.New("document %q: %d bytes: %v", document.Name, len(text), err)
 		}
 		update.Documents = append(update.Documents, config.Document{Name: config.DocumentName(document.Name), Text: text})
--- a/peridotpath/quarantine/quarantine.go
+++ b/peridotpath/quarantine/quarantine.go
@@ -72,7 +72,7 @@
 
 // RecordCrash records that an endpoint crashed while it ran a request.
 func (quarantine *Quarantine) RecordCrash(content peridotpath.Fingerprint, endpoint peridotpath.EndpointKey, now time.Time) {
-	telemetry.EndSeen()
+	telemetry.CountEndpointTermination()
 	quarantine.Facts.Observe(facts.Fact{
 		Kind: facts.KindCrashed, Subject: facts.Subject(content), Detail: uint64(endpoint), ObservedAt: now, Source: quarantine.Instance,
 	})
@@ -128,7 +128,7 @@
 
 // announce gossips the quarantine of a request to all instances.
 func (quarantine *Quarantine) announce(content peridotpath.Fingerprint, next term, crashes int) {
-	telemetry.Barred()
+	telemetry.CountQuarantine()
 	quarantine.Log.Warn().Stringer("content", content).Int("ends", crashes).Int64("span", next.duration().Milliseconds()).Msg("request_barred")
 	quarantine.Facts.Observe(facts.Fact{
 		Kind: facts.KindQuarantined, Subject: facts.Subject(content), Value: next.duration().Seconds(), ObservedAt: next.from, Source: quarantine.Instance,
--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -267,8 +267,8 @@
 		return
 	}
 	exchange.timeToFirstEvent = time.Since(exchange.request.ArrivedAt)
-	telemetry.FirstToken(exchange.lengthClass(), exchange.timeToFirstEvent)
-	telemetry.Predicted(exchange.lengthClass(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
+	telemetry.RecordTimeToFirstToken(exchange.lengthClass(), exchange.timeToFirstEvent)
+	telemetry.RecordPredictionRatio(exchange.lengthClass(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
 	exchange.relay.LoadTracker.ObserveFirstEvent(exchange.plan.Writer.Key(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
 }
 
--- a/peridotpath/relay/fixture_test.go
+++ b/peridotpath/relay/fixture_test.go
@@ -91,7 +91,7 @@
 		Endpoints: fixture.directory.Current, AllEndpoints: fixture.directory.Current, LoadTracker: fixture.book, Send: send, Quarantine: keeper,
 		Throttle:        &throttle.Throttle{SenderID: rand.Uint64(), Facts: fixture.facts, Log: zerolog.Nop()},
 		Check:           func(context.Context, *peridotpath.Endpoint) error { return nil },
-		ServedSampler:   &telemetry.Sampler{PerSecond: 10},
+		ServedSampler:   &telemetry.LogSampler{PerSecond: 10},
 		RetryBudget:     &relay.RetryBudget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, Instances: func() int { return 1 }},
 		EngineStallTime: 1500 * time.Millisecond,
 		Keeper: &reservation.Manager{
--- a/peridotpath/relay/outcome.go
+++ b/peridotpath/relay/outcome.go
@@ -43,7 +43,7 @@
 
 // recordFailure logs a failed attempt and updates the state of its endpoint.
 func (exchange *exchange) recordFailure(ctx context.Context, outcome outcome, err error) {
-	telemetry.Attempt(outcome.String())
+	telemetry.CountFailedAttempt(outcome.String())
 	crashed := outcome == outcomeBroken && exchange.relay.hasCrashed(ctx, exchange.plan.Writer)
 	exchange.relay.Log.Info().Str("request", string(exchange.request.ID)).Stringer("content", exchange.fingerprint()).
 		Str("endpoint", string(exchange.plan.Writer.ID)).Int("try", exchange.tries).Bool("endpoint_gone", crashed).
@@ -123,7 +123,7 @@
 	// the budget.
 	if exchange.sent > 0 || outcome == outcomeElsewhere {
 		if !exchange.relay.RetryBudget.TakeRetry(exchange.service, time.Now()) {
-			telemetry.BudgetSpent()
+			telemetry.CountRetryBudgetExhausted()
 			return final
 		}
 	}
--- a/peridotpath/relay/prefill_queue.go
+++ b/peridotpath/relay/prefill_queue.go
@@ -85,7 +85,7 @@
 		if ahead == 0 {
 			plan, found := placement.PlanPrompt(model, work, candidates, tracker.Snapshot(now))
 			if found && isWorthDispatching(plan, work) && exchange.beginInFlight(plan, now) {
-				telemetry.TurnWait(work.Waited)
+				telemetry.RecordPrefillQueueWait(work.Waited)
 				return nil
 			}
 			// The head of the queue waits for KV cache, or for engines with less
--- a/peridotpath/relay/relay.go
+++ b/peridotpath/relay/relay.go
@@ -40,7 +40,7 @@
 	// Throttle enforces the rate limits that endpoints announce.
 	Throttle *throttle.Throttle
 	// ServedSampler samples the log lines of successful requests.
-	ServedSampler *telemetry.Sampler
+	ServedSampler *telemetry.LogSampler
 	// RoutingReady is closed once the instance has its routing, Relay.StartDone once it has all
 	// data that it needs to serve. Both are also closed when the start times out, and
 	// are nil for an instance that has started.
@@ -71,9 +71,9 @@
 	relay.awaitRouting(ctx, request)
 	exchange, refusal := relay.admit(request, caller)
 	if refusal != nil {
-		telemetry.Result(refusal.Code)
+		telemetry.CountResult(refusal.Code)
 		relay.Log.Info().Str("request", string(request.ID)).Str("host", string(request.Host)).
-			Str("path", request.Path).Int64("routing_age", relay.Routing.LoggedAge()).
+			Str("path", request.Path).Int64("routing_age", relay.Routing.AgeForLog()).
 			Int("code", int(refusal.Code)).Str("result", refusal.Code.String()).Msg("refused")
 		caller.Refuse(*refusal)
 		return
@@ -97,7 +97,7 @@
 	exchange := &exchange{relay: relay, request: request, caller: caller, route: route, priority: route.Priority}
 	exchange.lastEventID = request.LastEventID
 	if table.NeedsKey(route) {
-		holder, known := table.Holder(request.Key)
+		holder, known := table.KeyHolder(request.Key)
 		if !known {
 			return nil, relay.unknownRefusal(peridotpath.CodeUnauthorized)
 		}
@@ -110,7 +110,7 @@
 		}
 	}
 	exchange.service = relay.pickService(route)
-	exchange.spec = table.Service(exchange.service)
+	exchange.spec = table.ServiceSpec(exchange.service)
 	exchange.deadline = request.ArrivedAt.Add(requestTimeout(request, route))
 	return exchange, nil
 }
--- a/peridotpath/relay/telemetry.go
+++ b/peridotpath/relay/telemetry.go
@@ -12,9 +12,9 @@
 // recordResult updates the metrics for a completed request.
 func (exchange *exchange) recordResult(code peridotpath.Code) {
 	class, took := exchange.lengthClass(), time.Since(exchange.request.ArrivedAt)
-	telemetry.Result(code)
-	telemetry.Total(class, took)
-	telemetry.Relayed(exchange.route.Kind(), class, took)
+	telemetry.CountResult(code)
+	telemetry.RecordRequestTime(class, took)
+	telemetry.RecordRelayTime(exchange.route.Kind(), class, took)
 }
 
 // lengthClass returns the length class that labels the request's metrics.
@@ -32,7 +32,7 @@
 		Stringer("kind", exchange.route.Kind()).Stringer("length", exchange.lengthClass()).
 		Str("service", string(exchange.service)).Str("customer", string(exchange.customer)).
 		Int64("prompt", int64(exchange.request.PromptTokens)).Int("tries", exchange.tries).Int("sent", exchange.sent).
-		Dur("aim", exchange.route.TTFTTarget).Dur("took", time.Since(exchange.request.ArrivedAt)).Int64("routing_age", exchange.relay.Routing.LoggedAge()).
+		Dur("aim", exchange.route.TTFTTarget).Dur("took", time.Since(exchange.request.ArrivedAt)).Int64("routing_age", exchange.relay.Routing.AgeForLog()).
 		Int("code", int(code)).Str("result", code.String())
 	if exchange.hasFingerprint {
 		event = event.Stringer("content", exchange.contentFingerprint)
--- a/peridotpath/routing/era_test.go
+++ b/peridotpath/routing/era_test.go
@@ -21,7 +21,7 @@
 // follower has seen.
 type restorableStore struct {
 	fakeStore
-	eras *keyvalue.Eras
+	eras *keyvalue.EraTracker
 	era  keyvalue.Era
 }
 
@@ -30,7 +30,7 @@
 	store.mutex.Lock()
 	store.era = era
 	store.mutex.Unlock()
-	version, err := keyvalue.VersionOf(era, number)
+	version, err := keyvalue.NewVersion(era, number)
 	if err != nil {
 		panic(err)
 	}
@@ -42,7 +42,7 @@
 	store.mutex.Lock()
 	era, version := store.era, store.version
 	store.mutex.Unlock()
-	defer store.eras.Met(era)
+	defer store.eras.Observe(era)
 	if expect.Number() == version.Number() {
 		expect = version
 	}
@@ -55,9 +55,9 @@
 		is := is.New(t)
 		store := &restorableStore{}
 		follower, state := newFollower(&store.fakeStore)
-		store.eras = &keyvalue.Eras{Now: state.Now}
+		store.eras = &keyvalue.EraTracker{Now: state.Now}
 		follower.Eras = store.eras
-		follower.Check = store.eras.Guard(&keyvalue.Store{Check: store.check}).Check
+		follower.GetIfChanged = store.eras.Guard(&keyvalue.Store{GetIfChanged: store.check}).GetIfChanged
 		follower.Pace = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 		store.write(3, 50, 8)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -81,7 +81,7 @@
 		store.write(4, 50, 8) // the copy
 		time.Sleep(time.Second)
 		is.Equal(follower.State.Version(), peridotpath.RoutingVersion(9)) // never an older one
-		last, ok := follower.Last()
+		last, ok := follower.Latest()
 		is.True(ok) // it is still served to peers that start
 		is.Equal(last.Value, []byte{9})
 		store.write(4, 60, 10)
@@ -120,7 +120,7 @@
 func TestRestoredStoreSettles(t *testing.T) {
 	runWithRestores(t, func(is *is.I, store *restorableStore, follower *routing.Follower) {
 		store.write(4, 50, 8)
-		time.Sleep(keyvalue.Settling + time.Second)
+		time.Sleep(keyvalue.SettleTime + time.Second)
 		is.True(follower.State.KeysUsable())
 		is.True(follower.State.Age() < 1200*time.Millisecond)
 	})
@@ -133,29 +133,29 @@
 		is := is.New(t)
 		store := &restorableStore{}
 		follower, state := newFollower(&store.fakeStore)
-		store.eras = &keyvalue.Eras{Now: state.Now}
+		store.eras = &keyvalue.EraTracker{Now: state.Now}
 		follower.Eras = store.eras
-		follower.Check = store.eras.Guard(&keyvalue.Store{Check: store.check}).Check
-		newer, err := keyvalue.VersionOf(3, 60)
+		follower.GetIfChanged = store.eras.Guard(&keyvalue.Store{GetIfChanged: store.check}).GetIfChanged
+		newer, err := keyvalue.NewVersion(3, 60)
 		is.NoErr(err)
-		follower.Ask = func(context.Context, netip.AddrPort, readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
+		follower.FetchFromPeer = func(context.Context, netip.AddrPort, readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
 			return readings.RoutingSnapshot{Version: newer, Value: []byte{9}, Age: 700 * time.Millisecond}, nil
 		}
 		store.write(4, 50, 8)
 		// The store still has instance entries of the previous era.
-		store.eras.Met(4)
-		store.eras.Suspect()
+		store.eras.Observe(4)
+		store.eras.AssumeRecentRestore()
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(state.Version(), peridotpath.RoutingVersion(8))
 		is.True(!state.KeysUsable())
-		follower.HearPeer(peer, 9, state.Now()-700*time.Millisecond)
+		follower.UpdateFromPeer(peer, 9, state.Now()-700*time.Millisecond)
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(state.Version(), peridotpath.RoutingVersion(9))
 		is.True(state.KeysUsable())
-		last, ok := follower.Last()
+		last, ok := follower.Latest()
 		is.True(ok)
 		is.Equal(last.Value, []byte{9})
 		cancel()
--- a/peridotpath/routing/fleet_test.go
+++ b/peridotpath/routing/fleet_test.go
@@ -126,12 +126,12 @@
 		// Data centres are assigned in turn, so this is the rank within its data centre.
 		behind := i / dataCentres
 		fleet.followers = append(fleet.followers, &routing.Follower{
-			State: state, Key: "routing", Decode: decodeLarge, Check: fleet.store.check, Eras: &keyvalue.Eras{}, Log: zerolog.Nop(),
-			Ask: func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
+			State: state, Key: "routing", Decode: decodeLarge, GetIfChanged: fleet.store.check, Eras: &keyvalue.EraTracker{}, Log: zerolog.Nop(),
+			FetchFromPeer: func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
 				return fleet.fetch(ctx, peer, have)
 			},
-			Confirmed: func() { fleet.sendDigest(i, dataCentres) },
-			Before: func(version peridotpath.RoutingVersion) int {
+			OnConfirmed: func() { fleet.sendDigest(i, dataCentres) },
+			FetchPosition: func(version peridotpath.RoutingVersion) int {
 				return (behind + int(version)) % (count / dataCentres)
 			},
 			Pace: clock.PollSchedule{
@@ -159,7 +159,7 @@
 		for i, follower := range fleet.followers {
 			if i != from {
 				near := i%dataCentres == from%dataCentres
-				follower.HearPeer(readings.Peer{Address: addressOf(from), InSameDataCentre: near}, version, sentAt)
+				follower.UpdateFromPeer(readings.Peer{Address: addressOf(from), InSameDataCentre: near}, version, sentAt)
 			}
 		}
 	})
@@ -171,11 +171,11 @@
 	defer cancel()
 	bytes := peer.Addr().As4()
 	number := int(bytes[2])<<8 | int(bytes[3])
-	snapshot, ok := fleet.followers[number].Last()
+	snapshot, ok := fleet.followers[number].Latest()
 	if !ok {
 		return snapshot, errNoPeer
 	}
-	base, _ := fleet.followers[number].Of(have.Version)
+	base, _ := fleet.followers[number].AtVersion(have.Version)
 	length, err := fleet.encodedLength(snapshot, base)
 	if err != nil {
 		return snapshot, err
@@ -195,7 +195,7 @@
 	if length, known := fleet.encodedLengths[key]; known {
 		return length, nil
 	}
-	packed, err := delta.Pack(snapshot.Value, base.Value)
+	packed, err := delta.Encode(snapshot.Value, base.Value)
 	fleet.encodedLengths[key] = len(packed)
 	return len(packed), err
 }
@@ -315,23 +315,23 @@
 		began := time.Now()
 		var stores []*keyvalue.Store
 		for _, follower := range fleet.followers {
-			eras := &keyvalue.Eras{Now: func() time.Duration { return time.Hour + time.Since(began) }}
+			eras := &keyvalue.EraTracker{Now: func() time.Duration { return time.Hour + time.Since(began) }}
 			follower.Eras = eras
-			follower.Pace.HasData = func() bool { return follower.State.Current() != nil && eras.Settled() }
+			follower.Pace.HasData = func() bool { return follower.State.Current() != nil && eras.HasSettled() }
 			list := func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
-				version, err := keyvalue.VersionOf(keyvalue.Era(era.Load()), 3)
+				version, err := keyvalue.NewVersion(keyvalue.Era(era.Load()), 3)
 				return nil, version, err
 			}
-			store := eras.Guard(&keyvalue.Store{List: list, Check: func(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
+			store := eras.Guard(&keyvalue.Store{List: list, GetIfChanged: func(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
 				entry, changed, err := fleet.store.check(ctx, key, keyvalue.Version(expect.Number()))
 				now := keyvalue.Era(era.Load())
-				eras.Met(now)
+				eras.Observe(now)
 				if entry.Version != 0 {
-					entry.Version, _ = keyvalue.VersionOf(now, entry.Version.Number())
+					entry.Version, _ = keyvalue.NewVersion(now, entry.Version.Number())
 				}
 				return entry, changed, err
 			}})
-			follower.Check = store.Check
+			follower.GetIfChanged = store.GetIfChanged
 			stores = append(stores, store)
 		}
 		fleet.store.set(3)
@@ -341,7 +341,7 @@
 			era.Store(1)
 			for _, follower := range fleet.followers {
 				// Digests spread the era within milliseconds.
-				follower.Eras.Heard(1, 0, true)
+				follower.Eras.ObservePeer(1, 0, true)
 			}
 			for _, store := range stores {
 				// Instances write their entries again one after another.
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -23,20 +23,20 @@
 	// Key is the store's key of the routing, and Decode decodes its value.
 	Key    string
 	Decode func(value []byte) (*peridotpath.Routing, error)
-	// Check is the store's conditional get.
-	Check func(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error)
+	// GetIfChanged is the store's conditional get.
+	GetIfChanged func(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error)
 	// Eras tracks the store's epoch.
-	Eras *keyvalue.Eras
-	// Ask fetches a peer's newest routing, as a delta to have.
-	Ask  func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error)
-	Pace clock.PollSchedule
-	// Before returns this instance's position in the order in which the instances of its
+	Eras *keyvalue.EraTracker
+	// FetchFromPeer fetches a peer's newest routing, as a delta to have.
+	FetchFromPeer func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error)
+	Pace          clock.PollSchedule
+	// FetchPosition returns this instance's position in the order in which the instances of its
 	// data centre fetch that version from a peer in another one.
-	Before func(version peridotpath.RoutingVersion) int
-	// Confirmed is called after a read from the store or from another data centre, whose
+	FetchPosition func(version peridotpath.RoutingVersion) int
+	// OnConfirmed is called after a read from the store or from another data centre, whose
 	// result the peers of this data centre may not have.
-	Confirmed func()
-	Log       zerolog.Logger
+	OnConfirmed func()
+	Log         zerolog.Logger
 
 	isFailing  atomic.Bool
 	newerPeers readings.NewerPeers
@@ -72,7 +72,7 @@
 		err := follower.readStore(ctx)
 		if err == nil {
 			follower.Pace.RecordPoll(follower.State.Current() != nil)
-			follower.Confirmed()
+			follower.OnConfirmed()
 			continue
 		}
 		if ctx.Err() == nil {
@@ -83,13 +83,13 @@
 	return ctx.Err()
 }
 
-// HearPeer processes a peer's routing version: it confirms the active routing, or notes
+// UpdateFromPeer processes a peer's routing version: it confirms the active routing, or notes
 // the peer as the source of a newer one.
 //
 // A version of a peer in another data centre is fetched by one instance of this one, and
 // by the next only if no nearby peer has it after remoteFetchDelay: requests of all instances fill
 // the link of the peer that read it first for seconds.
-func (follower *Follower) HearPeer(peer readings.Peer, version peridotpath.RoutingVersion, confirmed time.Duration) {
+func (follower *Follower) UpdateFromPeer(peer readings.Peer, version peridotpath.RoutingVersion, confirmed time.Duration) {
 	table := follower.State.Current()
 	switch {
 	case table != nil && table.Routing.Version == version:
@@ -99,13 +99,13 @@
 		if peer.InSameDataCentre {
 			follower.Pace.Wake()
 		} else {
-			time.AfterFunc(time.Duration(follower.Before(version))*remoteFetchDelay, follower.Pace.Wake)
+			time.AfterFunc(time.Duration(follower.FetchPosition(version))*remoteFetchDelay, follower.Pace.Wake)
 		}
 	}
 }
 
-// Last returns the active routing for peers; false before the first.
-func (follower *Follower) Last() (readings.RoutingSnapshot, bool) {
+// Latest returns the active routing for peers; false before the first.
+func (follower *Follower) Latest() (readings.RoutingSnapshot, bool) {
 	snapshot, ok := follower.applied.Newest()
 	table := follower.State.Current()
 	if !ok || table == nil || table.Routing.Version != snapshot.RoutingVersion {
@@ -115,17 +115,17 @@
 	return snapshot, true
 }
 
-// Of returns the routing of that version for peers; false where it is not kept.
-func (follower *Follower) Of(version keyvalue.Version) (readings.RoutingSnapshot, bool) {
+// AtVersion returns the routing of that version for peers; false where it is not kept.
+func (follower *Follower) AtVersion(version keyvalue.Version) (readings.RoutingSnapshot, bool) {
 	return follower.applied.ByVersion(version)
 }
 
-// Failing reports whether the last read of the store failed.
-func (follower *Follower) Failing() bool { return follower.isFailing.Load() }
+// IsFailing reports whether the last read of the store failed.
+func (follower *Follower) IsFailing() bool { return follower.isFailing.Load() }
 
 func (follower *Follower) reportFailure(err error) {
 	if !follower.isFailing.Swap(true) {
-		follower.Log.Warn().Err(err).Int64("routing_age", follower.State.LoggedAge()).Msg("routing_unconfirmed")
+		follower.Log.Warn().Err(err).Int64("routing_age", follower.State.AgeForLog()).Msg("routing_unconfirmed")
 	}
 }
 
@@ -152,9 +152,9 @@
 func (follower *Follower) fetchFromPeer(ctx context.Context, peer readings.Peer) bool {
 	sentAt := follower.State.Now()
 	have, _ := follower.applied.Newest()
-	snapshot, err := follower.Ask(ctx, peer.Address, have)
+	snapshot, err := follower.FetchFromPeer(ctx, peer.Address, have)
 	if err == nil {
-		follower.Eras.Heard(snapshot.Version.Era(), 0, false)
+		follower.Eras.ObservePeer(snapshot.Version.Era(), 0, false)
 		err = follower.apply(snapshot.Version, snapshot.Value, sentAt-snapshot.Age)
 	}
 	if err != nil {
@@ -162,7 +162,7 @@
 		return false
 	}
 	if !peer.InSameDataCentre {
-		follower.Confirmed()
+		follower.OnConfirmed()
 	}
 	return true
 }
@@ -174,12 +174,12 @@
 	known := follower.lastReadVersion
 	follower.mutex.Unlock()
 	sentAt := follower.State.Now()
-	entry, changed, err := follower.Check(ctx, follower.Key, known)
+	entry, changed, err := follower.GetIfChanged(ctx, follower.Key, known)
 	if err != nil {
 		return err
 	}
 	if follower.isFailing.Swap(false) {
-		follower.Log.Info().Int64("routing_age", follower.State.LoggedAge()).Msg("routing_confirmed_again")
+		follower.Log.Info().Int64("routing_age", follower.State.AgeForLog()).Msg("routing_confirmed_again")
 	}
 	switch {
 	case !changed:
@@ -194,7 +194,7 @@
 	case entry.Version.Era() == known.Era():
 		// A change between two reads in one era was written in that era.
 		follower.provenVersion = entry.Version
-	case !follower.Eras.Proves(entry.Version):
+	case !follower.Eras.IsUpToDate(entry.Version):
 		if err := follower.apply(entry.Version, entry.Value, unconfirmed); err != nil {
 			return err
 		}
@@ -206,7 +206,7 @@
 // confirmVersion records that the active routing was the newest at the time sentAt, because the
 // store still had the version read last.
 func (follower *Follower) confirmVersion(version keyvalue.Version, sentAt time.Duration) error {
-	if version != follower.provenVersion && !follower.Eras.Proves(version) {
+	if version != follower.provenVersion && !follower.Eras.IsUpToDate(version) {
 		return errStoreNotSettled
 	}
 	if table := follower.State.Current(); table != nil {
--- a/peridotpath/routing/machine_test.go
+++ b/peridotpath/routing/machine_test.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		for key, revokedAt := range machine.revokedAt {
-			if _, known := state.Current().Holder(key); known && machine.now-revokedAt >= keyLifetime {
+			if _, known := state.Current().KeyHolder(key); known && machine.now-revokedAt >= keyLifetime {
 				random.Fatalf("instance %d uses %s, revoked %s ago", number, key, machine.now-revokedAt)
 			}
 		}
--- a/peridotpath/routing/state.go
+++ b/peridotpath/routing/state.go
@@ -84,9 +84,9 @@
 	return state.Now() - time.Duration(confirmed)
 }
 
-// LoggedAge returns the age for logs in milliseconds: -1 where there is no routing, to
+// AgeForLog returns the age for logs in milliseconds: -1 where there is no routing, to
 // distinguish that from a long age.
-func (state *State) LoggedAge() int64 {
+func (state *State) AgeForLog() int64 {
 	if state.confirmedAt.Load() == 0 {
 		return -1
 	}
--- a/peridotpath/routing/state_test.go
+++ b/peridotpath/routing/state_test.go
@@ -150,7 +150,7 @@
 		Now: func() time.Duration { return time.Hour + time.Since(began) }, KeyLifetime: 4500 * time.Millisecond, Log: zerolog.Nop(),
 	}
 	return &routing.Follower{
-		State: state, Key: "routing", Decode: decode, Check: store.check, Eras: &keyvalue.Eras{}, Ask: noPeer, Confirmed: func() {}, Log: zerolog.Nop(),
+		State: state, Key: "routing", Decode: decode, GetIfChanged: store.check, Eras: &keyvalue.EraTracker{}, FetchFromPeer: noPeer, OnConfirmed: func() {}, Log: zerolog.Nop(),
 		Pace: clock.PollSchedule{MinAge: time.Minute, MinInterval: 60 * time.Millisecond},
 	}, state
 }
@@ -185,7 +185,7 @@
 		is.True(!state.KeysUsable())
 
 		// A confirmation by a peer that reaches the store makes keys usable.
-		follower.HearPeer(peer, 8, state.Now()-100*time.Millisecond)
+		follower.UpdateFromPeer(peer, 8, state.Now()-100*time.Millisecond)
 		is.True(state.KeysUsable())
 		store.set(6, 8, nil)
 		time.Sleep(time.Second)
@@ -202,7 +202,7 @@
 		is := is.New(t)
 		store := &fakeStore{version: 1, routing: 1}
 		follower, state := newFollower(store)
-		follower.Ask = func(context.Context, netip.AddrPort, readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
+		follower.FetchFromPeer = func(context.Context, netip.AddrPort, readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
 			return readings.RoutingSnapshot{Version: 2, RoutingVersion: 2, Value: []byte{2}, Age: 300 * time.Millisecond}, nil
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -210,12 +210,12 @@
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(time.Second)
 		is.Equal(store.called(), 1)
-		follower.HearPeer(peer, 2, state.Now())
+		follower.UpdateFromPeer(peer, 2, state.Now())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(2))
 		is.Equal(store.called(), 1)
 		is.Equal(state.Age(), 400*time.Millisecond) // the peer's age is carried over
-		last, ok := follower.Last()
+		last, ok := follower.Latest()
 		is.True(ok)
 		is.Equal(last, readings.RoutingSnapshot{Version: 2, RoutingVersion: 2, Value: []byte{2}, Age: 400 * time.Millisecond})
 		cancel()
@@ -234,7 +234,7 @@
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(time.Second)
 		store.set(2, 2, nil)
-		follower.HearPeer(peer, 2, state.Now())
+		follower.UpdateFromPeer(peer, 2, state.Now())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(2))
 		cancel()
@@ -253,24 +253,24 @@
 		far := readings.Peer{Address: netip.MustParseAddrPort("10.9.0.1:99")}
 		fetchedFrom := make(chan netip.AddrPort, 10)
 		follower, state := newFollower(store)
-		follower.Ask = func(_ context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
+		follower.FetchFromPeer = func(_ context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
 			fetchedFrom <- peer
 			return readings.RoutingSnapshot{Version: have.Version + 1, Value: []byte{byte(have.Version + 1)}}, nil
 		}
-		follower.Before = func(peridotpath.RoutingVersion) int { return 2 }
+		follower.FetchPosition = func(peridotpath.RoutingVersion) int { return 2 }
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(time.Second)
 
-		follower.HearPeer(far, 2, state.Now())
+		follower.UpdateFromPeer(far, 2, state.Now())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(len(fetchedFrom), 0) // two others are first
-		follower.HearPeer(peer, 2, state.Now())
+		follower.UpdateFromPeer(peer, 2, state.Now())
 		time.Sleep(time.Second)
 		is.Equal(<-fetchedFrom, peer.Address) // one of them has it
 
-		follower.HearPeer(far, 3, state.Now())
+		follower.UpdateFromPeer(far, 3, state.Now())
 		time.Sleep(time.Second)
 		is.Equal(<-fetchedFrom, far.Address) // no nearby peer has it
 		is.Equal(len(fetchedFrom), 0)
@@ -297,7 +297,7 @@
 		store.set(0, 0, nil)
 		time.Sleep(5 * time.Second)
 		is.Equal(state.Version(), peridotpath.RoutingVersion(2))
-		is.True(!follower.Failing())
+		is.True(!follower.IsFailing())
 		cancel()
 		is.True(errors.Is(<-ended, context.Canceled))
 	})
--- a/peridotpath/routing/table.go
+++ b/peridotpath/routing/table.go
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// Holder returns the holder of the key; false for an unknown key.
-func (table *Table) Holder(key peridotpath.APIKey) (peridotpath.KeyHolder, bool) {
+// KeyHolder returns the holder of the key; false for an unknown key.
+func (table *Table) KeyHolder(key peridotpath.APIKey) (peridotpath.KeyHolder, bool) {
 	holder, known := table.Routing.Keys[key]
 	return holder, known
 }
@@ -56,7 +56,7 @@
 	return table.Routing.Keys != nil && !route.Public
 }
 
-// Service returns the specification of the service; zero where there is none.
-func (table *Table) Service(name peridotpath.Service) peridotpath.ServiceSpec {
+// ServiceSpec returns the specification of the service; zero where there is none.
+func (table *Table) ServiceSpec(name peridotpath.Service) peridotpath.ServiceSpec {
 	return table.Routing.Services[name]
 }
--- a/peridotpath/shift/fixture_test.go
+++ b/peridotpath/shift/fixture_test.go
@@ -141,7 +141,7 @@
 
 // kill ends an instance as SIGKILL does: nothing is given back.
 func (instance *instance) kill() {
-	instance.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
+	instance.link.SetFaults(func(string) memory.Fault { return memory.Fault{NotSent: true} })
 	instance.cancel()
 }
 
--- a/peridotpath/telemetry/facts.go
+++ b/peridotpath/telemetry/facts.go
@@ -11,13 +11,13 @@
 	requestsQuarantined = metrics.NewCounter("peridotpath_requests_barred_total")
 )
 
-// EndSeen counts an endpoint that terminated while it ran a request of this instance.
-func EndSeen() { endpointsTerminated.Inc() }
+// CountEndpointTermination counts an endpoint that terminated while it ran a request of this instance.
+func CountEndpointTermination() { endpointsTerminated.Inc() }
 
-// Barred counts a decision to quarantine a request.
-func Barred() { requestsQuarantined.Inc() }
+// CountQuarantine counts a decision to quarantine a request.
+func CountQuarantine() { requestsQuarantined.Inc() }
 
-// FactForgotten counts a fact that was dropped because its kind was at capacity.
-func FactForgotten(kind string) {
+// CountDroppedFact counts a fact that was dropped because its kind was at capacity.
+func CountDroppedFact(kind string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("peridotpath_facts_forgotten_total{kind=%q}", kind)).Inc()
 }
--- a/peridotpath/telemetry/lines.go
+++ b/peridotpath/telemetry/lines.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// Lines writes log lines asynchronously. A slow or blocked reader of the log never blocks a
+// LogWriter writes log lines asynchronously. A slow or blocked reader of the log never blocks a
 // request: lines that do not fit the buffer are dropped and counted. Set Out before the
 // first Write.
-type Lines struct {
+type LogWriter struct {
 	Out io.Writer
 
 	startOnce sync.Once
@@ -20,23 +20,23 @@
 // instance, at most 1 MB.
 const maxQueuedLines = 2048
 
-func (lines *Lines) start() {
-	lines.queue = make(chan []byte, maxQueuedLines)
-	lines.done = make(chan struct{})
+func (logWriter *LogWriter) start() {
+	logWriter.queue = make(chan []byte, maxQueuedLines)
+	logWriter.done = make(chan struct{})
 	go func() {
-		defer close(lines.done)
-		for line := range lines.queue {
+		defer close(logWriter.done)
+		for line := range logWriter.queue {
 			// A failure to write the log cannot be logged.
-			_, _ = lines.Out.Write(line)
+			_, _ = logWriter.Out.Write(line)
 		}
 	}()
 }
 
 // Write queues one line. It never blocks or fails.
-func (lines *Lines) Write(line []byte) (int, error) {
-	lines.startOnce.Do(lines.start)
+func (logWriter *LogWriter) Write(line []byte) (int, error) {
+	logWriter.startOnce.Do(logWriter.start)
 	select {
-	case lines.queue <- append([]byte(nil), line...):
+	case logWriter.queue <- append([]byte(nil), line...):
 	default:
 		logLinesDropped.Inc()
 	}
@@ -44,9 +44,9 @@
 }
 
 // Close waits until all queued lines are written. No Write may follow.
-func (lines *Lines) Close() error {
-	lines.startOnce.Do(lines.start)
-	close(lines.queue)
-	<-lines.done
+func (logWriter *LogWriter) Close() error {
+	logWriter.startOnce.Do(logWriter.start)
+	close(logWriter.queue)
+	<-logWriter.done
 	return nil
 }
--- a/peridotpath/telemetry/lines_test.go
+++ b/peridotpath/telemetry/lines_test.go
@@ -16,7 +16,7 @@
 func TestLinesNeverBlock(t *testing.T) {
 	is := is.New(t)
 	reader, writer := io.Pipe()
-	lines := &telemetry.Lines{Out: writer}
+	lines := &telemetry.LogWriter{Out: writer}
 	for range 10_000 {
 		count, err := lines.Write([]byte("event=x\n"))
 		is.NoErr(err)
@@ -35,7 +35,7 @@
 func TestLinesAreWritten(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
-	lines := &telemetry.Lines{Out: &out}
+	lines := &telemetry.LogWriter{Out: &out}
 	_, _ = lines.Write([]byte("one\n"))
 	_, _ = lines.Write([]byte("two\n"))
 	is.NoErr(lines.Close())
@@ -44,7 +44,7 @@
 
 func TestSampler(t *testing.T) {
 	is := is.New(t)
-	sampler := &telemetry.Sampler{PerSecond: 3}
+	sampler := &telemetry.LogSampler{PerSecond: 3}
 	now := time.Unix(1000, 0)
 	allowed := 0
 	for range 10 {
@@ -58,7 +58,7 @@
 
 // BenchmarkLine measures the cost of the log line of a served request.
 func BenchmarkLine(b *testing.B) {
-	lines := &telemetry.Lines{Out: io.Discard}
+	lines := &telemetry.LogWriter{Out: io.Discard}
 	defer lines.Close()
 	log, err := telemetry.NewLog(lines, "info", "edge-1")
 	if err != nil {
--- a/peridotpath/telemetry/relay.go
+++ b/peridotpath/telemetry/relay.go
@@ -27,29 +27,29 @@
 	}
 }
 
-// Relayed records the time from arrival to end of a request by its kind, including failed
+// RecordRelayTime records the time from arrival to end of a request by its kind, including failed
 // requests.
-func Relayed(kind peridotpath.RequestKind, class peridotpath.LengthClass, span time.Duration) {
+func RecordRelayTime(kind peridotpath.RequestKind, class peridotpath.LengthClass, span time.Duration) {
 	relayTime[kind][class].Update(span.Seconds())
 }
 
-// Predicted records the ratio of the actual to the predicted time to first token.
-func Predicted(class peridotpath.LengthClass, predicted, seen time.Duration) {
+// RecordPredictionRatio records the ratio of the actual to the predicted time to first token.
+func RecordPredictionRatio(class peridotpath.LengthClass, predicted, seen time.Duration) {
 	if predicted > 0 {
 		ttftPredictionRatio[class].Update(seen.Seconds() / predicted.Seconds())
 	}
 }
 
-// TurnWait records how long a long prompt waited in the prefill queue.
-func TurnWait(span time.Duration) { prefillQueueWait.Update(span.Seconds()) }
+// RecordPrefillQueueWait records how long a long prompt waited in the prefill queue.
+func RecordPrefillQueueWait(span time.Duration) { prefillQueueWait.Update(span.Seconds()) }
 
-// Attempt counts a failed attempt that may be retried, by its outcome.
-func Attempt(outcome string) {
+// CountFailedAttempt counts a failed attempt that may be retried, by its outcome.
+func CountFailedAttempt(outcome string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf("peridotpath_attempts_failed_total{outcome=%q}", outcome)).Inc()
 }
 
-// BudgetSpent counts a request that was not retried because the retry budget was exhausted.
-func BudgetSpent() { retryBudgetExhausted.Inc() }
+// CountRetryBudgetExhausted counts a request that was not retried because the retry budget was exhausted.
+func CountRetryBudgetExhausted() { retryBudgetExhausted.Inc() }
 
 var retryBudgetExhausted = metrics.NewCounter("peridotpath_retries_refused_total{reason=\"budget\"}")
 
--- a/peridotpath/telemetry/telemetry.go
+++ b/peridotpath/telemetry/telemetry.go
@@ -19,12 +19,12 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Reason is the reason of a retry.
-type Reason uint8
+// RetryReason is the reason of a retry.
+type RetryReason uint8
 
 // The reasons of retries.
 const (
-	RetryUnreached Reason = iota
+	RetryUnreached RetryReason = iota
 	RetryRefused
 	RetryFailed
 	RetryBadAnswer
@@ -65,40 +65,40 @@
 	metrics.WritePrometheus(writer, true)
 }
 
-// Result counts one request's result.
-func Result(code peridotpath.Code) {
+// CountResult counts one request's result.
+func CountResult(code peridotpath.Code) {
 	if counter := resultsTotal[code]; counter != nil {
 		counter.Inc()
 	}
 }
 
-// Retry counts one retry.
-func Retry(reason Reason) { retriesTotal[reason].Inc() }
+// CountRetry counts one retry.
+func CountRetry(reason RetryReason) { retriesTotal[reason].Inc() }
 
-// FirstToken records the time to first token (TTFT), counted from the request's arrival.
-func FirstToken(class peridotpath.LengthClass, span time.Duration) {
+// RecordTimeToFirstToken records the time to first token (TTFT), counted from the request's arrival.
+func RecordTimeToFirstToken(class peridotpath.LengthClass, span time.Duration) {
 	timeToFirstToken[class].Update(span.Seconds())
 }
 
-// Total records the time from a request's arrival to its end. Failed requests are
+// RecordRequestTime records the time from a request's arrival to its end. Failed requests are
 // included: without them the tail latency would look better during an outage.
-func Total(class peridotpath.LengthClass, span time.Duration) {
+func RecordRequestTime(class peridotpath.LengthClass, span time.Duration) {
 	requestTime[class].Update(span.Seconds())
 }
 
-// Times are quantiles of the time to first token of one length class.
-type Times struct {
+// LatencyQuantiles are quantiles of the time to first token of one length class.
+type LatencyQuantiles struct {
 	Class         peridotpath.LengthClass
 	Count         uint64
 	P50, P95, P99 time.Duration
 }
 
-// FirstTokens returns the quantiles of the time to first token since the start, for each
+// TimeToFirstTokenQuantiles returns the quantiles of the time to first token since the start, for each
 // length class with requests. The bucket width bounds the relative error to one seventh.
-func FirstTokens() []Times {
-	var all []Times
+func TimeToFirstTokenQuantiles() []LatencyQuantiles {
+	var all []LatencyQuantiles
 	for class := range peridotpath.LengthClasses {
-		times := Times{Class: class}
+		times := LatencyQuantiles{Class: class}
 		buckets := nonEmptyBuckets(timeToFirstToken[class])
 		for _, bucket := range buckets {
 			times.Count += bucket.count
@@ -152,8 +152,8 @@
 	Count uint64
 }
 
-// Results returns the non-zero counts of results, sorted by code.
-func Results() []CodeCount {
+// ResultCounts returns the non-zero counts of results, sorted by code.
+func ResultCounts() []CodeCount {
 	var counts []CodeCount
 	for code, counter := range resultsTotal {
 		if count := counter.Get(); count > 0 {
@@ -170,8 +170,8 @@
 	Count  uint64
 }
 
-// Retries returns the non-zero counts of retries by reason.
-func Retries() []ReasonCount {
+// RetryCounts returns the non-zero counts of retries by reason.
+func RetryCounts() []ReasonCount {
 	var counts []ReasonCount
 	for reason, counter := range retriesTotal {
 		if count := counter.Get(); count > 0 {
--- a/peridotpath/telemetry/telemetry_test.go
+++ b/peridotpath/telemetry/telemetry_test.go
@@ -13,9 +13,9 @@
 func TestTimeToFirstTokenQuantiles(t *testing.T) {
 	is := is.New(t)
 	for i := 1; i <= 100; i++ {
-		FirstToken(peridotpath.Medium, time.Duration(i)*time.Millisecond)
+		RecordTimeToFirstToken(peridotpath.Medium, time.Duration(i)*time.Millisecond)
 	}
-	times := FirstTokens()
+	times := TimeToFirstTokenQuantiles()
 	is.Equal(len(times), 1)
 	is.Equal(times[0].Count, uint64(100))
 	for want, have := range map[time.Duration]time.Duration{50: times[0].P50, 95: times[0].P95, 99: times[0].P99} {
