--- a/peridotpath/claim/bucket.go
+++ b/peridotpath/claim/bucket.go
@@ -94,7 +94,7 @@
 	case <-bucket.wake:
 	case <-bucket.wentBack.C():
 		bucket.lost = bucket.lacksRecent()
-		return clock.Sleep(ctx, rand.N(restoreSpread))
+		return clock.SleepContext(ctx, rand.N(restoreSpread))
 	}
 	return ctx.Err() == nil
 }
--- a/peridotpath/clock/poll_schedule.go
+++ b/peridotpath/clock/poll_schedule.go
@@ -130,7 +130,7 @@
 func (schedule *PollSchedule) WaitUntilDue(ctx context.Context, age func() time.Duration) bool {
 	// The age stays high until there is data. Without the gap, all instances that start
 	// together would poll as fast as they receive replies.
-	if !Sleep(ctx, schedule.MinInterval-time.Since(schedule.lastPoll)) {
+	if !SleepContext(ctx, schedule.MinInterval-time.Since(schedule.lastPoll)) {
 		return false
 	}
 	schedule.wokenEarly = false
--- a/peridotpath/cursor/secret.go
+++ b/peridotpath/cursor/secret.go
@@ -31,7 +31,7 @@
 			secret, err = fetchSecret(ctx, store, held)
 		}
 		if err != nil {
-			if !clock.Sleep(ctx, secretRetry) {
+			if !clock.SleepContext(ctx, secretRetry) {
 				return ctx.Err()
 			}
 			continue
@@ -42,7 +42,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-signer.wentBack.C():
-			if !clock.Sleep(ctx, mathrand.N(secretRetry)) {
+			if !clock.SleepContext(ctx, mathrand.N(secretRetry)) {
 				return ctx.Err()
 			}
 		}
--- a/peridotpath/delta/delta.go
+++ b/peridotpath/delta/delta.go
@@ -19,8 +19,8 @@
 	maxWindowBytes = 1 << 24
 )
 
-// Encode encodes value as a delta to base. With an empty base the result stands alone.
-func Encode(value, base []byte) ([]byte, error) {
+// Compute encodes value as a delta to base. With an empty base the result stands alone.
+func Compute(value, base []byte) ([]byte, error) {
 	options := []zstd.EOption{
 		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
 		zstd.WithWindowSize(windowSize(len(value) + len(base))),
@@ -36,9 +36,9 @@
 	return encoder.EncodeAll(value, nil), nil
 }
 
-// Decode decodes a delta to base. A value of more than limit bytes is refused before
+// Apply decodes a delta to base. A value of more than limit bytes is refused before
 // memory for it is allocated.
-func Decode(packed, base []byte, limit int) ([]byte, error) {
+func Apply(packed, base []byte, limit int) ([]byte, error) {
 	options := []zstd.DOption{
 		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(uint64(limit)),
 		zstd.WithDecoderMaxWindow(maxWindowBytes),
--- a/peridotpath/delta/delta_test.go
+++ b/peridotpath/delta/delta_test.go
@@ -33,9 +33,9 @@
 func roundTrip(t *testing.T, value, base []byte) int {
 	t.Helper()
 	is := is.New(t)
-	packed, err := delta.Encode(value, base)
+	packed, err := delta.Compute(value, base)
 	is.NoErr(err)
-	unpacked, err := delta.Decode(packed, base, maxValueBytes)
+	unpacked, err := delta.Apply(packed, base, maxValueBytes)
 	is.NoErr(err)
 	is.True(bytes.Equal(unpacked, value))
 	return len(packed)
@@ -62,22 +62,22 @@
 func TestWrongBaseFails(t *testing.T) {
 	is := is.New(t)
 	before, after := document(200), document(200, 3)
-	packed, err := delta.Encode(after, before)
+	packed, err := delta.Compute(after, before)
 	is.NoErr(err)
-	value, err := delta.Decode(packed, document(200, 7, 9), maxValueBytes)
+	value, err := delta.Apply(packed, document(200, 7, 9), maxValueBytes)
 	is.True(err != nil || !bytes.Equal(value, after))
 	is.True(err != nil) // the checksum differs
-	_, err = delta.Decode(packed, nil, maxValueBytes)
+	_, err = delta.Apply(packed, nil, maxValueBytes)
 	is.True(err != nil)
-	_, err = delta.Decode([]byte("no zstd"), nil, maxValueBytes)
+	_, err = delta.Apply([]byte("no zstd"), nil, maxValueBytes)
 	is.True(err != nil)
 }
 
 // A short input that decodes to more than the limit (a decompression bomb) is refused.
 func TestValueAboveLimitIsRefused(t *testing.T) {
 	is := is.New(t)
-	packed, err := delta.Encode(make([]byte, 2*maxValueBytes), nil)
+	packed, err := delta.Compute(make([]byte, 2*maxValueBytes), nil)
 	is.NoErr(err)
-	_, err = delta.Decode(packed, nil, maxValueBytes)
+	_, err = delta.Apply(packed, nil, maxValueBytes)
 	is.True(err != nil)
 }
--- a/peridotpath/dispatch/relay.go
+++ b/peridotpath/dispatch/relay.go
@@ -206,7 +206,7 @@
 func (stream *stream) resume(ctx context.Context, delays []time.Duration) (*engine.Answer, error) {
 	err := engine.ErrGone.New("the endpoint named no stream")
 	for _, delay := range delays {
-		if stream.id == "" || !clock.Sleep(ctx, delay) {
+		if stream.id == "" || !clock.SleepContext(ctx, delay) {
 			return nil, err
 		}
 		var answer *engine.Answer
--- a/peridotpath/engine/control.go
+++ b/peridotpath/engine/control.go
@@ -109,7 +109,7 @@
 		if err != nil || !state.Loading {
 			return err
 		}
-		if !clock.Sleep(ctx, orderPoll) {
+		if !clock.SleepContext(ctx, orderPoll) {
 			// The order stands; that the engine still loads shows in its state.
 			return nil
 		}
--- a/peridotpath/fleet/poller.go
+++ b/peridotpath/fleet/poller.go
@@ -72,7 +72,7 @@
 	for {
 		owned := poller.round(ctx, &group)
 		// The random part keeps instances that started together apart.
-		if !clock.Sleep(ctx, clock.Jitter(poller.interval(owned), poller.Random())) {
+		if !clock.SleepContext(ctx, clock.Jitter(poller.interval(owned), poller.Random())) {
 			return ctx.Err()
 		}
 	}
--- a/peridotpath/gossip/gossip.go
+++ b/peridotpath/gossip/gossip.go
@@ -296,7 +296,7 @@
 		length, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
 			// Unreachable peers cause such errors, and closing the socket causes one. Missed digests are superseded by later ones.
-			clock.Sleep(ctx, receiveErrorPause)
+			clock.SleepContext(ctx, receiveErrorPause)
 			continue
 		}
 		digest := &wire.Digest{}
--- a/peridotpath/gossip/registry.go
+++ b/peridotpath/gossip/registry.go
@@ -143,7 +143,7 @@
 // would find no peers and fetch everything from the store by itself.
 func (registry *Registry) registerAndGather(ctx context.Context) time.Duration {
 	err := registry.renewOrRegister(ctx)
-	if err == nil && clock.Sleep(ctx, gatherDelay) {
+	if err == nil && clock.SleepContext(ctx, gatherDelay) {
 		err = registry.refreshPeers(ctx, registry.Store.List)
 	}
 	return registry.finishRound(ctx, err)
@@ -178,14 +178,14 @@
 			return true
 		case <-registry.reregisterRequested.C():
 			spread := max(minReregisterSpread, time.Duration(registry.listedCount)*reregisterSpreadPerInstance)
-			return clock.Sleep(ctx, rand.N(spread))
+			return clock.SleepContext(ctx, rand.N(spread))
 		case <-registry.listRequested.C():
 		}
 		if registry.lease.IsUnset() || time.Since(registry.listedAt) < renewalInterval {
 			// The next round lists them, or they were listed a moment ago.
 			continue
 		}
-		if !clock.Sleep(ctx, rand.N(requestedListJitter)) {
+		if !clock.SleepContext(ctx, rand.N(requestedListJitter)) {
 			return false
 		}
 		registry.recordOutcome(ctx, registry.refreshPeers(ctx, registry.Store.List))
--- a/peridotpath/instance/pause.go
+++ b/peridotpath/instance/pause.go
@@ -28,7 +28,7 @@
 // Run detects pauses until ctx ends.
 func (detector *pauseDetector) Run(ctx context.Context) error {
 	last := detector.Now()
-	for clock.Sleep(ctx, pauseCheckInterval) {
+	for clock.SleepContext(ctx, pauseCheckInterval) {
 		now := detector.Now()
 		if paused := now - last - pauseCheckInterval; paused >= minLoggedPause {
 			detector.Log.Warn().Dur("span", paused).Msg("paused")
--- a/peridotpath/instance/startup.go
+++ b/peridotpath/instance/startup.go
@@ -39,7 +39,7 @@
 func (startup *startup) Run(ctx context.Context) error {
 	startedAt := time.Now()
 	pending := func() bool {
-		return !startup.StoreFailing() && time.Since(startedAt) < maxStartupTime && clock.Sleep(ctx, startupPollInterval)
+		return !startup.StoreFailing() && time.Since(startedAt) < maxStartupTime && clock.SleepContext(ctx, startupPollInterval)
 	}
 	for !startup.HasRouting() && pending() {
 	}
--- a/peridotpath/keyvalue/memory/link.go
+++ b/peridotpath/keyvalue/memory/link.go
@@ -110,12 +110,12 @@
 		}
 		return zero, keyvalue.ErrUnavailable.New("fault: no reply")
 	}
-	if !clock.Sleep(ctx, fate.RequestDelay) {
+	if !clock.SleepContext(ctx, fate.RequestDelay) {
 		return zero, keyvalue.ErrUnavailable.Wrap(ctx.Err())
 	}
 	result, err := call(ctx)
 	era := link.era()
-	if !clock.Sleep(ctx, fate.ReplyDelay) || fate.ReplyLost {
+	if !clock.SleepContext(ctx, fate.ReplyDelay) || fate.ReplyLost {
 		return zero, keyvalue.ErrUnavailable.New("fault: reply lost")
 	}
 	if link.Eras != nil {
--- a/peridotpath/lease/lease.go
+++ b/peridotpath/lease/lease.go
@@ -155,7 +155,7 @@
 		case err != nil:
 			holder.count("lease_errors_total")
 			holder.Logger.Warn().Str("event", "lease_not_won").Str("key", holder.Key).Err(err).Send()
-			clock.Sleep(ctx, holder.retryDelay())
+			clock.SleepContext(ctx, holder.retryDelay())
 		case tenure != nil:
 			holder.keepRenewed(ctx, tenure)
 		}
@@ -274,7 +274,7 @@
 	holder.Logger.Info().Str("event", "lease_won").Str("key", holder.Key).Uint64("fencing", uint64(tenure.fencing)).Send()
 	defer holder.tenure.Store(nil)
 	wait := holder.Settings.TTLMS.Duration() / 3
-	for clock.Sleep(ctx, wait) {
+	for clock.SleepContext(ctx, wait) {
 		renewed, err := holder.renew(ctx, tenure)
 		switch {
 		case err == nil:
--- a/peridotpath/order/fixture_test.go
+++ b/peridotpath/order/fixture_test.go
@@ -74,7 +74,7 @@
 		defer store.mu.Unlock()
 		store.now--
 	}()
-	if !clock.Sleep(ctx, store.load) {
+	if !clock.SleepContext(ctx, store.load) {
 		return ctx.Err()
 	}
 	return nil
@@ -165,7 +165,7 @@
 		Desired: site.book.Get, Held: process.holder.Held,
 		Endpoints: func() []peridotpath.Endpoint { return site.list },
 		Read: func(ctx context.Context, endpoint peridotpath.Endpoint) (order.State, error) {
-			clock.Sleep(background, time.Until(time.Unix(0, process.thawReads.Load())))
+			clock.SleepContext(background, time.Until(time.Unix(0, process.thawReads.Load())))
 			if site.hanging[endpoint.ID] {
 				<-ctx.Done()
 				return order.State{}, ctx.Err()
--- a/peridotpath/peer/relay.go
+++ b/peridotpath/peer/relay.go
@@ -71,7 +71,7 @@
 	if !same {
 		return 0
 	}
-	clock.Sleep(ctx, refusedPause)
+	clock.SleepContext(ctx, refusedPause)
 	return refusedPause
 }
 
--- a/peridotpath/readings/readings.go
+++ b/peridotpath/readings/readings.go
@@ -106,7 +106,7 @@
 	if response.Since != 0 {
 		base = have.Value
 	}
-	value, err := delta.Decode(response.Packed, base, maxRoutingBytes)
+	value, err := delta.Apply(response.Packed, base, maxRoutingBytes)
 	if err != nil {
 		return RoutingSnapshot{}, err
 	}
--- a/peridotpath/readings/routing.go
+++ b/peridotpath/readings/routing.go
@@ -68,7 +68,7 @@
 	if cached, ok := packed.byBase[base.Version]; ok {
 		return cached, nil
 	}
-	difference, err := delta.Encode(snapshot.Value, base.Value)
+	difference, err := delta.Compute(snapshot.Value, base.Value)
 	if err == nil {
 		packed.byBase[base.Version] = difference
 	}
--- a/peridotpath/relay/liveness.go
+++ b/peridotpath/relay/liveness.go
@@ -52,7 +52,7 @@
 
 func (probe *livenessProbe) run(ctx context.Context, check Checker, endpoint *peridotpath.Endpoint, cancel context.CancelCauseFunc) {
 	failed := 0
-	for clock.Sleep(ctx, probeInterval) {
+	for clock.SleepContext(ctx, probeInterval) {
 		if probe.eventSeen.Swap(false) {
 			failed = 0
 			continue
--- a/peridotpath/relay/prefill_queue.go
+++ b/peridotpath/relay/prefill_queue.go
@@ -94,7 +94,7 @@
 			blocked = !found || plan.PrefillDelay <= dispatchLead
 		}
 		tracker.UpdateQueued(entry, missesTarget, blocked)
-		if !clock.Sleep(ctx, pollInterval) {
+		if !clock.SleepContext(ctx, pollInterval) {
 			return exchange.contextResult(ctx)
 		}
 	}
--- a/peridotpath/relay/quarantine.go
+++ b/peridotpath/relay/quarantine.go
@@ -49,7 +49,7 @@
 		case now.Sub(exchange.trialWaitSince) > maxTrialWait:
 			return nil
 		}
-		if !clock.Sleep(ctx, trialPollInterval) {
+		if !clock.SleepContext(ctx, trialPollInterval) {
 			return exchange.contextResult(ctx)
 		}
 	}
--- a/peridotpath/routing/fleet_test.go
+++ b/peridotpath/routing/fleet_test.go
@@ -195,7 +195,7 @@
 	if length, known := fleet.encodedLengths[key]; known {
 		return length, nil
 	}
-	packed, err := delta.Encode(snapshot.Value, base.Value)
+	packed, err := delta.Compute(snapshot.Value, base.Value)
 	fleet.encodedLengths[key] = len(packed)
 	return len(packed), err
 }
@@ -207,7 +207,7 @@
 	for i, follower := range fleet.followers {
 		all.Go(func() { _ = follower.Run(ctx) })
 		all.Go(func() {
-			for clock.Sleep(ctx, digestInterval) {
+			for clock.SleepContext(ctx, digestInterval) {
 				fleet.sendDigest(i, dataCentres)
 			}
 		})
--- a/peridotpath/sweep/sweep.go
+++ b/peridotpath/sweep/sweep.go
@@ -78,7 +78,7 @@
 	for {
 		interval := sweeper.interval(sweeper.sweep(ctx))
 		// The random part keeps two that take themselves for the owner apart.
-		if !clock.Sleep(ctx, clock.Jitter(interval, random())) {
+		if !clock.SleepContext(ctx, clock.Jitter(interval, random())) {
 			return ctx.Err()
 		}
 	}
