--- a/peridotd/daemon.go
+++ b/peridotd/daemon.go
@@ -29,46 +29,46 @@
 )
 
 const (
-	// resumeWindow is how long a stream without a reader is kept for its caller.
+	// resumeWindow is how long a disconnected stream is kept for its caller to resume.
 	resumeWindow = 10 * time.Second
-	// bodyTimeout bounds the time between two pieces of a caller's body.
+	// bodyTimeout bounds the time between two reads of a request body.
 	bodyTimeout = 10 * time.Second
 )
 
-// daemon is one instance: its parts, joined.
+// daemon holds the components of an instance.
 type daemon struct {
-	settings    *settings.Settings
-	incarnation peridotpath.Incarnation
-	log         zerolog.Logger
-	keyValue    *keyvalue.Store
-	config      *config.Store
-	fleet       *fleetSide
-	engines     *engine.Client
-	scheduler   *decide.Scheduler
-	dispatcher  *dispatch.Dispatcher
-	claims      *claim.Ledger
-	shifts      *shiftSide
-	signer      *cursor.Signer
-	callers     *caller.Server
-	callerSide  *inbound.Listener
-	peerSide    *inbound.Listener
+	settings       *settings.Settings
+	incarnation    peridotpath.Incarnation
+	log            zerolog.Logger
+	keyValue       *keyvalue.Store
+	config         *config.Store
+	fleet          *fleetTracker
+	engines        *engine.Client
+	scheduler      *decide.Scheduler
+	dispatcher     *dispatch.Dispatcher
+	claims         *claim.Ledger
+	groups         *groupController
+	signer         *cursor.Signer
+	callers        *caller.Server
+	callerListener *inbound.Listener
+	peerListener   *inbound.Listener
 }
 
-// newDaemon joins the parts; nothing runs yet.
+// newDaemon creates and connects the components without starting them.
 func newDaemon(settings *settings.Settings) (*daemon, error) {
 	log, err := telemetry.NewLog(os.Stdout, settings.LogLevel, settings.InstanceID)
 	if err != nil {
 		return nil, err
 	}
-	// A later run has a higher number as long as the clock does not step back
-	// by more than the instance was gone; the number only tells runs apart.
+	// A later run has a higher number unless the clock is set back by more than the
+	// downtime. The number only distinguishes runs.
 	incarnation := peridotpath.Incarnation(time.Now().UnixNano())
 	daemon := &daemon{settings: settings, log: log, incarnation: incarnation, signer: &cursor.Signer{}}
-	daemon.keyValue = keyvalue.Connect(settings.KeyValueAddress, &keyvalue.Eras{Now: clock.SinceBoot, Log: daemon.log, Risen: daemon.wentBack})
+	daemon.keyValue = keyvalue.Connect(settings.KeyValueAddress, &keyvalue.Eras{Now: clock.SinceBoot, Log: daemon.log, Risen: daemon.onStoreRestored})
 	daemon.config = &config.Store{KeyValue: daemon.keyValue, Log: log}
 	daemon.engines = &engine.Client{Instance: settings.InstanceID, Incarnation: incarnation}
 	daemon.scheduler = &decide.Scheduler{Seed: uint64(incarnation)}
-	daemon.fleet = joinFleet(daemon)
+	daemon.fleet = newFleetTracker(daemon)
 	daemon.dispatcher = &dispatch.Dispatcher{
 		Scheduler: daemon.scheduler, Log: log, ResumeWindow: resumeWindow,
 		Send: daemon.engines.Send, Resume: daemon.engines.Resume, Cancel: daemon.engines.Cancel,
@@ -76,36 +76,36 @@
 	}
 	daemon.claims = &claim.Ledger{
 		Store: daemon.keyValue, Instance: settings.InstanceID, Incarnation: incarnation,
-		Alive: daemon.fleet.alive, Logger: log,
+		Alive: daemon.fleet.mayBeAlive, Logger: log,
 	}
-	daemon.shifts = joinShifts(daemon)
-	daemon.joinCallers()
-	daemon.joinPeers()
+	daemon.groups = newGroupController(daemon)
+	daemon.initCallers()
+	daemon.initPeers()
 	return daemon, nil
 }
 
-func (daemon *daemon) joinCallers() {
+func (daemon *daemon) initCallers() {
 	limits := daemon.settings.Limits
 	daemon.callers = &caller.Server{
 		Log: daemon.log, Config: daemon.currentConfig, Ready: daemon.ready,
 		Do: daemon.dispatcher.Do, Continue: daemon.dispatcher.Continue, DoPlain: daemon.dispatcher.DoPlain,
-		Endpoint: daemon.fleet.follower.Endpoint, EngineHolds: daemon.fleet.engineHolds, IsPlain: daemon.fleet.isPlain,
-		Oversize: daemon.shifts.counter.Note, Signer: daemon.signer, Claims: daemon.claims,
+		Endpoint: daemon.fleet.follower.Endpoint, EngineHolds: daemon.fleet.largestEngineKV, IsPlain: daemon.fleet.hasOnlyPlainEndpoints,
+		Oversize: daemon.groups.counter.Note, Signer: daemon.signer, Claims: daemon.claims,
 		MaxActive: limits.MaxConnections, MaxHeaderBytes: limits.MaxHeaderBytes,
 		Bodies: caller.NewBodies(limits.MaxBodyBytes, limits.BodyMemoryBytes, bodyTimeout),
 	}
-	daemon.callerSide = &inbound.Listener{
+	daemon.callerListener = &inbound.Listener{
 		Name: "callers", Address: daemon.settings.CallerAddress,
 		Routes: daemon.callers.Routes(), Prefix: caller.ServicePrefix, PrefixHandler: daemon.callers.Services(),
 		NotFound: daemon.callers.NotFound(), MaxHeaderBytes: int(limits.MaxHeaderBytes),
 	}
-	daemon.callerSide.Open()
+	daemon.callerListener.Open()
 }
 
-// joinPeers makes the side that other instances and operators reach.
-func (daemon *daemon) joinPeers() {
-	operators := (&operatorSide{daemon: daemon}).server()
-	daemon.peerSide = &inbound.Listener{
+// initPeers creates the listener for other instances and operators.
+func (daemon *daemon) initPeers() {
+	operators := (&operatorBackend{daemon: daemon}).server()
+	daemon.peerListener = &inbound.Listener{
 		Name: "peers", Address: daemon.settings.PeerAddress,
 		MaxHeaderBytes: int(daemon.settings.Limits.MaxHeaderBytes),
 		Routes: []rest.Route{
@@ -114,12 +114,12 @@
 			{Method: http.MethodPost, Path: peer.PathPrefix + ":method", Handler: daemon.fleet.service.Handler().ServeHTTP},
 		},
 	}
-	daemon.peerSide.Open()
+	daemon.peerListener.Open()
 }
 
-// ready reports whether the instance knows enough to serve new callers: by a
-// recent configuration and at least one reading of the membership list. Without
-// the second it refused its first callers with no_endpoint.
+// ready reports whether the instance can serve new callers: it needs a recent
+// configuration and a membership list. Without the list it refused its first callers
+// with no_endpoint.
 func (daemon *daemon) ready() bool {
 	return daemon.config.Ready() && daemon.fleet.follower.Current() != nil
 }
@@ -131,8 +131,8 @@
 	return nil
 }
 
-// drained reports whether operators took the endpoint out of placement.
-func (daemon *daemon) drained(id peridotpath.EndpointID) bool {
+// isDrained reports whether operators have excluded the endpoint from placement.
+func (daemon *daemon) isDrained(id peridotpath.EndpointID) bool {
 	snapshot := daemon.config.Current()
 	if snapshot == nil {
 		return false
@@ -147,7 +147,7 @@
 	run  func(ctx context.Context) error
 }
 
-// tasks lists everything that runs beside the listeners.
+// tasks returns all background tasks.
 func (daemon *daemon) tasks() []task {
 	fleet := daemon.fleet
 	return []task{
@@ -159,23 +159,24 @@
 		{"sweep", fleet.sweeper.Run},
 		{"dispatch", daemon.dispatcher.Run},
 		{"claims", daemon.claims.Run},
-		{"demand", daemon.shifts.counter.Run},
-		{"shifts", daemon.shifts.run},
-		{"cursor_secret", daemon.shareSecret},
+		{"demand", daemon.groups.counter.Run},
+		{"shifts", daemon.groups.run},
+		{"cursor_secret", daemon.runCursorSigner},
 	}
 }
 
-// wentBack begins what follows when the key-value service came back from an older copy.
-func (daemon *daemon) wentBack(_, _ keyvalue.Era) {
+// onStoreRestored notifies the components that the key-value service was restored from an older
+// copy.
+func (daemon *daemon) onStoreRestored(_, _ keyvalue.Era) {
 	daemon.signer.WentBack()
 	daemon.claims.WentBack()
 }
 
-func (daemon *daemon) shareSecret(ctx context.Context) error {
+func (daemon *daemon) runCursorSigner(ctx context.Context) error {
 	return daemon.signer.Run(ctx, daemon.keyValue)
 }
 
-// run serves until a signal comes on stop and everything is finished.
+// run serves until a signal on stop, then stops gracefully.
 func (daemon *daemon) run(stop <-chan os.Signal) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -183,11 +184,11 @@
 	ended := make(chan string, len(tasks))
 	for _, task := range tasks {
 		go func() {
-			daemon.watch(ctx, task)
+			daemon.runTask(ctx, task)
 			ended <- task.name
 		}()
 	}
-	listeners := []*inbound.Listener{daemon.callerSide, daemon.peerSide}
+	listeners := []*inbound.Listener{daemon.callerListener, daemon.peerListener}
 	failed := make(chan error, len(listeners))
 	for _, listener := range listeners {
 		go func() { failed <- listener.Run() }()
@@ -212,21 +213,21 @@
 	return err
 }
 
-// watch runs a task and logs an end that nobody asked for.
-func (daemon *daemon) watch(ctx context.Context, task task) {
+// runTask runs a task and logs an error if it ends before the daemon stops.
+func (daemon *daemon) runTask(ctx context.Context, task task) {
 	err := task.run(ctx)
 	if ctx.Err() == nil && !daemon.callers.Stopping() {
 		daemon.log.Error().Str("task", task.name).Err(err).Msg("task_ended")
 	}
 }
 
-// stop is the planned stop.
+// stop stops the instance gracefully.
 func (daemon *daemon) stop(ctx context.Context) error {
 	daemon.log.Info().Int64("active", daemon.callers.Active()).Msg("stopping")
-	stop := &plannedStop{
+	stop := &gracefulStop{
 		Notice: daemon.settings.Drain.BalancerNoticeMS.Duration(), Handover: daemon.settings.Drain.HandoverMS.Duration(),
-		TurnNotReady: daemon.callers.Stop, Active: daemon.callers.Active, CloseCallers: daemon.callerSide.Close,
-		CloseClaims: daemon.claims.Close, ClosePeers: daemon.peerSide.Close,
+		TurnNotReady: daemon.callers.Stop, Active: daemon.callers.Active, CloseCallers: daemon.callerListener.Close,
+		CloseClaims: daemon.claims.Close, ClosePeers: daemon.peerListener.Close,
 	}
 	return stop.run(ctx)
 }
--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -18,14 +18,14 @@
 	"peridotpath.example/peridotpath/sweep"
 )
 
-// membershipInterval is how often the membership list is read. Drains and
-// refusals reach an instance faster by other ways; the list names new members,
-// and reading it each second would cost more than half of what control may.
+// membershipInterval is how often the membership list is fetched. Only new members depend
+// on it, since drains and refusals arrive faster by other channels. Fetching the list each
+// second would take more than half of the budget for control traffic.
 const membershipInterval = 3 * time.Second
 
-// fleetSide is what this instance knows of endpoints and of other instances,
-// and how it learns it.
-type fleetSide struct {
+// fleetTracker tracks the endpoints and the other instances: by the membership list, by the
+// load reports of engines and by digests that peers exchange.
+type fleetTracker struct {
 	settings    *settings.Settings
 	incarnation peridotpath.Incarnation
 	scheduler   *decide.Scheduler
@@ -34,141 +34,146 @@
 	owners    *ownership.Owners
 	view      *fleet.View
 	poller    *fleet.Poller
-	book      *digest.Book
+	digests   *digest.Book
 	exchanger *peer.Exchanger
 	relay     *peer.Relay
 	service   *peer.Service
 	limiter   *share.Limiter
 	sweeper   *sweep.Sweeper
-	largest   atomic.Pointer[map[peridotpath.Service]peridotpath.Tokens]
+	largestKV atomic.Pointer[map[peridotpath.Service]peridotpath.Tokens]
 }
 
-// joinFleet joins the parts that know the fleet to the daemon's other parts.
-func joinFleet(daemon *daemon) *fleetSide {
-	side := &fleetSide{settings: daemon.settings, incarnation: daemon.incarnation, scheduler: daemon.scheduler}
-	side.joinMembers(daemon)
-	side.joinReports(daemon)
-	side.joinInstances(daemon)
-	return side
+// newFleetTracker creates the fleet tracking and connects it to the daemon's other components.
+func newFleetTracker(daemon *daemon) *fleetTracker {
+	tracker := &fleetTracker{settings: daemon.settings, incarnation: daemon.incarnation, scheduler: daemon.scheduler}
+	tracker.initMembership(daemon)
+	tracker.initLoadReports(daemon)
+	tracker.initPeerExchange(daemon)
+	return tracker
 }
 
-func (side *fleetSide) joinMembers(daemon *daemon) {
-	side.owners = &ownership.Owners{Scope: ownership.Scope{
+func (tracker *fleetTracker) initMembership(daemon *daemon) {
+	tracker.owners = &ownership.Owners{Scope: ownership.Scope{
 		Self: daemon.settings.InstanceID, DataCentre: daemon.settings.DataCentre,
 		Readers: daemon.settings.ConfigReaders,
 	}}
-	side.follower = &membership.Follower{
+	tracker.follower = &membership.Follower{
 		Fetch: func(ctx context.Context) (*membership.List, error) {
 			return membership.Fetch(ctx, daemon.settings.MembershipAddress)
 		},
-		Interval: membershipInterval, Log: daemon.log, Changed: side.membersChanged,
+		Interval: membershipInterval, Log: daemon.log, Changed: tracker.onMembersChanged,
 	}
-	side.view = &fleet.View{
+	tracker.view = &fleet.View{
 		Log: daemon.log, Publish: daemon.scheduler.SetEndpoints, Load: daemon.scheduler.Report,
-		Drained: daemon.drained,
+		Drained: daemon.isDrained,
 	}
 }
 
-func (side *fleetSide) joinReports(daemon *daemon) {
-	side.book = &digest.Book{Epoch: uint64(daemon.incarnation)}
-	side.poller = &fleet.Poller{View: side.view, Book: side.book, Load: daemon.engines.Load, Owns: side.owns}
-	side.sweeper = &sweep.Sweeper{
-		Log: daemon.log, Engines: side.view.Engines, Owns: side.owns,
+func (tracker *fleetTracker) initLoadReports(daemon *daemon) {
+	tracker.digests = &digest.Book{Epoch: uint64(daemon.incarnation)}
+	tracker.poller = &fleet.Poller{View: tracker.view, Book: tracker.digests, Load: daemon.engines.Load, Owns: tracker.ownsEndpoint}
+	tracker.sweeper = &sweep.Sweeper{
+		Log: daemon.log, Engines: tracker.view.Engines, Owns: tracker.ownsEndpoint,
 		Streams: daemon.engines.Streams, Cancel: daemon.engines.Cancel, ResumeWindow: resumeWindow,
 	}
 }
 
-func (side *fleetSide) joinInstances(daemon *daemon) {
+func (tracker *fleetTracker) initPeerExchange(daemon *daemon) {
 	client := &peer.Client{}
-	side.exchanger = &peer.Exchanger{
-		Self: daemon.settings.InstanceID, Book: side.book, Log: daemon.log,
-		Peers: side.peers, Call: client.Exchange, Report: side.view.Report,
+	tracker.exchanger = &peer.Exchanger{
+		Self: daemon.settings.InstanceID, Book: tracker.digests, Log: daemon.log,
+		Peers: tracker.peers, Call: client.Exchange, Report: tracker.view.Report,
 	}
-	side.relay = &peer.Relay{Readers: side.readers, Others: side.peers, Changes: client.Changes}
-	side.service = &peer.Service{Exchanger: side.exchanger, Changes: daemon.config.Changes}
-	daemon.config.Peers = side.relay.Peers
-	daemon.config.IsReader = side.isReader
-	daemon.config.Publish = func(*config.Snapshot) { side.view.Refresh(time.Now()) }
-	side.limiter = &share.Limiter{
-		Peers: side.exchanger.Remotes, Publish: side.book.PutCustomer, Keep: side.book.KeepCustomers,
+	tracker.relay = &peer.Relay{Readers: tracker.readers, Others: tracker.peers, Changes: client.Changes}
+	tracker.service = &peer.Service{Exchanger: tracker.exchanger, Changes: daemon.config.Changes}
+	daemon.config.Peers = tracker.relay.Peers
+	daemon.config.IsReader = tracker.isReader
+	daemon.config.Publish = func(*config.Snapshot) { tracker.view.Refresh(time.Now()) }
+	tracker.limiter = &share.Limiter{
+		Peers: tracker.exchanger.Remotes, Publish: tracker.digests.PutCustomer, Keep: tracker.digests.KeepCustomers,
 	}
-	daemon.scheduler.Allow = side.limiter.Allow
+	daemon.scheduler.Allow = tracker.limiter.Allow
 }
 
-func (side *fleetSide) membersChanged(list *membership.List) {
-	side.owners.Set(list.Instances, list.Endpoints)
-	side.scheduler.SetInstances(side.owners.Current().Live())
-	largest := largestEngines(list.Endpoints)
-	side.largest.Store(&largest)
-	side.view.SetMembers(time.Now(), list.Endpoints)
+func (tracker *fleetTracker) onMembersChanged(list *membership.List) {
+	tracker.owners.Set(list.Instances, list.Endpoints)
+	tracker.scheduler.SetInstances(tracker.owners.Current().Live())
+	largest := largestKVByService(list.Endpoints)
+	tracker.largestKV.Store(&largest)
+	tracker.view.SetMembers(time.Now(), list.Endpoints)
 }
 
-func (side *fleetSide) owns(id peridotpath.EndpointID) bool { return side.owners.Current().Owns(id) }
+func (tracker *fleetTracker) ownsEndpoint(id peridotpath.EndpointID) bool {
+	return tracker.owners.Current().Owns(id)
+}
 
-// isReader reports whether this instance watches the platform. One that is on
-// no list, or has read none yet, watches: there is nobody to follow.
-func (side *fleetSide) isReader() bool {
-	table := side.owners.Current()
+// isReader reports whether this instance reads the configuration from the platform, as
+// opposed to following a peer. Without a list of live instances there is no peer to
+// follow.
+func (tracker *fleetTracker) isReader() bool {
+	table := tracker.owners.Current()
 	return table.Live() == 0 || table.IsReader()
 }
 
-// peers returns the other live instances of this one's domain: all data centres
-// while the instances are few, its own beyond that.
-func (side *fleetSide) peers() []peridotpath.Instance { return side.owners.Current().Others() }
+// peers returns the other live instances in this instance's gossip domain: all data
+// centres if there are few instances, else its own data centre.
+func (tracker *fleetTracker) peers() []peridotpath.Instance { return tracker.owners.Current().Others() }
 
-func (side *fleetSide) readers() []peridotpath.Instance { return side.owners.Current().OtherReaders() }
+func (tracker *fleetTracker) readers() []peridotpath.Instance {
+	return tracker.owners.Current().OtherReaders()
+}
 
-// alive reports whether that run of that instance may still be at work.
-func (side *fleetSide) alive(id peridotpath.InstanceID, incarnation peridotpath.Incarnation) bool {
-	if id == side.settings.InstanceID {
-		return incarnation == side.incarnation
+// mayBeAlive reports whether that run of the instance may still be executing requests.
+func (tracker *fleetTracker) mayBeAlive(id peridotpath.InstanceID, incarnation peridotpath.Incarnation) bool {
+	if id == tracker.settings.InstanceID {
+		return incarnation == tracker.incarnation
 	}
-	list := side.follower.Current()
+	list := tracker.follower.Current()
 	if list == nil {
 		return true
 	}
 	for _, instance := range list.Instances {
 		if instance.ID == id {
-			return mayRun(incarnation, instance.Incarnation, peridotpath.Incarnation(side.exchanger.Epoch(id)))
+			return mayStillRun(incarnation, instance.Incarnation, peridotpath.Incarnation(tracker.exchanger.Epoch(id)))
 		}
 	}
 	return false
 }
 
-// mayRun reports whether a run of a listed instance may still be at work, given
-// the run that the list names and the one that was heard last, zero where
-// unknown.
+// mayStillRun reports whether the claimed run of a listed instance may still be executing
+// requests, given the run on the list and the run last received from the instance. Zero
+// means unknown.
 //
-// An instance that was killed is often replaced under its old id, and the list
-// may not tell runs apart. A caller who repeats a key of the killed run would be
-// told "running" for a day. A later run that is heard proves the earlier one
-// dead; the claim ledger waits out what may still be on its way.
-func mayRun(claimed, listed, heard peridotpath.Incarnation) bool {
-	return claimed >= heard && (listed == 0 || claimed >= listed)
+// An instance that was killed is often replaced under its old id, and the list may not
+// distinguish runs: a caller that retries an idempotency key of the killed run would get
+// "running" for a day. A later run received from it proves that the earlier one is dead;
+// the claim ledger waits for the dead run's messages that may still be in transit.
+func mayStillRun(claimed, listed, gossiped peridotpath.Incarnation) bool {
+	return claimed >= gossiped && (listed == 0 || claimed >= listed)
 }
 
-// engineHolds returns the KV memory of the service's largest engine. It is on
-// the path of each prompt and takes no lock.
-func (side *fleetSide) engineHolds(service peridotpath.Service) peridotpath.Tokens {
-	largest := side.largest.Load()
+// largestEngineKV returns the KV memory of the service's largest engine. It takes no lock,
+// since it is called for each prompt.
+func (tracker *fleetTracker) largestEngineKV(service peridotpath.Service) peridotpath.Tokens {
+	largest := tracker.largestKV.Load()
 	if largest == nil {
 		return 0
 	}
 	return (*largest)[service]
 }
 
-// isPlain reports whether the service has endpoints and none is an engine.
-func (side *fleetSide) isPlain(service peridotpath.Service) bool {
-	largest := side.largest.Load()
+// hasOnlyPlainEndpoints reports whether the service has endpoints and none of them is an engine.
+func (tracker *fleetTracker) hasOnlyPlainEndpoints(service peridotpath.Service) bool {
+	largest := tracker.largestKV.Load()
 	if largest == nil {
 		return false
 	}
-	holds, known := (*largest)[service]
-	return known && holds == 0
+	kvTokens, hasEndpoints := (*largest)[service]
+	return hasEndpoints && kvTokens == 0
 }
 
-// largestEngines returns the KV memory of each service's largest engine.
-func largestEngines(endpoints []peridotpath.Endpoint) map[peridotpath.Service]peridotpath.Tokens {
+// largestKVByService returns the KV memory of each service's largest engine.
+func largestKVByService(endpoints []peridotpath.Endpoint) map[peridotpath.Service]peridotpath.Tokens {
 	largest := map[peridotpath.Service]peridotpath.Tokens{}
 	for _, endpoint := range endpoints {
 		largest[endpoint.Service] = max(largest[endpoint.Service], endpoint.KVTokens)
--- a/peridotd/fleet_test.go
+++ b/peridotd/fleet_test.go
@@ -6,25 +6,25 @@
 	"peridotpath.example/peridotpath"
 )
 
-// TestReplacedInstanceIsDead: an instance is killed while it runs a claim and
-// replaced under its id. The clerk repeats at another instance and must learn
-// that the outcome is unknown, not be told "still running" all day.
+// TestReplacedInstanceIsDead guards against a retry that gets "running" for a day: the
+// instance that held the claim was killed and replaced under the same id, so the retry
+// at another instance must get "outcome unknown".
 func TestReplacedInstanceIsDead(t *testing.T) {
 	cases := map[string]struct {
-		claimed, listed, heard peridotpath.Incarnation
-		want                   bool
+		claimed, listed, gossiped peridotpath.Incarnation
+		want                      bool
 	}{
-		"nothing known":                      {5, 0, 0, true},
-		"this run heard":                     {5, 0, 5, true},
-		"a later run heard":                  {5, 0, 6, false},
-		"a later run listed":                 {5, 6, 0, false},
-		"the list lags behind what is heard": {5, 5, 6, false},
-		"what is heard lags behind the list": {5, 6, 5, false},
-		"a run that is not yet listed":       {6, 5, 5, true},
+		"no other run seen":               {5, 0, 0, true},
+		"this run received from the peer": {5, 0, 5, true},
+		"a later run received":            {5, 0, 6, false},
+		"a later run listed":              {5, 6, 0, false},
+		"the list lags behind the peer":   {5, 5, 6, false},
+		"the peer lags behind the list":   {5, 6, 5, false},
+		"a run that is not yet listed":    {6, 5, 5, true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			if have := mayRun(test.claimed, test.listed, test.heard); have != test.want {
+			if have := mayStillRun(test.claimed, test.listed, test.gossiped); have != test.want {
 				t.Errorf("want %t, have %t", test.want, have)
 			}
 		})
--- a/peridotd/main.go
+++ b/peridotd/main.go
@@ -1,5 +1,5 @@
-// Command peridotd serves prompts of very different lengths on one fleet of
-// endpoints. Every instance runs the same program; none is special.
+// Command peridotd is the gateway daemon: it schedules prompts of very different lengths
+// on a shared fleet of LLM engines. All instances run the same program in the same role.
 package main
 
 import (
--- a/peridotd/operate.go
+++ b/peridotd/operate.go
@@ -17,53 +17,53 @@
 )
 
 const (
-	// askTimeout bounds the question to one other instance.
-	askTimeout = 2 * time.Second
-	// asksAtOnce bounds the instances that are asked at a time.
-	asksAtOnce = 32
+	// queryTimeout bounds the query to one instance.
+	queryTimeout = 2 * time.Second
+	// maxConcurrentQueries bounds the concurrent queries of an operator's request.
+	maxConcurrentQueries = 32
 )
 
-// operatorSide answers operators with what the daemon knows.
-type operatorSide struct {
+// operatorBackend serves the operators' API from the daemon's state.
+type operatorBackend struct {
 	daemon *daemon
 }
 
-func (side *operatorSide) server() *operator.Server {
+func (backend *operatorBackend) server() *operator.Server {
 	return &operator.Server{
-		Config: side.daemon.config, Log: side.daemon.log,
-		Applied: side.applied, Endpoints: side.endpoints, Instances: side.instances,
-		Status: side.status, Explain: side.explain,
+		Config: backend.daemon.config, Log: backend.daemon.log,
+		Applied: backend.appliedRevisions, Endpoints: backend.endpoints, Instances: backend.instances,
+		Status: backend.status, Explain: backend.explain,
 	}
 }
 
-// listed returns the instances on the membership list that are to answer.
-func (side *operatorSide) listed() []peridotpath.Instance {
-	if list := side.daemon.fleet.follower.Current(); list != nil {
+// listedInstances returns the instances on the membership list.
+func (backend *operatorBackend) listedInstances() []peridotpath.Instance {
+	if list := backend.daemon.fleet.follower.Current(); list != nil {
 		return list.Instances
 	}
 	return nil
 }
 
-// applied asks every live instance for its revision of a document. A leaving one
-// may be gone while the list still has it; an operator would wait for it in vain.
-func (side *operatorSide) applied(ctx context.Context, document config.DocumentName) ([]*pb.InstanceRevision, error) {
-	instances := slices.DeleteFunc(slices.Clone(side.listed()), func(instance peridotpath.Instance) bool {
+// appliedRevisions queries all live instances for their applied revision of a document. Leaving
+// instances are omitted: one may already have stopped, and its query would time out.
+func (backend *operatorBackend) appliedRevisions(ctx context.Context, document config.DocumentName) ([]*pb.InstanceRevision, error) {
+	instances := slices.DeleteFunc(slices.Clone(backend.listedInstances()), func(instance peridotpath.Instance) bool {
 		return instance.State != peridotpath.StateLive
 	})
-	return askAll(instances, func(instance peridotpath.Instance) *pb.InstanceRevision {
-		return askApplied(ctx, instance, document)
+	return queryAll(instances, func(instance peridotpath.Instance) *pb.InstanceRevision {
+		return queryRevision(ctx, instance, document)
 	}), nil
 }
 
-// askAll asks the instances, some at a time, and returns their answers in the
+// queryAll queries the instances with bounded concurrency and returns their answers in the
 // order of the instances.
-func askAll[T any](instances []peridotpath.Instance, ask func(peridotpath.Instance) T) []T {
+func queryAll[T any](instances []peridotpath.Instance, query func(peridotpath.Instance) T) []T {
 	answers := make([]T, len(instances))
 	var group errgroup.Group
-	group.SetLimit(asksAtOnce)
+	group.SetLimit(maxConcurrentQueries)
 	for i, instance := range instances {
 		group.Go(func() error {
-			answers[i] = ask(instance)
+			answers[i] = query(instance)
 			return nil
 		})
 	}
@@ -71,14 +71,14 @@
 	return answers
 }
 
-// operatorClient speaks to another instance as an operator does.
+// operatorClient returns a client of the instance's operator API.
 func operatorClient(instance peridotpath.Instance) pb.Operator {
 	return pb.NewOperatorProtobufClient("http://"+instance.Peer.String(), outbound.Doer{})
 }
 
-func askApplied(ctx context.Context, instance peridotpath.Instance, document config.DocumentName) *pb.InstanceRevision {
+func queryRevision(ctx context.Context, instance peridotpath.Instance, document config.DocumentName) *pb.InstanceRevision {
 	answer := &pb.InstanceRevision{Instance: string(instance.ID), DataCentre: string(instance.DataCentre)}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	response, err := operatorClient(instance).Applied(ctx, &pb.AppliedRequest{Document: string(document), Local: true})
 	switch {
@@ -92,10 +92,10 @@
 	return answer
 }
 
-func (side *operatorSide) endpoints(context.Context) ([]*pb.Endpoint, error) {
+func (backend *operatorBackend) endpoints(context.Context) ([]*pb.Endpoint, error) {
 	now := time.Now()
 	var endpoints []*pb.Endpoint
-	for _, state := range side.daemon.scheduler.Endpoints(now) {
+	for _, state := range backend.daemon.scheduler.Endpoints(now) {
 		age := int64(-1)
 		if !state.Load.AsOf.IsZero() {
 			age = now.Sub(state.Load.AsOf).Milliseconds()
@@ -112,21 +112,21 @@
 	return endpoints, nil
 }
 
-func (side *operatorSide) instances(ctx context.Context) ([]*pb.Instance, error) {
-	return askAll(side.listed(), func(instance peridotpath.Instance) *pb.Instance {
-		return side.askInstance(ctx, instance)
+func (backend *operatorBackend) instances(ctx context.Context) ([]*pb.Instance, error) {
+	return queryAll(backend.listedInstances(), func(instance peridotpath.Instance) *pb.Instance {
+		return backend.queryInstance(ctx, instance)
 	}), nil
 }
 
-func (side *operatorSide) askInstance(ctx context.Context, instance peridotpath.Instance) *pb.Instance {
+func (backend *operatorBackend) queryInstance(ctx context.Context, instance peridotpath.Instance) *pb.Instance {
 	answer := &pb.Instance{
 		Id: string(instance.ID), Incarnation: uint64(instance.Incarnation), DataCentre: string(instance.DataCentre),
 		CallerAddress: instance.Caller.String(), PeerAddress: instance.Peer.String(), State: string(instance.State),
 	}
-	for _, reader := range side.daemon.fleet.owners.Current().Readers() {
+	for _, reader := range backend.daemon.fleet.owners.Current().Readers() {
 		answer.ConfigReader = answer.ConfigReader || reader.ID == instance.ID
 	}
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	status, err := operatorClient(instance).Status(ctx, &pb.StatusRequest{})
 	if err != nil {
@@ -137,8 +137,8 @@
 	return answer
 }
 
-func (side *operatorSide) status(context.Context) (*pb.StatusResponse, error) {
-	daemon := side.daemon
+func (backend *operatorBackend) status(context.Context) (*pb.StatusResponse, error) {
+	daemon := backend.daemon
 	response := &pb.StatusResponse{
 		Instance: string(daemon.settings.InstanceID), DataCentre: string(daemon.settings.DataCentre),
 		Ready: daemon.callers.IsReady(), Stopping: daemon.callers.Stopping(),
@@ -147,7 +147,7 @@
 	}
 	for _, state := range daemon.scheduler.Endpoints(time.Now()) {
 		switch {
-		case daemon.drained(state.Endpoint.ID):
+		case daemon.isDrained(state.Endpoint.ID):
 			response.EndpointsDrained++
 		case state.Endpoint.State == peridotpath.StateLive:
 			response.EndpointsLive++
@@ -155,11 +155,11 @@
 			response.EndpointsLeaving++
 		}
 	}
-	addFigures(response)
+	addTelemetry(response)
 	return response, nil
 }
 
-func addFigures(response *pb.StatusResponse) {
+func addTelemetry(response *pb.StatusResponse) {
 	for _, times := range telemetry.FirstTokens() {
 		response.Classes = append(response.Classes, &pb.ClassTimes{
 			Class: times.Class.String(), Count: times.Count,
@@ -176,15 +176,15 @@
 	}
 }
 
-func (side *operatorSide) explain(_ context.Context, request *pb.ExplainRequest) (*pb.ExplainResponse, error) {
-	daemon := side.daemon
+func (backend *operatorBackend) explain(_ context.Context, request *pb.ExplainRequest) (*pb.ExplainResponse, error) {
+	daemon := backend.daemon
 	profile := daemon.currentConfig().Profile(request.Profile)
 	now := time.Now()
 	prompt := peridotpath.Tokens(request.PromptTokens)
 	need := prompt + profile.MaxOutputTokens
 	work := &decide.Work{
 		ID: "explain", Customer: &peridotpath.Customer{ID: peridotpath.CustomerID(request.Customer), Weight: 1},
-		Profile: profile, Class: peridotpath.ClassOf(need, daemon.fleet.engineHolds(profile.Service)),
+		Profile: profile, Class: peridotpath.ClassOf(need, daemon.fleet.largestEngineKV(profile.Service)),
 		Prompt: prompt, Output: profile.MaxOutputTokens, Arrived: now, Deadline: now.Add(profile.DeadlineMS.Duration()),
 	}
 	explanation := daemon.scheduler.Explain(now, work)
--- a/peridotd/relay.go
+++ b/peridotd/relay.go
@@ -61,14 +61,14 @@
 }
 
 func runRelay(settings *instance.Settings) error {
-	// A second signal changes nothing: it must not cut what still runs.
+	// Further signals are ignored, so that they do not interrupt running requests.
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	// SIGHUP announces new settings; all that are used here last a process's life.
+	// SIGHUP announces new settings; those used here cannot change in a running process.
 	signal.Ignore(syscall.SIGHUP)
-	lines := &telemetry.Lines{Out: os.Stdout}
-	defer lines.Close()
-	log, err := telemetry.NewLog(lines, settings.LogLevel, settings.InstanceID)
+	writer := &telemetry.Lines{Out: os.Stdout}
+	defer writer.Close()
+	log, err := telemetry.NewLog(writer, settings.LogLevel, settings.InstanceID)
 	if err != nil {
 		return err
 	}
--- a/peridotd/serve.go
+++ b/peridotd/serve.go
@@ -40,7 +40,7 @@
 		fmt.Fprintf(os.Stderr, "peridotd: %s:\n%v\n", command.settings, err)
 		return subcommands.ExitFailure
 	}
-	// A second signal changes nothing: it must not cut what still runs.
+	// Further signals are ignored, so that they do not interrupt running requests.
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	daemon, err := newDaemon(settings)
--- a/peridotd/shift.go
+++ b/peridotd/shift.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	// demandInterval bounds the platform calls that count long prompts.
+	// demandInterval bounds the rate of platform calls that count long prompts.
 	demandInterval = 2 * time.Second
-	shiftInterval  = 2 * time.Second
-	// groupHold is how long a group of engines stays without demand.
-	groupHold = 10 * time.Minute
-	// candidacyInterval is how often an instance looks whether it should be a
-	// candidate for the leases.
+	// shiftInterval is the time between two plans of engine groups.
+	shiftInterval = 2 * time.Second
+	// groupIdleTime is how long a group of engines stays without demand.
+	groupIdleTime = 10 * time.Minute
+	// candidacyInterval is how often an instance checks for which leases it is a
+	// candidate.
 	candidacyInterval = time.Second
-	// candidatesAtOnce is how many instances try for one lease: the holder and
-	// one that takes over.
-	candidatesAtOnce = 2
-
-	// The lease's times bound how long the engines of a data centre go without
-	// decisions when the holder dies: its lease runs out, and where engines
-	// ignore fencing numbers the longest order is waited out as well.
-	leaseTTLMS     = 15_000
-	leaseMarginMS  = 2_000
-	longestOrderMS = 6_000
+	// candidatesPerLease is the number of candidates per lease: the holder and a standby.
+	candidatesPerLease = 2
+
+	// The lease's times bound the failover time after the holder dies, in which the
+	// engines of a data centre get no decisions: the lease must expire, and if engines
+	// ignore fencing tokens, the longest order must end as well.
+	leaseTTLMS    = 15_000
+	leaseMarginMS = 2_000
+	maxOrderMS    = 6_000
 )
 
-// shiftSide gives the orders to the data centre's engines when it is this
-// instance's turn.
-type shiftSide struct {
+// groupController runs the control of engine groups for the sites of whose leases this
+// instance is a candidate. The holder of a site's lease sends orders to its engines.
+type groupController struct {
 	daemon  *daemon
 	counter *shift.Counter
-	running map[site]*keeping
+	running map[site]*siteTask
 }
 
 // site is the engines of one service in one data centre.
@@ -50,143 +50,143 @@
 	service    peridotpath.Service
 }
 
-// keeping is the work for one site, while this instance is a candidate.
-type keeping struct {
+// siteTask is the running control of one site, while this instance is a candidate.
+type siteTask struct {
 	cancel context.CancelFunc
 	ended  chan struct{}
 }
 
-func joinShifts(daemon *daemon) *shiftSide {
-	return &shiftSide{
+func newGroupController(daemon *daemon) *groupController {
+	return &groupController{
 		daemon:  daemon,
 		counter: &shift.Counter{Store: daemon.keyValue, Interval: demandInterval},
-		running: map[site]*keeping{},
+		running: map[site]*siteTask{},
 	}
 }
 
-// run keeps this instance a candidate for the leases of the sites that it is to
-// try for. Every candidate's watch costs the platform, so a site has a few only;
-// which ones is a hint, the lease decides.
-func (side *shiftSide) run(ctx context.Context) error {
+// run makes this instance a candidate for the leases of its sites. A site has few
+// candidates, because each one's watch loads the platform. Instances may disagree on who
+// the candidates are: only the lease grants control.
+func (controller *groupController) run(ctx context.Context) error {
 	ticker := time.NewTicker(candidacyInterval)
 	defer ticker.Stop()
 	for {
-		side.look(ctx)
+		controller.updateSites(ctx)
 		select {
 		case <-ctx.Done():
-			side.stop(nil)
+			controller.stopExcept(nil)
 			return ctx.Err()
 		case <-ticker.C:
 		}
 	}
 }
 
-func (side *shiftSide) look(ctx context.Context) {
+func (controller *groupController) updateSites(ctx context.Context) {
 	var wanted []site
-	if list := side.daemon.fleet.follower.Current(); list != nil {
-		wanted = sitesToKeep(list, side.daemon.settings.InstanceID)
+	if list := controller.daemon.fleet.follower.Current(); list != nil {
+		wanted = candidateSites(list, controller.daemon.settings.InstanceID)
 	}
-	side.stop(wanted)
+	controller.stopExcept(wanted)
 	for _, site := range wanted {
-		if side.running[site] == nil {
-			side.running[site] = side.start(ctx, site)
+		if controller.running[site] == nil {
+			controller.running[site] = controller.startSite(ctx, site)
 		}
 	}
 }
 
-// stop ends the work for all sites that are not wanted.
-func (side *shiftSide) stop(wanted []site) {
-	for site, keeping := range side.running {
+// stopExcept ends the control of all sites that are not wanted.
+func (controller *groupController) stopExcept(wanted []site) {
+	for site, task := range controller.running {
 		if !slices.Contains(wanted, site) {
-			keeping.cancel()
-			<-keeping.ended
-			delete(side.running, site)
+			task.cancel()
+			<-task.ended
+			delete(controller.running, site)
 		}
 	}
 }
 
-// sitesToKeep returns the sites whose leases the instance is to try for.
-func sitesToKeep(list *membership.List, self peridotpath.InstanceID) []site {
-	var seen, kept []site
+// candidateSites returns the sites of whose leases the instance is a candidate.
+func candidateSites(list *membership.List, self peridotpath.InstanceID) []site {
+	var seen, sites []site
 	for _, endpoint := range list.Endpoints {
 		next := site{endpoint.DataCentre, endpoint.Service}
 		if endpoint.Kind != peridotpath.KindEngine || slices.Contains(seen, next) {
 			continue
 		}
 		seen = append(seen, next)
-		candidates := ownership.Candidates(list.Instances, next.dataCentre, string(next.service), candidatesAtOnce)
+		candidates := ownership.Candidates(list.Instances, next.dataCentre, string(next.service), candidatesPerLease)
 		if slices.ContainsFunc(candidates, func(instance peridotpath.Instance) bool { return instance.ID == self }) {
-			kept = append(kept, next)
+			sites = append(sites, next)
 		}
 	}
-	return kept
+	return sites
 }
 
-// engines returns the listed engines of a site.
-func (side *shiftSide) engines(site site) []peridotpath.Endpoint {
-	return side.listed(func(endpoint peridotpath.Endpoint) bool {
+// enginesOf returns the listed engines of a site.
+func (controller *groupController) enginesOf(site site) []peridotpath.Endpoint {
+	return controller.listedEngines(func(endpoint peridotpath.Endpoint) bool {
 		return endpoint.DataCentre == site.dataCentre && endpoint.Service == site.service
 	})
 }
 
-// listed returns the engines on the membership list for which keep says yes.
-func (side *shiftSide) listed(keep func(peridotpath.Endpoint) bool) []peridotpath.Endpoint {
-	list := side.daemon.fleet.follower.Current()
+// listedEngines returns the engines on the membership list that match.
+func (controller *groupController) listedEngines(matches func(peridotpath.Endpoint) bool) []peridotpath.Endpoint {
+	list := controller.daemon.fleet.follower.Current()
 	if list == nil {
 		return nil
 	}
 	var engines []peridotpath.Endpoint
 	for _, endpoint := range list.Endpoints {
-		if endpoint.Kind == peridotpath.KindEngine && keep(endpoint) {
+		if endpoint.Kind == peridotpath.KindEngine && matches(endpoint) {
 			engines = append(engines, endpoint)
 		}
 	}
 	return engines
 }
 
-// start runs the candidacy, the orders and the shifts of one site.
-func (side *shiftSide) start(ctx context.Context, site site) *keeping {
-	daemon := side.daemon
+// startSite starts the lease holder, the order reconciler and the group planner of one site.
+func (controller *groupController) startSite(ctx context.Context, site site) *siteTask {
+	daemon := controller.daemon
 	dataCentre, service := site.dataCentre, site.service
 	ctx, cancel := context.WithCancel(ctx)
 	book := &order.Book{Store: daemon.keyValue, Key: order.Key(dataCentre, service)}
 	holder := &lease.Holder{
 		Store: daemon.keyValue, Key: lease.Key(dataCentre, service),
 		Instance: daemon.settings.InstanceID, Incarnation: daemon.incarnation,
-		Settings: lease.Settings{TTLMS: leaseTTLMS, MarginMS: leaseMarginMS, LongestOrderMS: longestOrderMS},
-		WaitOut:  side.someIgnoreFencing(site), Logger: daemon.log,
+		Settings: lease.Settings{TTLMS: leaseTTLMS, MarginMS: leaseMarginMS, LongestOrderMS: maxOrderMS},
+		WaitOut:  controller.anyIgnoresFencing(site), Logger: daemon.log,
 		Unused: func(ctx context.Context) (bool, error) {
-			// Every order stands in the book before it is sent.
+			// Each order is recorded in the book before it is sent.
 			desired, err := book.Get(ctx)
 			return desired.Revision == 0, err
 		},
 	}
 	engines := &shift.Engines{
-		Client: daemon.engines, Endpoints: func() []peridotpath.Endpoint { return side.engines(site) },
+		Client: daemon.engines, Endpoints: func() []peridotpath.Endpoint { return controller.enginesOf(site) },
 	}
 	reconciler := &order.Reconciler{
 		Desired: book.Get, Held: holder.Held, Logger: daemon.log,
 		Endpoints: engines.Endpoints,
 		Read:      engines.State, Send: engines.Order,
-		Settings: order.Settings{LongestOrderMS: longestOrderMS},
+		Settings: order.Settings{LongestOrderMS: maxOrderMS},
 	}
 	keeper := &shift.Keeper{
 		Log: daemon.log, Store: daemon.keyValue, DataCentre: dataCentre, Service: service,
-		Book: book, Held: holder.Held, Interval: shiftInterval, Limits: shift.Limits{Hold: groupHold},
+		Book: book, Held: holder.Held, Interval: shiftInterval, Limits: shift.Limits{Hold: groupIdleTime},
 		Engines: engines.Look,
-		Sites:   func() []shift.Site { return side.sites(service) },
-		Longest: func() peridotpath.Tokens { return side.longest(service) },
+		Sites:   func() []shift.Site { return controller.countEngines(service) },
+		Longest: func() peridotpath.Tokens { return controller.maxRequestTokens(service) },
 	}
-	keeping := &keeping{cancel: cancel, ended: make(chan struct{})}
+	task := &siteTask{cancel: cancel, ended: make(chan struct{})}
 	go func() {
-		defer close(keeping.ended)
+		defer close(task.ended)
 		runSite(ctx, holder, reconciler, keeper)
 	}()
-	return keeping
+	return task
 }
 
-// runSite runs the parts of one site until ctx ends. The lease goes back only
-// once no order is under way.
+// runSite runs the control of one site until ctx ends. The lease is released only after
+// the last order has ended.
 func runSite(ctx context.Context, holder *lease.Holder, reconciler *order.Reconciler, keeper *shift.Keeper) {
 	var holding, ordering errgroup.Group
 	holding.Go(func() error { return holder.Run(context.WithoutCancel(ctx)) })
@@ -197,9 +197,9 @@
 	_ = holding.Wait()
 }
 
-// sites counts the live engines of a service by data centre.
-func (side *shiftSide) sites(service peridotpath.Service) []shift.Site {
-	live := side.listed(func(endpoint peridotpath.Endpoint) bool {
+// countEngines counts the live engines of a service by data centre.
+func (controller *groupController) countEngines(service peridotpath.Service) []shift.Site {
+	live := controller.listedEngines(func(endpoint peridotpath.Endpoint) bool {
 		return endpoint.Service == service && endpoint.State == peridotpath.StateLive
 	})
 	counts := map[peridotpath.DataCentre]int{}
@@ -213,14 +213,15 @@
 	return sites
 }
 
-func (side *shiftSide) someIgnoreFencing(site site) bool {
-	return slices.ContainsFunc(side.engines(site), func(engine peridotpath.Endpoint) bool { return !engine.ChecksFencing })
+func (controller *groupController) anyIgnoresFencing(site site) bool {
+	return slices.ContainsFunc(controller.enginesOf(site), func(engine peridotpath.Endpoint) bool { return !engine.ChecksFencing })
 }
 
-// longest returns the most tokens that a prompt with its answer may take.
-func (side *shiftSide) longest(service peridotpath.Service) peridotpath.Tokens {
+// maxRequestTokens returns the greatest total of prompt and answer tokens of a request to the
+// service, by the profiles; zero without a configuration.
+func (controller *groupController) maxRequestTokens(service peridotpath.Service) peridotpath.Tokens {
 	var longest peridotpath.Tokens
-	config := side.daemon.currentConfig()
+	config := controller.daemon.currentConfig()
 	if config == nil {
 		return 0
 	}
--- a/peridotd/shift_test.go
+++ b/peridotd/shift_test.go
@@ -10,18 +10,18 @@
 	"peridotpath.example/peridotpath/membership"
 )
 
-// TestEverySiteHasKeepers: all instances that watch the configuration happen to
-// stand in one data centre, and the engines of the other had nobody who tried
-// for their lease: no group formed there, no order was repaired. Each site needs
-// two candidates, its own data centre's where it has any.
-func TestEverySiteHasKeepers(t *testing.T) {
+// TestEverySiteHasCandidates guards against a site without candidates for its lease. It
+// occurred when all instances that watch the configuration were in one data centre: in
+// the other one no group formed and no order was repaired. Each site needs two
+// candidates, from its own data centre if that has any instances.
+func TestEverySiteHasCandidates(t *testing.T) {
 	cases := map[string]struct {
 		instances []peridotpath.DataCentre
 		want      map[peridotpath.DataCentre]int
 	}{
 		"both have instances":  {[]peridotpath.DataCentre{"a", "a", "a", "b", "b"}, map[peridotpath.DataCentre]int{"a": 2, "b": 2}},
-		"one has a single one": {[]peridotpath.DataCentre{"a", "a", "b"}, map[peridotpath.DataCentre]int{"a": 2, "b": 1}},
-		"one has none":         {[]peridotpath.DataCentre{"b", "b", "b"}, map[peridotpath.DataCentre]int{"a": 2, "b": 2}},
+		"one has one instance": {[]peridotpath.DataCentre{"a", "a", "b"}, map[peridotpath.DataCentre]int{"a": 2, "b": 1}},
+		"one has no instance":  {[]peridotpath.DataCentre{"b", "b", "b"}, map[peridotpath.DataCentre]int{"a": 2, "b": 2}},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -37,14 +37,14 @@
 					ID: peridotpath.InstanceID(fmt.Sprintf("i%d", i)), DataCentre: dataCentre, State: peridotpath.StateLive,
 				})
 			}
-			keepers := map[peridotpath.DataCentre]int{}
+			candidates := map[peridotpath.DataCentre]int{}
 			for _, instance := range list.Instances {
-				for _, site := range sitesToKeep(list, instance.ID) {
+				for _, site := range candidateSites(list, instance.ID) {
 					is.Equal(site.service, peridotpath.Service("claims-llm"))
-					keepers[site.dataCentre]++
+					candidates[site.dataCentre]++
 				}
 			}
-			is.Equal(keepers, test.want)
+			is.Equal(candidates, test.want)
 		})
 	}
 }
--- a/peridotd/stop_test.go
+++ b/peridotd/stop_test.go
@@ -10,37 +10,37 @@
 	"time"
 )
 
-// An instance is replaced while callers are being served. Closed before the
-// balancer knows, it refuses a clerk whom another instance could have taken;
-// with its claims closed before the last call has ended, the acknowledgement of
-// that call stays "unknown" for good; with its peers' side closed first, others
-// route by what it last said. A step that fails must not leave out the rest.
+// The order of the steps guards against three failures when an instance is replaced
+// under load. Closed before the load balancer has detected the stop, it refuses callers
+// that another instance could serve. With claims closed before the last call has ended,
+// that call's outcome stays "unknown" for good. With the peer listener closed first,
+// peers route by outdated state. A step that fails must not skip the rest.
 func TestStopOrder(t *testing.T) {
 	errBusy := errors.New("busy")
 	tests := []struct {
 		name string
 		fail error
-		// runs is how long the last request still runs after the signal.
-		runs time.Duration
-		want []string
+		// remaining is how long the last request runs after the signal.
+		remaining time.Duration
+		want      []string
 	}{
 		{"idle", nil, 0, []string{"0s not ready", "3s callers", "3s claims", "3.5s peers"}},
-		{"a request runs on", nil, 39_990 * time.Millisecond, []string{"0s not ready", "3s callers", "40s claims", "40.5s peers"}},
-		{"closing the callers' side fails", errBusy, 9_990 * time.Millisecond, []string{"0s not ready", "3s callers", "10s claims", "10.5s peers"}},
+		{"a request in flight", nil, 39_990 * time.Millisecond, []string{"0s not ready", "3s callers", "40s claims", "40.5s peers"}},
+		{"closing the caller listener fails", errBusy, 9_990 * time.Millisecond, []string{"0s not ready", "3s callers", "10s claims", "10.5s peers"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var steps []string
-				began := time.Now()
+				start := time.Now()
 				step := func(name string) {
-					steps = append(steps, fmt.Sprintf("%v %s", time.Since(began), name))
+					steps = append(steps, fmt.Sprintf("%v %s", time.Since(start), name))
 				}
 				var active atomic.Int64
 				active.Store(1)
-				time.AfterFunc(test.runs, func() { active.Store(0) })
+				time.AfterFunc(test.remaining, func() { active.Store(0) })
 				synctest.Wait()
-				stop := &plannedStop{
+				stop := &gracefulStop{
 					Notice: 3 * time.Second, Handover: 500 * time.Millisecond,
 					TurnNotReady: func() { step("not ready") }, Active: active.Load,
 					CloseCallers: func(context.Context) error { step("callers"); return test.fail },
