--- a/peridotpath/inbound/inbound.go
+++ b/peridotpath/inbound/inbound.go
@@ -1,6 +1,6 @@
-// Package inbound listens: it serves routes through go-zero's rest, whose own
-// limits, logs and shutdown are off. Both sides of an instance stand on it, that
-// of the callers and that of other instances and operators.
+// Package inbound provides the HTTP listeners of an instance, for callers and for other
+// instances and operators. It serves routes through go-zero's rest with that package's
+// limits, load shedding, circuit breaker, logs and signal handling switched off.
 package inbound
 
 import (
@@ -27,57 +27,56 @@
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
-	// headerBackstop is how many times the bound on headers net/http still reads.
-	headerBackstop = 4
-	// never is longer than any process lives.
+	// headerLimitFactor times MaxHeaderBytes is the limit on headers in net/http.
+	headerLimitFactor = 4
+	// never is longer than the lifetime of any process.
 	never = 100 * 365 * 24 * time.Hour
 )
 
-// Listener serves routes through go-zero's rest on one address. Set the
-// exported fields before Run.
+// Listener serves routes on one address. Set the exported fields before Run.
 type Listener struct {
 	Name    string
 	Address netip.AddrPort
 	Routes  []rest.Route
-	// Prefix, when set, serves every path under it, with any method.
+	// Prefix, when set, routes all methods and paths under it to PrefixHandler.
 	Prefix        string
 	PrefixHandler http.Handler
-	// NotFound, when set, answers what no route and no prefix takes.
+	// NotFound, when set, serves requests that match no route and no prefix.
 	NotFound http.Handler
-	// MaxHeaderBytes bounds one request's headers. Server refuses what is larger
-	// with its code; a request that is several times as large gets net/http's own
-	// bare 431, so that reading it costs bounded memory.
+	// MaxHeaderBytes is the limit on a request's headers that the handlers enforce with
+	// a result code. Headers several times as large get the plain 431 of net/http, which
+	// bounds the memory for reading them.
 	MaxHeaderBytes int
 
 	server chan *http.Server
 }
 
-// Run serves until Close and Finish.
+// Run serves until Close, and returns once go-zero's shutdown hooks have run as well.
 func (listener *Listener) Run() error {
-	silence()
+	disableGlobalHooks()
 	conf := rest.RestConf{
 		ServiceConf: service.ServiceConf{Name: listener.Name, Mode: service.ProMode},
 		Host:        listener.Address.Addr().String(),
 		Port:        int(listener.Address.Port()),
-		// Zero turns a limit off: a time limit would cut long streams, a limit
-		// on bodies refuse million-token prompts, and one on connections refuse
-		// callers, each without a counter of ours. Middlewares stay off for the
-		// same reason: shedding, breaker and logs of go-zero's own.
+		// Zero switches a limit off: a timeout would truncate long streams, a body
+		// limit would reject million-token prompts, and a connection limit would reject
+		// callers, none of which our metrics would count. For the same reason go-zero's
+		// middlewares stay off: load shedding, circuit breaker and logs.
 		Timeout: 0, MaxBytes: 0, MaxConns: 0,
 	}
 	inner, err := rest.NewServer(conf, rest.WithRouter(listener.router()))
 	if err != nil {
 		return Error.New("listen on %s: %v", listener.Address, err)
 	}
-	// NewServer sets its own log up again.
+	// NewServer enables the log again.
 	logx.Disable()
 	inner.AddRoutes(listener.Routes)
-	err = run(inner, func(server *http.Server) {
+	err = startServer(inner, func(server *http.Server) {
 		server.ReadHeaderTimeout = readHeaderTimeout
 		server.IdleTimeout = idleTimeout
 		server.ReadTimeout = 0
 		server.WriteTimeout = 0
-		server.MaxHeaderBytes = headerBackstop * listener.MaxHeaderBytes
+		server.MaxHeaderBytes = headerLimitFactor * listener.MaxHeaderBytes
 		listener.server <- server
 	})
 	if errors.Is(err, http.ErrServerClosed) {
@@ -86,11 +85,11 @@
 	return Error.New("listen on %s: %v", listener.Address, err)
 }
 
-// Open prepares the listener; call it before Run and Close.
+// Open initialises the listener without listening. It must precede Run and Close.
 func (listener *Listener) Open() { listener.server = make(chan *http.Server, 1) }
 
-// Close stops accepting, waits for the requests that run until ctx ends, and
-// returns what ended the wait.
+// Close stops accepting connections and waits for requests in flight until ctx ends, in
+// which case it returns the error of ctx.
 func (listener *Listener) Close(ctx context.Context) error {
 	select {
 	case server := <-listener.server:
@@ -100,30 +99,30 @@
 	}
 }
 
-// Finish lets Run return on all listeners of the process, once each is closed:
-// go-zero holds it back until its own shutdown hooks have run.
+// Finish runs go-zero's shutdown hooks, without which Run does not return. Call it once
+// all listeners of the process are closed.
 func Finish() { proc.Shutdown() }
 
-// run starts the server and turns go-zero's panic at a bind failure into an error.
-func run(inner *rest.Server, option func(*http.Server)) (err error) {
+// startServer starts the server and converts go-zero's panic on a bind failure to an error.
+func startServer(inner *rest.Server, option func(*http.Server)) (err error) {
 	defer func() {
-		if cause := recover(); cause != nil {
-			err = Error.New("%v", cause)
+		if failure := recover(); failure != nil {
+			err = Error.New("%v", failure)
 		}
 	}()
 	inner.StartWithOpts(option)
 	return http.ErrServerClosed
 }
 
-// silence keeps go-zero from acting on signals and from printing. On SIGTERM
-// its proc package closes every listener after a second and ends the process
-// after 5.5 s, which cut a stream of 12 s; shutdown is the daemon's own.
-func silence() {
+// disableGlobalHooks disables go-zero's signal handling and logs. On SIGTERM its proc package closes
+// all listeners after 1 s and terminates the process after 5.5 s, which truncated a
+// stream of 12 s. The daemon controls the shutdown instead.
+func disableGlobalHooks() {
 	logx.Disable()
-	silenceOnce.Do(func() { proc.Setup(proc.ShutdownConf{WrapUpTime: never, WaitTime: 2 * never}) })
+	disableOnce.Do(func() { proc.Setup(proc.ShutdownConf{WrapUpTime: never, WaitTime: 2 * never}) })
 }
 
-var silenceOnce sync.Once
+var disableOnce sync.Once
 
 func (listener *Listener) router() *prefixRouter {
 	routes := router.NewRouter()
@@ -134,8 +133,8 @@
 	return &prefixRouter{Router: routes, listener: listener}
 }
 
-// prefixRouter adds one prefix to go-zero's router, whose patterns match single
-// path segments only.
+// prefixRouter adds a prefix match to go-zero's router, whose patterns only match single
+// path segments.
 type prefixRouter struct {
 	httpx.Router
 	listener *Listener
--- a/peridotpath/inbound/inbound_test.go
+++ b/peridotpath/inbound/inbound_test.go
@@ -34,8 +34,8 @@
 	probe.Close()
 	listener := &inbound.Listener{Name: "test", Address: address, Routes: routes, MaxHeaderBytes: 64 << 10}
 	listener.Open()
-	ended := make(chan error, 1)
-	go func() { ended <- listener.Run() }()
+	result := make(chan error, 1)
+	go func() { result <- listener.Run() }()
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
@@ -43,7 +43,7 @@
 			t.Error(err)
 		}
 		inbound.Finish()
-		if err := <-ended; err != nil {
+		if err := <-result; err != nil {
 			t.Error(err)
 		}
 	})
@@ -55,27 +55,26 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("the listener did not come up")
+	t.Fatal("the listener did not start within a second")
 	return ""
 }
 
-// TestRestLimitsAreOff meets go-zero's rest where its defaults would refuse or
-// cut: a body over 1 MiB with 413, an answer that takes over 3 s, a handler
-// that failed so often that its breaker opens, and a compressed body that it
-// would unpack. A caller with a long prompt would have seen each as an error
-// that none of this system's counters knows.
+// TestRestLimitsAreOff guards against the defaults of go-zero's rest: it rejects a body
+// over 1 MiB with 413, truncates an answer after 3 s, opens a circuit breaker after
+// repeated failures of a handler, and decompresses bodies. Callers would get errors that
+// our metrics do not count.
 func TestRestLimitsAreOff(t *testing.T) {
-	const million = 6 << 20
-	const stream = 3300 * time.Millisecond
+	const bodyBytes = 6 << 20
+	const streamTime = 3300 * time.Millisecond
 	base := listen(t,
 		rest.Route{Method: http.MethodPost, Path: "/size", Handler: func(writer http.ResponseWriter, request *http.Request) {
-			n, err := io.Copy(io.Discard, request.Body)
-			fmt.Fprintf(writer, "%d %v %s", n, err, request.Header.Get("Content-Encoding"))
+			size, err := io.Copy(io.Discard, request.Body)
+			fmt.Fprintf(writer, "%d %v %s", size, err, request.Header.Get("Content-Encoding"))
 		}},
 		rest.Route{Method: http.MethodGet, Path: "/slow", Handler: func(writer http.ResponseWriter, _ *http.Request) {
 			fmt.Fprintln(writer, "first")
 			_ = http.NewResponseController(writer).Flush()
-			time.Sleep(stream)
+			time.Sleep(streamTime)
 			fmt.Fprintln(writer, "last")
 		}},
 		rest.Route{Method: http.MethodGet, Path: "/fails", Handler: func(writer http.ResponseWriter, _ *http.Request) {
@@ -83,16 +82,16 @@
 		}},
 	)
 
-	t.Run("a million tokens", func(t *testing.T) {
+	t.Run("a body of a million tokens", func(t *testing.T) {
 		is := is.New(t)
-		response, err := http.Post(base+"/size", "application/json", bytes.NewReader(make([]byte, million)))
+		response, err := http.Post(base+"/size", "application/json", bytes.NewReader(make([]byte, bodyBytes)))
 		is.NoErr(err)
 		defer response.Body.Close()
 		text, err := io.ReadAll(response.Body)
 		is.NoErr(err)
-		is.Equal(string(text), strconv.Itoa(million)+" <nil> ")
+		is.Equal(string(text), strconv.Itoa(bodyBytes)+" <nil> ")
 	})
-	t.Run("a compressed body stays as it is", func(t *testing.T) {
+	t.Run("a compressed body is not decompressed", func(t *testing.T) {
 		is := is.New(t)
 		request, err := http.NewRequest(http.MethodPost, base+"/size", bytes.NewReader([]byte("not gzip")))
 		is.NoErr(err)
@@ -117,7 +116,7 @@
 		is.NoErr(err)
 		is.Equal(last, "last\n")
 	})
-	t.Run("failures open no breaker", func(t *testing.T) {
+	t.Run("failures do not open a circuit breaker", func(t *testing.T) {
 		is := is.New(t)
 		for range 300 {
 			response, err := http.Get(base + "/fails")
@@ -128,10 +127,10 @@
 	})
 }
 
-// TestSignalsAreLeftToTheDaemon sends SIGTERM while a stream runs. go-zero
-// closes every listener a second later and ends the process after 5.5 s: the
-// stream's caller saw its answer cut, new callers a refused connection.
-func TestSignalsAreLeftToTheDaemon(t *testing.T) {
+// TestSIGTERMDoesNotCloseListeners guards against go-zero's signal handling, which closes
+// all listeners 1 s after SIGTERM and terminates the process after 5.5 s: streams were
+// truncated and new connections refused.
+func TestSIGTERMDoesNotCloseListeners(t *testing.T) {
 	is := is.New(t)
 	base := listen(t, rest.Route{Method: http.MethodGet, Path: "/", Handler: func(writer http.ResponseWriter, _ *http.Request) {
 		writer.WriteHeader(http.StatusNoContent)
@@ -150,13 +149,13 @@
 	is.Equal(response.StatusCode, http.StatusNoContent)
 }
 
-// TestListenerSaysWhyItCannotListen takes the address twice.
-func TestListenerSaysWhyItCannotListen(t *testing.T) {
+// TestListenErrorIsReturned listens on an address that is in use.
+func TestListenErrorIsReturned(t *testing.T) {
 	is := is.New(t)
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupant, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
-	defer taken.Close()
-	listener := &inbound.Listener{Name: "test", Address: netip.MustParseAddrPort(taken.Addr().String())}
+	defer occupant.Close()
+	listener := &inbound.Listener{Name: "test", Address: netip.MustParseAddrPort(occupant.Addr().String())}
 	listener.Open()
 	err = listener.Run()
 	is.True(err != nil)
