--- a/peridotpath/outbound/outbound.go
+++ b/peridotpath/outbound/outbound.go
@@ -1,5 +1,6 @@
-// Package outbound makes every HTTP call of the system, through go-zero's
-// httpc, with connection limits that suit long streams to many endpoints.
+// Package outbound sends all HTTP requests of the system, through go-zero's httpc, with a
+// transport that is configured for long streams to many endpoints. Its errors say
+// whether a request may have reached the server.
 package outbound
 
 import (
@@ -16,38 +17,38 @@
 )
 
 var (
-	// ErrNotSent says that the request's headers were never written to a
-	// connection: whatever it asked for was certainly not done.
+	// ErrNotSent means that the request's headers were never written to a connection, so
+	// the request was not executed.
 	ErrNotSent = errs.Class("not sent")
-	// ErrLost says that the request may have arrived, but no answer came.
+	// ErrLost means that the request may have been executed, but no response was received.
 	ErrLost = errs.Class("answer lost")
 )
 
 const (
-	// dialTimeout bounds the making of a connection; a request that found none
-	// did not run and goes elsewhere.
+	// dialTimeout bounds connecting. A request without a connection was not executed and
+	// can be retried at another endpoint.
 	dialTimeout = 2 * time.Second
-	// keepAlive is the interval of TCP's probes, by which a connection to a
-	// machine that is gone ends though nothing is sent on it.
-	keepAlive = 15 * time.Second
-	// idleConnections and idlePerEndpoint bound the connections kept for reuse,
-	// and idleTimeout how long each is kept.
-	idleConnections = 256
-	idlePerEndpoint = 64
-	idleTimeout     = 90 * time.Second
-	// maxResponseHeaders bounds an answer's headers, in bytes.
-	maxResponseHeaders = 64 << 10
+	// keepAliveInterval is the interval of TCP keep-alive probes, which detect an unreachable
+	// machine on an idle connection.
+	keepAliveInterval = 15 * time.Second
+	// maxIdleConnections and maxIdlePerEndpoint bound the idle connections kept for reuse,
+	// idleTimeout how long one is kept.
+	maxIdleConnections = 256
+	maxIdlePerEndpoint = 64
+	idleTimeout        = 90 * time.Second
+	// maxResponseHeaderBytes bounds a response's headers.
+	maxResponseHeaderBytes = 64 << 10
 )
 
-var once sync.Once
+var configureOnce sync.Once
 
-// Do sends the request and returns the response as soon as its headers are in.
-// An error is of class ErrNotSent or ErrLost.
+// Do sends the request and returns the response once its headers are received. An error
+// is of class ErrNotSent or ErrLost.
 //
-// httpc's package function is used and not its named services: those carry a
-// breaker of their own, which would refuse calls without a counter of ours.
+// It uses httpc's package function because httpc's named services have a circuit breaker,
+// whose rejections our metrics would not count.
 func Do(request *http.Request) (*http.Response, error) {
-	once.Do(tune)
+	configureOnce.Do(configureClient)
 	var sent atomic.Bool
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }}
 	request = request.WithContext(httptrace.WithClientTrace(request.Context(), trace))
@@ -61,25 +62,25 @@
 	return nil, ErrNotSent.Wrap(err)
 }
 
-// Doer is Do as the client type that generated code takes.
+// Doer implements the HTTP client interface of generated code with the function Do.
 type Doer struct{}
 
 // Do sends the request.
 func (Doer) Do(request *http.Request) (*http.Response, error) { return Do(request) }
 
-// tune replaces the default transport: it keeps two idle connections to a
-// host, which costs a dial for nearly every request of a busy endpoint, and it
-// honours proxy variables, though addresses are IP numbers from settings.
-// Redirects are not followed: an endpoint may not send a request elsewhere.
-func tune() {
+// configureClient configures the default client, which httpc uses. The default transport keeps only
+// two idle connections per host, so that nearly each request to a busy endpoint needs a
+// new one, and it obeys proxy variables, while addresses are IP addresses from the
+// settings. Redirects are not followed: an endpoint may not send a request elsewhere.
+func configureClient() {
 	logx.Disable()
-	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlive}
+	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval}
 	http.DefaultClient.Transport = &http.Transport{
 		DialContext:            dialer.DialContext,
-		MaxIdleConns:           idleConnections,
-		MaxIdleConnsPerHost:    idlePerEndpoint,
+		MaxIdleConns:           maxIdleConnections,
+		MaxIdleConnsPerHost:    maxIdlePerEndpoint,
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxResponseHeaders,
+		MaxResponseHeaderBytes: maxResponseHeaderBytes,
 		DisableCompression:     true,
 	}
 	http.DefaultClient.CheckRedirect = func(*http.Request, []*http.Request) error {
