--- a/peridotpath/audit/audit.go
+++ b/peridotpath/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit goes through instances' logs for requests that were not dealt with
-// as callers were promised, whatever they were answered.
+// Package audit checks the logs of instances for requests that violate the guarantees to
+// callers, which include at-most-once execution and timely refusal, whatever the answer
+// was. It correlates the log lines of all instances by request id.
 package audit
 
 import (
@@ -13,21 +14,22 @@
 	"peridotpath.example/peridotpath/logline"
 )
 
-// Fault is what is wrong with a request.
+// Fault is a violation of a guarantee by a request.
 type Fault int
 
-// The faults, by what they do to callers.
+// Faults, the most harmful to callers first.
 const (
-	// FaultRan: the caller was told that the request had not run, and it may have.
+	// FaultRan means that the answer guarantees that the request was not executed,
+	// although it may have been.
 	FaultRan Fault = iota
-	// FaultTwice: a request that may run once was sent again though it may have run.
+	// FaultTwice means that a request that is not idempotent was retried although an
+	// earlier attempt may have been executed.
 	FaultTwice
-	// FaultAnswers: one request ended twice.
+	// FaultAnswers means that more than one end of the request was logged.
 	FaultAnswers
-	// FaultHeld: the request was refused long after it could have been, and was
-	// never sent.
+	// FaultHeld means that the request was refused too late without having been sent.
 	FaultHeld
-	// FaultNoReturn: the caller was not told when to come back.
+	// FaultNoReturn means that a refusal has no Retry-After.
 	FaultNoReturn
 )
 
@@ -35,35 +37,35 @@
 
 func (fault Fault) String() string { return faultNames[fault] }
 
-// heldAims is how many aims a request may be here without being sent: a long prompt
-// that waits for its turn may be late, but its caller has to learn while there is
-// time to come back that it will not be served.
-const heldAims = 2
+// maxHeldTargets times the latency target is how long a request may be held without being sent.
+// A queued long prompt may miss its target, but its refusal must leave the caller time
+// for a retry.
+const maxHeldTargets = 2
 
-// Finding is a request with a fault, and the lines that show it.
+// Finding is a request with a fault and the log lines that prove it.
 type Finding struct {
 	Request peridotpath.RequestID
 	Fault   Fault
 	Lines   []string
 }
 
-// Audit collects what instances logged. Add the lines of all instances, in any order.
+// Audit collects the log lines of all instances, which may be added in any order.
 type Audit struct {
 	requests map[peridotpath.RequestID]*history
-	// pauses holds when each instance stood still.
+	// pauses holds the process pauses of each instance.
 	pauses map[string][]pause
 }
 
-// pause is a time in which an instance's process did not run.
+// pause is an interval in which an instance's process did not run.
 type pause struct{ from, to time.Time }
 
-// history is what was logged of one request.
+// history holds the log lines of one request.
 type history struct {
-	ended  []logline.Line
-	failed []logline.Line
+	ends           []logline.Line
+	failedAttempts []logline.Line
 }
 
-// Add takes a line in.
+// Add adds a log line.
 func (audit *Audit) Add(line logline.Line) {
 	if line.Event() == "paused" {
 		audit.addPause(line)
@@ -76,41 +78,43 @@
 	if audit.requests == nil {
 		audit.requests = map[peridotpath.RequestID]*history{}
 	}
-	known := audit.requests[id]
-	if known == nil {
-		known = &history{}
-		audit.requests[id] = known
+	entry := audit.requests[id]
+	if entry == nil {
+		entry = &history{}
+		audit.requests[id] = entry
 	}
 	switch line.Event() {
 	case "served", "failed", "refused":
-		known.ended = append(known.ended, line)
+		entry.ends = append(entry.ends, line)
 	case "attempt_failed":
-		known.failed = append(known.failed, line)
+		entry.failedAttempts = append(entry.failedAttempts, line)
 	}
 }
 
 func (audit *Audit) addPause(line logline.Line) {
 	to, err := time.Parse(time.RFC3339Nano, line.Pairs["time"])
 	if err != nil {
-		// A line that was cut; it excuses nothing.
+		// The line is truncated, so it does not count as a pause.
 		return
 	}
 	if audit.pauses == nil {
 		audit.pauses = map[string][]pause{}
 	}
 	instance := line.Pairs["instance"]
-	audit.pauses[instance] = append(audit.pauses[instance], pause{from: to.Add(-millis(line.Number("span"))), to: to})
+	audit.pauses[instance] = append(audit.pauses[instance], pause{from: to.Add(-milliseconds(line.Number("span"))), to: to})
 }
 
-func millis(number float64) time.Duration { return time.Duration(number * float64(time.Millisecond)) }
+func milliseconds(number float64) time.Duration {
+	return time.Duration(number * float64(time.Millisecond))
+}
 
-// paused returns for how long of a request's time its instance stood still.
-func (audit *Audit) paused(end *logline.Line) time.Duration {
+// pausedTime returns for how long the instance was paused while it held the request.
+func (audit *Audit) pausedTime(end *logline.Line) time.Duration {
 	ended, err := time.Parse(time.RFC3339Nano, end.Pairs["time"])
 	if err != nil {
 		return 0
 	}
-	arrived := ended.Add(-millis(end.Number("took")))
+	arrived := ended.Add(-milliseconds(end.Number("took")))
 	var total time.Duration
 	for _, pause := range audit.pauses[end.Pairs["instance"]] {
 		from, to := pause.from, pause.to
@@ -125,84 +129,85 @@
 	return total
 }
 
-// Requests returns how many requests were seen.
+// Requests returns the number of requests in the logs.
 func (audit *Audit) Requests() int { return len(audit.requests) }
 
-// Findings returns what is wrong, by request.
+// Findings returns the faults, sorted by request id.
 func (audit *Audit) Findings() []Finding {
 	var findings []Finding
 	for _, id := range slices.Sorted(maps.Keys(audit.requests)) {
-		for _, fault := range audit.faults(audit.requests[id]) {
+		for _, fault := range audit.faultsOf(audit.requests[id]) {
 			findings = append(findings, Finding{Request: id, Fault: fault, Lines: audit.requests[id].lines()})
 		}
 	}
 	return findings
 }
 
-func (audit *Audit) faults(history *history) []Fault {
+func (audit *Audit) faultsOf(history *history) []Fault {
 	var faults []Fault
-	note := func(fault Fault, holds bool) {
-		if holds {
+	addIf := func(fault Fault, isViolated bool) {
+		if isViolated {
 			faults = append(faults, fault)
 		}
 	}
-	mayHaveRun := history.mayHaveRun()
-	note(FaultTwice, history.runsOnce() && mayHaveRun > 0 && mayHaveRun+history.served() > 1)
-	note(FaultAnswers, len(history.ended) > 1)
-	for i := range history.ended {
-		end := &history.ended[i]
-		promised := codeOf(end).NotRun()
-		note(FaultRan, promised && mayHaveRun > 0)
-		note(FaultHeld, promised && end.Event() == "failed" && end.Number("sent") == 0 && audit.heldTooLong(end))
-		note(FaultNoReturn, promised && end.Event() == "failed" && end.Number("retry_after") == 0)
+	possibleRuns := history.countPossibleRuns()
+	addIf(FaultTwice, history.isAtMostOnce() && possibleRuns > 0 && possibleRuns+history.countServed() > 1)
+	addIf(FaultAnswers, len(history.ends) > 1)
+	for i := range history.ends {
+		end := &history.ends[i]
+		notRun := codeOf(end).NotRun()
+		addIf(FaultRan, notRun && possibleRuns > 0)
+		addIf(FaultHeld, notRun && end.Event() == "failed" && end.Number("sent") == 0 && audit.heldTooLong(end))
+		addIf(FaultNoReturn, notRun && end.Event() == "failed" && end.Number("retry_after") == 0)
 	}
 	return faults
 }
 
-// mayHaveRun counts the attempts of which no endpoint said that they had not run.
-func (history *history) mayHaveRun() int {
+// countPossibleRuns counts the failed attempts without a guarantee by the endpoint that the
+// request was not executed.
+func (history *history) countPossibleRuns() int {
 	count := 0
-	for i := range history.failed {
-		if outcome := history.failed[i].Pairs["outcome"]; outcome == "failed" || outcome == "broken" || outcome == "errored" {
+	for i := range history.failedAttempts {
+		if outcome := history.failedAttempts[i].Pairs["outcome"]; outcome == "failed" || outcome == "broken" || outcome == "errored" {
 			count++
 		}
 	}
 	return count
 }
 
-func (history *history) served() int {
+func (history *history) countServed() int {
 	count := 0
-	for i := range history.ended {
-		if history.ended[i].Event() == "served" {
+	for i := range history.ends {
+		if history.ends[i].Event() == "served" {
 			count++
 		}
 	}
 	return count
 }
 
-func (history *history) runsOnce() bool {
-	return len(history.ended) > 0 && history.ended[0].Pairs["kind"] == "once"
+func (history *history) isAtMostOnce() bool {
+	return len(history.ends) > 0 && history.ends[0].Pairs["kind"] == "once"
 }
 
-// heldTooLong reports whether a request was held by an instance that ran all the while: one
-// that stands still can refuse nothing.
+// heldTooLong reports whether a request was held too long, not counting pauses of the
+// instance: a paused process cannot refuse requests.
 func (audit *Audit) heldTooLong(end *logline.Line) bool {
-	aim := end.Number("aim")
-	return aim > 0 && millis(end.Number("took"))-audit.paused(end) > millis(heldAims*aim)
+	target := end.Number("aim")
+	return target > 0 && milliseconds(end.Number("took"))-audit.pausedTime(end) > milliseconds(maxHeldTargets*target)
 }
 
 func codeOf(line *logline.Line) peridotpath.Code {
 	number, err := strconv.Atoi(line.Pairs["code"])
 	if err != nil {
-		// A line that was cut; it promises nothing.
+		// The line is truncated, so it gives no guarantee.
 		return peridotpath.CodeOK
 	}
 	return peridotpath.Code(number)
 }
 
-// lines returns what was logged of the request, in the order of time.
+// lines returns the log lines of the request, sorted by time.
 func (history *history) lines() []string {
-	all := append(slices.Clone(history.failed), history.ended...)
+	all := append(slices.Clone(history.failedAttempts), history.ends...)
 	slices.SortStableFunc(all, func(a, b logline.Line) int { return cmp.Compare(a.Pairs["time"], b.Pairs["time"]) })
 	texts := make([]string, 0, len(all))
 	for i := range all {
--- a/peridotpath/audit/audit_test.go
+++ b/peridotpath/audit/audit_test.go
@@ -27,22 +27,22 @@
 	}{
 		"served":                            {[]string{served}, nil},
 		"served by a second endpoint":       {[]string{failedAttempt, served}, nil},
-		"sent on after a promise":           {[]string{refusedAttempt, servedOnce}, nil},
+		"retried after a safe refusal":      {[]string{refusedAttempt, servedOnce}, nil},
 		"the endpoint's own failure":        {[]string{erredAttempt, "event=failed request=r kind=once aim=300 took=80 sent=1 code=3003"}, nil},
-		"refused while there is time":       {[]string{refusedInTime}, nil},
+		"refused in time":                   {[]string{refusedInTime}, nil},
 		"refused by the routing":            {[]string{"event=refused request=r code=1006"}, nil},
-		"a line of no request":              {[]string{"event=routing_in_force version=3"}, nil},
-		"cut within the line":               {[]string{"event=failed request=r aim=300 took=9"}, nil},
-		"told not to have run, and it may":  {[]string{failedAttempt, "event=failed request=r kind=stream aim=300 took=90 sent=1 code=3002 retry_after=300"}, []audit.Fault{audit.FaultRan}},
-		"told not to have run, broken off":  {[]string{brokenAttempt, "event=failed request=r kind=stream aim=300 took=90 sent=1 code=3002 retry_after=300"}, []audit.Fault{audit.FaultRan}},
-		"a booking that broke off sent on":  {[]string{brokenAttempt, servedOnce}, []audit.Fault{audit.FaultTwice}},
-		"a booking sent twice":              {[]string{failedAttempt, servedOnce}, []audit.Fault{audit.FaultTwice}},
-		"a booking sent twice in vain":      {[]string{failedAttempt, erredAttempt, "event=failed request=r kind=once aim=300 took=80 sent=2 code=3003"}, []audit.Fault{audit.FaultTwice}},
-		"answered by two instances":         {[]string{served, "instance=b " + served}, []audit.Fault{audit.FaultAnswers}},
-		"held until it was late, not sent":  {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=2006 retry_after=300"}, []audit.Fault{audit.FaultHeld}},
-		"not told when to come back":        {[]string{"event=failed request=r kind=stream aim=300 took=7 sent=0 code=3001 retry_after=0"}, []audit.Fault{audit.FaultNoReturn}},
-		"held, and not told either":         {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=3001"}, []audit.Fault{audit.FaultHeld, audit.FaultNoReturn}},
-		"late, but its caller had gone off": {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=4004"}, nil},
+		"a line without a request":          {[]string{"event=routing_in_force version=3"}, nil},
+		"a truncated line":                  {[]string{"event=failed request=r aim=300 took=9"}, nil},
+		"may have run though refused":       {[]string{failedAttempt, "event=failed request=r kind=stream aim=300 took=90 sent=1 code=3002 retry_after=300"}, []audit.Fault{audit.FaultRan}},
+		"aborted stream, refused":           {[]string{brokenAttempt, "event=failed request=r kind=stream aim=300 took=90 sent=1 code=3002 retry_after=300"}, []audit.Fault{audit.FaultRan}},
+		"aborted, not idempotent, retried":  {[]string{brokenAttempt, servedOnce}, []audit.Fault{audit.FaultTwice}},
+		"failed, not idempotent, retried":   {[]string{failedAttempt, servedOnce}, []audit.Fault{audit.FaultTwice}},
+		"retried without success":           {[]string{failedAttempt, erredAttempt, "event=failed request=r kind=once aim=300 took=80 sent=2 code=3003"}, []audit.Fault{audit.FaultTwice}},
+		"ended at two instances":            {[]string{served, "instance=b " + served}, []audit.Fault{audit.FaultAnswers}},
+		"held too long, not sent":           {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=2006 retry_after=300"}, []audit.Fault{audit.FaultHeld}},
+		"refused without Retry-After":       {[]string{"event=failed request=r kind=stream aim=300 took=7 sent=0 code=3001 retry_after=0"}, []audit.Fault{audit.FaultNoReturn}},
+		"held, without Retry-After":         {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=3001"}, []audit.Fault{audit.FaultHeld, audit.FaultNoReturn}},
+		"late, but the caller disconnected": {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=4004"}, nil},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			for _, text := range test.lines {
 				line, ok := logline.Parse(text)
 				if !ok {
-					t.Fatalf("no line: %s", text)
+					t.Fatalf("not a log line: %s", text)
 				}
 				logs.Add(line)
 			}
@@ -65,9 +65,9 @@
 	}
 }
 
-// A finding names its request and the lines that show it, in the order of time, though
-// they come from several files.
-func TestFindingShowsItsLines(t *testing.T) {
+// A finding contains the request id and the request's log lines sorted by time, since the
+// lines come from several files.
+func TestFindingHasSortedLines(t *testing.T) {
 	is := is.New(t)
 	var logs audit.Audit
 	for _, text := range []string{
@@ -89,21 +89,22 @@
 	})
 }
 
-// An instance that was paused refuses at once when it runs again; nothing held the request
-// but the pause. A pause of another instance, or before the request, excuses nothing.
-func TestPauseIsNoHolding(t *testing.T) {
+// The time of a process pause does not count as held, since the instance refuses the
+// request as soon as it resumes. A pause of another instance or before the request's
+// arrival has no effect.
+func TestPauseDoesNotCountAsHeld(t *testing.T) {
 	const refused = "time=2026-01-01T00:00:10Z event=failed instance=a request=r kind=stream aim=300 took=4000 sent=0 code=2004 retry_after=300"
 	tests := map[string]struct {
 		lines []string
 		want  []audit.Fault
 	}{
-		"paused":                    {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=a span=3400", refused}, nil},
-		"the line comes later":      {[]string{refused, "time=2026-01-01T00:00:09.9Z event=paused instance=a span=3400"}, nil},
-		"two pauses":                {[]string{"time=2026-01-01T00:00:08Z event=paused instance=a span=1900", refused, "time=2026-01-01T00:00:10Z event=paused instance=a span=1800"}, nil},
-		"held after a pause":        {[]string{"time=2026-01-01T00:00:09.2Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
-		"paused before it came":     {[]string{"time=2026-01-01T00:00:06Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
-		"another instance's pause":  {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=b span=3400", refused}, []audit.Fault{audit.FaultHeld}},
-		"a pause that was cut away": {[]string{"event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
+		"paused":                   {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=a span=3400", refused}, nil},
+		"pause logged later":       {[]string{refused, "time=2026-01-01T00:00:09.9Z event=paused instance=a span=3400"}, nil},
+		"two pauses":               {[]string{"time=2026-01-01T00:00:08Z event=paused instance=a span=1900", refused, "time=2026-01-01T00:00:10Z event=paused instance=a span=1800"}, nil},
+		"held after a pause":       {[]string{"time=2026-01-01T00:00:09.2Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
+		"paused before arrival":    {[]string{"time=2026-01-01T00:00:06Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
+		"another instance's pause": {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=b span=3400", refused}, []audit.Fault{audit.FaultHeld}},
+		"truncated pause line":     {[]string{"event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
