--- a/peridotctl/audit.go
+++ b/peridotctl/audit.go
@@ -31,12 +31,12 @@
 				return errUsage
 			}
 			var logs audit.Audit
-			skipped, err := logline.ReadFiles(args, logs.Add)
+			skipped, err := logline.ReadFiles(args, logs.AddLine)
 			if err != nil {
 				return err
 			}
 			findings := logs.Findings()
-			fmt.Fprintf(console.out, "%d requests, %d findings; %d lines not understood\n", logs.Requests(), len(findings), skipped)
+			fmt.Fprintf(console.out, "%d requests, %d findings; %d lines not understood\n", logs.RequestCount(), len(findings), skipped)
 			for _, finding := range findings[:min(top, len(findings))] {
 				fmt.Fprintf(console.out, "\n%s %s\n", finding.Fault, finding.Request)
 				for _, text := range finding.Lines {
--- a/peridotd/daemon.go
+++ b/peridotd/daemon.go
@@ -99,7 +99,7 @@
 		Routes: daemon.callers.Routes(), Prefix: caller.ServicePrefix, PrefixHandler: daemon.callers.Services(),
 		NotFound: daemon.callers.NotFound(), MaxHeaderBytes: int(limits.MaxHeaderBytes),
 	}
-	daemon.callerListener.Open()
+	daemon.callerListener.Init()
 }
 
 // initPeers creates the listener for other instances and operators.
@@ -114,7 +114,7 @@
 			{Method: http.MethodPost, Path: peer.PathPrefix + ":method", Handler: daemon.fleet.service.Handler().ServeHTTP},
 		},
 	}
-	daemon.peerListener.Open()
+	daemon.peerListener.Init()
 }
 
 // ready reports whether the instance can serve new callers: it needs a recent
@@ -205,7 +205,7 @@
 	for range tasks {
 		daemon.log.Debug().Str("task", <-ended).Msg("task_ended")
 	}
-	inbound.Finish()
+	inbound.RunShutdownHooks()
 	for range listeners {
 		err = errs.Combine(err, <-failed)
 	}
@@ -225,8 +225,8 @@
 func (daemon *daemon) stop(ctx context.Context) error {
 	daemon.log.Info().Int64("active", daemon.callers.Active()).Msg("stopping")
 	stop := &gracefulStop{
-		Notice: daemon.settings.Drain.BalancerNoticeMS.Duration(), Handover: daemon.settings.Drain.HandoverMS.Duration(),
-		TurnNotReady: daemon.callers.Stop, Active: daemon.callers.Active, CloseCallers: daemon.callerListener.Close,
+		BalancerNotice: daemon.settings.Drain.BalancerNoticeMS.Duration(), PeerHandover: daemon.settings.Drain.HandoverMS.Duration(),
+		SetNotReady: daemon.callers.Stop, ActiveRequests: daemon.callers.Active, CloseCallers: daemon.callerListener.Close,
 		CloseClaims: daemon.claims.Close, ClosePeers: daemon.peerListener.Close,
 	}
 	return stop.run(ctx)
--- a/peridotd/relay.go
+++ b/peridotd/relay.go
@@ -75,11 +75,13 @@
 	eras := &keyvalue.EraTracker{Now: clock.SinceBoot, Log: log}
 	adapter := instance.Adapter{
 		Store: platform.ConnectStore(settings.StoreAddress, eras), Eras: eras,
-		RoutingKey: platform.KeyRouting, DecodeRouting: platform.DecodeRouting,
-		EndpointPrefix: platform.PrefixEndpoints, DecodeEndpoints: platform.DecodeEndpoints,
+		RoutingKey: platform.RoutingKey, DecodeRouting: platform.DecodeRouting,
+		EndpointPrefix: platform.EndpointPrefix, DecodeEndpoints: platform.DecodeEndpoints,
 		CompactEndpoints: platform.CompactEndpoints,
-		Send:             platform.Send, Check: platform.Check, Pace: platform.Pace, Reserve: platform.Reserve, Release: platform.Release, ReadyPath: platform.ReadyPath,
-		Ingress: func(callers instance.IngressDependencies) http.Handler { return &platform.Ingress{Callers: callers} },
+		Send:             platform.Send, Check: platform.ProbeEndpoint, Pace: platform.FetchSlowdown, Reserve: platform.Reserve, Release: platform.Release, ReadyPath: platform.ReadyPath,
+		Ingress: func(callers instance.IngressDependencies) http.Handler {
+			return &platform.Ingress{Dependencies: callers}
+		},
 	}
 	return instance.New(settings, adapter, log).Run(stop)
 }
--- a/peridotd/stop.go
+++ b/peridotd/stop.go
@@ -13,13 +13,13 @@
 // gracefulStop shuts an instance down gracefully. It interrupts no request and takes until
 // the last one has ended, which its deadline bounds.
 type gracefulStop struct {
-	// Notice is how long the load balancer needs to detect that the instance is not ready.
-	Notice time.Duration
-	// Handover is how long peers may still fetch state from this instance.
-	Handover time.Duration
+	// BalancerNotice is how long the load balancer needs to detect that the instance is not ready.
+	BalancerNotice time.Duration
+	// PeerHandover is how long peers may still fetch state from this instance.
+	PeerHandover time.Duration
 
-	TurnNotReady func()
-	Active       func() int64
+	SetNotReady    func()
+	ActiveRequests func() int64
 	// CloseCallers stops accepting connections and waits for those in use.
 	CloseCallers func(ctx context.Context) error
 	// CloseClaims waits, for a bounded time, until the outcomes of claims are recorded.
@@ -35,13 +35,13 @@
 // unknown. The peer listener closes last, since peers fetch state from it until they
 // have taken over the callers.
 func (stop *gracefulStop) run(ctx context.Context) error {
-	stop.TurnNotReady()
-	time.Sleep(stop.Notice)
+	stop.SetNotReady()
+	time.Sleep(stop.BalancerNotice)
 	err := stop.CloseCallers(ctx)
-	for stop.Active() > 0 {
+	for stop.ActiveRequests() > 0 {
 		time.Sleep(activePollInterval)
 	}
 	err = errs.Combine(err, stop.CloseClaims())
-	time.Sleep(stop.Handover)
+	time.Sleep(stop.PeerHandover)
 	return errs.Combine(err, stop.ClosePeers(ctx))
 }
--- a/peridotd/stop_test.go
+++ b/peridotd/stop_test.go
@@ -41,8 +41,8 @@
 				time.AfterFunc(test.remaining, func() { active.Store(0) })
 				synctest.Wait()
 				stop := &gracefulStop{
-					Notice: 3 * time.Second, Handover: 500 * time.Millisecond,
-					TurnNotReady: func() { step("not ready") }, Active: active.Load,
+					BalancerNotice: 3 * time.Second, PeerHandover: 500 * time.Millisecond,
+					SetNotReady: func() { step("not ready") }, ActiveRequests: active.Load,
 					CloseCallers: func(context.Context) error { step("callers"); return test.fail },
 					CloseClaims:  func() error { step("claims"); return nil },
 					ClosePeers:   func(context.Context) error { step("peers"); return nil },
--- a/peridotpath/audit/audit.go
+++ b/peridotpath/audit/audit.go
@@ -19,18 +19,18 @@
 
 // Faults, the most harmful to callers first.
 const (
-	// FaultRan means that the answer guarantees that the request was not executed,
+	// FaultRanThoughRefused means that the answer guarantees that the request was not executed,
 	// although it may have been.
-	FaultRan Fault = iota
-	// FaultTwice means that a request that is not idempotent was retried although an
+	FaultRanThoughRefused Fault = iota
+	// FaultRanTwice means that a request that is not idempotent was retried although an
 	// earlier attempt may have been executed.
-	FaultTwice
-	// FaultAnswers means that more than one end of the request was logged.
-	FaultAnswers
-	// FaultHeld means that the request was refused too late without having been sent.
-	FaultHeld
-	// FaultNoReturn means that a refusal has no Retry-After.
-	FaultNoReturn
+	FaultRanTwice
+	// FaultEndedTwice means that more than one end of the request was logged.
+	FaultEndedTwice
+	// FaultHeldNeverSent means that the request was refused too late without having been sent.
+	FaultHeldNeverSent
+	// FaultNoRetryAfter means that a refusal has no Retry-After.
+	FaultNoRetryAfter
 )
 
 var faultNames = [...]string{"ran_though_refused", "ran_twice", "ended_twice", "held_and_never_sent", "no_return_time"}
@@ -65,8 +65,8 @@
 	failedAttempts []logline.Line
 }
 
-// Add adds a log line.
-func (audit *Audit) Add(line logline.Line) {
+// AddLine adds a log line.
+func (audit *Audit) AddLine(line logline.Line) {
 	if line.Event() == "paused" {
 		audit.addPause(line)
 		return
@@ -129,8 +129,8 @@
 	return total
 }
 
-// Requests returns the number of requests in the logs.
-func (audit *Audit) Requests() int { return len(audit.requests) }
+// RequestCount returns the number of requests in the logs.
+func (audit *Audit) RequestCount() int { return len(audit.requests) }
 
 // Findings returns the faults, sorted by request id.
 func (audit *Audit) Findings() []Finding {
@@ -151,14 +151,14 @@
 		}
 	}
 	possibleRuns := history.countPossibleRuns()
-	addIf(FaultTwice, history.isAtMostOnce() && possibleRuns > 0 && possibleRuns+history.countServed() > 1)
-	addIf(FaultAnswers, len(history.ends) > 1)
+	addIf(FaultRanTwice, history.isAtMostOnce() && possibleRuns > 0 && possibleRuns+history.countServed() > 1)
+	addIf(FaultEndedTwice, len(history.ends) > 1)
 	for i := range history.ends {
 		end := &history.ends[i]
 		notRun := codeOf(end).NotRun()
-		addIf(FaultRan, notRun && possibleRuns > 0)
-		addIf(FaultHeld, notRun && end.Event() == "failed" && end.Number("sent") == 0 && audit.heldTooLong(end))
-		addIf(FaultNoReturn, notRun && end.Event() == "failed" && end.Number("retry_after") == 0)
+		addIf(FaultRanThoughRefused, notRun && possibleRuns > 0)
+		addIf(FaultHeldNeverSent, notRun && end.Event() == "failed" && end.Number("sent") == 0 && audit.heldTooLong(end))
+		addIf(FaultNoRetryAfter, notRun && end.Event() == "failed" && end.Number("retry_after") == 0)
 	}
 	return faults
 }
--- a/peridotpath/audit/audit_test.go
+++ b/peridotpath/audit/audit_test.go
@@ -33,15 +33,15 @@
 		"refused by the routing":            {[]string{"event=refused request=r code=1006"}, nil},
 		"a line without a request":          {[]string{"event=routing_in_force version=3"}, nil},
 		"a truncated line":                  {[]string{"event=failed request=r aim=300 took=9"}, nil},
-		"may have run though refused":       {[]string{failedAttempt, "event=failed request=r kind=stream aim=300 took=90 sent=1 code=3002 retry_after=300"}, []audit.Fault{audit.FaultRan}},
-		"aborted stream, refused":           {[]string{brokenAttempt, "event=failed request=r kind=stream aim=300 took=90 sent=1 code=3002 retry_after=300"}, []audit.Fault{audit.FaultRan}},
-		"aborted, not idempotent, retried":  {[]string{brokenAttempt, servedOnce}, []audit.Fault{audit.FaultTwice}},
-		"failed, not idempotent, retried":   {[]string{failedAttempt, servedOnce}, []audit.Fault{audit.FaultTwice}},
-		"retried without success":           {[]string{failedAttempt, erredAttempt, "event=failed request=r kind=once aim=300 took=80 sent=2 code=3003"}, []audit.Fault{audit.FaultTwice}},
-		"ended at two instances":            {[]string{served, "instance=b " + served}, []audit.Fault{audit.FaultAnswers}},
-		"held too long, not sent":           {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=2006 retry_after=300"}, []audit.Fault{audit.FaultHeld}},
-		"refused without Retry-After":       {[]string{"event=failed request=r kind=stream aim=300 took=7 sent=0 code=3001 retry_after=0"}, []audit.Fault{audit.FaultNoReturn}},
-		"held, without Retry-After":         {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=3001"}, []audit.Fault{audit.FaultHeld, audit.FaultNoReturn}},
+		"may have run though refused":       {[]string{failedAttempt, "event=failed request=r kind=stream aim=300 took=90 sent=1 code=3002 retry_after=300"}, []audit.Fault{audit.FaultRanThoughRefused}},
+		"aborted stream, refused":           {[]string{brokenAttempt, "event=failed request=r kind=stream aim=300 took=90 sent=1 code=3002 retry_after=300"}, []audit.Fault{audit.FaultRanThoughRefused}},
+		"aborted, not idempotent, retried":  {[]string{brokenAttempt, servedOnce}, []audit.Fault{audit.FaultRanTwice}},
+		"failed, not idempotent, retried":   {[]string{failedAttempt, servedOnce}, []audit.Fault{audit.FaultRanTwice}},
+		"retried without success":           {[]string{failedAttempt, erredAttempt, "event=failed request=r kind=once aim=300 took=80 sent=2 code=3003"}, []audit.Fault{audit.FaultRanTwice}},
+		"ended at two instances":            {[]string{served, "instance=b " + served}, []audit.Fault{audit.FaultEndedTwice}},
+		"held too long, not sent":           {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=2006 retry_after=300"}, []audit.Fault{audit.FaultHeldNeverSent}},
+		"refused without Retry-After":       {[]string{"event=failed request=r kind=stream aim=300 took=7 sent=0 code=3001 retry_after=0"}, []audit.Fault{audit.FaultNoRetryAfter}},
+		"held, without Retry-After":         {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=3001"}, []audit.Fault{audit.FaultHeldNeverSent, audit.FaultNoRetryAfter}},
 		"late, but the caller disconnected": {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=4004"}, nil},
 	}
 	for name, test := range tests {
@@ -52,7 +52,7 @@
 				if !ok {
 					t.Fatalf("not a log line: %s", text)
 				}
-				logs.Add(line)
+				logs.AddLine(line)
 			}
 			var have []audit.Fault
 			for _, finding := range logs.Findings() {
@@ -76,9 +76,9 @@
 		"time=2026-01-01T00:00:01Z event=served request=other kind=once code=0",
 	} {
 		line, _ := logline.Parse(text)
-		logs.Add(line)
+		logs.AddLine(line)
 	}
-	is.Equal(logs.Requests(), 2)
+	is.Equal(logs.RequestCount(), 2)
 	findings := logs.Findings()
 	is.Equal(len(findings), 1)
 	is.Equal(findings[0].Request, peridotpath.RequestID("save-1"))
@@ -101,17 +101,17 @@
 		"paused":                   {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=a span=3400", refused}, nil},
 		"pause logged later":       {[]string{refused, "time=2026-01-01T00:00:09.9Z event=paused instance=a span=3400"}, nil},
 		"two pauses":               {[]string{"time=2026-01-01T00:00:08Z event=paused instance=a span=1900", refused, "time=2026-01-01T00:00:10Z event=paused instance=a span=1800"}, nil},
-		"held after a pause":       {[]string{"time=2026-01-01T00:00:09.2Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
-		"paused before arrival":    {[]string{"time=2026-01-01T00:00:06Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
-		"another instance's pause": {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=b span=3400", refused}, []audit.Fault{audit.FaultHeld}},
-		"truncated pause line":     {[]string{"event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeld}},
+		"held after a pause":       {[]string{"time=2026-01-01T00:00:09.2Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeldNeverSent}},
+		"paused before arrival":    {[]string{"time=2026-01-01T00:00:06Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeldNeverSent}},
+		"another instance's pause": {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=b span=3400", refused}, []audit.Fault{audit.FaultHeldNeverSent}},
+		"truncated pause line":     {[]string{"event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeldNeverSent}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var logs audit.Audit
 			for _, text := range test.lines {
 				line, _ := logline.Parse(text)
-				logs.Add(line)
+				logs.AddLine(line)
 			}
 			var have []audit.Fault
 			for _, finding := range logs.Findings() {
--- a/peridotpath/engine/enginetest/network.go
+++ b/peridotpath/engine/enginetest/network.go
@@ -109,11 +109,11 @@
 	case <-exchange.begun:
 	case <-ctx.Done():
 		cancel()
-		return nil, outbound.ErrLost.Wrap(ctx.Err())
+		return nil, outbound.ErrNoResponse.Wrap(ctx.Err())
 	}
 	if exchange.broken != nil {
 		cancel()
-		return nil, outbound.ErrLost.Wrap(exchange.broken)
+		return nil, outbound.ErrNoResponse.Wrap(exchange.broken)
 	}
 	return exchange.response, nil
 }
--- a/peridotpath/inbound/inbound.go
+++ b/peridotpath/inbound/inbound.go
@@ -85,8 +85,8 @@
 	return Error.New("listen on %s: %v", listener.Address, err)
 }
 
-// Open initialises the listener without listening. It must precede Run and Close.
-func (listener *Listener) Open() { listener.server = make(chan *http.Server, 1) }
+// Init initialises the listener without listening. It must precede Run and Close.
+func (listener *Listener) Init() { listener.server = make(chan *http.Server, 1) }
 
 // Close stops accepting connections and waits for requests in flight until ctx ends, in
 // which case it returns the error of ctx.
@@ -99,9 +99,9 @@
 	}
 }
 
-// Finish runs go-zero's shutdown hooks, without which Run does not return. Call it once
+// RunShutdownHooks runs go-zero's shutdown hooks, without which Run does not return. Call it once
 // all listeners of the process are closed.
-func Finish() { proc.Shutdown() }
+func RunShutdownHooks() { proc.Shutdown() }
 
 // startServer starts the server and converts go-zero's panic on a bind failure to an error.
 func startServer(inner *rest.Server, option func(*http.Server)) (err error) {
--- a/peridotpath/inbound/inbound_test.go
+++ b/peridotpath/inbound/inbound_test.go
@@ -33,7 +33,7 @@
 	address := netip.MustParseAddrPort(probe.Addr().String())
 	probe.Close()
 	listener := &inbound.Listener{Name: "test", Address: address, Routes: routes, MaxHeaderBytes: 64 << 10}
-	listener.Open()
+	listener.Init()
 	result := make(chan error, 1)
 	go func() { result <- listener.Run() }()
 	t.Cleanup(func() {
@@ -42,7 +42,7 @@
 		if err := listener.Close(ctx); err != nil {
 			t.Error(err)
 		}
-		inbound.Finish()
+		inbound.RunShutdownHooks()
 		if err := <-result; err != nil {
 			t.Error(err)
 		}
@@ -156,7 +156,7 @@
 	is.NoErr(err)
 	defer occupant.Close()
 	listener := &inbound.Listener{Name: "test", Address: netip.MustParseAddrPort(occupant.Addr().String())}
-	listener.Open()
+	listener.Init()
 	err = listener.Run()
 	is.True(err != nil)
 	is.True(inbound.Error.Has(err))
--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -357,7 +357,7 @@
 	for range tasks {
 		<-ended
 	}
-	inbound.Finish()
+	inbound.RunShutdownHooks()
 	<-metricsDone
 	var err error
 	for range listeners {
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -56,7 +56,7 @@
 		Routes: []rest.Route{{Method: http.MethodGet, Path: "/metrics", Handler: telemetry.WriteMetrics}},
 	}
 	for _, listener := range append(instance.requiredListeners(), instance.metricsListener) {
-		listener.Open()
+		listener.Init()
 	}
 }
 
--- a/peridotpath/outbound/outbound.go
+++ b/peridotpath/outbound/outbound.go
@@ -20,8 +20,8 @@
 	// ErrNotSent means that the request's headers were never written to a connection, so
 	// the request was not executed.
 	ErrNotSent = errs.Class("not sent")
-	// ErrLost means that the request may have been executed, but no response was received.
-	ErrLost = errs.Class("answer lost")
+	// ErrNoResponse means that the request may have been executed, but no response was received.
+	ErrNoResponse = errs.Class("answer lost")
 )
 
 const (
@@ -43,7 +43,7 @@
 var configureOnce sync.Once
 
 // Do sends the request and returns the response once its headers are received. An error
-// is of class ErrNotSent or ErrLost.
+// is of class ErrNotSent or ErrNoResponse.
 //
 // It uses httpc's package function because httpc's named services have a circuit breaker,
 // whose rejections our metrics would not count.
@@ -57,7 +57,7 @@
 		return response, nil
 	}
 	if sent.Load() {
-		return nil, ErrLost.Wrap(err)
+		return nil, ErrNoResponse.Wrap(err)
 	}
 	return nil, ErrNotSent.Wrap(err)
 }
--- a/peridotpath/relay/relay_test.go
+++ b/peridotpath/relay/relay_test.go
@@ -65,7 +65,9 @@
 }
 
 func lostAnswer() step {
-	return func(context.Context, *relay.Call) (*relay.Answer, error) { return nil, outbound.ErrLost.Wrap(errReset) }
+	return func(context.Context, *relay.Call) (*relay.Answer, error) {
+		return nil, outbound.ErrNoResponse.Wrap(errReset)
+	}
 }
 
 func unsentCall() step {
@@ -77,7 +79,7 @@
 func noAnswer() step {
 	return func(ctx context.Context, _ *relay.Call) (*relay.Answer, error) {
 		<-ctx.Done()
-		return nil, outbound.ErrLost.Wrap(ctx.Err())
+		return nil, outbound.ErrNoResponse.Wrap(ctx.Err())
 	}
 }
 
--- a/soak/back.go
+++ b/soak/back.go
@@ -27,7 +27,7 @@
 	from := fleet.copies[random.IntN(len(fleet.copies))]
 	fleet.mutex.Unlock()
 	away, rewrite := time.Duration(random.Int64N(int64(awayMost))), time.Duration(random.Int64N(int64(rewriteMost)))
-	fleet.store.SetFault([]standin.StoreFault{standin.StoreBusy, standin.StoreSilent}[random.IntN(2)])
+	fleet.store.SetFault([]standin.StoreFault{standin.StoreRejecting, standin.StoreUnresponsive}[random.IntN(2)])
 	return func() {
 		time.Sleep(away)
 		fleet.goBack(from, rewrite)
@@ -35,9 +35,9 @@
 }}
 
 // goBack lets the store come back from a copy, and the operators write again after a while.
-func (fleet *fleet) goBack(from standin.Copy, rewrite time.Duration) {
-	fleet.store.GoBack(from)
-	fleet.store.SetFault(standin.StoreFine)
+func (fleet *fleet) goBack(from standin.Snapshot, rewrite time.Duration) {
+	fleet.store.Restore(from)
+	fleet.store.SetFault(standin.StoreHealthy)
 	time.Sleep(rewrite)
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -49,7 +49,7 @@
 	ticker := time.NewTicker(copyEvery)
 	defer ticker.Stop()
 	for {
-		from := fleet.store.Copy()
+		from := fleet.store.Snapshot()
 		fleet.mutex.Lock()
 		fleet.copies = append(fleet.copies, from)
 		fleet.copies = fleet.copies[max(0, len(fleet.copies)-copyCount):]
@@ -88,9 +88,9 @@
 	fleet.mutex.Unlock()
 	fleet.configure()
 	for _, instance := range fleet.instances {
-		if !fleet.eventually(standin.ChangeWithin+slack, func() bool { return fleet.probe(ctx, instance, customer, key) == 200 }) {
+		if !fleet.eventually(standin.MaxPropagationDelay+slack, func() bool { return fleet.probe(ctx, instance, customer, key) == 200 }) {
 			fleet.checks.mutex.Lock()
-			fleet.checks.breaks("%s does not serve a key that was given %v ago", instance.ID, standin.ChangeWithin+slack)
+			fleet.checks.breaks("%s does not serve a key that was given %v ago", instance.ID, standin.MaxPropagationDelay+slack)
 			fleet.checks.mutex.Unlock()
 		}
 	}
--- a/soak/back_test.go
+++ b/soak/back_test.go
@@ -27,7 +27,7 @@
 	is.True(fleet.eventually(startTime, fleet.allReady))
 	customer, taken, given := customers[0], keyOf(customers[0], 1), peridotpath.APIKey("given")
 
-	before := fleet.store.Copy()
+	before := fleet.store.Snapshot()
 	fleet.instances[0].signal(9)
 	fleet.restart(0)
 	is.True(fleet.eventually(startTime, fleet.allReady))
@@ -35,11 +35,11 @@
 	fleet.configure()
 	borne := fleet.store.Revision()
 	for _, instance := range fleet.instances {
-		is.True(fleet.eventually(standin.ChangeWithin, func() bool { return fleet.probe(ctx, instance, customer, taken) == 200 }))
+		is.True(fleet.eventually(standin.MaxPropagationDelay, func() bool { return fleet.probe(ctx, instance, customer, taken) == 200 }))
 	}
-	time.Sleep(standin.ChangeWithin)
+	time.Sleep(standin.MaxPropagationDelay)
 
-	fleet.store.GoBack(before)
+	fleet.store.Restore(before)
 	// Somebody else takes every number of a lease that the copy does not have.
 	for fleet.store.Revision() < borne-1 {
 		lease(t, fleet)
@@ -50,13 +50,13 @@
 	fleet.configure()
 	is.Equal(fleet.store.Revision(), borne)
 	fleet.paused.Store(false)
-	time.Sleep(standin.RevokeWithin + slack)
+	time.Sleep(standin.MaxRevocationDelay + slack)
 	for _, instance := range fleet.instances {
 		if status := fleet.probe(ctx, instance, customer, given); status != http.StatusOK {
-			t.Errorf("%s: a key that was given %v ago is answered with %d", instance.ID, standin.RevokeWithin+slack, status)
+			t.Errorf("%s: a key that was given %v ago is answered with %d", instance.ID, standin.MaxRevocationDelay+slack, status)
 		}
 		if status := fleet.probe(ctx, instance, customer, taken); status == http.StatusOK {
-			t.Errorf("%s: a key that was taken away %v ago is served", instance.ID, standin.RevokeWithin+slack)
+			t.Errorf("%s: a key that was taken away %v ago is served", instance.ID, standin.MaxRevocationDelay+slack)
 		}
 	}
 	// The copy's own entries lapse; what is left belongs to live instances.
--- a/soak/check.go
+++ b/soak/check.go
@@ -31,13 +31,13 @@
 }
 
 type run struct {
-	standin.Run
+	standin.Execution
 	Endpoint peridotpath.EndpointID
 }
 
 // question is a request as its caller sent it.
 type question struct {
-	standin.Ask
+	standin.Request
 	Customer peridotpath.CustomerID
 	Instance *instance
 	Sent     time.Time
@@ -70,30 +70,30 @@
 )
 
 // began is called by an endpoint as it begins to work.
-func (checks *checks) began(endpoint peridotpath.EndpointID, seen standin.Run) {
+func (checks *checks) began(endpoint peridotpath.EndpointID, seen standin.Execution) {
 	checks.mutex.Lock()
 	defer checks.mutex.Unlock()
-	checks.runs[seen.Request] = append(checks.runs[seen.Request], run{seen, endpoint})
-	asked, known := checks.asked[seen.Request]
+	checks.runs[seen.RequestID] = append(checks.runs[seen.RequestID], run{seen, endpoint})
+	asked, known := checks.asked[seen.RequestID]
 	if !known {
-		checks.breaks("%s runs %s, which nobody sent", endpoint, seen.Request)
+		checks.breaks("%s runs %s, which nobody sent", endpoint, seen.RequestID)
 		return
 	}
 	if seen.Body != asked.Body || seen.Customer != asked.Customer {
-		checks.breaks("%s runs %s as %q of %q, sent as %q of %q", endpoint, seen.Request, seen.Body, seen.Customer, asked.Body, asked.Customer)
+		checks.breaks("%s runs %s as %q of %q, sent as %q of %q", endpoint, seen.RequestID, seen.Body, seen.Customer, asked.Body, asked.Customer)
 	}
-	if revoked, ok := checks.revoked[asked.Key]; ok && asked.Sent.After(revoked.Add(standin.RevokeWithin+slack)) {
-		checks.breaks("%s runs %s, sent %v after its key was taken away", endpoint, seen.Request, asked.Sent.Sub(revoked))
+	if revoked, ok := checks.revoked[asked.Key]; ok && asked.Sent.After(revoked.Add(standin.MaxRevocationDelay+slack)) {
+		checks.breaks("%s runs %s, sent %v after its key was taken away", endpoint, seen.RequestID, asked.Sent.Sub(revoked))
 	}
-	if left, ok := checks.leaving[endpoint]; ok && asked.Sent.After(left.Add(standin.ChangeWithin+slack)) &&
+	if left, ok := checks.leaving[endpoint]; ok && asked.Sent.After(left.Add(standin.MaxPropagationDelay+slack)) &&
 		time.Since(checks.stirred) > contact && left.After(checks.stirred.Add(contact)) {
-		checks.breaks("%s runs %s, sent %v after it began to leave", endpoint, seen.Request, asked.Sent.Sub(left))
+		checks.breaks("%s runs %s, sent %v after it began to leave", endpoint, seen.RequestID, asked.Sent.Sub(left))
 	}
 	if fatal(seen.Body) {
 		checks.fatalRun(asked, seen)
 	}
-	if asked.Route == standin.RouteSave && len(checks.runs[seen.Request]) > 1 {
-		checks.breaks("%s runs %d times", seen.Request, len(checks.runs[seen.Request]))
+	if asked.Route == standin.RouteNonIdempotent && len(checks.runs[seen.RequestID]) > 1 {
+		checks.breaks("%s runs %d times", seen.RequestID, len(checks.runs[seen.RequestID]))
 	}
 }
 
@@ -113,25 +113,25 @@
 		return
 	}
 	if reply.NotRun() {
-		if asked.Route == standin.RouteSave && len(checks.runs[id]) > 0 {
+		if asked.Route == standin.RouteNonIdempotent && len(checks.runs[id]) > 0 {
 			checks.breaks("%s was told %d and ran", id, reply.Status)
 		}
-		if reply.RetryAfter <= 0 {
+		if reply.RetryAfterSeconds <= 0 {
 			checks.breaks("%s was told %d and not when to come back", id, reply.Status)
 		}
 	}
 	if reply.Status != 200 {
 		return
 	}
-	if !reply.Signed {
+	if !reply.IsSigned {
 		checks.breaks("%s got a success without a signature", id)
 	}
 	if asked.Route == standin.RouteStream {
 		checks.stream(id, reply)
-	} else if reply.Whole && reply.Body != "answer to "+asked.Body {
+	} else if reply.IsComplete && reply.Body != "answer to "+asked.Body {
 		checks.breaks("%s got %q", id, reply.Body)
 	}
-	if reply.Whole && !revoked {
+	if reply.IsComplete && !revoked {
 		checks.served++
 	}
 }
@@ -139,14 +139,14 @@
 // stream checks that no event is missing or comes twice, and that only whole
 // streams end as such.
 func (checks *checks) stream(id peridotpath.RequestID, reply *standin.Reply) {
-	for i, event := range reply.Events {
+	for i, event := range reply.EventIDs {
 		if event != i+1 {
-			checks.breaks("%s got events %v", id, reply.Events)
+			checks.breaks("%s got events %v", id, reply.EventIDs)
 			return
 		}
 	}
-	if reply.Whole && len(reply.Events) != standin.StreamEvents {
-		checks.breaks("%s got %d events and an end", id, len(reply.Events))
+	if reply.IsComplete && len(reply.EventIDs) != standin.StreamEvents {
+		checks.breaks("%s got %d events and an end", id, len(reply.EventIDs))
 	}
 }
 
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -37,10 +37,10 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	began, ended := time.Now(), make(chan struct{})
 	customer := customers[random.IntN(len(customers))]
-	ask := standin.Ask{Key: keyOf(customer, keysEach), Body: body, Patience: patience}
-	ask.Route = []peridotpath.RouteName{standin.RouteSave, standin.RouteLook, standin.RouteStream}[random.IntN(3)]
+	ask := standin.Request{Key: keyOf(customer, keysEach), Body: body, ClientTimeout: patience}
+	ask.Route = []peridotpath.RouteName{standin.RouteNonIdempotent, standin.RouteIdempotent, standin.RouteStream}[random.IntN(3)]
 	if ask.Route == standin.RouteStream {
-		ask.Prompt = peridotpath.Tokens(100 + random.IntN(5_000))
+		ask.PromptTokens = peridotpath.Tokens(100 + random.IntN(5_000))
 	}
 	pick := rand.New(rand.NewPCG(random.Uint64(), 0))
 	go func() {
@@ -49,7 +49,7 @@
 			ask := ask
 			ask.ID = peridotpath.RequestID(fmt.Sprintf("%s-%d", strings.ReplaceAll(body, " ", "-"), count))
 			instance := fleet.instances[pick.IntN(len(fleet.instances))]
-			fleet.checks.ask(question{Ask: ask, Customer: customer, Instance: instance, Sent: time.Now()})
+			fleet.checks.ask(question{Request: ask, Customer: customer, Instance: instance, Sent: time.Now()})
 			fleet.task(func() {
 				reply, err := standin.Send(context.Background(), &http.Client{Timeout: patience}, instance.Callers, ask)
 				if err != nil {
@@ -78,7 +78,7 @@
 	endpoint.down = true
 	endpoint.mutex.Unlock()
 	endpoint.proxy.down()
-	endpoint.Forget()
+	endpoint.DiscardState()
 	away := downLeast + time.Duration(rand.Int64N(int64(downSpread)))
 	fleet.task(func() {
 		sleep(ctx, min(away, entryLapse))
@@ -116,12 +116,12 @@
 
 // fatalRun notes that an endpoint ends under a fatal body, and finds runs that begin
 // though all have to know that it ends endpoints.
-func (checks *checks) fatalRun(asked question, seen standin.Run) {
+func (checks *checks) fatalRun(asked question, seen standin.Execution) {
 	ends := checks.ended[seen.Body]
-	if len(ends) >= endsForBar && seen.At.After(ends[endsForBar-1].Add(contact+slack)) && asked.Instance.inTouch(seen.At) {
+	if len(ends) >= endsForBar && seen.StartedAt.After(ends[endsForBar-1].Add(contact+slack)) && asked.Instance.inTouch(seen.StartedAt) {
 		if checks.late[seen.Body]++; checks.late[seen.Body] == spareRuns+1 {
-			checks.breaks("%q runs for the %d. time, %v after the third end under it", seen.Body, len(ends)+1, seen.At.Sub(ends[endsForBar-1]))
+			checks.breaks("%q runs for the %d. time, %v after the third end under it", seen.Body, len(ends)+1, seen.StartedAt.Sub(ends[endsForBar-1]))
 		}
 	}
-	checks.ended[seen.Body] = append(ends, seen.At)
+	checks.ended[seen.Body] = append(ends, seen.StartedAt)
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -33,7 +33,7 @@
 		index := random.IntN(len(fleet.instances))
 		fleet.instances[index].signal(syscall.SIGTERM)
 		return fleet.instances[index].stir(func() {
-			fleet.instances[index].wait(standin.Grace)
+			fleet.instances[index].wait(standin.StopGracePeriod)
 			fleet.restart(index)
 		})
 	}},
@@ -42,9 +42,9 @@
 		return func() {}
 	}},
 	{"store", func(fleet *fleet, random *rand.Rand) func() {
-		kinds := []standin.StoreFault{standin.StoreBusy, standin.StoreSilent, standin.StoreLost, standin.StoreSlow}
+		kinds := []standin.StoreFault{standin.StoreRejecting, standin.StoreUnresponsive, standin.StoreReplyLost, standin.StoreSlow}
 		fleet.store.SetFault(kinds[random.IntN(len(kinds))])
-		return func() { fleet.store.SetFault(standin.StoreFine) }
+		return func() { fleet.store.SetFault(standin.StoreHealthy) }
 	}},
 	{"store_link", func(fleet *fleet, random *rand.Rand) func() {
 		proxy := fleet.instances[random.IntN(len(fleet.instances))].Store
@@ -63,8 +63,8 @@
 	}},
 	{"late_orders", func(fleet *fleet, random *rand.Rand) func() {
 		endpoint := fleet.endpoints[random.IntN(engineCount)]
-		endpoint.SetLateness(time.Duration(2+random.IntN(4)) * time.Second)
-		return func() { endpoint.SetLateness(0) }
+		endpoint.SetOrderDelay(time.Duration(2+random.IntN(4)) * time.Second)
+		return func() { endpoint.SetOrderDelay(0) }
 	}},
 	{"leaving", func(fleet *fleet, random *rand.Rand) func() {
 		endpoint := fleet.endpoints[random.IntN(engineCount)]
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -48,7 +48,7 @@
 
 	mutex   sync.Mutex
 	version int
-	copies  []standin.Copy
+	copies  []standin.Snapshot
 	keys    map[peridotpath.CustomerID][]peridotpath.APIKey
 	tasks   sync.WaitGroup
 	// probes counts those sent, for their ids.
@@ -141,15 +141,15 @@
 	endpoint := &endpoint{born: time.Now()}
 	endpoint.Endpoint = &standin.Endpoint{
 		ID: id, Service: service, Slots: 16,
-		Began: func(run standin.Run) { fleet.checks.began(id, run) },
-		Break: func() bool {
+		OnExecution: func(run standin.Execution) { fleet.checks.began(id, run) },
+		ShouldAbortStream: func() bool {
 			endpoint.mutex.Lock()
 			defer endpoint.mutex.Unlock()
 			return endpoint.breaking && rand.IntN(60) == 0
 		},
-		Fatal:   func(run standin.Run) bool { return fatal(run.Body) },
-		End:     func() { fleet.end(ctx, endpoint) },
-		Arrived: func(request peridotpath.RequestID) { fleet.checks.arrived(id, request) },
+		IsFatal:   func(run standin.Execution) bool { return fatal(run.Body) },
+		Terminate: func() { fleet.end(ctx, endpoint) },
+		OnArrival: func(request peridotpath.RequestID) { fleet.checks.arrived(id, request) },
 	}
 	at, err := fleet.serve(ctx, endpoint.Endpoint)
 	if err != nil {
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -36,13 +36,13 @@
 	checks.mutex.Lock()
 	checks.limits[endpoint.ID] = &limited{limit: limit, since: began}
 	checks.mutex.Unlock()
-	endpoint.SetLimit(strconv.FormatFloat(float64(limit), 'f', -1, 64))
+	endpoint.SetRateLimit(strconv.FormatFloat(float64(limit), 'f', -1, 64))
 	return func() {
 		time.Sleep(limitLeast - time.Since(began))
 		checks.mutex.Lock()
 		delete(checks.limits, endpoint.ID)
 		checks.mutex.Unlock()
-		endpoint.SetLimit("")
+		endpoint.SetRateLimit("")
 	}
 }
 
--- a/soak/load.go
+++ b/soak/load.go
@@ -34,8 +34,8 @@
 func (fleet *fleet) probe(ctx context.Context, instance *instance, customer peridotpath.CustomerID, key peridotpath.APIKey) int {
 	fleet.probes.Add(1)
 	id := peridotpath.RequestID(fmt.Sprintf("probe-%d", fleet.probes.Load()))
-	ask := standin.Ask{ID: id, Key: key, Body: "of " + string(id), Patience: patience, Route: standin.RouteLook}
-	fleet.checks.ask(question{Ask: ask, Customer: customer, Instance: instance, Sent: time.Now()})
+	ask := standin.Request{ID: id, Key: key, Body: "of " + string(id), ClientTimeout: patience, Route: standin.RouteIdempotent}
+	fleet.checks.ask(question{Request: ask, Customer: customer, Instance: instance, Sent: time.Now()})
 	ctx, cancel := context.WithTimeout(ctx, patience)
 	defer cancel()
 	transport := &http.Transport{}
@@ -49,21 +49,21 @@
 
 func (fleet *fleet) request(ctx context.Context, client *http.Client, random *rand.Rand, id peridotpath.RequestID) {
 	customer := customers[random.IntN(len(customers))]
-	ask := standin.Ask{ID: id, Key: keyOf(customer, 1+random.IntN(keysEach)), Body: "of " + string(id), Patience: patience}
+	ask := standin.Request{ID: id, Key: keyOf(customer, 1+random.IntN(keysEach)), Body: "of " + string(id), ClientTimeout: patience}
 	switch random.IntN(3) {
 	case 0:
-		ask.Route = standin.RouteSave
+		ask.Route = standin.RouteNonIdempotent
 	case 1:
-		ask.Route = standin.RouteLook
+		ask.Route = standin.RouteIdempotent
 	default:
-		ask.Route, ask.Prompt = standin.RouteStream, peridotpath.Tokens(100+random.IntN(5_000))
+		ask.Route, ask.PromptTokens = standin.RouteStream, peridotpath.Tokens(100+random.IntN(5_000))
 		if random.IntN(20) == 0 {
 			// More than one engine holds.
-			ask.Prompt = 150_000
+			ask.PromptTokens = 150_000
 		}
 	}
 	instance := fleet.instances[random.IntN(len(fleet.instances))]
-	fleet.checks.ask(question{Ask: ask, Customer: customer, Instance: instance, Sent: time.Now()})
+	fleet.checks.ask(question{Request: ask, Customer: customer, Instance: instance, Sent: time.Now()})
 	ctx, cancel := context.WithTimeout(ctx, patience+2*time.Second)
 	defer cancel()
 	if random.IntN(30) == 0 {
--- a/soak/main.go
+++ b/soak/main.go
@@ -182,7 +182,7 @@
 		return err
 	}
 	var logs audit.Audit
-	if _, err := logline.ReadFiles(paths, logs.Add); err != nil {
+	if _, err := logline.ReadFiles(paths, logs.AddLine); err != nil {
 		return err
 	}
 	fleet.checks.mutex.Lock()
@@ -215,7 +215,7 @@
 func (fleet *fleet) memory() {
 	free := func() bool {
 		for _, endpoint := range fleet.endpoints {
-			if len(endpoint.Tickets()) > 0 {
+			if len(endpoint.Reservations()) > 0 {
 				return false
 			}
 		}
