--- a/peridotpath/claim/answers.go
+++ b/peridotpath/claim/answers.go
@@ -5,45 +5,45 @@
 	"sync"
 )
 
-// answerMemory keeps the latest answers of this process that are too large for
-// the platform, up to a number of bytes.
-type answerMemory struct {
-	limit int
+// answerCache caches the latest answers of this process that are too large for the store.
+// Beyond a number of bytes the oldest are evicted first.
+type answerCache struct {
+	maxBytes int
 
-	mu    sync.Mutex
-	size  int
-	order list.List
-	byKey map[keyID]*list.Element
+	mu             sync.Mutex
+	usedBytes      int
+	insertionOrder list.List
+	byKey          map[keyID]*list.Element
 }
 
-type heldAnswer struct {
+type cachedAnswer struct {
 	key    keyID
 	answer *Answer
 }
 
-func (memory *answerMemory) get(key keyID) *Answer {
-	memory.mu.Lock()
-	defer memory.mu.Unlock()
-	if element := memory.byKey[key]; element != nil {
-		return element.Value.(heldAnswer).answer
+func (answerCache *answerCache) get(key keyID) *Answer {
+	answerCache.mu.Lock()
+	defer answerCache.mu.Unlock()
+	if element := answerCache.byKey[key]; element != nil {
+		return element.Value.(cachedAnswer).answer
 	}
 	return nil
 }
 
-func (memory *answerMemory) put(key keyID, answer *Answer) {
-	memory.mu.Lock()
-	defer memory.mu.Unlock()
-	if memory.byKey == nil {
-		memory.byKey = map[keyID]*list.Element{}
+func (answerCache *answerCache) put(key keyID, answer *Answer) {
+	answerCache.mu.Lock()
+	defer answerCache.mu.Unlock()
+	if answerCache.byKey == nil {
+		answerCache.byKey = map[keyID]*list.Element{}
 	}
-	if memory.byKey[key] != nil || answer.size() > memory.limit {
+	if answerCache.byKey[key] != nil || answer.size() > answerCache.maxBytes {
 		return
 	}
-	memory.byKey[key] = memory.order.PushBack(heldAnswer{key, answer})
-	memory.size += answer.size()
-	for memory.size > memory.limit {
-		oldest := memory.order.Remove(memory.order.Front()).(heldAnswer)
-		delete(memory.byKey, oldest.key)
-		memory.size -= oldest.answer.size()
+	answerCache.byKey[key] = answerCache.insertionOrder.PushBack(cachedAnswer{key, answer})
+	answerCache.usedBytes += answer.size()
+	for answerCache.usedBytes > answerCache.maxBytes {
+		oldest := answerCache.insertionOrder.Remove(answerCache.insertionOrder.Front()).(cachedAnswer)
+		delete(answerCache.byKey, oldest.key)
+		answerCache.usedBytes -= oldest.answer.size()
 	}
 }
--- a/peridotpath/claim/bounds_test.go
+++ b/peridotpath/claim/bounds_test.go
@@ -12,67 +12,67 @@
 	"peridotpath.example/peridotpath/claim"
 )
 
-// A large answer does not fit on the platform. Its own instance still has it;
-// another can only say that the request ran. The own one forgets in time, too.
-func TestLargeAnswers(t *testing.T) {
-	story(t, func(is *is.I, fleet *fleet) {
+// An answer that is too large for the store is cached by the instance that ran the request,
+// until the cache is full. Another instance can only report that the request ran.
+func TestLargeAnswerIsCachedByItsInstance(t *testing.T) {
+	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.AnswerMemory = 5000 })
 		second := fleet.start("b", 1, nil)
 		defer closeAll(is, first, second)
 		large := strings.Repeat("x", 3000)
-		is.NoErr(first.granted(is, "k1").Finish(background, ok(large)))
-		here, err := first.ask("k1")
+		is.NoErr(first.mustClaim(is, "k1").Finish(background, okAnswer(large)))
+		fromOwnInstance, err := first.claimKey("k1")
 		is.NoErr(err)
-		is.Equal(string(here.Answer.Body), large)
-		there, err := second.ask("k1")
+		is.Equal(string(fromOwnInstance.Answer.Body), large)
+		fromOther, err := second.claimKey("k1")
 		is.NoErr(err)
-		is.Equal(there.Result().Code, peridotpath.CodeAnswerGone)
-		is.NoErr(first.granted(is, "k2").Finish(background, ok(large)))
-		here, err = first.ask("k1")
+		is.Equal(fromOther.Result().Code, peridotpath.CodeAnswerGone)
+		is.NoErr(first.mustClaim(is, "k2").Finish(background, okAnswer(large)))
+		fromOwnInstance, err = first.claimKey("k1")
 		is.NoErr(err)
-		is.Equal(here.Result().Code, peridotpath.CodeAnswerGone)
+		is.Equal(fromOwnInstance.Result().Code, peridotpath.CodeAnswerGone)
 	})
 }
 
-// Callers file with ever new keys until a bucket is full. First the stored
-// answers go, oldest first; then new keys are refused as not run. No key that
-// is remembered is forgotten for it, and requests that run can still end.
-func TestFullBucketDropsAnswersThenRefuses(t *testing.T) {
-	story(t, func(is *is.I, fleet *fleet) {
-		instance := fleet.start("a", 1, small)
+// New keys arrive until a bucket is full. Stored answers must be removed first, oldest
+// first; then new keys are refused as not run. No kept key may be removed to make room, and
+// running requests can still end.
+func TestFullBucketEvictsAnswersThenRefusesKeys(t *testing.T) {
+	runWithFleet(t, func(is *is.I, fleet *fleet) {
+		instance := fleet.start("a", 1, useSmallBuckets)
 		defer closeAll(is, instance)
-		held := instance.granted(is, "first")
+		held := instance.mustClaim(is, "first")
 		granted := 0
 		for ; ; granted++ {
-			verdict, err := instance.Claim(background, customerOf(granted), fmt.Sprint(granted), hash("body"))
+			verdict, err := instance.Claim(background, numberedCustomer(granted), fmt.Sprint(granted), hash("body"))
 			if err != nil {
 				is.True(isCode(err, peridotpath.CodeLedgerFull))
 				break
 			}
-			is.NoErr(verdict.Claim.Finish(background, ok(strings.Repeat("x", 500))))
+			is.NoErr(verdict.Claim.Finish(background, okAnswer(strings.Repeat("x", 500))))
 			time.Sleep(time.Second)
 		}
 		for i := range granted {
-			verdict, err := instance.Claim(background, customerOf(i), fmt.Sprint(i), hash("body"))
+			verdict, err := instance.Claim(background, numberedCustomer(i), fmt.Sprint(i), hash("body"))
 			is.NoErr(err)
 			is.Equal(verdict.Standing, claim.Done)
 		}
-		is.NoErr(held.Finish(background, ok("yes")))
-		entry, err := fleet.platform.Store().Get(background, claim.KeyPrefix+"0")
+		is.NoErr(held.Finish(background, okAnswer("yes")))
+		entry, err := fleet.store.Store().Get(background, claim.KeyPrefix+"0")
 		is.NoErr(err)
 		is.True(len(entry.Value) <= 10<<10)
 		is.True(len(entry.Value) >= 9<<10)
 		t.Logf("%d keys in %d bytes", granted+1, len(entry.Value))
 		time.Sleep(25 * time.Hour)
-		is.Equal(instance.standing(is, "more"), claim.Granted)
+		is.Equal(instance.keyStatus(is, "more"), claim.Granted)
 	})
 }
 
-// One customer's program repeats a claim with a new key each time, all day. The
-// others must still be able to file.
+// A faulty client of one customer sends a new key with each repeat. Other customers must
+// still get claims.
 func TestOneCustomerCannotFillTheLedger(t *testing.T) {
-	story(t, func(is *is.I, fleet *fleet) {
-		instance := fleet.start("a", 1, small)
+	runWithFleet(t, func(is *is.I, fleet *fleet) {
+		instance := fleet.start("a", 1, useSmallBuckets)
 		defer closeAll(is, instance)
 		refused := 0
 		for i := range 300 {
@@ -83,16 +83,16 @@
 		}
 		is.True(refused > 0)
 		for i := range 20 {
-			verdict, err := instance.Claim(background, customerOf(i), fmt.Sprint(i), hash("body"))
+			verdict, err := instance.Claim(background, numberedCustomer(i), fmt.Sprint(i), hash("body"))
 			is.NoErr(err)
 			is.Equal(verdict.Standing, claim.Granted)
 		}
 	})
 }
 
-// Clocks differ by a minute between instances, and one steps by two hours, by
-// mistake. A key that callers may still repeat must not be forgotten for it:
-// the repeat would run a second time.
+// The wall clocks of two instances differ by a minute, or one steps by two hours. A key
+// that callers may still repeat must not expire early, or the repeat would run a second
+// time.
 func TestClocksThatDifferOrStepKeepKeys(t *testing.T) {
 	tests := map[string]struct {
 		ahead, step, claimer time.Duration
@@ -108,40 +108,40 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			story(t, func(is *is.I, fleet *fleet) {
-				var claimer, judge shift
-				judge.Store(int64(test.ahead))
+			runWithFleet(t, func(is *is.I, fleet *fleet) {
+				var claimerOffset, observerOffset clockOffset
+				observerOffset.Store(int64(test.ahead))
 				first := fleet.start("a", 1, func(ledger *claim.Ledger) {
-					ledger.Clock.Wall = claimer.now
+					ledger.Clock.Wall = claimerOffset.now
 				})
 				second := fleet.start("b", 1, func(ledger *claim.Ledger) {
-					ledger.Clock.Wall = judge.now
+					ledger.Clock.Wall = observerOffset.now
 				})
 				defer closeAll(is, first, second)
-				first.standing(is, "warm up")
-				second.standing(is, "warm up")
-				claimer.Store(int64(test.claimer))
-				is.NoErr(first.granted(is, "k").Finish(background, ok("yes")))
-				is.Equal(second.standing(is, "k"), claim.Done)
-				judge.Add(int64(test.step))
+				first.keyStatus(is, "warm up")
+				second.keyStatus(is, "warm up")
+				claimerOffset.Store(int64(test.claimer))
+				is.NoErr(first.mustClaim(is, "k").Finish(background, okAnswer("yes")))
+				is.Equal(second.keyStatus(is, "k"), claim.Done)
+				observerOffset.Add(int64(test.step))
 				time.Sleep(test.after)
-				is.Equal(second.standing(is, "k"), test.want)
+				is.Equal(second.keyStatus(is, "k"), test.want)
 			})
 		})
 	}
 }
 
-// An operator changes the number of buckets while keys are remembered: keys
-// would be looked for in other buckets, found absent, and run again.
+// The number of buckets is changed while keys are kept. Keys would be looked up in other
+// buckets, not found, and run again.
 func TestChangedNumberOfBucketsIsRefused(t *testing.T) {
-	story(t, func(is *is.I, fleet *fleet) {
+	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first := fleet.start("a", 1, nil)
 		second := fleet.start("b", 1, func(ledger *claim.Ledger) { ledger.Settings.Buckets = 2 })
 		defer closeAll(is, first, second)
-		first.granted(is, "k")
+		first.mustClaim(is, "k")
 		refused := 0
 		for i := range 20 {
-			if _, err := second.ask(fmt.Sprint(i)); isCode(err, peridotpath.CodePlatformDown) {
+			if _, err := second.claimKey(fmt.Sprint(i)); isCode(err, peridotpath.CodePlatformDown) {
 				refused++
 			}
 		}
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestSettingsNameEveryFault(t *testing.T) {
+func TestValidateReturnsEveryInvalidSetting(t *testing.T) {
 	is := is.New(t)
 	settings := claim.Settings{}
 	settings.Defaults()
--- a/peridotpath/claim/bucket.go
+++ b/peridotpath/claim/bucket.go
@@ -12,17 +12,17 @@
 	"peridotpath.example/peridotpath/clock"
 )
 
-// After a failed call the bucket leaves the platform alone for a while that
-// doubles, so that an outage is not made longer by callers who repeat.
+// After a failed store call the bucket makes no further calls for a backoff time that
+// doubles up to a maximum, so that repeated requests do not prolong an outage.
 const (
-	minPause = 200 * time.Millisecond
-	maxPause = 5 * time.Second
+	minBackoff = 200 * time.Millisecond
+	maxBackoff = 5 * time.Second
 )
 
-// hashBytes is how much of a body's hash a record keeps.
-const hashBytes = 16
+// bodyHashBytes is how much of the hash of a request's body a record stores.
+const bodyHashBytes = 16
 
-// bucket collects operations and commits them, a batch a write.
+// bucket queues operations on its keys and commits each batch with one write.
 type bucket struct {
 	ledger  *Ledger
 	name    string
@@ -31,55 +31,57 @@
 
 	mu    sync.Mutex
 	queue []*operation
-	// open holds the claim of each key that this process has asked for and
-	// that has not ended.
-	open    map[keyID]*operation
-	pause   time.Duration
-	retryAt time.Time
-	stopped bool
+	// openClaims holds the claim operation of each key that this process is claiming or has
+	// claimed, until the claim ends.
+	openClaims map[keyID]*operation
+	backoff    time.Duration
+	retryAt    time.Time
+	stopped    bool
 
-	// wentBack asks for the bucket to be read anew.
-	wentBack clock.Signal
+	// storeRestored is raised when the store was restored; the bucket is then read again.
+	storeRestored clock.Signal
 
-	// The rest belongs to run's goroutine.
+	// Only run's goroutine uses the fields below.
 	cached *state
-	// held is the newest state that this process has read or written, of whichever era.
-	held *state
-	// lost says that the service may lack some of held.
-	lost bool
-	// contended says that another instance writes to the bucket, too.
+	// lastKnown is the newest state that this process has read or written, in any era of
+	// the store. (An era is the store's epoch; it changes when the store is restored from
+	// an older copy.)
+	lastKnown *state
+	// needsRestore reports that the restored store may lack records of lastKnown.
+	needsRestore bool
+	// contended reports that another instance also writes to the bucket.
 	contended bool
-	// seen is when this process first saw other instances' running records.
-	seen map[author]clock.Instant
+	// firstSeen is when this process first saw each running record.
+	firstSeen map[attemptID]clock.Instant
 }
 
 func newBucket(ledger *Ledger, number int) *bucket {
 	calls := ledger.Settings.CallsPerSecond
 	return &bucket{
 		ledger: ledger, name: KeyPrefix + strconv.Itoa(number),
-		limiter: rate.NewLimiter(rate.Limit(calls), max(calls, callsToReadAndWrite)),
-		wake:    make(chan struct{}, 1),
-		open:    map[keyID]*operation{},
-		seen:    map[author]clock.Instant{},
+		limiter:    rate.NewLimiter(rate.Limit(calls), max(calls, callsPerRound)),
+		wake:       make(chan struct{}, 1),
+		openClaims: map[keyID]*operation{},
+		firstSeen:  map[attemptID]clock.Instant{},
 	}
 }
 
 // run commits batches until ctx ends.
 func (bucket *bucket) run(ctx context.Context) error {
-	for bucket.wait(ctx) {
-		bucket.rebuild(ctx)
-		if batch := bucket.take(); len(batch) > 0 {
+	for bucket.waitForWork(ctx) {
+		bucket.writeLostRecords(ctx)
+		if batch := bucket.takeBatch(); len(batch) > 0 {
 			bucket.commit(ctx, batch)
 		}
 	}
-	bucket.refuseAll()
+	bucket.refuseQueued()
 	return nil
 }
 
-// wait returns when there may be something to do; false when ctx has ended.
-func (bucket *bucket) wait(ctx context.Context) bool {
+// waitForWork returns when there may be work to do, or false when ctx has ended.
+func (bucket *bucket) waitForWork(ctx context.Context) bool {
 	var retry <-chan time.Time
-	if due, ok := bucket.due(); ok {
+	if due, ok := bucket.timeUntilDue(); ok {
 		if due <= 0 {
 			return ctx.Err() == nil
 		}
@@ -92,23 +94,24 @@
 		return false
 	case <-retry:
 	case <-bucket.wake:
-	case <-bucket.wentBack.C():
-		bucket.lost = bucket.lacksRecent()
-		return clock.Pause(ctx, rand.N(restoreSpread))
+	case <-bucket.storeRestored.C():
+		bucket.needsRestore = bucket.hasRecentRecords()
+		return clock.Pause(ctx, rand.N(restoreJitter))
 	}
 	return ctx.Err() == nil
 }
 
-// due returns when the queue is to be taken; false when it is empty.
-func (bucket *bucket) due() (time.Duration, bool) {
+// timeUntilDue returns the time until the queue may be committed, or false when the queue
+// is empty.
+func (bucket *bucket) timeUntilDue() (time.Duration, bool) {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	return bucket.retryAt.Sub(bucket.ledger.Clock.Read().Monotonic), len(bucket.queue) > 0
 }
 
-// take returns what is to be committed now; nothing while the platform is
-// left alone.
-func (bucket *bucket) take() []*operation {
+// takeBatch returns the operations to commit now, and none during the backoff. Claims whose
+// callers have all left are dropped.
+func (bucket *bucket) takeBatch() []*operation {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	if bucket.retryAt.After(bucket.ledger.Clock.Read().Monotonic) {
@@ -116,8 +119,8 @@
 	}
 	var batch []*operation
 	for _, operation := range bucket.queue {
-		if !operation.kind.ends() && operation.waiters == 0 {
-			bucket.drop(operation, platformDown(reasonCallerGone, retryAfter))
+		if !operation.kind.isEnd() && operation.waiters == 0 {
+			bucket.complete(operation, platformDownResult(reasonCallerGone, defaultRetryAfter))
 			continue
 		}
 		batch = append(batch, operation)
@@ -126,21 +129,21 @@
 	return batch
 }
 
-// deliver hands out verdicts that stand on the platform.
-func (bucket *bucket) deliver(batch []*operation, decision decision) {
+// completeBatch completes the operations of a batch that is recorded in the store.
+func (bucket *bucket) completeBatch(batch []*operation, decision decision) {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
-	bucket.pause = 0
+	bucket.backoff = 0
 	for i, operation := range batch {
 		switch {
-		case operation.kind.ends():
-			bucket.drop(operation, nil)
+		case operation.kind.isEnd():
+			bucket.complete(operation, nil)
 		case operation.kind == kindRenew:
 			operation.verdict = decision.verdicts[i]
-			bucket.drop(operation, nil)
+			bucket.complete(operation, nil)
 		case decision.verdicts[i].Standing != Granted:
 			operation.verdict = decision.verdicts[i]
-			bucket.drop(operation, nil)
+			bucket.complete(operation, nil)
 		default:
 			bucket.grant(operation)
 		}
@@ -148,35 +151,36 @@
 }
 
 func (bucket *bucket) grant(operation *operation) {
-	claim := &Claim{bucket: bucket, operation: operation, run: &Run{done: make(chan struct{})}}
+	claim := &Claim{bucket: bucket, operation: operation, inFlight: &Run{done: make(chan struct{})}}
 	operation.verdict = Verdict{Standing: Granted, Claim: claim}
 	close(operation.done)
-	bucket.releaseUntaken(operation)
+	bucket.releaseIfAbandoned(operation)
 }
 
-// fail deals with a batch that could not be committed. Claims are refused as
-// not run: none of them was granted, so none is dispatched. One whose write may
-// stand is released later; it keeps its place among the open claims until then.
-func (bucket *bucket) fail(batch []*operation, err error) {
+// failBatch handles a batch that could not be committed. Its claims are refused with a
+// result that means "not run": none of them was granted, so none is dispatched. A claim
+// whose write may still have taken effect is released later, and counts as an open claim
+// until then.
+func (bucket *bucket) failBatch(batch []*operation, err error) {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	bucket.cached = nil
-	bucket.pause = min(max(2*bucket.pause, minPause), maxPause)
-	bucket.retryAt = bucket.ledger.Clock.Read().Monotonic.Add(bucket.pause)
+	bucket.backoff = min(max(2*bucket.backoff, minBackoff), maxBackoff)
+	bucket.retryAt = bucket.ledger.Clock.Read().Monotonic.Add(bucket.backoff)
 	bucket.ledger.Logger.Warn().Str("event", "claim_commit_failed").Str("bucket", bucket.name).
-		Int("operations", len(batch)).Dur("pause", bucket.pause).Err(err).Send()
-	refusal := platformDown(reasonNotRecorded, max(bucket.pause, retryAfter))
+		Int("operations", len(batch)).Dur("pause", bucket.backoff).Err(err).Send()
+	refusal := platformDownResult(reasonNotRecorded, max(bucket.backoff, defaultRetryAfter))
 	for _, operation := range batch {
 		switch {
-		case operation.kind.ends():
+		case operation.kind.isEnd():
 			bucket.enqueue(operation)
-		case operation.kind == kindClaim && operation.lost:
-			bucket.forget(operation)
+		case operation.kind == kindClaim && operation.writeUncertain:
+			bucket.removeOpenClaim(operation)
 			operation.err = refusal
 			close(operation.done)
-			bucket.enqueue(releaseOf(operation))
+			bucket.enqueue(newRelease(operation))
 		default:
-			bucket.drop(operation, refusal)
+			bucket.complete(operation, refusal)
 		}
 	}
 }
--- a/peridotpath/claim/claim.go
+++ b/peridotpath/claim/claim.go
@@ -10,97 +10,98 @@
 	"peridotpath.example/peridotpath/claim/ledgerpb"
 )
 
-// Claim is the right to run one request. Exactly one of Finish, Release and
-// MarkUnknown ends it; later calls do nothing and return an error.
+// Claim is the exclusive right to run the request of one idempotency key. Exactly one of
+// Finish, Release and MarkUnknown ends it; later calls do nothing and return an error.
 type Claim struct {
 	bucket    *bucket
 	operation *operation
-	run       *Run
+	inFlight  *Run
 	ended     atomic.Bool
-	// dispatched is set once a Dispatch has succeeded.
+	// dispatched is set once a call of Dispatch has succeeded.
 	dispatched atomic.Bool
 }
 
-// Dispatch is called right before each time the request is sent to an
-// endpoint. A claim that has grown old, in a queue perhaps, is renewed first,
-// which takes a call of the platform and at most the claim timeout. An error, a
-// *peridotpath.Result that says "not run", means that this failed: others may
-// by now have been told that the claim's outcome is settled. After it the
-// caller must Release, or MarkUnknown if an earlier sending may have run.
+// Dispatch must be called right before each time the request is sent to an endpoint. If the
+// claim's dispatch window has passed, for example because the request was queued, the claim
+// is renewed first, which takes a store call and at most the claim timeout. An error means
+// that the request must not be sent, because other callers may already have received a
+// final outcome for the key; it is a *peridotpath.Result that means "not run". The caller
+// must then call Release, or MarkUnknown if an earlier send may have run.
 //
 // A process that freezes between this check and its send can still send late.
-// docs/CLAIMS.md says what that can do.
+// docs/CLAIMS.md describes the effects.
 func (claim *Claim) Dispatch() error {
-	if !claim.ended.Load() && !claim.old() {
+	if !claim.ended.Load() && !claim.windowPassed() {
 		claim.dispatched.Store(true)
 		return nil
 	}
 	ledger := claim.bucket.ledger
-	if claim.ended.Load() || !claim.renew() || claim.old() {
+	if claim.ended.Load() || !claim.renew() || claim.windowPassed() {
 		ledger.count(`claim_dispatch_late_total`)
-		return platformDown(reasonTooOld, retryAfter)
+		return platformDownResult(reasonTooOld, defaultRetryAfter)
 	}
 	ledger.count(`claim_renewals_total`)
 	claim.dispatched.Store(true)
 	return nil
 }
 
-// old reports that the claim's window is over.
-func (claim *Claim) old() bool {
+// windowPassed reports whether the claim's dispatch window has passed.
+func (claim *Claim) windowPassed() bool {
 	ledger := claim.bucket.ledger
 	claim.bucket.mu.Lock()
-	sent := claim.operation.sent
+	sent := claim.operation.sentAt
 	claim.bucket.mu.Unlock()
 	return sent.Elapsed(ledger.Clock.Read()) >= ledger.Settings.DispatchMS.Duration()
 }
 
-// renew writes the claim anew and reports whether it stands.
+// renew writes the claim again under a new attempt id, and reports whether it is still
+// valid.
 func (claim *Claim) renew() bool {
 	bucket := claim.bucket
-	renewal := bucket.renew(claim.operation)
+	renewal := bucket.enqueueRenewal(claim.operation)
 	timer := time.NewTimer(bucket.ledger.Settings.ClaimTimeoutMS.Duration())
 	defer timer.Stop()
 	select {
 	case <-renewal.done:
 	case <-timer.C:
-	case <-bucket.ledger.ended:
+	case <-bucket.ledger.runEnded:
 	}
-	return bucket.renewed(claim.operation, renewal)
+	return bucket.finishRenewal(claim.operation, renewal)
 }
 
-// Dispatched reports whether a Dispatch has succeeded. If none has, the request
-// certainly did not run, whatever its failure is called, and its claim may be
-// released.
+// Dispatched reports whether a call of Dispatch has succeeded. If none has, the request
+// certainly did not run, whatever the failure's code is, and its claim may be released.
 func (claim *Claim) Dispatched() bool { return claim.dispatched.Load() }
 
-// Finish records that the request ended, with the answer that repeats get; nil
-// when nobody kept it. It returns once that stands on the platform; when ctx
-// ends first, recording goes on. The caller's own answer need not wait for it.
+// Finish records that the request ended, with the answer that repeats receive; the answer
+// is nil when it was not kept. It returns once the end is recorded in the store; if ctx
+// ends first, recording continues in the background. The answer can be sent to the caller
+// without waiting for it.
 func (claim *Claim) Finish(ctx context.Context, answer *Answer) error {
 	if claim.ended.Swap(true) {
 		return Error.New("finish: claim has ended")
 	}
 	if answer == nil {
-		claim.run.end(nil, &peridotpath.Result{Code: peridotpath.CodeAnswerGone})
-		return claim.record(ctx, kindFinish, nil)
+		claim.inFlight.end(nil, &peridotpath.Result{Code: peridotpath.CodeAnswerGone})
+		return claim.recordEnd(ctx, kindFinish, nil)
 	}
-	kept := &Answer{Status: answer.Status, Header: claim.headers(answer.Header), Body: answer.Body}
-	claim.run.end(kept, nil)
-	return claim.record(ctx, kindFinish, claim.keep(kept))
+	kept := &Answer{Status: answer.Status, Header: claim.keptHeaders(answer.Header), Body: answer.Body}
+	claim.inFlight.end(kept, nil)
+	return claim.recordEnd(ctx, kindFinish, claim.storedAnswer(kept))
 }
 
-// keep returns the answer as the platform is to hold it, or keeps it in this
-// process where it is too large for that.
-func (claim *Claim) keep(answer *Answer) *ledgerpb.Answer {
+// storedAnswer returns the answer in the form that is stored. It returns nil for an answer
+// that is too large for the store, and caches that in this process.
+func (claim *Claim) storedAnswer(answer *Answer) *ledgerpb.Answer {
 	ledger := claim.bucket.ledger
 	if answer.size() <= int(ledger.Settings.MaxAnswer) {
-		return toMessage(answer)
+		return toProto(answer)
 	}
-	ledger.answers.put(claim.operation.key, answer)
+	ledger.answerCache.put(claim.operation.key, answer)
 	return nil
 }
 
-func (claim *Claim) headers(header http.Header) http.Header {
+func (claim *Claim) keptHeaders(header http.Header) http.Header {
 	kept := http.Header{}
 	for _, name := range claim.bucket.ledger.Settings.Headers {
 		if values := header.Values(name); len(values) > 0 {
@@ -110,38 +111,38 @@
 	return kept
 }
 
-// Release records that the request certainly did not run, so that the key may
-// be claimed again. Callers who attached to the run get the result.
+// Release records that the request certainly did not run, so that the key can be claimed
+// again. Callers that wait for this run receive the result.
 func (claim *Claim) Release(ctx context.Context, result *peridotpath.Result) error {
 	if claim.ended.Swap(true) {
 		return Error.New("release: claim has ended")
 	}
 	if result == nil {
-		result = platformDown(reasonReleased, retryAfter)
+		result = platformDownResult(reasonReleased, defaultRetryAfter)
 	}
-	claim.run.end(nil, result)
-	return claim.record(ctx, kindRelease, nil)
+	claim.inFlight.end(nil, result)
+	return claim.recordEnd(ctx, kindRelease, nil)
 }
 
-// MarkUnknown records that the request may have run and never runs again.
+// MarkUnknown records that the request may have run, and must never run again.
 func (claim *Claim) MarkUnknown(ctx context.Context) error {
 	if claim.ended.Swap(true) {
 		return Error.New("mark unknown: claim has ended")
 	}
-	claim.run.end(nil, &peridotpath.Result{Code: peridotpath.CodeOutcomeUnknown})
-	return claim.record(ctx, kindUnknown, nil)
+	claim.inFlight.end(nil, &peridotpath.Result{Code: peridotpath.CodeOutcomeUnknown})
+	return claim.recordEnd(ctx, kindUnknown, nil)
 }
 
-func (claim *Claim) record(ctx context.Context, kind kind, answer *ledgerpb.Answer) error {
+func (claim *Claim) recordEnd(ctx context.Context, kind kind, answer *ledgerpb.Answer) error {
 	claim.bucket.mu.Lock()
-	operation := claim.bucket.end(claim, kind, answer)
+	operation := claim.bucket.enqueueEnd(claim, kind, answer)
 	claim.bucket.mu.Unlock()
 	select {
 	case <-operation.done:
 		return nil
 	case <-ctx.Done():
 		return Error.New("record: %w", ctx.Err())
-	case <-claim.bucket.ledger.ended:
-		return Error.New("record: ledger is closed")
+	case <-claim.bucket.ledger.runEnded:
+		return Error.New("record: ledger has stopped")
 	}
 }
--- a/peridotpath/claim/commit.go
+++ b/peridotpath/claim/commit.go
@@ -11,90 +11,92 @@
 )
 
 const (
-	// maxRounds bounds how often one batch is decided anew because another
-	// instance wrote meanwhile.
-	maxRounds = 8
-	// callsToReadAndWrite is what a round takes of the bucket's rate.
-	callsToReadAndWrite = 2
-	// callTimeout bounds one call, whatever the adapter does.
+	// maxCommitRounds bounds how often one batch is decided again after another instance's
+	// write.
+	maxCommitRounds = 8
+	// callsPerRound is the number of store calls that a round takes from the bucket's rate
+	// limit.
+	callsPerRound = 2
+	// callTimeout bounds one store call, whatever the adapter does.
 	callTimeout = 4 * time.Second
 )
 
-// commit brings the batch to the platform. Each round decides on the newest
-// state known and writes it; a state that was cached is proved by the swap.
+// commit decides on the batch and writes the result to the store. Each round starts from
+// the newest known state; the compare-and-swap verifies a state that was cached.
 //
-// An instance that works on its bucket alone never reads. Where others write to
-// it too, a swap on the cached state is nearly always refused, and the service
-// takes fewer writes than reads; so such a bucket is read first, until a
-// reading shows that nobody else wrote.
+// A bucket that only this instance writes to is never read. If other instances write to it,
+// a swap on the cached state nearly always conflicts, and the store sustains fewer writes
+// than reads. A contended bucket is therefore read first, until a read shows no write by
+// another instance.
 func (bucket *bucket) commit(ctx context.Context, batch []*operation) {
-	read := bucket.cached == nil || bucket.contended
-	for range maxRounds {
-		if read {
+	mustRead := bucket.cached == nil || bucket.contended
+	for range maxCommitRounds {
+		if mustRead {
 			if err := bucket.read(ctx); err != nil {
-				bucket.fail(batch, err)
+				bucket.failBatch(batch, err)
 				return
 			}
 		}
 		decision := decide(bucket.cached, batch, bucket.rules())
-		if !decision.changed && decision.stale && !read {
-			read = true
+		if !decision.changed && decision.needsCurrentState && !mustRead {
+			mustRead = true
 			continue
 		}
 		var err error
 		if decision.changed {
-			err = bucket.write(ctx, decision, batch, read)
+			err = bucket.write(ctx, decision, batch, mustRead)
 		}
 		switch {
 		case err == nil:
-			bucket.deliver(batch, decision)
+			bucket.completeBatch(batch, decision)
 			return
 		case keyvalue.ErrNotSent.Has(err), keyvalue.ErrInvalid.Has(err):
-			bucket.fail(batch, err)
+			bucket.failBatch(batch, err)
 			return
 		}
 		bucket.contended = keyvalue.ErrConflict.Has(err)
-		// Another instance wrote, or the answer was lost. Both are settled by
-		// reading: a lost write that took effect shows its attempt.
-		read = true
+		// Either another instance wrote, or the write's reply was lost. A read resolves
+		// both: a write that took effect in spite of its lost reply shows its attempt id.
+		mustRead = true
 	}
-	bucket.fail(batch, Error.New("contended: %d rounds", maxRounds))
+	bucket.failBatch(batch, Error.New("other instances wrote to the bucket in each of %d rounds", maxCommitRounds))
 }
 
 func (bucket *bucket) rules() rules {
 	ledger := bucket.ledger
 	settings := &ledger.Settings
-	keep := settings.RetentionMS.Duration() + settings.ClockMarginMS.Duration()
-	earlier, later := ledger.wallTimes()
+	keepFor := settings.RetentionMS.Duration() + settings.ClockMarginMS.Duration()
+	earlier, later := ledger.wallTimeBounds()
 	return rules{
-		self:  author{instance: ledger.Instance, incarnation: ledger.Incarnation},
-		stamp: later.Unix(), cut: earlier.Add(-keep),
+		self: attemptID{instance: ledger.Instance, incarnation: ledger.Incarnation},
+		now:  later.Unix(), expireBefore: earlier.Add(-keepFor),
 		maxRecords: settings.MaxRecords, maxSize: int(settings.MaxBytes),
-		retryAfter: retryAfter, settled: bucket.settled, gone: ledger.gone, young: bucket.young(),
+		retryAfter: defaultRetryAfter, dispatchWindowLeft: bucket.dispatchWindowLeft,
+		hasEnded: ledger.hasEnded, restoreWindowLeft: bucket.restoreWindowLeft(),
 	}
 }
 
-// settled returns how long the claimer may still dispatch.
-func (bucket *bucket) settled(claimer author) time.Duration {
-	seen, ok := bucket.seen[claimer]
-	window := bucket.ledger.Settings.DispatchMS.Duration() + settleMargin
+// dispatchWindowLeft returns how long the claimer may still dispatch.
+func (bucket *bucket) dispatchWindowLeft(attempt attemptID) time.Duration {
+	firstSeen, ok := bucket.firstSeen[attempt]
+	window := bucket.ledger.Settings.DispatchMS.Duration() + clockRateMargin
 	if !ok {
 		return window
 	}
-	return window - bucket.ledger.Clock.Read().Monotonic.Sub(seen.Monotonic)
+	return window - bucket.ledger.Clock.Read().Monotonic.Sub(firstSeen.Monotonic)
 }
 
-// read fetches the bucket.
+// read reads the bucket from the store.
 func (bucket *bucket) read(ctx context.Context) error {
-	// Both calls' places are taken at once. A wait between reading and writing
-	// is time for others to write, and then the swap is refused again.
-	if err := bucket.limiter.WaitN(ctx, callsToReadAndWrite); err != nil {
+	// The rate limit is charged for the read and the write at once. A wait between them
+	// gives others time to write, and the swap then conflicts again.
+	if err := bucket.limiter.WaitN(ctx, callsPerRound); err != nil {
 		return Error.Wrap(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	entry, err := bucket.ledger.Store.Get(ctx, bucket.name)
-	bucket.counted("get", err)
+	bucket.countCall("get", err)
 	if err != nil {
 		return err
 	}
@@ -105,85 +107,88 @@
 	if bucket.cached != nil && bucket.cached.version == state.version {
 		bucket.contended = false
 	}
-	if bucket.held != nil && bucket.held.version.Era() < state.version.Era() {
-		bucket.restore(state)
+	if bucket.lastKnown != nil && bucket.lastKnown.version.Era() < state.version.Era() {
+		bucket.addLostRecords(state)
 	}
-	bucket.adopt(state)
+	bucket.setState(state)
 	return nil
 }
 
-// write swaps the bucket's value for the decided one. Its place within the rate
-// may have been paid for by the read before.
-func (bucket *bucket) write(ctx context.Context, decision decision, batch []*operation, paid bool) error {
+// write replaces the bucket's value by the decided state. rateCharged means that the
+// preceding read has already charged the rate limit for this write.
+func (bucket *bucket) write(ctx context.Context, decision decision, batch []*operation, rateCharged bool) error {
 	value, err := decision.next.encode(bucket.ledger.Settings.Buckets)
 	if err != nil {
 		return keyvalue.ErrInvalid.Wrap(err)
 	}
-	if !paid {
+	if !rateCharged {
 		if err := bucket.limiter.Wait(ctx); err != nil {
 			return keyvalue.ErrNotSent.Wrap(err)
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	expect := decision.next.version
-	markSent(batch, bucket.ledger.Clock.Read())
-	version, err := bucket.ledger.Store.Swap(ctx, bucket.name, expect, value, keyvalue.LeaseID{})
-	bucket.counted("swap", err)
+	expectedVersion := decision.next.version
+	recordSendTime(batch, bucket.ledger.Clock.Read())
+	version, err := bucket.ledger.Store.Swap(ctx, bucket.name, expectedVersion, value, keyvalue.LeaseID{})
+	bucket.countCall("swap", err)
 	if err != nil {
-		markFailed(batch, expect, err)
+		recordWriteFailure(batch, expectedVersion, err)
 		return err
 	}
 	decision.next.version = version
-	bucket.adopt(decision.next)
+	bucket.setState(decision.next)
 	return nil
 }
 
-// markSent notes the time before the first write that may stand.
-func markSent(batch []*operation, now clock.Instant) {
+// recordSendTime records the time before the first write of each operation that may have
+// taken effect.
+func recordSendTime(batch []*operation, now clock.Instant) {
 	for _, operation := range batch {
-		if operation.sent.Monotonic.IsZero() {
-			operation.sent = now
+		if operation.sentAt.Monotonic.IsZero() {
+			operation.sentAt = now
 		}
 	}
 }
 
-// markFailed notes whether a failed write may still take effect.
-func markFailed(batch []*operation, expect keyvalue.Version, err error) {
-	certain := keyvalue.ErrConflict.Has(err) || keyvalue.ErrNotSent.Has(err) || keyvalue.ErrInvalid.Has(err)
+// recordWriteFailure records for each operation whether the failed write may still take
+// effect.
+func recordWriteFailure(batch []*operation, expectedVersion keyvalue.Version, err error) {
+	notApplied := keyvalue.ErrConflict.Has(err) || keyvalue.ErrNotSent.Has(err) || keyvalue.ErrInvalid.Has(err)
 	for _, operation := range batch {
 		switch {
-		case !certain:
-			operation.lost, operation.unsettled = true, expect
-		case !operation.lost:
-			operation.sent = clock.Instant{}
+		case !notApplied:
+			operation.writeUncertain, operation.uncertainVersion = true, expectedVersion
+		case !operation.writeUncertain:
+			operation.sentAt = clock.Instant{}
 		}
 	}
 }
 
-// adopt makes the state the newest known.
-func (bucket *bucket) adopt(state *state) {
+// setState makes the state the cached one, and records when each running record was first
+// seen.
+func (bucket *bucket) setState(state *state) {
 	bucket.cached = state
-	if !state.restored {
-		bucket.held = state
+	if !state.hasRestoredRecords {
+		bucket.lastKnown = state
 	}
 	now := bucket.ledger.Clock.Read()
-	seen := make(map[author]clock.Instant, len(bucket.seen))
+	firstSeen := make(map[attemptID]clock.Instant, len(bucket.firstSeen))
 	for _, record := range state.records {
 		if record.GetState() != ledgerpb.State_STATE_RUNNING {
 			continue
 		}
-		claimer := authorOf(record)
-		first, ok := bucket.seen[claimer]
+		attempt := attemptIDOf(record)
+		seenAt, ok := bucket.firstSeen[attempt]
 		if !ok {
-			first = now
+			seenAt = now
 		}
-		seen[claimer] = first
+		firstSeen[attempt] = seenAt
 	}
-	bucket.seen = seen
+	bucket.firstSeen = firstSeen
 }
 
-func (bucket *bucket) counted(call string, err error) {
+func (bucket *bucket) countCall(call string, err error) {
 	bucket.ledger.count(`claim_platform_calls_total{call=%q,result=%q}`, call, callResult(err))
 }
 
--- a/peridotpath/claim/decide.go
+++ b/peridotpath/claim/decide.go
@@ -10,7 +10,7 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// kind is what an operation does to its key's record.
+// kind is the change that an operation makes to its key's record.
 type kind int
 
 const (
@@ -21,255 +21,259 @@
 	kindRenew
 )
 
-// operation is one change that waits for its bucket's next write.
+// operation is one change that is queued for its bucket's next write.
 type operation struct {
 	kind kind
 	key  keyID
 	body []byte
 	// customer is 32 bits of a hash of the customer.
 	customer uint32
-	// author is the newest attempt, and former are earlier ones that the record
-	// may still bear, where the answer to a renewal was lost.
-	author author
-	former []author
-	answer *ledgerpb.Answer
+	// attempt is the newest attempt id. earlierAttempts are those before, which the record
+	// may still have if the reply to a renewal was lost.
+	attempt         attemptID
+	earlierAttempts []attemptID
+	answer          *ledgerpb.Answer
 
-	// sent is the monotonic time before the first write that may have put the
-	// claim on the platform.
-	sent clock.Instant
-	// lost says that an answer to such a write never came.
-	lost bool
-	// unsettled is the version that the last lost write expected. While the
-	// bucket is at that version the write may still take effect.
-	unsettled keyvalue.Version
+	// sentAt is the time before the first write that may have recorded the claim in the
+	// store.
+	sentAt clock.Instant
+	// writeUncertain reports that a write of this operation got no reply, so that it may
+	// have taken effect.
+	writeUncertain bool
+	// uncertainVersion is the version that the last such write expected. While the bucket
+	// has this version, the write may still take effect.
+	uncertainVersion keyvalue.Version
 
 	verdict Verdict
 	err     error
 	done    chan struct{}
-	// waiters counts the callers who wait for the verdict, and taken says that
-	// one of them has the claim. The bucket's mutex guards both.
-	waiters int
-	taken   bool
+	// waiters counts the callers that wait for the verdict; claimTaken reports that one of
+	// them received the claim. The bucket's mutex guards both.
+	waiters    int
+	claimTaken bool
 }
 
-// rules are what decisions on a bucket need to know.
+// rules are the inputs of decide besides the state and the batch.
 type rules struct {
-	self       author
-	stamp      int64
-	cut        time.Time
-	maxRecords int
-	maxSize    int
-	retryAfter time.Duration
-	// settled returns how long it is until a record's claimer can no longer
-	// dispatch; zero when it certainly cannot.
-	settled func(author) time.Duration
-	// gone reports that a claimer's instance has ended.
-	gone func(author) bool
-	// young is how much longer the service may lack claims that it lost as it went back.
-	young time.Duration
+	self         attemptID
+	now          int64
+	expireBefore time.Time
+	maxRecords   int
+	maxSize      int
+	retryAfter   time.Duration
+	// dispatchWindowLeft returns how long a record's claimer may still dispatch, and zero
+	// or less when it certainly can no longer.
+	dispatchWindowLeft func(attemptID) time.Duration
+	// hasEnded reports whether the claimer's process has ended.
+	hasEnded func(attemptID) bool
+	// restoreWindowLeft is how much longer the store may lack claims that it lost in a
+	// restore.
+	restoreWindowLeft time.Duration
 }
 
-// decision is what a batch of operations makes of a state.
+// decision is the result of applying a batch of operations to a state.
 type decision struct {
 	next     *state
 	changed  bool
 	verdicts []Verdict
-	// stale says that a verdict needs the platform's present state: a cached
-	// one may be behind it.
-	stale bool
+	// needsCurrentState reports that a verdict depends on the store's current state, which
+	// may be newer than a cached one.
+	needsCurrentState bool
 }
 
-// decide applies the batch to the state. It has no side effects, so the caller
-// may throw the decision away and decide again on a newer state. Ends come
-// first: a claim in the same batch may need what a release frees.
+// decide applies the batch to the state. It has no side effects, so the caller may discard
+// the decision and decide again on a newer state. Ends of claims are applied first, because
+// a claim in the same batch may need the room or the key that a release frees.
 func decide(before *state, batch []*operation, rules rules) decision {
-	decision := decision{next: before.clone(), verdicts: make([]Verdict, len(batch)), changed: before.restored}
-	decision.next.restored = false
-	decision.next.expire(rules.cut)
+	decision := decision{next: before.clone(), verdicts: make([]Verdict, len(batch)), changed: before.hasRestoredRecords}
+	decision.next.hasRestoredRecords = false
+	decision.next.expire(rules.expireBefore)
 	for _, operation := range batch {
-		if operation.kind.ends() && decision.end(operation, rules) {
+		if operation.kind.isEnd() && decision.applyEnd(operation, rules) {
 			decision.changed = true
 		}
 	}
 	for i, operation := range batch {
 		switch operation.kind {
 		case kindClaim:
-			decision.verdicts[i] = decision.claim(operation, rules)
+			decision.verdicts[i] = decision.decideClaim(operation, rules)
 		case kindRenew:
-			decision.verdicts[i] = decision.renew(operation, rules)
+			decision.verdicts[i] = decision.decideRenewal(operation, rules)
 		}
 	}
-	decision.next.shed(rules.maxSize)
+	decision.next.evictAnswers(rules.maxSize)
 	return decision
 }
 
-// ends reports that the operation ends a claim.
-func (kind kind) ends() bool { return kind != kindClaim && kind != kindRenew }
+// isEnd reports whether the operation ends a claim.
+func (kind kind) isEnd() bool { return kind != kindClaim && kind != kindRenew }
 
-// wrote reports that the record is of one of the claim's attempts.
-func (operation *operation) wrote(record *ledgerpb.Record) bool {
-	author := authorOf(record)
-	return author == operation.author || slices.Contains(operation.former, author)
+// ownsRecord reports whether the record was written by one of the claim's attempts.
+func (operation *operation) ownsRecord(record *ledgerpb.Record) bool {
+	attempt := attemptIDOf(record)
+	return attempt == operation.attempt || slices.Contains(operation.earlierAttempts, attempt)
 }
 
-// renew gives a claim that has grown old a new attempt, and with it a new
-// window. A judge who was about to call the old attempt dead starts over; if it
-// was first, the renewal is refused and the request must not be dispatched.
-func (decision *decision) renew(operation *operation, rules rules) Verdict {
+// decideRenewal gives a claim whose dispatch window has passed a new attempt id, and with
+// it a new window. An instance that was about to mark the old attempt unknown has to wait
+// for the new window. If it has already marked it, the renewal is refused and the request
+// must not be dispatched.
+func (decision *decision) decideRenewal(operation *operation, rules rules) Verdict {
 	record := decision.next.records[operation.key]
-	if record == nil || !operation.wrote(record) || record.GetState() != ledgerpb.State_STATE_RUNNING {
-		decision.stale = true
+	if record == nil || !operation.ownsRecord(record) || record.GetState() != ledgerpb.State_STATE_RUNNING {
+		decision.needsCurrentState = true
 		return Verdict{Standing: Unknown}
 	}
-	if authorOf(record) != operation.author {
-		decision.next.change(record, func(record *ledgerpb.Record) {
-			record.Attempt, record.Stamp = operation.author.attempt, rules.stamp
+	if attemptIDOf(record) != operation.attempt {
+		decision.next.update(record, func(record *ledgerpb.Record) {
+			record.Attempt, record.Stamp = operation.attempt.number, rules.now
 		})
 		decision.changed = true
 	}
 	return Verdict{Standing: Granted}
 }
 
-// end applies the end of a claim of this process.
-func (decision *decision) end(operation *operation, rules rules) bool {
+// applyEnd applies the end of a claim of this process. It reports whether a write is
+// needed.
+func (decision *decision) applyEnd(operation *operation, rules rules) bool {
 	next := decision.next
 	record := next.records[operation.key]
-	if record == nil || !operation.wrote(record) {
-		// A lost write can still take effect as long as the version is the one
-		// it expected: the key would then be claimed for good by a request
-		// that its caller was told was not run. Writing the bucket as it is
-		// moves the version on and settles it.
-		return operation.kind == kindRelease && operation.lost && next.version == operation.unsettled
+	if record == nil || !operation.ownsRecord(record) {
+		// A write without a reply can still take effect while the bucket has the version
+		// that it expected. It would then claim the key until it expires, for a request
+		// whose caller received "not run". Writing the unchanged bucket advances the
+		// version, so that the late write conflicts.
+		return operation.kind == kindRelease && operation.writeUncertain && next.version == operation.uncertainVersion
 	}
 	switch {
 	case operation.kind == kindRelease && record.GetState() == ledgerpb.State_STATE_RUNNING:
 		next.remove(operation.key)
 		return true
 	case operation.kind == kindFinish && record.GetState() != ledgerpb.State_STATE_DONE:
-		next.change(record, func(record *ledgerpb.Record) {
-			record.State, record.Stamp, record.Answer = ledgerpb.State_STATE_DONE, rules.stamp, operation.answer
+		next.update(record, func(record *ledgerpb.Record) {
+			record.State, record.Stamp, record.Answer = ledgerpb.State_STATE_DONE, rules.now, operation.answer
 		})
 		return true
 	case operation.kind == kindUnknown && record.GetState() == ledgerpb.State_STATE_RUNNING:
-		decision.unknown(record, rules)
+		decision.markUnknown(record, rules)
 		return true
 	}
-	// A release finds "unknown" when another instance took this one for dead.
-	// Callers were told that the request never runs again, so the key stays.
+	// A release finds an unknown outcome when another instance took this one for dead.
+	// Callers have received that the request never runs again, so the record stays.
 	return false
 }
 
-func (decision *decision) unknown(record *ledgerpb.Record, rules rules) {
-	decision.next.change(record, func(record *ledgerpb.Record) {
-		record.State, record.Stamp = ledgerpb.State_STATE_UNKNOWN, rules.stamp
+func (decision *decision) markUnknown(record *ledgerpb.Record, rules rules) {
+	decision.next.update(record, func(record *ledgerpb.Record) {
+		record.State, record.Stamp = ledgerpb.State_STATE_UNKNOWN, rules.now
 	})
 }
 
-// claim decides on a caller who comes with a key.
-func (decision *decision) claim(operation *operation, rules rules) Verdict {
+// decideClaim decides on a caller's claim of a key.
+func (decision *decision) decideClaim(operation *operation, rules rules) Verdict {
 	record := decision.next.records[operation.key]
 	switch {
 	case record == nil:
-		return decision.grant(operation, rules)
-	case authorOf(record) == operation.author && rules.young > 0:
-		// The write crossed the service's return, and replaced what nobody has judged.
+		return decision.decideNewKey(operation, rules)
+	case attemptIDOf(record) == operation.attempt && rules.restoreWindowLeft > 0:
+		// The write took effect after the store was restored, on a value that lacks lost
+		// claims; other instances may still restore one for this key.
 		decision.next.remove(operation.key)
 		decision.changed = true
-		return Verdict{Standing: unsettled, RetryAfter: rules.young}
-	case authorOf(record) == operation.author:
-		// An earlier write whose answer was lost did take effect. Unknown, if
-		// others have judged it meanwhile, is final.
+		return Verdict{Standing: storeRestored, RetryAfter: rules.restoreWindowLeft}
+	case attemptIDOf(record) == operation.attempt:
+		// An earlier write without a reply did take effect. If other instances have marked
+		// the outcome unknown since, that is final.
 		if record.GetState() == ledgerpb.State_STATE_RUNNING {
 			return Verdict{Standing: Granted}
 		}
 		return Verdict{Standing: Unknown}
 	case !bytes.Equal(record.GetBody(), operation.body):
-		decision.stale = true
+		decision.needsCurrentState = true
 		return Verdict{Standing: KeyReused}
 	case record.GetState() == ledgerpb.State_STATE_DONE:
-		return done(record)
+		return doneVerdict(record)
 	case record.GetState() == ledgerpb.State_STATE_UNKNOWN:
-		decision.stale = true
+		decision.needsCurrentState = true
 		return Verdict{Standing: Unknown}
 	}
-	return decision.running(record, rules)
+	return decision.decideRunning(record, rules)
 }
 
-func done(record *ledgerpb.Record) Verdict {
+func doneVerdict(record *ledgerpb.Record) Verdict {
 	verdict := Verdict{Standing: Done}
 	if record.GetAnswer() != nil {
-		verdict.Answer = fromMessage(record.GetAnswer())
+		verdict.Answer = fromProto(record.GetAnswer())
 	}
 	return verdict
 }
 
-func (decision *decision) grant(operation *operation, rules rules) Verdict {
+func (decision *decision) decideNewKey(operation *operation, rules rules) Verdict {
 	next := decision.next
-	if rules.young > 0 {
-		decision.stale = true
-		return Verdict{Standing: unsettled, RetryAfter: rules.young}
+	if rules.restoreWindowLeft > 0 {
+		decision.needsCurrentState = true
+		return Verdict{Standing: storeRestored, RetryAfter: rules.restoreWindowLeft}
 	}
-	refused := Verdict{Standing: full, RetryAfter: rules.retryAfter}
+	refused := Verdict{Standing: ledgerFull, RetryAfter: rules.retryAfter}
 	if !next.hasShare(operation.customer, rules) {
-		decision.stale = true
+		decision.needsCurrentState = true
 		return refused
 	}
 	next.put(operation.key, &ledgerpb.Record{
-		Key: operation.key[:], Body: operation.body, State: ledgerpb.State_STATE_RUNNING, Stamp: rules.stamp,
+		Key: operation.key[:], Body: operation.body, State: ledgerpb.State_STATE_RUNNING, Stamp: rules.now,
 		Instance: string(rules.self.instance), Incarnation: uint64(rules.self.incarnation),
-		Attempt: operation.author.attempt, Customer: operation.customer,
+		Attempt: operation.attempt.number, Customer: operation.customer,
 	})
-	next.shed(rules.maxSize)
-	// Without a bound a burst of new keys would fill the value up to the
-	// service's megabyte, and then no claim could even be ended. Refusing new
-	// keys keeps room for ends, which never make a record larger than shed
-	// takes care of.
+	next.evictAnswers(rules.maxSize)
+	// Without a bound, a burst of new keys would fill the value up to the store's limit of
+	// one megabyte, and then not even the end of a claim could be recorded. Refusing new
+	// keys reserves room for ends, which enlarge a record by no more than evictAnswers can
+	// free.
 	if len(next.records) > rules.maxRecords || next.size > rules.maxSize {
 		next.remove(operation.key)
-		decision.stale = true
+		decision.needsCurrentState = true
 		return refused
 	}
 	decision.changed = true
 	return Verdict{Standing: Granted}
 }
 
-// hasShare reports whether the customer may have one more record.
+// hasShare reports whether the customer may add a record.
 //
-// The load it is made for is one customer who brings new keys all day, by a
-// fault perhaps. Alone it would use up the room of all others for a whole
-// retention, and their requests would be refused. So once a bucket is half full
-// of records, a customer who has half of them gets no more; below that anyone
-// may have what is free.
+// It protects against one customer that sends new keys all day, perhaps by a fault. That
+// customer would fill the bucket for a whole retention time, and the requests of all others
+// would be refused. Once a bucket is half full of records, a customer that owns half of
+// them may add no more; below that level anyone may use the free room.
 func (state *state) hasShare(customer uint32, rules rules) bool {
-	if len(state.records) < rules.maxRecords/2 && state.size-state.answers < rules.maxSize/2 {
+	if len(state.records) < rules.maxRecords/2 && state.size-state.answerSize < rules.maxSize/2 {
 		return true
 	}
-	held := 0
+	recordCount := 0
 	for _, record := range state.records {
 		if record.GetCustomer() == customer {
-			held++
+			recordCount++
 		}
 	}
-	return held < len(state.records)/2
+	return recordCount < len(state.records)/2
 }
 
-// running decides on a record whose claimer may still be at work.
+// decideRunning decides on a record whose claimer may still be running the request.
 //
-// The claimer may be frozen and not dead, thaw, and dispatch after callers
-// were told that the outcome is settled. A claim may only be dispatched for a
-// while after it was written, so the judge lets that while pass, counted on
-// its own monotonic clock from when it first saw the record.
-func (decision *decision) running(record *ledgerpb.Record, rules rules) Verdict {
-	claimer := authorOf(record)
-	if !rules.gone(claimer) {
-		decision.stale = true
+// A claimer that seems dead may only be frozen: it could resume and dispatch after callers
+// received a final outcome. A claim may be dispatched only for a limited time after it was
+// written, so the outcome is marked unknown only after that time has passed, on this
+// instance's monotonic clock, since this instance first saw the record.
+func (decision *decision) decideRunning(record *ledgerpb.Record, rules rules) Verdict {
+	attempt := attemptIDOf(record)
+	if !rules.hasEnded(attempt) {
+		decision.needsCurrentState = true
 		return Verdict{Standing: RunningElsewhere, RetryAfter: rules.retryAfter}
 	}
-	if wait := rules.settled(claimer); wait > 0 {
-		decision.stale = true
+	if wait := rules.dispatchWindowLeft(attempt); wait > 0 {
+		decision.needsCurrentState = true
 		return Verdict{Standing: RunningElsewhere, RetryAfter: wait}
 	}
-	decision.unknown(record, rules)
+	decision.markUnknown(record, rules)
 	decision.changed = true
 	return Verdict{Standing: Unknown}
 }
--- a/peridotpath/claim/dispatch_test.go
+++ b/peridotpath/claim/dispatch_test.go
@@ -11,57 +11,58 @@
 	"peridotpath.example/peridotpath/clock"
 )
 
-// An instance freezes between the claim and the dispatch. The list takes it for
-// dead, the caller repeats elsewhere, is told that the outcome is unknown, looks
-// at the service by hand and files again. Then the instance thaws: if it
-// dispatched now, the claim would be filed twice. Its clock may run slow, too.
-func TestThawedInstanceMustNotDispatch(t *testing.T) {
-	for name, rate := range map[string]time.Duration{"clocks alike": 20, "claimer's clock a twentieth slow": 19} {
+// An instance freezes between claim and dispatch, and the membership list removes it. A
+// caller repeats at another instance, receives an unknown outcome, and sends the request
+// again under another key. If the frozen instance resumed and dispatched then, the request
+// would run twice. Its clock may also run slow.
+func TestFrozenInstanceCannotDispatchAfterResuming(t *testing.T) {
+	for name, clockRate := range map[string]time.Duration{"clocks alike": 20, "claimer's clock a twentieth slow": 19} {
 		t.Run(name, func(t *testing.T) {
-			story(t, func(is *is.I, fleet *fleet) {
+			runWithFleet(t, func(is *is.I, fleet *fleet) {
 				begin := time.Now()
-				now := func() time.Time { return begin.Add(time.Since(begin) * rate / 20) }
+				now := func() time.Time { return begin.Add(time.Since(begin) * clockRate / 20) }
 				frozen := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Clock = clock.Clock{Now: now, Wall: now} })
-				judge := fleet.start("b", 1, nil)
-				defer closeAll(is, frozen, judge)
-				held := frozen.granted(is, "k")
-				fleet.bury(frozen)
-				var told claim.Standing
-				for told = judge.standing(is, "k"); told == claim.RunningElsewhere; told = judge.standing(is, "k") {
-					// For as long as callers hear "running" the claim may be dispatched.
+				observer := fleet.start("b", 1, nil)
+				defer closeAll(is, frozen, observer)
+				held := frozen.mustClaim(is, "k")
+				fleet.markDead(frozen)
+				var status claim.Standing
+				for status = observer.keyStatus(is, "k"); status == claim.RunningElsewhere; status = observer.keyStatus(is, "k") {
+					// The claim may be dispatched for as long as callers receive "running
+					// elsewhere".
 					time.Sleep(100 * time.Millisecond)
 				}
-				is.Equal(told, claim.Unknown)
+				is.Equal(status, claim.Unknown)
 				is.True(isCode(held.Dispatch(), peridotpath.CodePlatformDown))
 				is.NoErr(held.Release(background, &peridotpath.Result{Code: peridotpath.CodePlatformDown}))
-				is.Equal(judge.standing(is, "k"), claim.Unknown) // it was said never to run again
+				is.Equal(observer.keyStatus(is, "k"), claim.Unknown) // callers received that it never runs again
 			})
 		})
 	}
 }
 
-// The machine under an instance is suspended, and Linux stops its monotonic
-// clock meanwhile. Or the write of the claim took nearly all of its time. In
-// both cases the time to dispatch is up though little of it seems used.
+// The machine of an instance is suspended, which stops Linux's monotonic clock; or the
+// write of the claim takes most of the dispatch window. In both cases the window has passed
+// although little of it was measured since the claim was granted.
 func TestDispatchWindowCountsFromBeforeTheWriteByEitherClock(t *testing.T) {
-	story(t, func(is *is.I, fleet *fleet) {
-		var suspended shift
+	runWithFleet(t, func(is *is.I, fleet *fleet) {
+		var suspended clockOffset
 		instance := fleet.start("a", 1, func(ledger *claim.Ledger) {
 			ledger.Clock = clock.Clock{Wall: suspended.now}
 			ledger.Settings.CallsPerSecond = 100
 		})
 		defer closeAll(is, instance)
-		cutOff := func(string) fate { return fate{NotSent: true} } // or it would be renewed
-		held := instance.granted(is, "k1")
+		unreachable := func(string) fault { return fault{NotSent: true} } // prevents a renewal
+		held := instance.mustClaim(is, "k1")
 		is.NoErr(held.Dispatch())
 		suspended.Store(int64(time.Hour))
-		instance.link.Set(cutOff)
+		instance.link.Set(unreachable)
 		is.True(held.Dispatch() != nil)
 
-		instance.link.Set(func(call string) fate { return fate{Delay: 3900 * time.Millisecond} })
+		instance.link.Set(func(call string) fault { return fault{Delay: 3900 * time.Millisecond} })
 		time.Sleep(time.Minute)
-		held = instance.granted(is, "k2")
-		instance.link.Set(cutOff)
+		held = instance.mustClaim(is, "k2")
+		instance.link.Set(unreachable)
 		time.Sleep(6 * time.Second)
 		is.NoErr(held.Dispatch())
 		time.Sleep(200 * time.Millisecond)
@@ -69,42 +70,43 @@
 	})
 }
 
-// A long request waits half a minute in a queue after its key was claimed, which
-// is longer than a claim may be dispatched. It must run all the same. The answer
-// to one renewal is lost; the claim's end must still find its record.
+// A request is queued for half a minute after its key was claimed, longer than the dispatch
+// window. It must still run. The reply to one renewal is lost; the claim's end must still
+// find its record.
 func TestQueuedClaimIsRenewed(t *testing.T) {
-	story(t, func(is *is.I, fleet *fleet) {
+	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first, second := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
 		defer closeAll(is, first, second)
-		held := first.granted(is, "k")
+		held := first.mustClaim(is, "k")
 		time.Sleep(30 * time.Second)
 		is.NoErr(held.Dispatch())
 		time.Sleep(30 * time.Second)
 		sent := false
-		first.link.Set(func(call string) fate {
-			lost := fate{NotSent: sent, Unanswered: call == "swap"}
+		first.link.Set(func(call string) fault {
+			next := fault{NotSent: sent, Unanswered: call == "swap"}
 			sent = sent || call == "swap"
-			return lost
+			return next
 		})
 		is.True(held.Dispatch() != nil)
 		first.link.Set(nil)
 		is.NoErr(held.Release(background, &peridotpath.Result{Code: peridotpath.CodeEndpointRefused}))
-		is.Equal(second.standing(is, "k"), claim.Granted)
+		is.Equal(second.keyStatus(is, "k"), claim.Granted)
 	})
 }
 
-// An instance is wrongly taken for dead while its request waits in a queue, and
-// renews its claim just before the judge would have called it unknown. The judge
-// must start over, or it calls settled what is about to run.
-func TestJudgeStartsOverAtARenewal(t *testing.T) {
-	story(t, func(is *is.I, fleet *fleet) {
-		claimer, judge := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
-		defer closeAll(is, claimer, judge)
-		held := claimer.granted(is, "k")
-		fleet.bury(claimer)
+// An instance is wrongly removed from the membership list while its request is queued, and
+// renews its claim just before another instance would mark it unknown. That instance must
+// wait for a new window, or it would report a final outcome for a request that is about to
+// run.
+func TestRenewalRestartsTheDispatchWindow(t *testing.T) {
+	runWithFleet(t, func(is *is.I, fleet *fleet) {
+		claimer, observer := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
+		defer closeAll(is, claimer, observer)
+		held := claimer.mustClaim(is, "k")
+		fleet.markDead(claimer)
 		begin := time.Now()
 		renewed := false
-		for judge.standing(is, "k") == claim.RunningElsewhere {
+		for observer.keyStatus(is, "k") == claim.RunningElsewhere {
 			if !renewed && time.Since(begin) > 10*time.Second {
 				is.NoErr(held.Dispatch())
 				renewed = true
--- a/peridotpath/claim/doc.go
+++ b/peridotpath/claim/doc.go
@@ -1,11 +1,14 @@
-// Package claim keeps the ledger that lets a request with an idempotency key
-// run at most once, whichever instances its repeats reach.
+// Package claim decides which instance may run a request with an idempotency key, so that
+// the request runs at most once however many instances receive its repeats.
 //
-// A key is claimed by a compare-and-swap on its bucket's value in the
-// platform's key-value service before the request is dispatched. Claims and
-// ends of claims that wait meanwhile ride in the bucket's next write, so the
-// platform sees a number of writes bounded by buckets and not by requests.
-// Safety rests on the swap alone: any number of instances may work on a bucket.
+// Keys are hashed to a fixed number of buckets, each one value in the shared key-value
+// store. A claim is a compare-and-swap on the bucket's value before the request is
+// dispatched. While a write is in progress, further claims and ends of claims queue up and
+// are committed together by the next write (group commit), so the number of store writes
+// under heavy load depends on the number of buckets and not of requests. The
+// compare-and-swap alone guarantees exclusion: any number of instances may write to a
+// bucket. Each claim carries a unique attempt id, and may be dispatched only for a limited
+// time after its write, as with a lease.
 //
-// docs/CLAIMS.md explains the mechanism and the windows that remain.
+// docs/CLAIMS.md describes the mechanism and the remaining race conditions.
 package claim
--- a/peridotpath/claim/era_test.go
+++ b/peridotpath/claim/era_test.go
@@ -13,19 +13,20 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// startGuarded starts an instance whose platform may go back.
-func (fleet *fleet) startGuarded(id peridotpath.InstanceID) *instance {
+// startWithEras starts an instance that notices when the store is restored from an older
+// copy.
+func (fleet *fleet) startWithEras(id peridotpath.InstanceID) *instance {
 	return fleet.start(id, 1, func(ledger *claim.Ledger) {
 		began := time.Now()
 		eras := &keyvalue.Eras{Now: func() time.Duration { return time.Hour + time.Since(began) }}
 		eras.Risen = func(_, _ keyvalue.Era) { ledger.WentBack() }
-		ledger.Store = (&memory.Link{Eras: eras}).Store(&fleet.platform)
+		ledger.Store = (&memory.Link{Eras: eras}).Store(&fleet.store)
 	})
 }
 
-// The platform loses that a request was claimed and has ended. Its repeat at another instance
-// is not granted: not while the loss may be unknown, and not afterwards.
-func TestClaimThatThePlatformLost(t *testing.T) {
+// The store loses a claim, or its end, in a restore. A repeat at another instance must not
+// be granted, neither while the loss may be unnoticed nor afterwards.
+func TestClaimLostInARestoreIsNotGrantedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		end  func(is *is.I, held *claim.Claim)
 		want claim.Standing
@@ -35,50 +36,50 @@
 			is.NoErr(held.Finish(context.Background(), &claim.Answer{Status: 200}))
 		}, claim.Done},
 		"running": {func(is *is.I, held *claim.Claim) { is.NoErr(held.Dispatch()) }, claim.RunningElsewhere},
-		// One that was given back did not run.
+		// A released request did not run.
 		"released": {func(is *is.I, held *claim.Claim) {
 			is.NoErr(held.Release(context.Background(), &peridotpath.Result{Code: peridotpath.CodeStopping}))
 		}, claim.Granted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, func(is *is.I, fleet *fleet) {
-				first, second := fleet.startGuarded("a"), fleet.startGuarded("b")
+			runWithFleet(t, func(is *is.I, fleet *fleet) {
+				first, second := fleet.startWithEras("a"), fleet.startWithEras("b")
 				defer closeAll(is, second)
-				first.granted(is, "early")
-				second.standing(is, "other")
-				before := fleet.platform.Copy()
-				test.end(is, first.granted(is, "k"))
+				first.mustClaim(is, "early")
+				second.keyStatus(is, "other")
+				before := fleet.store.Copy()
+				test.end(is, first.mustClaim(is, "k"))
 				time.Sleep(time.Second)
 
-				fleet.platform.GoBack(before)
-				_, err := second.ask("k")
+				fleet.store.GoBack(before)
+				_, err := second.claimKey("k")
 				is.True(isCode(err, peridotpath.CodePlatformDown))
-				_, err = first.ask("met") // the first one meets the era, too
+				_, err = first.claimKey("met") // the first instance observes the new era, too
 				is.True(isCode(err, peridotpath.CodePlatformDown))
 				time.Sleep(5 * time.Second)
-				is.Equal(second.standing(is, "k"), test.want)
+				is.Equal(second.keyStatus(is, "k"), test.want)
 				is.NoErr(first.stop())
 			})
 		})
 	}
 }
 
-// An instance that knows an older state of the bucket writes just as the platform comes back
-// with that state; what others claimed since is lost, and not for it to grant.
-func TestClaimThatCrossesTheReturn(t *testing.T) {
-	story(t, func(is *is.I, fleet *fleet) {
-		first, second := fleet.startGuarded("a"), fleet.startGuarded("b")
+// An instance holds an older state of the bucket and writes just as the store is restored
+// to that state. It must not grant a key that another instance claimed since.
+func TestClaimWrittenDuringARestoreIsNotGranted(t *testing.T) {
+	runWithFleet(t, func(is *is.I, fleet *fleet) {
+		first, second := fleet.startWithEras("a"), fleet.startWithEras("b")
 		defer closeAll(is, second)
-		second.granted(is, "early")
-		before := fleet.platform.Copy()
-		is.NoErr(first.granted(is, "k").Dispatch())
-		fleet.platform.GoBack(before)
-		_, err := second.ask("k")
+		second.mustClaim(is, "early")
+		before := fleet.store.Copy()
+		is.NoErr(first.mustClaim(is, "k").Dispatch())
+		fleet.store.GoBack(before)
+		_, err := second.claimKey("k")
 		is.True(isCode(err, peridotpath.CodePlatformDown))
-		_, err = first.ask("met")
+		_, err = first.claimKey("met")
 		is.True(isCode(err, peridotpath.CodePlatformDown))
 		time.Sleep(5 * time.Second)
-		is.Equal(second.standing(is, "k"), claim.RunningElsewhere)
+		is.Equal(second.keyStatus(is, "k"), claim.RunningElsewhere)
 		is.NoErr(first.stop())
 	})
 }
--- a/peridotpath/claim/example_test.go
+++ b/peridotpath/claim/example_test.go
@@ -11,7 +11,7 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// A request is claimed, dispatched and ended; its repeat gets the answer.
+// A request is claimed, dispatched and ended; its repeat receives the same answer.
 func Example() {
 	ledger := &claim.Ledger{Store: (&memory.Memory{}).Store(), Instance: "entry-1", Incarnation: 1, Logger: zerolog.Nop()}
 	ended := make(chan error, 1)
@@ -25,7 +25,7 @@
 		_ = first.Claim.Release(ctx, nil)
 		return
 	}
-	// ... the request goes to an endpoint ...
+	// ... send the request to an endpoint ...
 	_ = first.Claim.Finish(ctx, &claim.Answer{Status: 200, Body: []byte("filed")})
 
 	repeat, _ := ledger.Claim(ctx, "airline", "key-7", body)
--- a/peridotpath/claim/fixture_test.go
+++ b/peridotpath/claim/fixture_test.go
@@ -19,15 +19,14 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// fate is short for the tests' many faults.
-type fate = memory.Fate
+type fault = memory.Fate
 
-// fleet is several ledgers over one platform.
+// fleet is a set of ledgers that share one store.
 type fleet struct {
-	t        *testing.T
-	platform memory.Memory
-	mu       sync.Mutex
-	dead     map[peridotpath.InstanceID]peridotpath.Incarnation
+	t     *testing.T
+	store memory.Memory
+	mu    sync.Mutex
+	dead  map[peridotpath.InstanceID]peridotpath.Incarnation
 }
 
 // instance is one process with a ledger.
@@ -42,11 +41,11 @@
 	return &fleet{t: t, dead: map[peridotpath.InstanceID]peridotpath.Incarnation{}}
 }
 
-// start runs an instance; change may alter its ledger first.
+// start runs an instance; change may modify its ledger first.
 func (fleet *fleet) start(id peridotpath.InstanceID, incarnation peridotpath.Incarnation, change func(*claim.Ledger)) *instance {
 	instance := &instance{ended: make(chan error, 1)}
 	instance.Ledger = &claim.Ledger{
-		Store: instance.link.Store(&fleet.platform), Instance: id, Incarnation: incarnation,
+		Store: instance.link.Store(&fleet.store), Instance: id, Incarnation: incarnation,
 		Settings: claim.Settings{Buckets: 1}, Alive: fleet.alive,
 		Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
@@ -71,42 +70,43 @@
 	return <-instance.ended
 }
 
-// kill ends the instance without a chance to write, and tells the list.
+// kill ends the instance before it can write anything more, and removes it from the
+// membership list.
 func (fleet *fleet) kill(instance *instance) {
 	if err := instance.stop(); err != nil {
 		fleet.t.Error(err)
 	}
-	fleet.bury(instance)
+	fleet.markDead(instance)
 }
 
-func (fleet *fleet) bury(instance *instance) {
+func (fleet *fleet) markDead(instance *instance) {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	fleet.dead[instance.Instance] = instance.Incarnation
 }
 
-// swaps returns how many writes the platform got.
-func (fleet *fleet) swaps() int { return fleet.platform.Calls()["swap"] }
+// swaps returns the number of writes that the store received.
+func (fleet *fleet) swaps() int { return fleet.store.Calls()["swap"] }
 
 func hash(body string) claim.BodyHash { return sha256.Sum256([]byte(body)) }
 
 const customer = peridotpath.CustomerID("airline")
 
-// ask claims the key with the body "body".
-func (instance *instance) ask(key string) (claim.Verdict, error) {
+// claimKey claims the key with the body "body".
+func (instance *instance) claimKey(key string) (claim.Verdict, error) {
 	return instance.Claim(context.Background(), customer, key, hash("body"))
 }
 
-// standing asks and returns the standing alone; a refusal fails the test.
-func (instance *instance) standing(is *is.I, key string) claim.Standing {
-	verdict, err := instance.ask(key)
+// keyStatus claims the key and returns only the status; a refusal fails the test.
+func (instance *instance) keyStatus(is *is.I, key string) claim.Standing {
+	verdict, err := instance.claimKey(key)
 	is.NoErr(err)
 	return verdict.Standing
 }
 
-// granted asks and expects to be granted the claim.
-func (instance *instance) granted(is *is.I, key string) *claim.Claim {
-	verdict, err := instance.ask(key)
+// mustClaim claims the key and fails the test unless the claim is granted.
+func (instance *instance) mustClaim(is *is.I, key string) *claim.Claim {
+	verdict, err := instance.claimKey(key)
 	is.NoErr(err)
 	is.Equal(verdict.Standing, claim.Granted)
 	return verdict.Claim
@@ -117,26 +117,28 @@
 	return errors.As(err, &result) && result.Code == code
 }
 
-// story runs a test in virtual time with a fleet.
-func story(t *testing.T, test func(is *is.I, fleet *fleet)) {
+// runWithFleet runs a test with a fleet, in virtual time.
+func runWithFleet(t *testing.T, test func(is *is.I, fleet *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { test(is.New(t), newFleet(t)) })
 }
 
-// close ends instances and waits for them.
+// closeAll stops the instances and waits for them.
 func closeAll(is *is.I, instances ...*instance) {
 	for _, instance := range instances {
 		is.NoErr(instance.stop())
 	}
 }
 
-func ok(body string) *claim.Answer {
+func okAnswer(body string) *claim.Answer {
 	return &claim.Answer{Status: 200, Body: []byte(body)}
 }
 
 var background = context.Background()
 
-// shift is how far a wall clock is from the true time, in nanoseconds.
-type shift struct{ atomic.Int64 }
+// clockOffset is the offset of a wall clock from the true time, in nanoseconds.
+type clockOffset struct{ atomic.Int64 }
 
-func (shift *shift) now() time.Time { return time.Now().Add(time.Duration(shift.Load())) }
+func (clockOffset *clockOffset) now() time.Time {
+	return time.Now().Add(time.Duration(clockOffset.Load()))
+}
--- a/peridotpath/claim/ledger.go
+++ b/peridotpath/claim/ledger.go
@@ -20,73 +20,75 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// KeyPrefix comes before a bucket's number in the key-value service.
+// KeyPrefix precedes the bucket's number in the key of its value in the key-value store.
 const KeyPrefix = "claims/"
 
-// settleMargin allows for monotonic clocks that run at slightly different rates.
-const settleMargin = time.Second
+// clockRateMargin allows for monotonic clocks that run at slightly different rates.
+const clockRateMargin = time.Second
 
-// retryAfter is what callers are told when nothing better is known.
-const retryAfter = time.Second
+// defaultRetryAfter is the Retry-After time of refusals without a better estimate.
+const defaultRetryAfter = time.Second
 
-// BodyHash is the hash of a request's body, and of what else must be the same
-// when a key is repeated.
+// BodyHash is the hash of a request's body and of everything else that must be equal when a
+// key is repeated.
 type BodyHash [sha256.Size]byte
 
-// Ledger claims idempotency keys for one process. Set the exported fields
-// before Run.
+// Ledger claims idempotency keys for one process. The exported fields must be set before
+// Run.
 type Ledger struct {
 	Store       *keyvalue.Store
 	Instance    peridotpath.InstanceID
 	Incarnation peridotpath.Incarnation
 	Settings    Settings
-	// Alive reports whether that run of that instance may still be at work. It
-	// may lag. An answer that is wrongly "no" costs a caller the outcome; a
-	// wrong "yes" costs time. Neither runs a request twice.
+	// Alive reports whether the process with that incarnation of the instance may still be
+	// running. It may lag. If it wrongly returns false, a caller receives an unknown
+	// outcome; if it wrongly returns true, callers wait longer. Neither makes a request run
+	// twice.
 	Alive func(peridotpath.InstanceID, peridotpath.Incarnation) bool
-	// Clock is the machine's; the zero value reads it.
+	// Clock is the source of time; the zero value reads the machine's clocks.
 	Clock clock.Clock
-	// Logger gets a line for each outage and each claim that cannot be ended.
+	// Logger receives an event for each failed commit, such as during an outage of the
+	// store.
 	Logger zerolog.Logger
-	// Metrics takes the counters; nil stands for the default set.
+	// Metrics is where the counters are registered; nil means the default set.
 	Metrics *metrics.Set
 
-	once     sync.Once
-	buckets  []*bucket
-	answers  answerMemory
-	start    clock.Instant
-	attempts atomic.Uint64
-	open     atomic.Int64
-	closing  atomic.Bool
-	stop     chan struct{}
-	running  atomic.Bool
-	ended    chan struct{}
+	once           sync.Once
+	buckets        []*bucket
+	answerCache    answerCache
+	startedAt      clock.Instant
+	lastAttempt    atomic.Uint64
+	openCount      atomic.Int64
+	closing        atomic.Bool
+	closeRequested chan struct{}
+	runStarted     atomic.Bool
+	runEnded       chan struct{}
 }
 
-func (ledger *Ledger) setUp() {
+func (ledger *Ledger) initialise() {
 	ledger.once.Do(func() {
 		ledger.Settings.Defaults()
 		if ledger.Metrics == nil {
 			ledger.Metrics = metrics.GetDefaultSet()
 		}
-		ledger.start = ledger.Clock.Read()
-		ledger.attempts.Store(rand.Uint64() >> 1)
-		ledger.answers.limit = int(ledger.Settings.AnswerMemory)
-		ledger.stop, ledger.ended = make(chan struct{}), make(chan struct{})
+		ledger.startedAt = ledger.Clock.Read()
+		ledger.lastAttempt.Store(rand.Uint64() >> 1)
+		ledger.answerCache.maxBytes = int(ledger.Settings.AnswerMemory)
+		ledger.closeRequested, ledger.runEnded = make(chan struct{}), make(chan struct{})
 		for number := range ledger.Settings.Buckets {
 			ledger.buckets = append(ledger.buckets, newBucket(ledger, number))
 		}
 	})
 }
 
-// Run writes claims to the platform until ctx ends or Close is called. Claims
-// made before Run wait for it.
+// Run commits claims to the store until ctx ends or Close is called. Claims made before Run
+// wait for it.
 func (ledger *Ledger) Run(ctx context.Context) error {
-	ledger.setUp()
-	if ledger.running.Swap(true) {
+	ledger.initialise()
+	if ledger.runStarted.Swap(true) {
 		return Error.New("run: already running")
 	}
-	defer close(ledger.ended)
+	defer close(ledger.runEnded)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
@@ -95,25 +97,25 @@
 	}
 	group.Go(func() error {
 		defer cancel()
-		return ledger.drain(ctx)
+		return ledger.waitForOpenClaims(ctx)
 	})
 	return group.Wait()
 }
 
-// drain returns once Close was called and every claim has ended on the
-// platform, or the time for that is up.
-func (ledger *Ledger) drain(ctx context.Context) error {
+// waitForOpenClaims returns once Close was called and the end of every claim is recorded in
+// the store, or after the drain timeout.
+func (ledger *Ledger) waitForOpenClaims(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return nil
-	case <-ledger.stop:
+	case <-ledger.closeRequested:
 	}
 	const poll = 10 * time.Millisecond
 	deadline := time.NewTimer(ledger.Settings.DrainMS.Duration())
 	defer deadline.Stop()
 	ticker := time.NewTicker(poll)
 	defer ticker.Stop()
-	for ledger.open.Load() > 0 {
+	for ledger.openCount.Load() > 0 {
 		select {
 		case <-ticker.C:
 		case <-deadline.C:
@@ -125,65 +127,64 @@
 	return nil
 }
 
-// Close refuses new claims, goes on recording how the granted ones ended, for
-// a bounded time, and waits for Run. It returns an error that counts the
-// claims whose end is not on the platform: to other instances their outcome
-// becomes unknown.
+// Close refuses new claims, continues to record the ends of granted ones for at most the
+// drain timeout, and waits for Run. The error counts the claims whose end is not recorded:
+// their outcome becomes unknown to other instances.
 func (ledger *Ledger) Close() error {
-	ledger.setUp()
+	ledger.initialise()
 	if !ledger.closing.Swap(true) {
-		close(ledger.stop)
+		close(ledger.closeRequested)
 	}
-	if ledger.running.Load() {
-		<-ledger.ended
+	if ledger.runStarted.Load() {
+		<-ledger.runEnded
 	}
-	if open := ledger.open.Load(); open > 0 {
+	if open := ledger.openCount.Load(); open > 0 {
 		return Error.New("close: %d claims without a recorded end", open)
 	}
 	return nil
 }
 
-// Claim asks for the right to run the customer's request with that key. It
-// returns within the claim timeout. The error is always a *peridotpath.Result
-// and says that this call caused no run and left no claim that could.
+// Claim claims the right to run the customer's request with that key. It returns within the
+// claim timeout. The error is always a *peridotpath.Result; it means that this call caused
+// no run and left no claim that could run.
 func (ledger *Ledger) Claim(ctx context.Context, customer peridotpath.CustomerID, key string, body BodyHash) (Verdict, error) {
-	ledger.setUp()
+	ledger.initialise()
 	ctx, cancel := context.WithTimeout(ctx, ledger.Settings.ClaimTimeoutMS.Duration())
 	defer cancel()
-	verdict, err := ledger.claim(ctx, customer, key, body)
+	verdict, err := ledger.awaitVerdict(ctx, customer, key, body)
 	if err == nil {
-		if verdict.Standing == full || verdict.Standing == unsettled {
+		if verdict.Standing == ledgerFull || verdict.Standing == storeRestored {
 			err = verdict.Result()
 		}
 	}
 	if err != nil {
-		ledger.count(`claim_refused_total{reason=%q}`, refusal(err))
+		ledger.count(`claim_refused_total{reason=%q}`, refusalReason(err))
 		return Verdict{}, err
 	}
 	ledger.count(`claim_verdicts_total{standing=%q}`, verdict.Standing)
 	return verdict, nil
 }
 
-func (ledger *Ledger) claim(ctx context.Context, customer peridotpath.CustomerID, key string, body BodyHash) (Verdict, error) {
-	full := string(customer) + "\x00" + key
-	sum := sha256.Sum256([]byte(full))
+func (ledger *Ledger) awaitVerdict(ctx context.Context, customer peridotpath.CustomerID, key string, body BodyHash) (Verdict, error) {
+	customerAndKey := string(customer) + "\x00" + key
+	sum := sha256.Sum256([]byte(customerAndKey))
 	id := keyID(sum[:len(keyID{})])
-	bucket := ledger.buckets[xxhash.Sum64String(full)%uint64(len(ledger.buckets))]
-	operation, err := bucket.join(id, uint32(xxhash.Sum64String(string(customer))), body)
+	bucket := ledger.buckets[xxhash.Sum64String(customerAndKey)%uint64(len(ledger.buckets))]
+	operation, err := bucket.joinOrEnqueue(id, uint32(xxhash.Sum64String(string(customer))), body)
 	if err != nil {
 		return Verdict{}, err
 	}
 	select {
 	case <-operation.done:
-		return bucket.collect(operation)
+		return bucket.receiveVerdict(operation)
 	case <-ctx.Done():
-		bucket.leave(operation)
-		return Verdict{}, platformDown(reasonTimeout, retryAfter)
+		bucket.removeWaiter(operation)
+		return Verdict{}, platformDownResult(reasonTimeout, defaultRetryAfter)
 	}
 }
 
-// Open returns how many claims of this process have not ended on the platform.
-func (ledger *Ledger) Open() int { return int(ledger.open.Load()) }
+// Open returns the number of claims of this process whose end is not recorded in the store.
+func (ledger *Ledger) Open() int { return int(ledger.openCount.Load()) }
 
 func (ledger *Ledger) count(format string, values ...any) {
 	for i, value := range values {
@@ -192,51 +193,51 @@
 	ledger.Metrics.GetOrCreateCounter("peridotpath_" + fmt.Sprintf(format, values...)).Inc()
 }
 
-// wallTimes returns the wall clock's time and what it would be by the
-// monotonic clock since the start, the earlier of the two first.
+// wallTimeBounds returns the wall clock's time, and the start time plus the monotonic time
+// since then, the earlier of the two first.
 //
-// Keys expire by the earlier: a wall clock that steps forward would otherwise
-// drop keys that callers may still repeat, and the repeats would run. Records
-// are stamped with the later, so that a step back does not make them look old.
-func (ledger *Ledger) wallTimes() (earlier, later time.Time) {
+// Keys expire by the earlier one: a wall clock that steps forward would otherwise expire
+// keys that callers may still repeat, and the repeats would run. Records are stamped with
+// the later one, so that a step back does not make them look old.
+func (ledger *Ledger) wallTimeBounds() (earlier, later time.Time) {
 	now := ledger.Clock.Read()
-	counted := ledger.start.Wall.Add(now.Monotonic.Sub(ledger.start.Monotonic))
-	if now.Wall.Before(counted) {
-		return now.Wall, counted
+	byMonotonic := ledger.startedAt.Wall.Add(now.Monotonic.Sub(ledger.startedAt.Monotonic))
+	if now.Wall.Before(byMonotonic) {
+		return now.Wall, byMonotonic
 	}
-	return counted, now.Wall
+	return byMonotonic, now.Wall
 }
 
-func (ledger *Ledger) gone(claimer author) bool {
-	self := author{instance: ledger.Instance, incarnation: ledger.Incarnation}
-	if claimer.instance == self.instance && claimer.incarnation <= self.incarnation {
-		// An earlier run of this instance, or a claim of this run that it no
-		// longer knows.
+func (ledger *Ledger) hasEnded(attempt attemptID) bool {
+	self := attemptID{instance: ledger.Instance, incarnation: ledger.Incarnation}
+	if attempt.instance == self.instance && attempt.incarnation <= self.incarnation {
+		// The claimer is an earlier process of this instance, or a claim of this process
+		// that is no longer open here.
 		return true
 	}
-	return ledger.Alive != nil && !ledger.Alive(claimer.instance, claimer.incarnation)
+	return ledger.Alive != nil && !ledger.Alive(attempt.instance, attempt.incarnation)
 }
 
-// reason tells apart, in metrics and details, why a claim was refused.
+// reason says why a claim was refused, in metrics and in the details of results.
 type reason string
 
 const (
-	reasonTimeout     reason = "claim_timeout"
-	reasonCallerGone  reason = "caller_gone"
-	reasonPaused      reason = "platform_paused"
-	reasonTooManyOpen reason = "too_many_open_claims"
-	reasonNotRecorded reason = "claim_not_recorded"
-	reasonTooOld      reason = "claim_too_old"
-	reasonReleased    reason = "claim_released"
-	reasonWentBack    reason = "platform_went_back"
+	reasonTimeout       reason = "claim_timeout"
+	reasonCallerGone    reason = "caller_gone"
+	reasonPaused        reason = "platform_paused"
+	reasonTooManyOpen   reason = "too_many_open_claims"
+	reasonNotRecorded   reason = "claim_not_recorded"
+	reasonTooOld        reason = "claim_too_old"
+	reasonReleased      reason = "claim_released"
+	reasonStoreRestored reason = "platform_went_back"
 )
 
-func platformDown(reason reason, after time.Duration) *peridotpath.Result {
+func platformDownResult(reason reason, after time.Duration) *peridotpath.Result {
 	return &peridotpath.Result{Code: peridotpath.CodePlatformDown, RetryAfter: after, Detail: string(reason)}
 }
 
-// refusal returns the reason that the metrics count.
-func refusal(err error) string {
+// refusalReason returns the value of the metric's reason label.
+func refusalReason(err error) string {
 	var result *peridotpath.Result
 	switch {
 	case !errors.As(err, &result):
--- a/peridotpath/claim/queue.go
+++ b/peridotpath/claim/queue.go
@@ -8,44 +8,44 @@
 	"peridotpath.example/peridotpath/claim/ledgerpb"
 )
 
-// join returns the operation that decides on the key: a new one, or the one
-// under way in this process, so that a repeat here never asks the platform.
-func (bucket *bucket) join(key keyID, customer uint32, body BodyHash) (*operation, error) {
+// joinOrEnqueue returns the operation that decides on the key: a new one, or the open one
+// of this process, so that a repeat at the same instance needs no store call.
+func (bucket *bucket) joinOrEnqueue(key keyID, customer uint32, body BodyHash) (*operation, error) {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
-	if operation := bucket.open[key]; operation != nil {
-		if !bytes.Equal(operation.body, body[:hashBytes]) {
-			return reused(), nil
+	if operation := bucket.openClaims[key]; operation != nil {
+		if !bytes.Equal(operation.body, body[:bodyHashBytes]) {
+			return newKeyReused(), nil
 		}
 		operation.waiters++
 		return operation, nil
 	}
-	if err := bucket.refuse(); err != nil {
+	if err := bucket.admissionError(); err != nil {
 		return nil, err
 	}
 	ledger := bucket.ledger
 	operation := &operation{
-		kind: kindClaim, key: key, customer: customer, body: body[:hashBytes], done: make(chan struct{}),
-		author:  author{ledger.Instance, ledger.Incarnation, ledger.attempts.Add(1)},
+		kind: kindClaim, key: key, customer: customer, body: body[:bodyHashBytes], done: make(chan struct{}),
+		attempt: attemptID{ledger.Instance, ledger.Incarnation, ledger.lastAttempt.Add(1)},
 		waiters: 1,
 	}
-	ledger.open.Add(1)
-	bucket.open[key] = operation
+	ledger.openCount.Add(1)
+	bucket.openClaims[key] = operation
 	bucket.enqueue(operation)
 	return operation, nil
 }
 
-// reused returns an operation that was decided without the platform: the key
-// is in use here with another body.
-func reused() *operation {
+// newKeyReused returns a completed operation whose verdict is that the key is in use in
+// this process with another body.
+func newKeyReused() *operation {
 	operation := &operation{verdict: Verdict{Standing: KeyReused}, done: make(chan struct{})}
 	close(operation.done)
 	return operation
 }
 
-// collect returns the verdict to one of the callers who waited. The first gets
-// the claim, the others attach to its run.
-func (bucket *bucket) collect(operation *operation) (Verdict, error) {
+// receiveVerdict returns the verdict to one of the waiting callers. The first receives the
+// claim; the others wait for its run.
+func (bucket *bucket) receiveVerdict(operation *operation) (Verdict, error) {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	operation.waiters--
@@ -53,48 +53,48 @@
 	switch {
 	case operation.err != nil:
 		return Verdict{}, operation.err
-	case verdict.Standing == Granted && operation.taken:
-		return Verdict{Standing: RunningHere, Run: verdict.Claim.run}, nil
+	case verdict.Standing == Granted && operation.claimTaken:
+		return Verdict{Standing: RunningHere, Run: verdict.Claim.inFlight}, nil
 	case verdict.Standing == Granted:
-		operation.taken = true
+		operation.claimTaken = true
 	case verdict.Standing == Done && verdict.Answer == nil:
-		verdict.Answer = bucket.ledger.answers.get(operation.key)
+		verdict.Answer = bucket.ledger.answerCache.get(operation.key)
 	}
 	return verdict, nil
 }
 
-// leave is called by a caller who waits no longer. A claim that was granted
-// but that nobody is left to take is released.
-func (bucket *bucket) leave(operation *operation) {
+// removeWaiter removes a caller that stops waiting. A granted claim without a caller is
+// released.
+func (bucket *bucket) removeWaiter(operation *operation) {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	operation.waiters--
-	bucket.releaseUntaken(operation)
+	bucket.releaseIfAbandoned(operation)
 }
 
-func (bucket *bucket) releaseUntaken(operation *operation) {
+func (bucket *bucket) releaseIfAbandoned(operation *operation) {
 	claim := operation.verdict.Claim
-	if claim == nil || operation.taken || operation.waiters > 0 || claim.ended.Swap(true) {
+	if claim == nil || operation.claimTaken || operation.waiters > 0 || claim.ended.Swap(true) {
 		return
 	}
-	claim.run.end(nil, platformDown(reasonCallerGone, retryAfter))
-	bucket.end(claim, kindRelease, nil)
+	claim.inFlight.end(nil, platformDownResult(reasonCallerGone, defaultRetryAfter))
+	bucket.enqueueEnd(claim, kindRelease, nil)
 }
 
-// refuse returns why no new claim is taken now.
-func (bucket *bucket) refuse() error {
+// admissionError returns the error for a new claim that is not admitted now, or nil.
+func (bucket *bucket) admissionError() error {
 	ledger := bucket.ledger
 	if ledger.closing.Load() || bucket.stopped {
 		return &peridotpath.Result{Code: peridotpath.CodeStopping}
 	}
-	// During an outage each claim whose write got no answer has to be released
-	// afterwards. Without a bound a long outage would fill the memory; without
-	// remembering them all, keys would stay claimed that never ran.
-	if ledger.open.Load() >= int64(ledger.Settings.MaxOpen) {
-		return platformDown(reasonTooManyOpen, retryAfter)
+	// During an outage, each claim whose write got no reply has to be released afterwards.
+	// Without a bound, a long outage would fill the memory; if some were forgotten, keys
+	// would stay claimed whose request never ran.
+	if ledger.openCount.Load() >= int64(ledger.Settings.MaxOpen) {
+		return platformDownResult(reasonTooManyOpen, defaultRetryAfter)
 	}
 	if wait := bucket.retryAt.Sub(ledger.Clock.Read().Monotonic); wait > 0 {
-		return platformDown(reasonPaused, max(wait, retryAfter))
+		return platformDownResult(reasonPaused, max(wait, defaultRetryAfter))
 	}
 	return nil
 }
@@ -107,85 +107,87 @@
 	}
 }
 
-// renew queues an operation that renews a claim under a new attempt. The claim
-// knows of the attempt before it is written, so that its end finds the record
+// enqueueRenewal queues an operation that renews a claim under a new attempt id. The claim
+// records the id before it is written, so that the end of the claim finds the record
 // whether or not the renewal takes effect.
-func (bucket *bucket) renew(claimed *operation) *operation {
+func (bucket *bucket) enqueueRenewal(claimed *operation) *operation {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
-	next := claimed.author
-	next.attempt = bucket.ledger.attempts.Add(1)
-	claimed.former = append(claimed.former, claimed.author)
-	claimed.author = next
+	attempt := claimed.attempt
+	attempt.number = bucket.ledger.lastAttempt.Add(1)
+	claimed.earlierAttempts = append(claimed.earlierAttempts, claimed.attempt)
+	claimed.attempt = attempt
 	renewal := &operation{
-		kind: kindRenew, key: claimed.key, author: next, former: slices.Clone(claimed.former),
+		kind: kindRenew, key: claimed.key, attempt: attempt, earlierAttempts: slices.Clone(claimed.earlierAttempts),
 		done: make(chan struct{}), waiters: 1,
 	}
 	bucket.enqueue(renewal)
 	return renewal
 }
 
-// renewed gives the claim its new window if the renewal stands, and has the
-// renewal dropped if it is not even written.
-func (bucket *bucket) renewed(claimed, renewal *operation) bool {
+// finishRenewal extends the claim's dispatch window if the renewal was recorded. A renewal
+// that is not written yet is cancelled.
+func (bucket *bucket) finishRenewal(claimed, renewal *operation) bool {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	renewal.waiters = 0
 	if renewal.verdict.Standing != Granted {
 		return false
 	}
-	claimed.sent = renewal.sent
+	claimed.sentAt = renewal.sentAt
 	return true
 }
 
-// end queues an operation that ends a claim.
-func (bucket *bucket) end(claim *Claim, kind kind, answer *ledgerpb.Answer) *operation {
+// enqueueEnd queues an operation that ends a claim.
+func (bucket *bucket) enqueueEnd(claim *Claim, kind kind, answer *ledgerpb.Answer) *operation {
 	claimed := claim.operation
 	end := &operation{
-		kind: kind, key: claimed.key, author: claimed.author, former: claimed.former, answer: answer, done: make(chan struct{}),
-		lost: claimed.lost, unsettled: claimed.unsettled,
+		kind: kind, key: claimed.key, attempt: claimed.attempt, earlierAttempts: claimed.earlierAttempts, answer: answer, done: make(chan struct{}),
+		writeUncertain: claimed.writeUncertain, uncertainVersion: claimed.uncertainVersion,
 	}
 	if kind == kindRelease {
-		// The key may be claimed again at once: the release goes first.
-		bucket.forget(claimed)
+		// The key may be claimed again at once: ends are applied before claims.
+		bucket.removeOpenClaim(claimed)
 	}
 	bucket.enqueue(end)
 	return end
 }
 
-// forget makes the key of the operation free to be asked for again.
-func (bucket *bucket) forget(operation *operation) {
-	if held := bucket.open[operation.key]; held != nil && held.author == operation.author {
-		delete(bucket.open, operation.key)
+// removeOpenClaim removes the operation from the open claims, so that its key can be
+// claimed again.
+func (bucket *bucket) removeOpenClaim(operation *operation) {
+	if openClaim := bucket.openClaims[operation.key]; openClaim != nil && openClaim.attempt == operation.attempt {
+		delete(bucket.openClaims, operation.key)
 	}
 }
 
-// drop ends an operation for good.
-func (bucket *bucket) drop(operation *operation, err error) {
+// complete completes an operation and closes its channel.
+func (bucket *bucket) complete(operation *operation, err error) {
 	if operation.kind != kindRenew {
-		bucket.forget(operation)
-		bucket.ledger.open.Add(-1)
+		bucket.removeOpenClaim(operation)
+		bucket.ledger.openCount.Add(-1)
 	}
 	operation.err = err
 	close(operation.done)
 }
 
-// releaseOf returns the operation that releases a claim nobody was granted.
-func releaseOf(claimed *operation) *operation {
+// newRelease returns an operation that releases a claim that was not granted but whose
+// write may have taken effect.
+func newRelease(claimed *operation) *operation {
 	return &operation{
-		kind: kindRelease, key: claimed.key, author: claimed.author, done: make(chan struct{}),
-		lost: true, unsettled: claimed.unsettled,
+		kind: kindRelease, key: claimed.key, attempt: claimed.attempt, done: make(chan struct{}),
+		writeUncertain: true, uncertainVersion: claimed.uncertainVersion,
 	}
 }
 
-// refuseAll answers what is still queued when the process ends.
-func (bucket *bucket) refuseAll() {
+// refuseQueued refuses the operations that are still queued when Run ends.
+func (bucket *bucket) refuseQueued() {
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	bucket.stopped = true
 	for _, operation := range bucket.queue {
-		if !operation.kind.ends() {
-			bucket.drop(operation, &peridotpath.Result{Code: peridotpath.CodeStopping})
+		if !operation.kind.isEnd() {
+			bucket.complete(operation, &peridotpath.Result{Code: peridotpath.CodeStopping})
 		}
 	}
 	bucket.queue = nil
--- a/peridotpath/claim/random_test.go
+++ b/peridotpath/claim/random_test.go
@@ -15,16 +15,16 @@
 	"peridotpath.example/peridotpath/internal/soak"
 )
 
-// step is one event of a random run. Every step may come at every moment, so
-// that a failing script shrinks well; one that makes no sense does nothing.
+// step is one event of a random run. Every step may come at any time and does nothing where
+// it does not apply, so that failing scripts shrink well.
 type step struct {
-	name       string
-	who        int
-	key        int
-	pause      time.Duration // before the next step
-	think, run time.Duration // of a request, before and after its dispatch
-	ending     string
-	fates      []fate
+	name               string
+	instance           int
+	key                int
+	pause              time.Duration // before the next step
+	queueTime, runTime time.Duration // of a request, before and after its dispatch
+	ending             string
+	faults             []fault
 }
 
 const (
@@ -33,124 +33,125 @@
 )
 
 func drawStep(t *rapid.T) step {
-	seconds := func(most int, label string) time.Duration {
-		return time.Duration(rapid.IntRange(0, most*10).Draw(t, label)) * 100 * time.Millisecond
+	seconds := func(maxSeconds int, label string) time.Duration {
+		return time.Duration(rapid.IntRange(0, maxSeconds*10).Draw(t, label)) * 100 * time.Millisecond
 	}
 	step := step{
 		name: rapid.SampledFrom([]string{
-			"ask", "ask", "ask", "ask", "ask", "ask", "kill", "start", "suspect", "links", "links", "heal", "freeze",
+			"ask", "ask", "ask", "ask", "ask", "ask", "kill", "start", "mark dead", "set faults", "set faults", "end faults", "freeze",
 		}).Draw(t, "step"),
-		who:   rapid.IntRange(0, randomInstances-1).Draw(t, "who"),
-		pause: seconds(4, "pause"),
+		instance: rapid.IntRange(0, randomInstances-1).Draw(t, "instance"),
+		pause:    seconds(4, "pause"),
 	}
 	switch step.name {
 	case "ask":
 		step.key = rapid.IntRange(0, randomKeys-1).Draw(t, "key")
-		step.think, step.run = seconds(40, "think"), seconds(5, "run")
+		step.queueTime, step.runTime = seconds(40, "queue time"), seconds(5, "run time")
 		step.ending = rapid.SampledFrom([]string{"finish", "finish", "release", "unknown"}).Draw(t, "ending")
-	case "links":
-		for range rapid.IntRange(1, 4).Draw(t, "fates") {
-			step.fates = append(step.fates, drawFate(t))
+	case "set faults":
+		for range rapid.IntRange(1, 4).Draw(t, "faults") {
+			step.faults = append(step.faults, drawFault(t))
 		}
 	case "freeze":
-		step.run = seconds(30, "frozen")
+		step.runTime = seconds(30, "frozen")
 	}
 	return step
 }
 
-func drawFate(t *rapid.T) fate {
-	return rapid.SampledFrom([]fate{
+func drawFault(t *rapid.T) fault {
+	return rapid.SampledFrom([]fault{
 		{}, {Delay: 2 * time.Second}, {Delay: time.Minute}, {NotSent: true}, {Unanswered: true},
 		{Late: time.Second}, {Late: 20 * time.Second},
-	}).Draw(t, "fate")
+	}).Draw(t, "fault")
 }
 
-// model is what must hold, by plain counting.
+// model checks the invariants by counting runs and outcomes.
 type model struct {
 	fleet     *fleet
 	instances [randomInstances]*process
 	requests  sync.WaitGroup
 
-	mu     sync.Mutex
-	runs   map[int]int
-	ended  map[int]bool // an answer is on the platform
-	told   map[int]bool // a caller was told that the outcome is unknown
-	marked map[int]bool // marked unknown, or asked for at an instance that was killed or suspected
-	wrong  []string
+	mu              sync.Mutex
+	runs            map[int]int
+	ended           map[int]bool // the answer is recorded in the store
+	reportedUnknown map[int]bool // a caller received an unknown outcome
+	mayBeUnknown    map[int]bool // the outcome may be unknown: so marked, or claimed at an instance that was marked dead
+	violations      []string
 }
 
-// process is an instance that may be dead or frozen.
+// process is an instance that may be killed or frozen.
 type process struct {
 	*instance
-	mu     sync.Mutex
-	thaw   time.Time
-	killed bool
-	asked  map[int]bool
+	mu          sync.Mutex
+	frozenUntil time.Time
+	killed      bool
+	claimed     map[int]bool
 }
 
 func (process *process) freeze(span time.Duration) {
 	process.mu.Lock()
 	defer process.mu.Unlock()
-	thaw := time.Now().Add(span)
-	process.thaw = thaw
-	process.link.Set(func(string) fate { return fate{Delay: max(0, time.Until(thaw))} })
+	frozenUntil := time.Now().Add(span)
+	process.frozenUntil = frozenUntil
+	process.link.Set(func(string) fault { return fault{Delay: max(0, time.Until(frozenUntil))} })
 }
 
-// proceed waits until the process is not frozen; false when it was killed.
-func (process *process) proceed() bool {
+// waitUntilThawed blocks while the process is frozen; it returns false if the process was
+// killed.
+func (process *process) waitUntilThawed() bool {
 	for {
 		process.mu.Lock()
-		thaw, killed := process.thaw, process.killed
+		frozenUntil, killed := process.frozenUntil, process.killed
 		process.mu.Unlock()
-		if killed || !thaw.After(time.Now()) {
+		if killed || !frozenUntil.After(time.Now()) {
 			return !killed
 		}
-		time.Sleep(time.Until(thaw))
+		time.Sleep(time.Until(frozenUntil))
 	}
 }
 
-func (model *model) note(format string, args ...any) {
-	model.wrong = append(model.wrong, fmt.Sprintf(format, args...))
+func (model *model) addViolation(format string, args ...any) {
+	model.violations = append(model.violations, fmt.Sprintf(format, args...))
 }
 
-func (model *model) start(who int, incarnation peridotpath.Incarnation) {
-	process := &process{asked: map[int]bool{}}
-	process.instance = model.fleet.start(peridotpath.InstanceID(fmt.Sprint("i", who)), incarnation, func(ledger *claim.Ledger) {
+func (model *model) startProcess(number int, incarnation peridotpath.Incarnation) {
+	process := &process{claimed: map[int]bool{}}
+	process.instance = model.fleet.start(peridotpath.InstanceID(fmt.Sprint("i", number)), incarnation, func(ledger *claim.Ledger) {
 		ledger.Settings.Buckets, ledger.Settings.CallsPerSecond = 2, 20
 	})
-	model.instances[who] = process
+	model.instances[number] = process
 }
 
 // request is one call of a caller, up to its answer.
 func (model *model) request(process *process, step step) {
 	defer model.requests.Done()
-	verdict, err := process.ask(fmt.Sprint(step.key))
-	if err != nil || !process.proceed() {
+	verdict, err := process.claimKey(fmt.Sprint(step.key))
+	if err != nil || !process.waitUntilThawed() {
 		return
 	}
 	switch verdict.Standing {
 	case claim.Granted:
-		model.granted(process, verdict.Claim, step)
+		model.runGranted(process, verdict.Claim, step)
 	case claim.Unknown:
-		model.locked(func() { model.told[step.key] = true })
+		model.withLock(func() { model.reportedUnknown[step.key] = true })
 	case claim.Done:
-		model.locked(func() {
+		model.withLock(func() {
 			if model.runs[step.key] != 1 {
-				model.note("key %d: done after %d runs", step.key, model.runs[step.key])
+				model.addViolation("key %d: status is done after %d runs", step.key, model.runs[step.key])
 			}
 		})
 	}
 }
 
-func (model *model) locked(do func()) {
+func (model *model) withLock(do func()) {
 	model.mu.Lock()
 	defer model.mu.Unlock()
 	do()
 }
 
-func (model *model) granted(process *process, held *claim.Claim, step step) {
-	time.Sleep(step.think)
-	if !process.proceed() {
+func (model *model) runGranted(process *process, held *claim.Claim, step step) {
+	time.Sleep(step.queueTime)
+	if !process.waitUntilThawed() {
 		return
 	}
 	err := held.Dispatch()
@@ -158,49 +159,50 @@
 		_ = held.Release(background, &peridotpath.Result{Code: peridotpath.CodeEndpointRefused})
 		return
 	}
-	model.locked(func() {
+	model.withLock(func() {
 		model.runs[step.key]++
 		if model.runs[step.key] > 1 {
-			model.note("key %d ran %d times", step.key, model.runs[step.key])
+			model.addViolation("key %d ran %d times", step.key, model.runs[step.key])
 		}
-		if model.told[step.key] {
-			model.note("key %d ran after its outcome was called unknown", step.key)
+		if model.reportedUnknown[step.key] {
+			model.addViolation("key %d ran after its outcome was reported unknown", step.key)
 		}
 	})
-	time.Sleep(step.run)
-	if !process.proceed() {
+	time.Sleep(step.runTime)
+	if !process.waitUntilThawed() {
 		return
 	}
 	if step.ending == "unknown" {
-		model.locked(func() { model.marked[step.key] = true })
+		model.withLock(func() { model.mayBeUnknown[step.key] = true })
 		_ = held.MarkUnknown(background)
 		return
 	}
-	if held.Finish(background, ok(fmt.Sprint(step.key))) == nil {
-		model.locked(func() { model.ended[step.key] = true })
+	if held.Finish(background, okAnswer(fmt.Sprint(step.key))) == nil {
+		model.withLock(func() { model.ended[step.key] = true })
 	}
 }
 
-// suspect marks what the process was asked for: it may end as unknown.
-func (model *model) suspect(process *process) {
-	model.locked(func() {
-		for key := range process.asked {
-			model.marked[key] = true
+// markDead marks the instance dead. The outcome of each key that was claimed there may
+// become unknown.
+func (model *model) markDead(process *process) {
+	model.withLock(func() {
+		for key := range process.claimed {
+			model.mayBeUnknown[key] = true
 		}
 	})
-	model.fleet.bury(process.instance)
+	model.fleet.markDead(process.instance)
 }
 
-func (model *model) take(step step) {
-	process := model.instances[step.who]
+func (model *model) apply(step step) {
+	process := model.instances[step.instance]
 	switch step.name {
 	case "ask":
-		process.asked[step.key] = true
+		process.claimed[step.key] = true
 		model.fleet.mu.Lock()
-		suspected := model.fleet.dead[process.Instance] >= process.Incarnation
+		markedDead := model.fleet.dead[process.Instance] >= process.Incarnation
 		model.fleet.mu.Unlock()
-		if suspected {
-			model.locked(func() { model.marked[step.key] = true })
+		if markedDead {
+			model.withLock(func() { model.mayBeUnknown[step.key] = true })
 		}
 		model.requests.Add(1)
 		go model.request(process, step)
@@ -209,29 +211,29 @@
 		process.killed = true
 		process.mu.Unlock()
 		process.cancel()
-		model.suspect(process)
+		model.markDead(process)
 	case "start":
 		if process.killed {
-			model.start(step.who, process.Incarnation+1)
+			model.startProcess(step.instance, process.Incarnation+1)
 		}
-	case "suspect":
-		model.suspect(process)
-	case "links":
+	case "mark dead":
+		model.markDead(process)
+	case "set faults":
 		next := 0
-		process.link.Set(func(string) fate {
+		process.link.Set(func(string) fault {
 			next++
-			return step.fates[next%len(step.fates)]
+			return step.faults[next%len(step.faults)]
 		})
-	case "heal":
+	case "end faults":
 		process.link.Set(nil)
 	case "freeze":
-		process.freeze(step.run)
+		process.freeze(step.runTime)
 	}
 	time.Sleep(step.pause)
 }
 
-// settle mends everything, lets every request end, and asks for each key again.
-func (model *model) settle() {
+// checkFinalState ends all faults, waits for every request, and claims each key again.
+func (model *model) checkFinalState() {
 	for _, process := range model.instances {
 		process.freeze(0)
 	}
@@ -239,58 +241,58 @@
 	time.Sleep(3 * time.Minute)
 	for _, process := range model.instances {
 		if !process.killed && process.Open() != 0 {
-			model.note("%s has %d open claims at rest", process.Instance, process.Open())
+			model.addViolation("%s has %d open claims after all requests ended", process.Instance, process.Open())
 		}
 	}
-	judge := model.fleet.start("judge", 1, func(ledger *claim.Ledger) { ledger.Settings.Buckets = 2 })
+	observer := model.fleet.start("observer", 1, func(ledger *claim.Ledger) { ledger.Settings.Buckets = 2 })
 	for key := range randomKeys {
-		verdict, err := judge.ask(fmt.Sprint(key))
+		verdict, err := observer.claimKey(fmt.Sprint(key))
 		switch {
 		case err != nil:
-			model.note("key %d: %v with everything mended", key, err)
+			model.addViolation("key %d: %v after all faults ended", key, err)
 		case model.runs[key] > 0 && verdict.Standing == claim.Granted:
-			model.note("key %d: granted again after it ran", key)
+			model.addViolation("key %d: granted again after it ran", key)
 		case model.ended[key] && verdict.Standing != claim.Done:
-			model.note("key %d: %v though its answer is recorded", key, verdict.Standing)
-		case model.runs[key] == 0 && !model.marked[key] && verdict.Standing != claim.Granted:
-			model.note("key %d: %v though it never ran and nothing died", key, verdict.Standing)
+			model.addViolation("key %d: status is %v though its answer is recorded", key, verdict.Standing)
+		case model.runs[key] == 0 && !model.mayBeUnknown[key] && verdict.Standing != claim.Granted:
+			model.addViolation("key %d: status is %v though it never ran and no claimer was marked dead", key, verdict.Standing)
 		}
 	}
-	for _, instance := range []*instance{judge, model.instances[0].instance, model.instances[1].instance, model.instances[2].instance} {
+	for _, instance := range []*instance{observer, model.instances[0].instance, model.instances[1].instance, model.instances[2].instance} {
 		if err := instance.stop(); err != nil {
-			model.note("stop %s: %v", instance.Instance, err)
+			model.addViolation("stop %s: %v", instance.Instance, err)
 		}
 	}
 }
 
-// Callers repeat keys at several instances, while instances are killed, frozen,
-// restarted and wrongly taken for dead, and calls to the platform are slow,
-// lost before or after they take effect, or arrive late. Whatever the order, a
-// key runs at most once, does not run after it was called unknown, and one that
-// certainly never ran can be claimed again in the end.
+// Callers repeat keys at several instances, while instances are killed, frozen, restarted
+// and wrongly marked dead, and store calls are slow, lost before or after they take effect,
+// or take effect late. In any order, a key must run at most once and not after its outcome
+// was reported unknown, and a key that certainly never ran must be claimable again in the
+// end.
 //
-// The order of goroutines at one moment is not part of the script, so a failure
-// may need several tries of its seed.
+// The order of goroutines within one moment is not part of the script, so a failure may
+// need several runs of its seed.
 func TestRandomRunsClaimAtMostOnce(t *testing.T) {
 	soak.Check(t, 5, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(drawStep), 20, 80).Draw(rt, "script")
-		var wrong []string
+		var violations []string
 		synctest.Test(t, func(t *testing.T) {
 			model := &model{
 				fleet: newFleet(t), runs: map[int]int{}, ended: map[int]bool{},
-				told: map[int]bool{}, marked: map[int]bool{},
+				reportedUnknown: map[int]bool{}, mayBeUnknown: map[int]bool{},
 			}
-			for who := range randomInstances {
-				model.start(who, 1)
+			for number := range randomInstances {
+				model.startProcess(number, 1)
 			}
 			for _, step := range script {
-				model.take(step)
+				model.apply(step)
 			}
-			model.settle()
-			wrong = model.wrong
+			model.checkFinalState()
+			violations = model.violations
 		})
-		if len(wrong) > 0 {
-			rt.Fatal(strings.Join(wrong, "\n"))
+		if len(violations) > 0 {
+			rt.Fatal(strings.Join(violations, "\n"))
 		}
 	})
 }
--- a/peridotpath/claim/restore.go
+++ b/peridotpath/claim/restore.go
@@ -8,77 +8,81 @@
 )
 
 const (
-	// restoreSpread is the time over which the buckets of all instances are read after the
-	// service came back from a copy.
-	restoreSpread = 2 * time.Second
-	// restoreWithin is when every instance that lives has written again what the service
-	// had lost; until then a key without a record may have run.
-	restoreWithin = 4 * time.Second
-	// lostMost is how old what the service loses may be: copies are some seconds old.
-	lostMost = 2 * time.Minute
+	// restoreJitter is the time over which the instances' reads of a bucket are spread
+	// after the store was restored.
+	restoreJitter = 2 * time.Second
+	// restoreWindow is the time after a restore in which every live instance has written
+	// back the records that the store lost. Until then, a key without a record may have
+	// run.
+	restoreWindow = 4 * time.Second
+	// maxLostAge is the maximum age of records that are written back. Copies of the store
+	// are some seconds old.
+	maxLostAge = 2 * time.Minute
 )
 
-// WentBack says that the service came back from an older copy, without the claims since.
-// It never waits.
+// WentBack must be called when the store was restored from an older copy, which lacks the
+// claims made since. It does not block.
 func (ledger *Ledger) WentBack() {
-	ledger.setUp()
+	ledger.initialise()
 	for _, bucket := range ledger.buckets {
-		bucket.wentBack.Raise()
+		bucket.storeRestored.Raise()
 	}
 }
 
-// young returns how much longer a key without a record may be one whose claim was lost.
-func (bucket *bucket) young() time.Duration {
+// restoreWindowLeft returns how much longer a key without a record may have one that the
+// store lost.
+func (bucket *bucket) restoreWindowLeft() time.Duration {
 	if bucket.ledger.Store.Unbroken == nil {
 		return 0
 	}
-	return restoreWithin - bucket.ledger.Store.Unbroken()
+	return restoreWindow - bucket.ledger.Store.Unbroken()
 }
 
-// rebuild writes what the service has lost of the bucket, if anything.
-func (bucket *bucket) rebuild(ctx context.Context) {
-	if !bucket.lost {
+// writeLostRecords writes the bucket's lost records back to the store, if there are any.
+func (bucket *bucket) writeLostRecords(ctx context.Context) {
+	if !bucket.needsRestore {
 		return
 	}
 	bucket.cached = nil
 	bucket.commit(ctx, nil)
-	if bucket.lost = bucket.cached == nil; bucket.lost {
-		// The call failed; what comes next is tried again.
-		bucket.wentBack.Raise()
+	if bucket.needsRestore = bucket.cached == nil; bucket.needsRestore {
+		// The call failed; the loop tries again.
+		bucket.storeRestored.Raise()
 	}
 }
 
-// lacksRecent reports whether what is held is young enough to be lost.
-func (bucket *bucket) lacksRecent() bool {
-	if bucket.held == nil {
+// hasRecentRecords reports whether the last known state has records that are recent enough
+// to be lost.
+func (bucket *bucket) hasRecentRecords() bool {
+	if bucket.lastKnown == nil {
 		return false
 	}
-	_, now := bucket.ledger.wallTimes()
-	for _, record := range bucket.held.records {
-		if record.GetStamp() >= now.Add(-lostMost).Unix() {
+	_, now := bucket.ledger.wallTimeBounds()
+	for _, record := range bucket.lastKnown.records {
+		if record.GetStamp() >= now.Add(-maxLostAge).Unix() {
 			return true
 		}
 	}
 	return false
 }
 
-// restore adds to a state of a new era what the service has lost: ends of claims, and the
-// claims of this process that have not ended. Those of others are theirs to restore, since
-// they may have been released.
-func (bucket *bucket) restore(state *state) {
-	self := author{instance: bucket.ledger.Instance, incarnation: bucket.ledger.Incarnation}
-	_, now := bucket.ledger.wallTimes()
-	for key, record := range bucket.held.records {
+// addLostRecords adds the records that the store lost to a state of a new era: ends of
+// claims, and the open claims of this process. The open claims of other instances are
+// restored by those, since they may have been released meanwhile.
+func (bucket *bucket) addLostRecords(state *state) {
+	self := attemptID{instance: bucket.ledger.Instance, incarnation: bucket.ledger.Incarnation}
+	_, now := bucket.ledger.wallTimeBounds()
+	for key, record := range bucket.lastKnown.records {
 		running := record.GetState() == ledgerpb.State_STATE_RUNNING
-		claimer := authorOf(record)
-		own := claimer.instance == self.instance && claimer.incarnation == self.incarnation
+		attempt := attemptIDOf(record)
+		isOwn := attempt.instance == self.instance && attempt.incarnation == self.incarnation
 		present := state.records[key]
-		known := present != nil && (running || present.GetState() != ledgerpb.State_STATE_RUNNING)
-		if known || running && !own || record.GetStamp() < now.Add(-lostMost).Unix() {
+		isRecorded := present != nil && (running || present.GetState() != ledgerpb.State_STATE_RUNNING)
+		if isRecorded || running && !isOwn || record.GetStamp() < now.Add(-maxLostAge).Unix() {
 			continue
 		}
 		state.put(key, record)
-		state.restored = true
+		state.hasRestoredRecords = true
 		bucket.ledger.count(`claim_records_restored_total`)
 	}
 }
--- a/peridotpath/claim/settings.go
+++ b/peridotpath/claim/settings.go
@@ -7,42 +7,42 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// Settings are a Ledger's limits. All instances of a deployment have the same.
+// Settings are the limits of a Ledger. They must be equal on all instances of a deployment.
 type Settings struct {
-	// Buckets is how many values the keys are spread over. It stays the same
-	// for as long as the ledger holds anything.
+	// Buckets is the number of values that the keys are spread over. It must not change
+	// while the store has any records.
 	Buckets int `json:"buckets"`
-	// RetentionMS is how long a key is remembered after its request ended.
+	// RetentionMS is how long a key is kept after its request ended.
 	RetentionMS peridotpath.Millis `json:"retention_ms"`
-	// ClockMarginMS is how far the instances' wall clocks may be apart. Keys
-	// are kept this much longer than RetentionMS.
+	// ClockMarginMS is the maximum difference between the instances' wall clocks. Keys are
+	// kept this much longer than RetentionMS.
 	ClockMarginMS peridotpath.Millis `json:"clock_margin_ms"`
-	// DispatchMS is how long a granted claim may be dispatched, from before
-	// its write was sent. It is also how long an instance that is taken for
-	// dead is waited for before an outcome is called unknown.
+	// DispatchMS is how long a granted claim may be dispatched, from the time before its
+	// write was sent. It is also how long other instances wait before they mark a claim of
+	// a dead instance unknown.
 	DispatchMS peridotpath.Millis `json:"dispatch_ms"`
 	// ClaimTimeoutMS is how long a caller waits for a claim.
 	ClaimTimeoutMS peridotpath.Millis `json:"claim_timeout_ms"`
-	// DrainMS is how long Close goes on recording ends.
+	// DrainMS is how long Close continues to record the ends of claims.
 	DrainMS peridotpath.Millis `json:"drain_ms"`
-	// CallsPerSecond bounds the platform calls of one bucket in this process.
+	// CallsPerSecond bounds the store calls of this process for one bucket.
 	CallsPerSecond int `json:"calls_per_second"`
-	// MaxOpen bounds the claims of this process that have not ended on the
-	// platform, among them those it still has to release.
+	// MaxOpen bounds the claims of this process whose end is not recorded in the store,
+	// including refused claims that still have to be released.
 	MaxOpen int `json:"max_open"`
-	// MaxRecords and MaxBytes bound one bucket.
+	// MaxRecords and MaxBytes bound the size of one bucket.
 	MaxRecords int               `json:"max_records"`
 	MaxBytes   peridotpath.Bytes `json:"max_bytes"`
-	// MaxAnswer is the largest answer, in bytes of body and headers, that is
-	// kept on the platform.
+	// MaxAnswer is the largest answer that is kept in the store, counted over body and
+	// headers.
 	MaxAnswer peridotpath.Bytes `json:"max_answer"`
-	// AnswerMemory is what this process keeps of larger answers.
+	// AnswerMemory bounds this process's cache of larger answers.
 	AnswerMemory peridotpath.Bytes `json:"answer_memory"`
-	// Headers are the header names kept with an answer.
+	// Headers are the names of the headers that are kept with an answer.
 	Headers []string `json:"headers"`
 }
 
-// Defaults fills what was left out.
+// Defaults sets the fields that are zero to their defaults.
 func (settings *Settings) Defaults() {
 	peridotpath.SetDefault(&settings.Buckets, 64)
 	peridotpath.SetDefault(&settings.RetentionMS, peridotpath.Millis((24 * time.Hour).Milliseconds()))
@@ -61,12 +61,12 @@
 	}
 }
 
-// Validate returns every fault by field.
+// Validate returns every invalid field.
 func (settings *Settings) Validate(prefix string) peridotpath.Faults {
 	const day = int64(24 * time.Hour / time.Millisecond)
 	var faults peridotpath.Faults
 	faults.Range(prefix+".buckets", int64(settings.Buckets), 1, 4096)
-	// Within the retention a frozen claimer must have run out of time.
+	// A record must outlive the dispatch window of a frozen claimer by far.
 	faults.Range(prefix+".retention_ms", int64(settings.RetentionMS), 10*int64(settings.DispatchMS), 30*day)
 	faults.Range(prefix+".clock_margin_ms", int64(settings.ClockMarginMS), 1_000, day)
 	faults.Range(prefix+".dispatch_ms", int64(settings.DispatchMS), 1_000, 60_000)
--- a/peridotpath/claim/state.go
+++ b/peridotpath/claim/state.go
@@ -17,43 +17,43 @@
 // Error is the class of this package's errors that are not Results.
 var Error = errs.Class("claim")
 
-// recordOverhead is the bytes that a record takes in its bucket besides its own.
+// recordOverhead is the maximum number of bytes that a record's field tag and length take
+// in its bucket.
 const recordOverhead = 4
 
-// keyID stands for a customer and an idempotency key together.
+// keyID identifies an idempotency key of a customer: a truncated hash of both.
 type keyID [16]byte
 
-// author names one claim of one run of one instance.
-type author struct {
+// attemptID identifies one attempt of one process of an instance to claim a key.
+type attemptID struct {
 	instance    peridotpath.InstanceID
 	incarnation peridotpath.Incarnation
-	attempt     uint64
+	number      uint64
 }
 
-func authorOf(record *ledgerpb.Record) author {
-	return author{
+func attemptIDOf(record *ledgerpb.Record) attemptID {
+	return attemptID{
 		instance:    peridotpath.InstanceID(record.GetInstance()),
 		incarnation: peridotpath.Incarnation(record.GetIncarnation()),
-		attempt:     record.GetAttempt(),
+		number:      record.GetAttempt(),
 	}
 }
 
-// state is one version of a bucket. Records are never changed in place, so a
-// clone shares them.
+// state is one version of a bucket. Records are immutable, so clones share them.
 type state struct {
 	version keyvalue.Version
 	records map[keyID]*ledgerpb.Record
-	// size is what the records take in the value, answers included, and answers
-	// what those take.
-	size    int
-	answers int
-	// restored says that records were added which the service has lost.
-	restored bool
+	// size is the encoded size of the records, including answers; answerSize is the part
+	// that the answers take.
+	size       int
+	answerSize int
+	// hasRestoredRecords reports that records were added that the store had lost.
+	hasRestoredRecords bool
 }
 
-// decode reads a bucket's value. It refuses one that was written with another
-// number of buckets: keys would be looked for in the wrong one, found absent,
-// and run again.
+// decode decodes a bucket's value. It returns an error for a value that was written with
+// another number of buckets: keys would be looked up in the wrong bucket, not found, and
+// run again.
 func decode(entry keyvalue.Entry, buckets int) (*state, error) {
 	state := &state{version: entry.Version, records: map[keyID]*ledgerpb.Record{}}
 	if entry.Version == 0 {
@@ -61,14 +61,14 @@
 	}
 	value := &ledgerpb.Bucket{}
 	if err := proto.Unmarshal(entry.Value, value); err != nil {
-		return nil, Error.New("%s is not a bucket: %v", entry.Key, err)
+		return nil, Error.New("value of %s is not a bucket: %v", entry.Key, err)
 	}
 	if int(value.GetBuckets()) != buckets {
-		return nil, Error.New("%s was written for %d buckets, not %d", entry.Key, value.GetBuckets(), buckets)
+		return nil, Error.New("value of %s was written for %d buckets; this ledger has %d", entry.Key, value.GetBuckets(), buckets)
 	}
 	for _, record := range value.GetRecords() {
 		if len(record.GetKey()) != len(keyID{}) {
-			return nil, Error.New("%s has a key of %d bytes", entry.Key, len(record.GetKey()))
+			return nil, Error.New("value of %s has a record key of %d bytes", entry.Key, len(record.GetKey()))
 		}
 		state.put(keyID(record.GetKey()), record)
 	}
@@ -93,40 +93,40 @@
 	state.remove(key)
 	state.records[key] = record
 	state.size += proto.Size(record) + recordOverhead
-	state.answers += proto.Size(record.GetAnswer())
+	state.answerSize += proto.Size(record.GetAnswer())
 }
 
 func (state *state) remove(key keyID) {
 	if record := state.records[key]; record != nil {
 		state.size -= proto.Size(record) + recordOverhead
-		state.answers -= proto.Size(record.GetAnswer())
+		state.answerSize -= proto.Size(record.GetAnswer())
 		delete(state.records, key)
 	}
 }
 
-// change puts a changed copy of the record in its place.
-func (state *state) change(record *ledgerpb.Record, with func(*ledgerpb.Record)) {
+// update replaces the record by a modified copy.
+func (state *state) update(record *ledgerpb.Record, modify func(*ledgerpb.Record)) {
 	changed := proto.CloneOf(record)
-	with(changed)
+	modify(changed)
 	state.put(keyID(record.GetKey()), changed)
 }
 
-// expire drops the records last changed before the cut.
-func (state *state) expire(cut time.Time) {
+// expire removes the records that were last changed before the given time.
+func (state *state) expire(before time.Time) {
 	for key, record := range state.records {
-		if record.GetStamp() < cut.Unix() {
+		if record.GetStamp() < before.Unix() {
 			state.remove(key)
 		}
 	}
 }
 
-// shed drops stored answers, oldest first, until the size is at most limit.
+// evictAnswers removes stored answers, oldest first, once the size exceeds the limit.
 //
-// The load it is made for is a retention's worth of keys near the bucket's
-// bound. A record protects against a second run and an answer only saves a
-// caller a "gone", so answers go first and claims are refused last. It goes on
-// to an eighth below the bound, lest a full bucket be sorted at every write.
-func (state *state) shed(limit int) {
+// It matters when the keys of a retention time nearly fill the bucket. A record prevents a
+// second run, while an answer only saves a caller an "answer gone" result, so answers are
+// removed before claims are refused. It continues down to an eighth below the limit, so
+// that a full bucket is not sorted at every write.
+func (state *state) evictAnswers(limit int) {
 	if state.size <= limit {
 		return
 	}
@@ -138,12 +138,12 @@
 			return
 		}
 		if record.GetAnswer() != nil {
-			state.change(record, func(record *ledgerpb.Record) { record.Answer = nil })
+			state.update(record, func(record *ledgerpb.Record) { record.Answer = nil })
 		}
 	}
 }
 
-func toMessage(answer *Answer) *ledgerpb.Answer {
+func toProto(answer *Answer) *ledgerpb.Answer {
 	message := &ledgerpb.Answer{Status: uint32(answer.Status), Body: answer.Body}
 	for _, name := range slices.Sorted(maps.Keys(answer.Header)) {
 		for _, value := range answer.Header[name] {
@@ -153,7 +153,7 @@
 	return message
 }
 
-func fromMessage(message *ledgerpb.Answer) *Answer {
+func fromProto(message *ledgerpb.Answer) *Answer {
 	answer := &Answer{Status: int(message.GetStatus()), Header: http.Header{}, Body: message.GetBody()}
 	for _, header := range message.GetHeaders() {
 		answer.Header.Add(header.GetName(), header.GetValue())
--- a/peridotpath/claim/verdict.go
+++ b/peridotpath/claim/verdict.go
@@ -8,49 +8,49 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Standing is what the ledger holds about a key that a caller comes with.
+// Standing is the status of an idempotency key from the view of a caller that claims it.
 type Standing int
 
-// The standings.
+// Statuses of a key.
 const (
-	// Granted lets the caller dispatch the request, through Verdict.Claim.
+	// Granted means that the caller may dispatch the request, using Verdict.Claim.
 	Granted Standing = iota + 1
-	// RunningHere says that this process runs the request; Verdict.Run waits
-	// for its answer.
+	// RunningHere means that this process runs the request; Verdict.Run waits for its
+	// answer.
 	RunningHere
-	// RunningElsewhere says that another instance runs it, or that it is too
-	// early to tell that the instance has died.
+	// RunningElsewhere means that another instance runs the request, or that an instance
+	// seems dead but could still dispatch it.
 	RunningElsewhere
-	// Done says that the request ended; Verdict.Answer holds the answer, or is
-	// nil where it is no longer held.
+	// Done means that the request ended. Verdict.Answer is its answer, or nil if that is no
+	// longer kept.
 	Done
-	// Unknown says that the request may have run and never runs again.
+	// Unknown means that the request may have run and never runs again.
 	Unknown
-	// KeyReused says that the key came with another body before.
+	// KeyReused means that the key was used before with another body.
 	KeyReused
-	// full says that the bucket has no room; callers get it as a Result.
-	full
-	// unsettled says that the service may have lost what it held about the key; callers get
-	// it as a Result.
-	unsettled
+	// ledgerFull means that the bucket has no room; callers receive it as a Result.
+	ledgerFull
+	// storeRestored means that the store may have lost the key's record in a restore;
+	// callers receive it as a Result.
+	storeRestored
 )
 
 var standingNames = map[Standing]string{
 	Granted: "granted", RunningHere: "running_here", RunningElsewhere: "running_elsewhere",
-	Done: "done", Unknown: "unknown", KeyReused: "key_reused", full: "ledger_full", unsettled: "unsettled",
+	Done: "done", Unknown: "unknown", KeyReused: "key_reused", ledgerFull: "ledger_full", storeRestored: "unsettled",
 }
 
-// String returns the standing's name as metrics write it.
+// String returns the name that metrics use.
 func (standing Standing) String() string { return standingNames[standing] }
 
-// Answer is what a caller of an ended request got, and what repeats get.
+// Answer is the answer to a request, which repeats receive too.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// size is the memory that the answer takes, roughly.
+// size is the approximate memory that the answer takes, in bytes.
 func (answer *Answer) size() int {
 	size := len(answer.Body)
 	for name, values := range answer.Header {
@@ -61,21 +61,22 @@
 	return size
 }
 
-// Verdict is the ledger's reply to a caller who comes with a key.
+// Verdict is the ledger's decision on a claim.
 type Verdict struct {
 	Standing Standing
-	// Claim is set when Granted.
+	// Claim is set when Standing is Granted.
 	Claim *Claim
-	// Run is set when RunningHere.
+	// Run is set when Standing is RunningHere.
 	Run *Run
-	// Answer may be set when Done.
+	// Answer may be set when Standing is Done.
 	Answer *Answer
-	// RetryAfter is set when RunningElsewhere, and where the caller gets a Result.
+	// RetryAfter is set when Standing is RunningElsewhere, and for verdicts that callers
+	// receive as a Result.
 	RetryAfter time.Duration
 }
 
-// Result returns the coded failure that a caller gets for the verdict; nil
-// when there is something better to give: a claim, a run or an answer.
+// Result returns the result code for the verdict, or nil when the verdict has a claim, a
+// run or an answer.
 func (verdict Verdict) Result() *peridotpath.Result {
 	switch verdict.Standing {
 	case RunningElsewhere:
@@ -84,10 +85,10 @@
 		return &peridotpath.Result{Code: peridotpath.CodeOutcomeUnknown}
 	case KeyReused:
 		return &peridotpath.Result{Code: peridotpath.CodeKeyReused}
-	case full:
+	case ledgerFull:
 		return &peridotpath.Result{Code: peridotpath.CodeLedgerFull, RetryAfter: verdict.RetryAfter}
-	case unsettled:
-		return platformDown(reasonWentBack, verdict.RetryAfter)
+	case storeRestored:
+		return platformDownResult(reasonStoreRestored, verdict.RetryAfter)
 	case Done:
 		if verdict.Answer == nil {
 			return &peridotpath.Result{Code: peridotpath.CodeAnswerGone}
@@ -96,15 +97,15 @@
 	return nil
 }
 
-// Run is a request that runs in this process, for callers who repeat it.
+// Run is a request in progress in this process, for callers that repeat it.
 type Run struct {
 	done   chan struct{}
 	answer *Answer
 	err    error
 }
 
-// Wait returns the answer that the first caller got. The error is a Result:
-// the first caller's own failure, or CodeDeadline when ctx ends first.
+// Wait returns the answer that the first caller received. The error is a Result: the first
+// caller's own failure, or CodeDeadline when ctx ends first.
 func (run *Run) Wait(ctx context.Context) (*Answer, error) {
 	select {
 	case <-run.done:
