--- a/peridotpath/sweep/sweep.go
+++ b/peridotpath/sweep/sweep.go
@@ -1,11 +1,12 @@
-// Package sweep frees the memory of streams that nobody will come back for. An
-// instance cancels the streams of callers that left; when it is killed, nobody
-// does, and the engine would hold their KV cache for good.
+// Package sweep cancels orphaned streams, so that engines free their KV cache. An instance
+// cancels the streams of callers that disconnect; the streams of an instance that is killed
+// are cancelled by nobody, and would occupy KV cache indefinitely.
 //
-// The owner of an endpoint looks through its streams and cancels those that
-// have had no reader for longer than the resume window, on condition that they
-// still have none. The condition is checked by the engine, so two owners at
-// once, a late list or a repeated cancellation free nothing that is read.
+// The instance that owns an endpoint periodically lists its streams and cancels those that
+// have had no reader for longer than the resume window, on the condition that they still
+// have none. The engine checks this condition when it cancels. Two owners at once, an
+// outdated membership list or a repeated cancellation therefore never cancel a stream that
+// is being read.
 package sweep
 
 import (
@@ -25,48 +26,50 @@
 )
 
 const (
-	// DefaultInterval between two sweeps. With the resume window, the margin
-	// and one sweep that fails, abandoned memory is free after Within.
+	// DefaultInterval is the time between two sweeps. Together with the resume window, the
+	// margin and one failed sweep it bounds the time to free the memory of an orphaned
+	// stream (see Sweeper.Within).
 	DefaultInterval = 5 * time.Second
-	// DefaultBudget is what listing streams may cost, in bytes a second. The
-	// interval is stretched to keep within it.
+	// DefaultBudget bounds the traffic of listing streams, in bytes a second. The interval
+	// is extended to stay within it.
 	DefaultBudget = 500
-	// streamBytes is what one stream takes in a list.
-	streamBytes = 175
-	// margin keeps a caller from losing its stream that comes back at the last
-	// moment of the window: its request may be on the way to the engine.
-	margin = 2 * time.Second
-	// listLife bounds the time from a list to the last cancellation that is
-	// based on it. A stream could otherwise be resumed and detached again in
-	// between, and be cancelled though its caller has a whole window left.
-	listLife = 500 * time.Millisecond
-	// sweepsAtOnce bounds the endpoints that are swept at a time.
-	sweepsAtOnce = 8
+	// listBytesPerStream is the size of one stream in a list.
+	listBytesPerStream = 175
+	// resumeMargin is added to the resume window for a caller that resumes its stream at
+	// the last moment, while its request is on the way to the engine.
+	resumeMargin = 2 * time.Second
+	// maxListAge bounds the time from a list to the last cancellation based on it. A stream
+	// could otherwise be resumed and detached again in between, and be cancelled though its
+	// caller still has a whole resume window.
+	maxListAge = 500 * time.Millisecond
+	// maxConcurrentSweeps bounds the endpoints that are swept concurrently.
+	maxConcurrentSweeps = 8
 )
 
-// Sweeper sweeps the endpoints that this instance owns. Set the exported fields
+// Sweeper sweeps the endpoints that this instance owns. The exported fields must be set
 // before Run.
 type Sweeper struct {
 	Log zerolog.Logger
-	// Engines returns the fleet's engines, Owns whether this instance owns one.
+	// Engines returns all engine endpoints; Owns reports whether this instance owns one.
 	Engines func() []peridotpath.Endpoint
 	Owns    func(id peridotpath.EndpointID) bool
-	// Streams and Cancel speak to an engine.
+	// Streams lists an engine's streams; Cancel cancels one of them.
 	Streams func(ctx context.Context, address netip.AddrPort) ([]engine.StreamInfo, error)
 	Cancel  func(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error
-	// ResumeWindow is how long a stream without a reader is kept for its caller.
+	// ResumeWindow is how long a stream without a reader is kept for its caller to resume
+	// it.
 	ResumeWindow time.Duration
-	// Interval between two sweeps; zero for DefaultInterval.
+	// Interval is the time between two sweeps; zero means DefaultInterval.
 	Interval time.Duration
-	// Random returns a number from 0 to 1 for jitter; nil for the global source.
+	// Random returns a number from 0 to 1 for jitter; nil means the global source.
 	Random func() float64
 }
 
-// Within returns the time from a stream's last reader to the return of its
-// memory, when one sweep in between fails. If the owner died too, the
-// membership list's lag is added.
+// Within returns the maximum time from the disconnect of a stream's last reader until its
+// memory is freed, if one sweep fails. If the endpoint's owner died too, the delay until
+// the membership list shows it is added.
 func (sweeper *Sweeper) Within() time.Duration {
-	return sweeper.ResumeWindow + margin + 2*sweeper.interval(0)*11/10 + time.Second
+	return sweeper.ResumeWindow + resumeMargin + 2*sweeper.nextInterval(0)*11/10 + time.Second
 }
 
 // Run sweeps until ctx ends.
@@ -76,28 +79,28 @@
 		random = rand.Float64
 	}
 	for {
-		interval := sweeper.interval(sweeper.sweep(ctx))
-		// The random part keeps two that take themselves for the owner apart.
+		interval := sweeper.nextInterval(sweeper.sweep(ctx))
+		// Jitter desynchronises two instances that both assume to own an endpoint.
 		if !clock.Pause(ctx, clock.Jitter(interval, random())) {
 			return ctx.Err()
 		}
 	}
 }
 
-// interval stretches the interval for the number of streams that a sweep lists.
-func (sweeper *Sweeper) interval(streams int) time.Duration {
+// nextInterval returns the time until the next sweep, extended in proportion to the number
+// of streams that the last one listed.
+func (sweeper *Sweeper) nextInterval(streams int) time.Duration {
 	interval := sweeper.Interval
 	if interval == 0 {
 		interval = DefaultInterval
 	}
-	return max(interval, time.Duration(streams*streamBytes)*time.Second/DefaultBudget)
+	return max(interval, time.Duration(streams*listBytesPerStream)*time.Second/DefaultBudget)
 }
 
-// sweep looks through all owned endpoints once and returns how many streams
-// they hold.
+// sweep sweeps all owned endpoints once and returns the number of their streams.
 func (sweeper *Sweeper) sweep(ctx context.Context) int {
 	var group errgroup.Group
-	group.SetLimit(sweepsAtOnce)
+	group.SetLimit(maxConcurrentSweeps)
 	var streams atomic.Int64
 	for _, endpoint := range sweeper.Engines() {
 		if !sweeper.Owns(endpoint.ID) {
@@ -113,38 +116,39 @@
 }
 
 func (sweeper *Sweeper) sweepEndpoint(ctx context.Context, endpoint peridotpath.Endpoint) int {
-	asked := time.Now()
+	listRequestedAt := time.Now()
 	streams, err := sweeper.Streams(ctx, endpoint.Address)
 	if err != nil {
-		unlisted.Inc()
+		listFailures.Inc()
 		return 0
 	}
 	for _, stream := range streams {
-		if stream.DetachedMS.Duration() < sweeper.ResumeWindow+margin {
+		if stream.DetachedMS.Duration() < sweeper.ResumeWindow+resumeMargin {
 			continue
 		}
-		if time.Since(asked) > listLife {
-			break // the next sweep goes on from a new list
+		if time.Since(listRequestedAt) > maxListAge {
+			break // the next sweep continues from a new list
 		}
-		sweeper.free(ctx, endpoint, stream)
+		sweeper.cancelStream(ctx, endpoint, stream)
 	}
 	return len(streams)
 }
 
-func (sweeper *Sweeper) free(ctx context.Context, endpoint peridotpath.Endpoint, stream engine.StreamInfo) {
+func (sweeper *Sweeper) cancelStream(ctx context.Context, endpoint peridotpath.Endpoint, stream engine.StreamInfo) {
 	if err := sweeper.Cancel(ctx, endpoint.Address, stream.ID, true); err != nil {
-		// The answer may have been lost, or the order. The next sweep tells.
-		uncancelled.Inc()
+		// Either the request or its reply may have been lost; the next sweep lists the
+		// stream again if it still exists.
+		cancelFailures.Inc()
 		return
 	}
-	freed.Add(int(stream.KVTokens))
+	sweptKVTokens.Add(int(stream.KVTokens))
 	sweeper.Log.Info().Str("event", "stream_freed").Str("endpoint", string(endpoint.ID)).Str("stream", stream.ID).
 		Str("instance", string(stream.Instance)).Int64("kv_tokens", int64(stream.KVTokens)).
 		Dur("detached_ms", stream.DetachedMS.Duration()).Send()
 }
 
 var (
-	freed       = metrics.NewCounter(`peridotpath_swept_kv_tokens_total`)
-	unlisted    = metrics.NewCounter(`peridotpath_sweep_failures_total{reason="list"}`)
-	uncancelled = metrics.NewCounter(`peridotpath_sweep_failures_total{reason="cancel"}`)
+	sweptKVTokens  = metrics.NewCounter(`peridotpath_swept_kv_tokens_total`)
+	listFailures   = metrics.NewCounter(`peridotpath_sweep_failures_total{reason="list"}`)
+	cancelFailures = metrics.NewCounter(`peridotpath_sweep_failures_total{reason="cancel"}`)
 )
--- a/peridotpath/sweep/sweep_test.go
+++ b/peridotpath/sweep/sweep_test.go
@@ -17,22 +17,22 @@
 	"peridotpath.example/peridotpath/sweep"
 )
 
-const window = 10 * time.Second
+const resumeWindow = 10 * time.Second
 
-// fakeEngine holds streams as an engine does.
+// fakeEngine keeps streams and cancels them conditionally, like an engine.
 type fakeEngine struct {
 	mu       sync.Mutex
 	detached map[string]time.Time // zero while a reader is attached
 	cancels  int
-	// lose says what becomes of a call: its order is lost, or its answer.
-	lose func(call int) (order, answer bool)
-	// slow is how long a call takes.
-	slow time.Duration
+	// losesCall reports whether the numbered call is lost: its request, or its reply.
+	losesCall func(call int) (requestLost, replyLost bool)
+	// callDuration is the duration of a call.
+	callDuration time.Duration
 }
 
-var errLost = errors.New("no answer")
+var errLost = errors.New("no reply")
 
-func (fake *fakeEngine) set(stream string, detached time.Time) {
+func (fake *fakeEngine) setStream(stream string, detached time.Time) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	if fake.detached == nil {
@@ -41,7 +41,7 @@
 	fake.detached[stream] = detached
 }
 
-func (fake *fakeEngine) holds(stream string) bool {
+func (fake *fakeEngine) hasStream(stream string) bool {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	_, held := fake.detached[stream]
@@ -63,27 +63,27 @@
 }
 
 func (fake *fakeEngine) cancel(_ context.Context, _ netip.AddrPort, stream string, onlyDetached bool) error {
-	time.Sleep(fake.slow)
+	time.Sleep(fake.callDuration)
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	fake.cancels++
-	order, answer := false, false
-	if fake.lose != nil {
-		order, answer = fake.lose(fake.cancels)
+	requestLost, replyLost := false, false
+	if fake.losesCall != nil {
+		requestLost, replyLost = fake.losesCall(fake.cancels)
 	}
-	if order {
+	if requestLost {
 		return errLost
 	}
 	if detached, held := fake.detached[stream]; held && (!onlyDetached || !detached.IsZero()) {
 		delete(fake.detached, stream)
 	}
-	if answer {
+	if replyLost {
 		return errLost
 	}
 	return nil
 }
 
-func sweeper(fake *fakeEngine) *sweep.Sweeper {
+func newSweeper(fake *fakeEngine) *sweep.Sweeper {
 	return &sweep.Sweeper{
 		Engines: func() []peridotpath.Endpoint {
 			return []peridotpath.Endpoint{{ID: "engine-1", Kind: peridotpath.KindEngine}}
@@ -91,14 +91,14 @@
 		Owns:         func(peridotpath.EndpointID) bool { return true },
 		Streams:      fake.streams,
 		Cancel:       fake.cancel,
-		ResumeWindow: window,
+		ResumeWindow: resumeWindow,
 		Random:       func() float64 { return 0.5 },
 	}
 }
 
-// run runs sweepers for a time.
-func run(t *testing.T, span time.Duration, sweepers ...*sweep.Sweeper) {
-	ctx, cancel := context.WithTimeout(t.Context(), span)
+// runSweepers runs the sweepers for the given time.
+func runSweepers(t *testing.T, duration time.Duration, sweepers ...*sweep.Sweeper) {
+	ctx, cancel := context.WithTimeout(t.Context(), duration)
 	defer cancel()
 	ended := make(chan error, len(sweepers))
 	for _, sweeper := range sweepers {
@@ -111,96 +111,97 @@
 	}
 }
 
-// An instance is killed while it relays streams. Nobody cancels them, and the
-// engine holds their memory until long prompts no longer fit anywhere.
-func TestMemoryOfKilledInstanceComesBack(t *testing.T) {
+// An instance is killed while it relays streams, and nobody cancels them. Their memory on
+// the engine must be freed, or long prompts no longer fit on any engine.
+func TestStreamsOfKilledInstanceAreCancelled(t *testing.T) {
 	cases := []struct {
 		name string
-		lose func(call int) (order, answer bool)
+		lose func(call int) (requestLost, replyLost bool)
 	}{
 		{"nothing lost", nil},
 		{"first cancellation lost", func(call int) (bool, bool) { return call <= 3, false }},
-		{"first answer lost, cancelled again", func(call int) (bool, bool) { return false, call <= 3 }},
+		{"first reply lost, cancelled again", func(call int) (bool, bool) { return false, call <= 3 }},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				fake := &fakeEngine{lose: test.lose}
+				fake := &fakeEngine{losesCall: test.lose}
 				for i := range 3 {
-					fake.set(fmt.Sprint("abandoned-", i), time.Now())
+					fake.setStream(fmt.Sprint("abandoned-", i), time.Now())
 				}
-				fake.set("read", time.Time{})
-				one, two := sweeper(fake), sweeper(fake)
-				run(t, one.Within(), one, two)
+				fake.setStream("read", time.Time{})
+				one, two := newSweeper(fake), newSweeper(fake)
+				runSweepers(t, one.Within(), one, two)
 				for i := range 3 {
-					is.True(!fake.holds(fmt.Sprint("abandoned-", i)))
+					is.True(!fake.hasStream(fmt.Sprint("abandoned-", i)))
 				}
-				is.True(fake.holds("read"))
+				is.True(fake.hasStream("read"))
 			})
 		})
 	}
 }
 
-// Callers come back at the last moment of the resume window, again and again,
-// and their requests take a second to the engine, while two instances sweep.
-// Were a stream freed, its caller would lose a long answer that was still there.
-func TestStreamThatIsResumedLives(t *testing.T) {
+// A caller repeatedly resumes its stream at the last moment of the resume window, and its
+// request takes a second to reach the engine, while two instances sweep. The stream must
+// not be cancelled, or the caller would lose an answer that still exists.
+func TestResumedStreamIsNotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fake := &fakeEngine{}
-		fake.set("resumed", time.Now())
+		fake.setStream("resumed", time.Now())
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
 			for range 20 {
-				time.Sleep(window + time.Second)
-				if !fake.holds("resumed") {
+				time.Sleep(resumeWindow + time.Second)
+				if !fake.hasStream("resumed") {
 					return
 				}
-				fake.set("resumed", time.Time{})
+				fake.setStream("resumed", time.Time{})
 				time.Sleep(100 * time.Millisecond)
-				fake.set("resumed", time.Now())
+				fake.setStream("resumed", time.Now())
 			}
 		}()
-		run(t, 20*window, sweeper(fake), sweeper(fake))
-		is.True(fake.holds("resumed"))
+		runSweepers(t, 20*resumeWindow, newSweeper(fake), newSweeper(fake))
+		is.True(fake.hasStream("resumed"))
 		<-ended
 	})
 }
 
-// The stream is resumed between the list and the cancellation.
-func TestStreamResumedAfterTheListLives(t *testing.T) {
+// The stream is resumed between the list and its cancellation, and must not be cancelled.
+func TestStreamResumedAfterTheListIsNotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		fake := &fakeEngine{slow: 100 * time.Millisecond}
-		fake.set("resumed", time.Now().Add(-time.Minute))
+		fake := &fakeEngine{callDuration: 100 * time.Millisecond}
+		fake.setStream("resumed", time.Now().Add(-time.Minute))
 		go func() {
 			time.Sleep(50 * time.Millisecond)
-			fake.set("resumed", time.Time{})
+			fake.setStream("resumed", time.Time{})
 		}()
-		run(t, time.Second, sweeper(fake))
+		runSweepers(t, time.Second, newSweeper(fake))
 		is.Equal(fake.cancels, 1)
-		is.True(fake.holds("resumed"))
+		is.True(fake.hasStream("resumed"))
 	})
 }
 
-// An engine answers so slowly that a list is seconds old before its last
-// stream's turn. That stream's caller came back and left once more meanwhile.
-func TestOldListIsNotActedOn(t *testing.T) {
+// An engine is so slow that a list is seconds old before its last stream is reached, and
+// the caller of that stream has resumed and left again meanwhile. Cancellations must not be
+// based on the outdated list.
+func TestOutdatedListIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		fake := &fakeEngine{slow: time.Second}
+		fake := &fakeEngine{callDuration: time.Second}
 		for i := range 9 {
-			fake.set(fmt.Sprint("stream-", i), time.Now().Add(-time.Minute))
+			fake.setStream(fmt.Sprint("stream-", i), time.Now().Add(-time.Minute))
 		}
 		go func() {
 			time.Sleep(500 * time.Millisecond)
 			for i := range 9 {
-				fake.set(fmt.Sprint("stream-", i), time.Now())
+				fake.setStream(fmt.Sprint("stream-", i), time.Now())
 			}
 		}()
-		run(t, 4*time.Second, sweeper(fake))
+		runSweepers(t, 4*time.Second, newSweeper(fake))
 		is.Equal(fake.cancels, 1)
 	})
 }
