--- a/peridotpath/cursor/cursor.go
+++ b/peridotpath/cursor/cursor.go
@@ -1,6 +1,7 @@
-// Package cursor makes and reads the resume cursors that callers get as SSE
-// event ids. A cursor says where a stream lives, so that any Instance can go on
-// with it after the one that began it has died, without keeping state anywhere.
+// Package cursor signs and verifies resume cursors, which callers receive as SSE event ids.
+// A cursor holds the location of a stream, so that any Instance can resume the stream after
+// the one that began it has died, without shared per-stream state. An HMAC with a secret
+// that all instances share prevents forgery.
 package cursor
 
 import (
@@ -19,44 +20,44 @@
 	"peridotpath.example/peridotpath/clock"
 )
 
-// Error is the class of this package's errors: the cursor is not one that this
-// system gave to this Customer.
+// Error is the class of this package's errors: the cursor was not issued by this system to
+// this Customer.
 var Error = errs.Class("cursor")
 
-// ErrNoSecret is the class of Open's error while there is no secret: the cursor
-// may be good, and opens at another Instance or a little later.
+// ErrNoSecret is the class of Open's error while the secret is not loaded. The cursor may
+// be valid, and may be accepted by another Instance or later.
 var ErrNoSecret = errs.Class("no secret yet")
 
 const (
-	macLength = 16
-	maxLength = 1024
+	macBytes       = 16
+	maxCursorBytes = 1024
 )
 
-// Stream says where a stream lives and until when.
+// Stream is the location of a stream and the deadline of its request.
 type Stream struct {
 	Endpoint peridotpath.EndpointID  `json:"e"`
 	ID       string                  `json:"s"`
 	Profile  peridotpath.ProfileName `json:"p"`
-	// DeadlineMS is the request's deadline in Unix milliseconds. A resumed
-	// request keeps it: a deadline only shrinks.
+	// DeadlineMS is the request's deadline in Unix milliseconds. Resuming does not extend
+	// it.
 	DeadlineMS int64 `json:"d"`
 }
 
 // Deadline returns the request's deadline.
 func (stream *Stream) Deadline() time.Time { return time.UnixMilli(stream.DeadlineMS) }
 
-// Signer makes and checks cursors. All instances share one secret, which SetSecret
-// or Run gives it; until then it makes no cursors and opens none.
+// Signer signs and verifies cursors. All instances share one secret, which SetSecret or Run
+// sets; before that, no cursor is issued and none is accepted.
 type Signer struct {
-	secret   atomic.Pointer[[]byte]
-	wentBack clock.Signal
+	secret        atomic.Pointer[[]byte]
+	storeRestored clock.Signal
 }
 
 // SetSecret sets the secret.
 func (signer *Signer) SetSecret(secret []byte) { signer.secret.Store(&secret) }
 
-// Token returns the part of a cursor that all events of a stream share. It is
-// made once a stream; At adds the offset for each event. It is empty while
+// Token returns the signed part of a cursor, which all events of a stream share. It is
+// computed once for each stream; At appends the offset of each event. It is empty while
 // there is no secret: the stream then has no cursors.
 func (signer *Signer) Token(customer peridotpath.CustomerID, stream Stream) string {
 	secret := signer.secret.Load()
@@ -64,19 +65,19 @@
 	if err != nil || secret == nil {
 		return ""
 	}
-	sealed := append(mac(*secret, customer, payload), payload...)
-	return base64.RawURLEncoding.EncodeToString(sealed)
+	signed := append(mac(*secret, customer, payload), payload...)
+	return base64.RawURLEncoding.EncodeToString(signed)
 }
 
-// mac covers the Customer, so that a cursor that leaked to another Customer
-// opens nothing. The offset is left out: any offset of one's own answer is
-// one's own.
+// mac authenticates the payload together with the Customer, so that a cursor that leaked to
+// another Customer is refused. The offset is not covered: a caller may read its own answer
+// from any offset.
 func mac(secret []byte, customer peridotpath.CustomerID, payload []byte) []byte {
 	hash := hmac.New(sha256.New, secret)
 	hash.Write([]byte(customer))
 	hash.Write([]byte{0})
 	hash.Write(payload)
-	return hash.Sum(nil)[:macLength]
+	return hash.Sum(nil)[:macBytes]
 }
 
 // At appends the cursor of the event with the given offset to buffer.
@@ -86,16 +87,16 @@
 	return strconv.AppendInt(buffer, offset, 10)
 }
 
-// Open checks a cursor and returns the stream and the offset of the last event
-// that the caller has.
+// Open verifies a cursor and returns the stream and the offset of the last event that the
+// caller received.
 func (signer *Signer) Open(customer peridotpath.CustomerID, text string) (Stream, int64, error) {
 	var stream Stream
 	secret := signer.secret.Load()
 	if secret == nil {
 		return stream, 0, Error.Wrap(ErrNoSecret.New("this instance has not read it"))
 	}
-	if len(text) > maxLength {
-		return stream, 0, Error.New("longer than %d bytes", maxLength)
+	if len(text) > maxCursorBytes {
+		return stream, 0, Error.New("longer than %d bytes", maxCursorBytes)
 	}
 	token, number, found := strings.Cut(text, ".")
 	if !found {
@@ -105,13 +106,14 @@
 	if err != nil || offset < 0 {
 		return stream, 0, Error.New("bad offset")
 	}
-	sealed, err := base64.RawURLEncoding.DecodeString(token)
-	// The decoder takes several texts for the same bytes; one was given out.
-	if err != nil || len(sealed) < macLength || base64.RawURLEncoding.EncodeToString(sealed) != token {
+	signed, err := base64.RawURLEncoding.DecodeString(token)
+	// Base64 decoding accepts several texts for the same bytes; only the one that was
+	// issued is valid.
+	if err != nil || len(signed) < macBytes || base64.RawURLEncoding.EncodeToString(signed) != token {
 		return stream, 0, Error.New("bad encoding")
 	}
-	payload := sealed[macLength:]
-	if !hmac.Equal(sealed[:macLength], mac(*secret, customer, payload)) {
+	payload := signed[macBytes:]
+	if !hmac.Equal(signed[:macBytes], mac(*secret, customer, payload)) {
 		return stream, 0, Error.New("not given to this customer")
 	}
 	if err := json.Unmarshal(payload, &stream); err != nil {
--- a/peridotpath/cursor/cursor_test.go
+++ b/peridotpath/cursor/cursor_test.go
@@ -11,37 +11,36 @@
 
 var stream = cursor.Stream{Endpoint: "lipi-model-1", ID: "s1", Profile: "line", DeadlineMS: 946684800000}
 
-func signer() *cursor.Signer {
+func newSigner() *cursor.Signer {
 	signer := &cursor.Signer{}
 	signer.SetSecret([]byte("secret"))
 	return signer
 }
 
-// A cursor opens for the customer that it was given to, at any instance, and for
-// nobody else.
-func TestCursor(t *testing.T) {
+// A cursor is valid at any instance, and only for the customer that it was issued to.
+func TestCursorIsValidForItsCustomerOnly(t *testing.T) {
 	is := is.New(t)
-	text := string(cursor.At(nil, signer().Token("volunteers", stream), 7))
-	have, offset, err := signer().Open("volunteers", text)
+	text := string(cursor.At(nil, newSigner().Token("volunteers", stream), 7))
+	have, offset, err := newSigner().Open("volunteers", text)
 	is.NoErr(err)
 	is.Equal(have, stream)
 	is.Equal(offset, int64(7))
 	for i := range text[:strings.IndexByte(text, '.')] {
 		changed := []byte(text)
 		changed[i] ^= 1
-		if _, _, err := signer().Open("volunteers", string(changed)); err == nil {
+		if _, _, err := newSigner().Open("volunteers", string(changed)); err == nil {
 			t.Errorf("want a cursor changed at byte %d refused", i)
 		}
 	}
-	_, _, err = signer().Open("scholars", text)
-	is.True(cursor.Error.Has(err)) // it leaked to another customer
+	_, _, err = newSigner().Open("scholars", text)
+	is.True(cursor.Error.Has(err)) // a cursor that leaked to another customer
 	_, _, err = (&cursor.Signer{}).Open("volunteers", text)
-	is.True(cursor.Error.Has(err)) // there is no secret yet
+	is.True(cursor.Error.Has(err)) // the secret is not loaded yet
 }
 
-// FuzzOpen holds that only what was given out opens.
-func FuzzOpen(f *testing.F) {
-	signer := signer()
+// FuzzVerify checks that only issued cursors are accepted.
+func FuzzVerify(f *testing.F) {
+	signer := newSigner()
 	good := signer.Token("volunteers", stream)
 	for _, seed := range []string{good + ".7", good, good + ".-1", "." + good, "", ".", "AAAA.1", good + ".99999999999999999999"} {
 		f.Add(seed)
--- a/peridotpath/cursor/example_test.go
+++ b/peridotpath/cursor/example_test.go
@@ -6,8 +6,8 @@
 	"peridotpath.example/peridotpath/cursor"
 )
 
-// One instance makes the cursors of a stream, another opens the last one that
-// the caller got.
+// One instance issues the cursors of a stream; another verifies the last one that the
+// caller received.
 func Example() {
 	secret := []byte("what all instances read from the key-value service")
 	first, second := &cursor.Signer{}, &cursor.Signer{}
--- a/peridotpath/cursor/secret.go
+++ b/peridotpath/cursor/secret.go
@@ -11,52 +11,53 @@
 )
 
 const (
-	secretKey    = "secret/cursor"
-	secretLength = 32
-	secretRetry  = 2 * time.Second
+	secretKey        = "secret/cursor"
+	secretBytes      = 32
+	secretRetryDelay = 2 * time.Second
 )
 
-// Run fetches the secret that all instances share from the key-value service,
-// making it if there is none, and again after WentBack, until ctx ends. During an
-// outage it goes on asking; streams have no cursors meanwhile.
+// Run loads the secret that all instances share from the key-value store, and creates it if
+// there is none. It loads it again after WentBack, until ctx ends. During an outage it
+// retries, and new streams have no cursors.
 //
-// One that lost the race to make it reads the winner's at once: after a pause
-// the streams that begin meanwhile would have no cursors, and their callers
-// could not resume them.
+// An instance whose write of a new secret conflicts reads the other instance's secret at
+// once. If it waited first, streams that begin meanwhile would have no cursors, and their
+// callers could not resume them.
 func (signer *Signer) Run(ctx context.Context, store *keyvalue.Store) error {
-	var held []byte
+	var current []byte
 	for {
-		secret, err := fetchSecret(ctx, store, held)
+		secret, err := loadOrCreateSecret(ctx, store, current)
 		if keyvalue.ErrConflict.Has(err) {
-			secret, err = fetchSecret(ctx, store, held)
+			secret, err = loadOrCreateSecret(ctx, store, current)
 		}
 		if err != nil {
-			if !clock.Pause(ctx, secretRetry) {
+			if !clock.Pause(ctx, secretRetryDelay) {
 				return ctx.Err()
 			}
 			continue
 		}
-		held = secret
+		current = secret
 		signer.SetSecret(secret)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-signer.wentBack.C():
-			if !clock.Pause(ctx, mathrand.N(secretRetry)) {
+		case <-signer.storeRestored.C():
+			if !clock.Pause(ctx, mathrand.N(secretRetryDelay)) {
 				return ctx.Err()
 			}
 		}
 	}
 }
 
-// WentBack says that the service came back from an older copy, in which the secret may not
-// be. It never waits.
-func (signer *Signer) WentBack() { signer.wentBack.Raise() }
+// WentBack must be called when the store was restored from an older copy, which may lack
+// the secret. It does not block.
+func (signer *Signer) WentBack() { signer.storeRestored.Raise() }
 
-// fetchSecret reads the secret. If the key does not exist it writes the one that is held
-// here, since cursors are signed with it, or else a new one. Of several instances that
-// start together one swap wins; the others read it.
-func fetchSecret(ctx context.Context, store *keyvalue.Store, held []byte) ([]byte, error) {
+// loadOrCreateSecret reads the secret from the store. If the key does not exist, it writes
+// the current secret of this instance, since issued cursors are signed with it, or else a
+// new one. If several instances write at the same time, one compare-and-swap succeeds and
+// the others read that secret.
+func loadOrCreateSecret(ctx context.Context, store *keyvalue.Store, current []byte) ([]byte, error) {
 	entry, err := store.Get(ctx, secretKey)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -64,9 +65,9 @@
 	if entry.Version != 0 {
 		return entry.Value, nil
 	}
-	secret := held
+	secret := current
 	if secret == nil {
-		secret = make([]byte, secretLength)
+		secret = make([]byte, secretBytes)
 		if _, err := rand.Read(secret); err != nil {
 			return nil, Error.Wrap(err)
 		}
--- a/peridotpath/cursor/secret_test.go
+++ b/peridotpath/cursor/secret_test.go
@@ -13,9 +13,10 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// The service comes back from a copy of before the secret was made. An instance that starts
-// then makes no other one, with which the cursors that callers hold would open nowhere.
-func TestSecretThatTheServiceLost(t *testing.T) {
+// The store is restored from a copy that was made before the secret existed. An instance
+// that starts afterwards must not create another secret, which would invalidate the cursors
+// that callers hold.
+func TestSecretLostInARestoreIsWrittenBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service := &memory.Memory{}
