--- a/peridotpath/claim/claim.go
+++ b/peridotpath/claim/claim.go
@@ -17,7 +17,7 @@
 	operation *operation
 	inFlight  *Run
 	ended     atomic.Bool
-	// dispatched is set once a call of Dispatch has succeeded.
+	// dispatched is set once a call of Claim.Dispatch has succeeded.
 	dispatched atomic.Bool
 }
 
@@ -69,8 +69,9 @@
 	return bucket.finishRenewal(claim.operation, renewal)
 }
 
-// Dispatched reports whether a call of Dispatch has succeeded. If none has, the request
-// certainly did not run, whatever the failure's code is, and its claim may be released.
+// Dispatched reports whether a call of Claim.Dispatch has succeeded. If none has, the
+// request certainly did not run, whatever the failure's code is, and its claim may be
+// released.
 func (claim *Claim) Dispatched() bool { return claim.dispatched.Load() }
 
 // Finish records that the request ended, with the answer that repeats receive; the answer
--- a/peridotpath/claim/ledger_test.go
+++ b/peridotpath/claim/ledger_test.go
@@ -26,13 +26,13 @@
 		slow := func(string) fault { return fault{Delay: time.Millisecond} }
 		first.link.Set(slow)
 		second.link.Set(slow)
-		var standings [2]claim.Standing
+		var statuses [2]claim.Standing
 		var callers sync.WaitGroup
 		for i, instance := range []*instance{first, second} {
-			callers.Go(func() { standings[i] = instance.keyStatus(is, "k") })
+			callers.Go(func() { statuses[i] = instance.keyStatus(is, "k") })
 		}
 		callers.Wait()
-		is.Equal(standings[0]+standings[1], claim.Granted+claim.RunningElsewhere)
+		is.Equal(statuses[0]+statuses[1], claim.Granted+claim.RunningElsewhere)
 	})
 }
 
@@ -99,7 +99,7 @@
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		instances := []*instance{fleet.start("a", 1, nil), fleet.start("b", 1, nil)}
 		defer closeAll(is, instances...)
-		standings := map[claim.Standing]int{}
+		statuses := map[claim.Standing]int{}
 		granted := map[string]int{}
 		var mu sync.Mutex
 		var callers sync.WaitGroup
@@ -107,18 +107,18 @@
 			callers.Go(func() {
 				time.Sleep(time.Duration(i/2) * 100 * time.Millisecond)
 				key := fmt.Sprint(i / 2)
-				standing := instances[i%2].keyStatus(is, key)
+				status := instances[i%2].keyStatus(is, key)
 				mu.Lock()
 				defer mu.Unlock()
-				standings[standing]++
-				if standing == claim.Granted {
+				statuses[status]++
+				if status == claim.Granted {
 					granted[key]++
 				}
 			})
 		}
 		callers.Wait()
 		is.Equal(len(granted), 100)
-		is.Equal(standings, map[claim.Standing]int{claim.Granted: 100, claim.RunningElsewhere: 100})
+		is.Equal(statuses, map[claim.Standing]int{claim.Granted: 100, claim.RunningElsewhere: 100})
 		t.Logf("platform calls %v for 200 claims", fleet.store.Calls())
 	})
 }
--- a/peridotpath/claim/verdict.go
+++ b/peridotpath/claim/verdict.go
@@ -35,13 +35,13 @@
 	storeRestored
 )
 
-var standingNames = map[Standing]string{
+var statusNames = map[Standing]string{
 	Granted: "granted", RunningHere: "running_here", RunningElsewhere: "running_elsewhere",
 	Done: "done", Unknown: "unknown", KeyReused: "key_reused", ledgerFull: "ledger_full", storeRestored: "unsettled",
 }
 
 // String returns the name that metrics use.
-func (standing Standing) String() string { return standingNames[standing] }
+func (standing Standing) String() string { return statusNames[standing] }
 
 // Answer is the answer to a request, which repeats receive too.
 type Answer struct {
@@ -64,14 +64,14 @@
 // Verdict is the ledger's decision on a claim.
 type Verdict struct {
 	Standing Standing
-	// Claim is set when Standing is Granted.
+	// Claim is set for Granted.
 	Claim *Claim
-	// Run is set when Standing is RunningHere.
+	// Run is set for RunningHere.
 	Run *Run
-	// Answer may be set when Standing is Done.
+	// Answer may be set for Done.
 	Answer *Answer
-	// RetryAfter is set when Standing is RunningElsewhere, and for verdicts that callers
-	// receive as a Result.
+	// RetryAfter is set for RunningElsewhere, and for verdicts that callers receive as a
+	// Result.
 	RetryAfter time.Duration
 }
 
--- a/peridotpath/cursor/cursor.go
+++ b/peridotpath/cursor/cursor.go
@@ -24,8 +24,8 @@
 // this Customer.
 var Error = errs.Class("cursor")
 
-// ErrNoSecret is the class of Open's error while the secret is not loaded. The cursor may
-// be valid, and may be accepted by another Instance or later.
+// ErrNoSecret is the class of Signer.Open's error while the secret is not loaded. The
+// cursor may be valid, and may be accepted by another Instance or later.
 var ErrNoSecret = errs.Class("no secret yet")
 
 const (
@@ -57,7 +57,7 @@
 func (signer *Signer) SetSecret(secret []byte) { signer.secret.Store(&secret) }
 
 // Token returns the signed part of a cursor, which all events of a stream share. It is
-// computed once for each stream; At appends the offset of each event. It is empty while
+// computed once for each stream; the offset of each event is appended. It is empty while
 // there is no secret: the stream then has no cursors.
 func (signer *Signer) Token(customer peridotpath.CustomerID, stream Stream) string {
 	secret := signer.secret.Load()
--- a/peridotpath/sweep/sweep.go
+++ b/peridotpath/sweep/sweep.go
@@ -50,10 +50,11 @@
 // before Run.
 type Sweeper struct {
 	Log zerolog.Logger
-	// Engines returns all engine endpoints; Owns reports whether this instance owns one.
+	// Engines returns all engine endpoints; Sweeper.Owns reports whether this instance owns
+	// one.
 	Engines func() []peridotpath.Endpoint
 	Owns    func(id peridotpath.EndpointID) bool
-	// Streams lists an engine's streams; Cancel cancels one of them.
+	// Streams lists an engine's streams; Sweeper.Cancel cancels one of them.
 	Streams func(ctx context.Context, address netip.AddrPort) ([]engine.StreamInfo, error)
 	Cancel  func(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error
 	// ResumeWindow is how long a stream without a reader is kept for its caller to resume
