--- a/peridotpath/claim/commit.go
+++ b/peridotpath/claim/commit.go
@@ -24,7 +24,7 @@
 // commit decides on the batch and writes the result to the store. Each round starts from
 // the newest known state; the compare-and-swap verifies a state that was cached.
 //
-// A bucket that only this instance writes to is never read. If other instances write to it,
+// A bucket that only this instance writes to is read once. If other instances write to it,
 // a swap on the cached state nearly always conflicts, and the store sustains fewer writes
 // than reads. A contended bucket is therefore read first, until a read shows no write by
 // another instance.
@@ -59,7 +59,7 @@
 		// both: a write that took effect in spite of its lost reply shows its attempt id.
 		mustRead = true
 	}
-	bucket.failBatch(batch, Error.New("other instances wrote to the bucket in each of %d rounds", maxCommitRounds))
+	bucket.failBatch(batch, Error.New("bucket not written in %d rounds of conflicts or lost replies", maxCommitRounds))
 }
 
 func (bucket *bucket) rules() rules {
