--- a/peridotpath/claim/commit.go
+++ b/peridotpath/claim/commit.go
@@ -24,10 +24,10 @@
 // commit decides on the batch and writes the result to the store. Each round starts from
 // the newest known state; the compare-and-swap verifies a state that was cached.
 //
-// A bucket that only this instance writes to is read once. If other instances write to it,
-// a swap on the cached state nearly always conflicts, and the store sustains fewer writes
-// than reads. A contended bucket is therefore read first, until a read shows no write by
-// another instance.
+// A bucket that only this instance writes to is read only while no state is cached. If
+// other instances write to it, a swap on the cached state nearly always conflicts, and the
+// store sustains fewer writes than reads. A contended bucket is therefore read first, until
+// a read shows no write by another instance.
 func (bucket *bucket) commit(ctx context.Context, batch []*operation) {
 	mustRead := bucket.cached == nil || bucket.contended
 	for range maxCommitRounds {
