--- a/peridotd/daemon.go
+++ b/peridotd/daemon.go
@@ -76,7 +76,7 @@
 	}
 	daemon.claims = &claim.Ledger{
 		Store: daemon.keyValue, Instance: settings.InstanceID, Incarnation: incarnation,
-		Alive: daemon.fleet.mayBeAlive, Logger: log,
+		IsAlive: daemon.fleet.mayBeAlive, Logger: log,
 	}
 	daemon.groups = newGroupController(daemon)
 	daemon.initCallers()
@@ -168,8 +168,8 @@
 // onStoreRestored notifies the components that the key-value service was restored from an older
 // copy.
 func (daemon *daemon) onStoreRestored(_, _ keyvalue.Era) {
-	daemon.signer.WentBack()
-	daemon.claims.WentBack()
+	daemon.signer.MarkStoreRestored()
+	daemon.claims.MarkStoreRestored()
 }
 
 func (daemon *daemon) runCursorSigner(ctx context.Context) error {
--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -73,8 +73,8 @@
 	tracker.digests = &digest.Book{Epoch: uint64(daemon.incarnation)}
 	tracker.poller = &fleet.Poller{View: tracker.view, Book: tracker.digests, Load: daemon.engines.Load, Owns: tracker.ownsEndpoint}
 	tracker.sweeper = &sweep.Sweeper{
-		Log: daemon.log, Engines: tracker.view.Engines, Owns: tracker.ownsEndpoint,
-		Streams: daemon.engines.Streams, Cancel: daemon.engines.Cancel, ResumeWindow: resumeWindow,
+		Log: daemon.log, Engines: tracker.view.Engines, IsOwner: tracker.ownsEndpoint,
+		ListStreams: daemon.engines.Streams, CancelStream: daemon.engines.Cancel, ResumeWindow: resumeWindow,
 	}
 }
 
--- a/peridotpath/caller/complete.go
+++ b/peridotpath/caller/complete.go
@@ -206,7 +206,7 @@
 // this Instance, whichever one began it.
 func (server *Server) resume(exchange *exchange) *peridotpath.Result {
 	text := exchange.request.Header.Get(HeaderLastEventID)
-	stream, after, err := server.Signer.Open(exchange.customer.ID, text)
+	stream, after, err := server.Signer.Verify(exchange.customer.ID, text)
 	if cursor.ErrNoSecret.Has(err) {
 		// An instance that starts during an outage cannot tell. Called bad, a good
 		// cursor would be thrown away, and with it the rest of the answer.
--- a/peridotpath/caller/once.go
+++ b/peridotpath/caller/once.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		return asResult(err)
 	}
-	switch verdict.Standing {
+	switch verdict.Status {
 	case claim.Granted:
 		return server.claimed(ctx, exchange, verdict.Claim, serve)
 	case claim.RunningHere:
-		answer, err := verdict.Run.Wait(ctx)
+		answer, err := verdict.InFlight.Wait(ctx)
 		if err != nil {
 			return asResult(err)
 		}
@@ -76,14 +76,14 @@
 func (server *Server) claimed(ctx context.Context, exchange *exchange, granted *claim.Claim, serve func(ctx context.Context, maySend func() error) *peridotpath.Result) *peridotpath.Result {
 	recorder := &recorder{ResponseWriter: exchange.writer}
 	exchange.writer = recorder
-	result := serve(ctx, granted.Dispatch)
+	result := serve(ctx, granted.BeginDispatch)
 	exchange.writer = recorder.ResponseWriter
 	atOnce, cancel := context.WithCancel(ctx)
 	cancel()
 	switch {
 	case result == nil:
 		_ = granted.Finish(atOnce, recorder.answer())
-	case result.Code.NotRun() || !granted.Dispatched():
+	case result.Code.NotRun() || !granted.HasDispatched():
 		_ = granted.Release(atOnce, result)
 	default:
 		_ = granted.MarkUnknown(atOnce)
--- a/peridotpath/caller/once_test.go
+++ b/peridotpath/caller/once_test.go
@@ -39,7 +39,7 @@
 	config.Index()
 	ledger := &claim.Ledger{
 		Store: platform.Store(), Instance: name, Incarnation: 1, Metrics: metrics.NewSet(),
-		Alive: func(peridotpath.InstanceID, peridotpath.Incarnation) bool { return true },
+		IsAlive: func(peridotpath.InstanceID, peridotpath.Incarnation) bool { return true },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
--- a/peridotpath/caller/resume_test.go
+++ b/peridotpath/caller/resume_test.go
@@ -87,7 +87,7 @@
 		{"signed with another secret", func(_ *stack, text string) string {
 			other := &cursor.Signer{}
 			other.SetSecret([]byte("another fleet's"))
-			return string(cursor.At(nil, other.Token("desk", cursor.Stream{Endpoint: "engine-1", ID: "engine-1"}), 1))
+			return string(cursor.Append(nil, other.StreamToken("desk", cursor.Stream{Endpoint: "engine-1", ID: "engine-1"}), 1))
 		}, apiKey, 0, "1009"},
 		{"another customer's", nil, airlineKey, 0, "1009"},
 		{"no offset", func(_ *stack, text string) string { return text[:strings.IndexByte(text, '.')] }, apiKey, 0, "1009"},
--- a/peridotpath/caller/sink.go
+++ b/peridotpath/caller/sink.go
@@ -34,7 +34,7 @@
 	answer.exchange.begun = true
 	answer.exchange.writer.Header().Set(HeaderEndpoint, string(endpoint))
 	if stream != "" {
-		answer.token = answer.signer.Token(answer.work.Customer.ID, cursor.Stream{
+		answer.token = answer.signer.StreamToken(answer.work.Customer.ID, cursor.Stream{
 			Endpoint: endpoint, ID: stream, Profile: answer.work.Profile.Name, DeadlineMS: answer.work.Deadline.UnixMilli(),
 		})
 	}
@@ -57,7 +57,7 @@
 func (answer *answer) appendEvent(buffer []byte, offset int64, data []byte) []byte {
 	if answer.token != "" {
 		buffer = append(buffer, "id: "...)
-		buffer = cursor.At(buffer, answer.token, offset)
+		buffer = cursor.Append(buffer, answer.token, offset)
 		buffer = append(buffer, '\n')
 	}
 	buffer = append(buffer, "data: "...)
--- a/peridotpath/caller/stack_test.go
+++ b/peridotpath/caller/stack_test.go
@@ -108,7 +108,7 @@
 	}
 	ledger := &claim.Ledger{
 		Store: stack.platform.Store(), Instance: id, Incarnation: 1, Metrics: metrics.NewSet(),
-		Alive: func(peridotpath.InstanceID, peridotpath.Incarnation) bool { return true },
+		IsAlive: func(peridotpath.InstanceID, peridotpath.Incarnation) bool { return true },
 	}
 	signer := &cursor.Signer{}
 	server := &caller.Server{
--- a/peridotpath/claim/bounds_test.go
+++ b/peridotpath/claim/bounds_test.go
@@ -16,7 +16,7 @@
 // until the cache is full. Another instance can only report that the request ran.
 func TestLargeAnswerIsCachedByItsInstance(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
-		first := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.AnswerMemory = 5000 })
+		first := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.AnswerCacheSize = 5000 })
 		second := fleet.start("b", 1, nil)
 		defer closeAll(is, first, second)
 		large := strings.Repeat("x", 3000)
@@ -55,10 +55,10 @@
 		for i := range granted {
 			verdict, err := instance.Claim(background, numberedCustomer(i), fmt.Sprint(i), hash("body"))
 			is.NoErr(err)
-			is.Equal(verdict.Standing, claim.Done)
+			is.Equal(verdict.Status, claim.Done)
 		}
 		is.NoErr(held.Finish(background, okAnswer("yes")))
-		entry, err := fleet.store.Store().Get(background, claim.KeyPrefix+"0")
+		entry, err := fleet.store.Store().Get(background, claim.BucketKeyPrefix+"0")
 		is.NoErr(err)
 		is.True(len(entry.Value) <= 10<<10)
 		is.True(len(entry.Value) >= 9<<10)
@@ -85,7 +85,7 @@
 		for i := range 20 {
 			verdict, err := instance.Claim(background, numberedCustomer(i), fmt.Sprint(i), hash("body"))
 			is.NoErr(err)
-			is.Equal(verdict.Standing, claim.Granted)
+			is.Equal(verdict.Status, claim.Granted)
 		}
 	})
 }
@@ -97,7 +97,7 @@
 	tests := map[string]struct {
 		ahead, step, claimer time.Duration
 		after                time.Duration
-		want                 claim.Standing
+		want                 claim.KeyStatus
 	}{
 		"ahead by a minute":              {time.Minute, 0, 0, 24 * time.Hour, claim.Done},
 		"behind by a minute":             {-time.Minute, 0, 0, 24 * time.Hour, claim.Done},
--- a/peridotpath/claim/bucket.go
+++ b/peridotpath/claim/bucket.go
@@ -56,9 +56,9 @@
 }
 
 func newBucket(ledger *Ledger, number int) *bucket {
-	calls := ledger.Settings.CallsPerSecond
+	calls := ledger.Settings.BucketCallsPerSecond
 	return &bucket{
-		ledger: ledger, name: KeyPrefix + strconv.Itoa(number),
+		ledger: ledger, name: BucketKeyPrefix + strconv.Itoa(number),
 		limiter:    rate.NewLimiter(rate.Limit(calls), max(calls, callsPerRound)),
 		wake:       make(chan struct{}, 1),
 		openClaims: map[keyID]*operation{},
@@ -141,7 +141,7 @@
 		case operation.kind == kindRenew:
 			operation.verdict = decision.verdicts[i]
 			bucket.complete(operation, nil)
-		case decision.verdicts[i].Standing != Granted:
+		case decision.verdicts[i].Status != Granted:
 			operation.verdict = decision.verdicts[i]
 			bucket.complete(operation, nil)
 		default:
@@ -151,8 +151,8 @@
 }
 
 func (bucket *bucket) grant(operation *operation) {
-	claim := &Claim{bucket: bucket, operation: operation, inFlight: &Run{done: make(chan struct{})}}
-	operation.verdict = Verdict{Standing: Granted, Claim: claim}
+	claim := &Claim{bucket: bucket, operation: operation, inFlight: &InFlight{done: make(chan struct{})}}
+	operation.verdict = Verdict{Status: Granted, Claim: claim}
 	close(operation.done)
 	bucket.releaseIfAbandoned(operation)
 }
--- a/peridotpath/claim/claim.go
+++ b/peridotpath/claim/claim.go
@@ -15,13 +15,13 @@
 type Claim struct {
 	bucket    *bucket
 	operation *operation
-	inFlight  *Run
+	inFlight  *InFlight
 	ended     atomic.Bool
-	// dispatched is set once a call of Claim.Dispatch has succeeded.
+	// dispatched is set once a call of Claim.BeginDispatch has succeeded.
 	dispatched atomic.Bool
 }
 
-// Dispatch must be called right before each time the request is sent to an endpoint. If the
+// BeginDispatch must be called right before each time the request is sent to an endpoint. If the
 // claim's dispatch window has passed, for example because the request was queued, the claim
 // is renewed first, which takes a store call and at most the claim timeout. An error means
 // that the request must not be sent, because other callers may already have received a
@@ -30,7 +30,7 @@
 //
 // A process that freezes between this check and its send can still send late.
 // docs/CLAIMS.md describes the effects.
-func (claim *Claim) Dispatch() error {
+func (claim *Claim) BeginDispatch() error {
 	if !claim.ended.Load() && !claim.windowPassed() {
 		claim.dispatched.Store(true)
 		return nil
@@ -51,7 +51,7 @@
 	claim.bucket.mu.Lock()
 	sent := claim.operation.sentAt
 	claim.bucket.mu.Unlock()
-	return sent.Elapsed(ledger.Clock.Read()) >= ledger.Settings.DispatchMS.Duration()
+	return sent.Elapsed(ledger.Clock.Read()) >= ledger.Settings.DispatchWindowMS.Duration()
 }
 
 // renew writes the claim again under a new attempt id, and reports whether it is still
@@ -69,10 +69,10 @@
 	return bucket.finishRenewal(claim.operation, renewal)
 }
 
-// Dispatched reports whether a call of Claim.Dispatch has succeeded. If none has, the
+// HasDispatched reports whether a call of Claim.BeginDispatch has succeeded. If none has, the
 // request certainly did not run, whatever the failure's code is, and its claim may be
 // released.
-func (claim *Claim) Dispatched() bool { return claim.dispatched.Load() }
+func (claim *Claim) HasDispatched() bool { return claim.dispatched.Load() }
 
 // Finish records that the request ended, with the answer that repeats receive; the answer
 // is nil when it was not kept. It returns once the end is recorded in the store; if ctx
@@ -95,7 +95,7 @@
 // that is too large for the store, and caches that in this process.
 func (claim *Claim) storedAnswer(answer *Answer) *ledgerpb.Answer {
 	ledger := claim.bucket.ledger
-	if answer.size() <= int(ledger.Settings.MaxAnswer) {
+	if answer.size() <= int(ledger.Settings.MaxStoredAnswer) {
 		return toProto(answer)
 	}
 	ledger.answerCache.put(claim.operation.key, answer)
@@ -104,7 +104,7 @@
 
 func (claim *Claim) keptHeaders(header http.Header) http.Header {
 	kept := http.Header{}
-	for _, name := range claim.bucket.ledger.Settings.Headers {
+	for _, name := range claim.bucket.ledger.Settings.StoredHeaders {
 		if values := header.Values(name); len(values) > 0 {
 			kept[http.CanonicalHeaderKey(name)] = values
 		}
--- a/peridotpath/claim/commit.go
+++ b/peridotpath/claim/commit.go
@@ -70,7 +70,7 @@
 	return rules{
 		self: attemptID{instance: ledger.Instance, incarnation: ledger.Incarnation},
 		now:  later.Unix(), expireBefore: earlier.Add(-keepFor),
-		maxRecords: settings.MaxRecords, maxSize: int(settings.MaxBytes),
+		maxRecords: settings.MaxBucketRecords, maxSize: int(settings.MaxBucketBytes),
 		retryAfter: defaultRetryAfter, dispatchWindowLeft: bucket.dispatchWindowLeft,
 		hasEnded: ledger.hasEnded, restoreWindowLeft: bucket.restoreWindowLeft(),
 	}
@@ -79,7 +79,7 @@
 // dispatchWindowLeft returns how long the claimer may still dispatch.
 func (bucket *bucket) dispatchWindowLeft(attempt attemptID) time.Duration {
 	firstSeen, ok := bucket.firstSeen[attempt]
-	window := bucket.ledger.Settings.DispatchMS.Duration() + clockRateMargin
+	window := bucket.ledger.Settings.DispatchWindowMS.Duration() + clockRateMargin
 	if !ok {
 		return window
 	}
--- a/peridotpath/claim/decide.go
+++ b/peridotpath/claim/decide.go
@@ -122,7 +122,7 @@
 	record := decision.next.records[operation.key]
 	if record == nil || !operation.ownsRecord(record) || record.GetState() != ledgerpb.State_STATE_RUNNING {
 		decision.needsCurrentState = true
-		return Verdict{Standing: Unknown}
+		return Verdict{Status: OutcomeUnknown}
 	}
 	if attemptIDOf(record) != operation.attempt {
 		decision.next.update(record, func(record *ledgerpb.Record) {
@@ -130,7 +130,7 @@
 		})
 		decision.changed = true
 	}
-	return Verdict{Standing: Granted}
+	return Verdict{Status: Granted}
 }
 
 // applyEnd applies the end of a claim of this process. It reports whether a write is
@@ -180,28 +180,28 @@
 		// claims; other instances may still restore one for this key.
 		decision.next.remove(operation.key)
 		decision.changed = true
-		return Verdict{Standing: storeRestored, RetryAfter: rules.restoreWindowLeft}
+		return Verdict{Status: storeRestored, RetryAfter: rules.restoreWindowLeft}
 	case attemptIDOf(record) == operation.attempt:
 		// An earlier write without a reply did take effect. If other instances have marked
 		// the outcome unknown since, that is final.
 		if record.GetState() == ledgerpb.State_STATE_RUNNING {
-			return Verdict{Standing: Granted}
+			return Verdict{Status: Granted}
 		}
-		return Verdict{Standing: Unknown}
+		return Verdict{Status: OutcomeUnknown}
 	case !bytes.Equal(record.GetBody(), operation.body):
 		decision.needsCurrentState = true
-		return Verdict{Standing: KeyReused}
+		return Verdict{Status: KeyReused}
 	case record.GetState() == ledgerpb.State_STATE_DONE:
 		return doneVerdict(record)
 	case record.GetState() == ledgerpb.State_STATE_UNKNOWN:
 		decision.needsCurrentState = true
-		return Verdict{Standing: Unknown}
+		return Verdict{Status: OutcomeUnknown}
 	}
 	return decision.decideRunning(record, rules)
 }
 
 func doneVerdict(record *ledgerpb.Record) Verdict {
-	verdict := Verdict{Standing: Done}
+	verdict := Verdict{Status: Done}
 	if record.GetAnswer() != nil {
 		verdict.Answer = fromProto(record.GetAnswer())
 	}
@@ -212,9 +212,9 @@
 	next := decision.next
 	if rules.restoreWindowLeft > 0 {
 		decision.needsCurrentState = true
-		return Verdict{Standing: storeRestored, RetryAfter: rules.restoreWindowLeft}
+		return Verdict{Status: storeRestored, RetryAfter: rules.restoreWindowLeft}
 	}
-	refused := Verdict{Standing: ledgerFull, RetryAfter: rules.retryAfter}
+	refused := Verdict{Status: ledgerFull, RetryAfter: rules.retryAfter}
 	if !next.hasShare(operation.customer, rules) {
 		decision.needsCurrentState = true
 		return refused
@@ -235,7 +235,7 @@
 		return refused
 	}
 	decision.changed = true
-	return Verdict{Standing: Granted}
+	return Verdict{Status: Granted}
 }
 
 // hasShare reports whether the customer may add a record.
@@ -267,13 +267,13 @@
 	attempt := attemptIDOf(record)
 	if !rules.hasEnded(attempt) {
 		decision.needsCurrentState = true
-		return Verdict{Standing: RunningElsewhere, RetryAfter: rules.retryAfter}
+		return Verdict{Status: RunningElsewhere, RetryAfter: rules.retryAfter}
 	}
 	if wait := rules.dispatchWindowLeft(attempt); wait > 0 {
 		decision.needsCurrentState = true
-		return Verdict{Standing: RunningElsewhere, RetryAfter: wait}
+		return Verdict{Status: RunningElsewhere, RetryAfter: wait}
 	}
 	decision.markUnknown(record, rules)
 	decision.changed = true
-	return Verdict{Standing: Unknown}
+	return Verdict{Status: OutcomeUnknown}
 }
--- a/peridotpath/claim/dispatch_test.go
+++ b/peridotpath/claim/dispatch_test.go
@@ -26,16 +26,16 @@
 				defer closeAll(is, frozen, observer)
 				held := frozen.mustClaim(is, "k")
 				fleet.markDead(frozen)
-				var status claim.Standing
+				var status claim.KeyStatus
 				for status = observer.keyStatus(is, "k"); status == claim.RunningElsewhere; status = observer.keyStatus(is, "k") {
 					// The claim may be dispatched for as long as callers receive "running
 					// elsewhere".
 					time.Sleep(100 * time.Millisecond)
 				}
-				is.Equal(status, claim.Unknown)
-				is.True(isCode(held.Dispatch(), peridotpath.CodePlatformDown))
+				is.Equal(status, claim.OutcomeUnknown)
+				is.True(isCode(held.BeginDispatch(), peridotpath.CodePlatformDown))
 				is.NoErr(held.Release(background, &peridotpath.Result{Code: peridotpath.CodePlatformDown}))
-				is.Equal(observer.keyStatus(is, "k"), claim.Unknown) // callers received that it never runs again
+				is.Equal(observer.keyStatus(is, "k"), claim.OutcomeUnknown) // callers received that it never runs again
 			})
 		})
 	}
@@ -49,24 +49,24 @@
 		var suspended clockOffset
 		instance := fleet.start("a", 1, func(ledger *claim.Ledger) {
 			ledger.Clock = clock.Clock{Wall: suspended.now}
-			ledger.Settings.CallsPerSecond = 100
+			ledger.Settings.BucketCallsPerSecond = 100
 		})
 		defer closeAll(is, instance)
 		unreachable := func(string) fault { return fault{NotSent: true} } // prevents a renewal
 		held := instance.mustClaim(is, "k1")
-		is.NoErr(held.Dispatch())
+		is.NoErr(held.BeginDispatch())
 		suspended.Store(int64(time.Hour))
 		instance.link.SetFaults(unreachable)
-		is.True(held.Dispatch() != nil)
+		is.True(held.BeginDispatch() != nil)
 
 		instance.link.SetFaults(func(call string) fault { return fault{RequestDelay: 3900 * time.Millisecond} })
 		time.Sleep(time.Minute)
 		held = instance.mustClaim(is, "k2")
 		instance.link.SetFaults(unreachable)
 		time.Sleep(6 * time.Second)
-		is.NoErr(held.Dispatch())
+		is.NoErr(held.BeginDispatch())
 		time.Sleep(200 * time.Millisecond)
-		is.True(held.Dispatch() != nil)
+		is.True(held.BeginDispatch() != nil)
 	})
 }
 
@@ -79,7 +79,7 @@
 		defer closeAll(is, first, second)
 		held := first.mustClaim(is, "k")
 		time.Sleep(30 * time.Second)
-		is.NoErr(held.Dispatch())
+		is.NoErr(held.BeginDispatch())
 		time.Sleep(30 * time.Second)
 		sent := false
 		first.link.SetFaults(func(call string) fault {
@@ -87,7 +87,7 @@
 			sent = sent || call == "swap"
 			return next
 		})
-		is.True(held.Dispatch() != nil)
+		is.True(held.BeginDispatch() != nil)
 		first.link.SetFaults(nil)
 		is.NoErr(held.Release(background, &peridotpath.Result{Code: peridotpath.CodeEndpointRefused}))
 		is.Equal(second.keyStatus(is, "k"), claim.Granted)
@@ -108,13 +108,13 @@
 		renewed := false
 		for observer.keyStatus(is, "k") == claim.RunningElsewhere {
 			if !renewed && time.Since(begin) > 10*time.Second {
-				is.NoErr(held.Dispatch())
+				is.NoErr(held.BeginDispatch())
 				renewed = true
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		is.True(renewed)
-		is.True(held.Dispatch() != nil)
+		is.True(held.BeginDispatch() != nil)
 		is.True(time.Since(begin) < 25*time.Second)
 	})
 }
--- a/peridotpath/claim/era_test.go
+++ b/peridotpath/claim/era_test.go
@@ -19,7 +19,7 @@
 	return fleet.start(id, 1, func(ledger *claim.Ledger) {
 		began := time.Now()
 		eras := &keyvalue.EraTracker{Now: func() time.Duration { return time.Hour + time.Since(began) }}
-		eras.OnEraChange = func(_, _ keyvalue.Era) { ledger.WentBack() }
+		eras.OnEraChange = func(_, _ keyvalue.Era) { ledger.MarkStoreRestored() }
 		ledger.Store = (&memory.Link{Eras: eras}).Store(&fleet.store)
 	})
 }
@@ -29,13 +29,13 @@
 func TestClaimLostInARestoreIsNotGrantedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		end  func(is *is.I, held *claim.Claim)
-		want claim.Standing
+		want claim.KeyStatus
 	}{
 		"ended": {func(is *is.I, held *claim.Claim) {
-			is.NoErr(held.Dispatch())
+			is.NoErr(held.BeginDispatch())
 			is.NoErr(held.Finish(context.Background(), &claim.Answer{Status: 200}))
 		}, claim.Done},
-		"running": {func(is *is.I, held *claim.Claim) { is.NoErr(held.Dispatch()) }, claim.RunningElsewhere},
+		"running": {func(is *is.I, held *claim.Claim) { is.NoErr(held.BeginDispatch()) }, claim.RunningElsewhere},
 		// A released request did not run.
 		"released": {func(is *is.I, held *claim.Claim) {
 			is.NoErr(held.Release(context.Background(), &peridotpath.Result{Code: peridotpath.CodeStopping}))
@@ -72,7 +72,7 @@
 		defer closeAll(is, second)
 		second.mustClaim(is, "early")
 		before := fleet.store.Snapshot()
-		is.NoErr(first.mustClaim(is, "k").Dispatch())
+		is.NoErr(first.mustClaim(is, "k").BeginDispatch())
 		fleet.store.Restore(before)
 		_, err := second.claimKey("k")
 		is.True(isCode(err, peridotpath.CodePlatformDown))
--- a/peridotpath/claim/example_test.go
+++ b/peridotpath/claim/example_test.go
@@ -20,8 +20,8 @@
 
 	body := claim.BodyHash(sha256.Sum256([]byte("one suitcase")))
 	first, _ := ledger.Claim(ctx, "airline", "key-7", body)
-	fmt.Println(first.Standing)
-	if err := first.Claim.Dispatch(); err != nil {
+	fmt.Println(first.Status)
+	if err := first.Claim.BeginDispatch(); err != nil {
 		_ = first.Claim.Release(ctx, nil)
 		return
 	}
@@ -29,7 +29,7 @@
 	_ = first.Claim.Finish(ctx, &claim.Answer{Status: 200, Body: []byte("filed")})
 
 	repeat, _ := ledger.Claim(ctx, "airline", "key-7", body)
-	fmt.Println(repeat.Standing, string(repeat.Answer.Body))
+	fmt.Println(repeat.Status, string(repeat.Answer.Body))
 	fmt.Println(ledger.Close(), <-ended)
 	// Output:
 	// granted
--- a/peridotpath/claim/fixture_test.go
+++ b/peridotpath/claim/fixture_test.go
@@ -46,7 +46,7 @@
 	instance := &instance{ended: make(chan error, 1)}
 	instance.Ledger = &claim.Ledger{
 		Store: instance.link.Store(&fleet.store), Instance: id, Incarnation: incarnation,
-		Settings: claim.Settings{Buckets: 1}, Alive: fleet.alive,
+		Settings: claim.Settings{Buckets: 1}, IsAlive: fleet.alive,
 		Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
 	if change != nil {
@@ -98,17 +98,17 @@
 }
 
 // keyStatus claims the key and returns only the status; a refusal fails the test.
-func (instance *instance) keyStatus(is *is.I, key string) claim.Standing {
+func (instance *instance) keyStatus(is *is.I, key string) claim.KeyStatus {
 	verdict, err := instance.claimKey(key)
 	is.NoErr(err)
-	return verdict.Standing
+	return verdict.Status
 }
 
 // mustClaim claims the key and fails the test unless the claim is granted.
 func (instance *instance) mustClaim(is *is.I, key string) *claim.Claim {
 	verdict, err := instance.claimKey(key)
 	is.NoErr(err)
-	is.Equal(verdict.Standing, claim.Granted)
+	is.Equal(verdict.Status, claim.Granted)
 	return verdict.Claim
 }
 
--- a/peridotpath/claim/ledger.go
+++ b/peridotpath/claim/ledger.go
@@ -20,8 +20,8 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// KeyPrefix precedes the bucket's number in the key of its value in the key-value store.
-const KeyPrefix = "claims/"
+// BucketKeyPrefix precedes the bucket's number in the key of its value in the key-value store.
+const BucketKeyPrefix = "claims/"
 
 // clockRateMargin allows for monotonic clocks that run at slightly different rates.
 const clockRateMargin = time.Second
@@ -40,11 +40,11 @@
 	Instance    peridotpath.InstanceID
 	Incarnation peridotpath.Incarnation
 	Settings    Settings
-	// Alive reports whether the process with that incarnation of the instance may still be
+	// IsAlive reports whether the process with that incarnation of the instance may still be
 	// running. It may lag. If it wrongly returns false, a caller receives an unknown
 	// outcome; if it wrongly returns true, callers wait longer. Neither makes a request run
 	// twice.
-	Alive func(peridotpath.InstanceID, peridotpath.Incarnation) bool
+	IsAlive func(peridotpath.InstanceID, peridotpath.Incarnation) bool
 	// Clock is the source of time; the zero value reads the machine's clocks.
 	Clock clock.Clock
 	// Logger receives an event for each failed commit, such as during an outage of the
@@ -73,7 +73,7 @@
 		}
 		ledger.startedAt = ledger.Clock.Read()
 		ledger.lastAttempt.Store(rand.Uint64() >> 1)
-		ledger.answerCache.maxBytes = int(ledger.Settings.AnswerMemory)
+		ledger.answerCache.maxBytes = int(ledger.Settings.AnswerCacheSize)
 		ledger.closeRequested, ledger.runEnded = make(chan struct{}), make(chan struct{})
 		for number := range ledger.Settings.Buckets {
 			ledger.buckets = append(ledger.buckets, newBucket(ledger, number))
@@ -111,7 +111,7 @@
 	case <-ledger.closeRequested:
 	}
 	const poll = 10 * time.Millisecond
-	deadline := time.NewTimer(ledger.Settings.DrainMS.Duration())
+	deadline := time.NewTimer(ledger.Settings.DrainTimeoutMS.Duration())
 	defer deadline.Stop()
 	ticker := time.NewTicker(poll)
 	defer ticker.Stop()
@@ -153,7 +153,7 @@
 	defer cancel()
 	verdict, err := ledger.awaitVerdict(ctx, customer, key, body)
 	if err == nil {
-		if verdict.Standing == ledgerFull || verdict.Standing == storeRestored {
+		if verdict.Status == ledgerFull || verdict.Status == storeRestored {
 			err = verdict.Result()
 		}
 	}
@@ -161,7 +161,7 @@
 		ledger.count(`claim_refused_total{reason=%q}`, refusalReason(err))
 		return Verdict{}, err
 	}
-	ledger.count(`claim_verdicts_total{standing=%q}`, verdict.Standing)
+	ledger.count(`claim_verdicts_total{standing=%q}`, verdict.Status)
 	return verdict, nil
 }
 
@@ -183,8 +183,8 @@
 	}
 }
 
-// Open returns the number of claims of this process whose end is not recorded in the store.
-func (ledger *Ledger) Open() int { return int(ledger.openCount.Load()) }
+// OpenCount returns the number of claims of this process whose end is not recorded in the store.
+func (ledger *Ledger) OpenCount() int { return int(ledger.openCount.Load()) }
 
 func (ledger *Ledger) count(format string, values ...any) {
 	for i, value := range values {
@@ -215,7 +215,7 @@
 		// that is no longer open here.
 		return true
 	}
-	return ledger.Alive != nil && !ledger.Alive(attempt.instance, attempt.incarnation)
+	return ledger.IsAlive != nil && !ledger.IsAlive(attempt.instance, attempt.incarnation)
 }
 
 // reason says why a claim was refused, in metrics and in the details of results.
--- a/peridotpath/claim/ledger_test.go
+++ b/peridotpath/claim/ledger_test.go
@@ -26,7 +26,7 @@
 		slow := func(string) fault { return fault{RequestDelay: time.Millisecond} }
 		first.link.SetFaults(slow)
 		second.link.SetFaults(slow)
-		var statuses [2]claim.Standing
+		var statuses [2]claim.KeyStatus
 		var callers sync.WaitGroup
 		for i, instance := range []*instance{first, second} {
 			callers.Go(func() { statuses[i] = instance.keyStatus(is, "k") })
@@ -42,10 +42,10 @@
 func TestRepeatAfterInstanceKill(t *testing.T) {
 	tests := map[string]struct {
 		before func(*claim.Claim) error
-		want   claim.Standing
+		want   claim.KeyStatus
 	}{
-		"before dispatch":  {func(*claim.Claim) error { return nil }, claim.Unknown},
-		"after dispatch":   {(*claim.Claim).Dispatch, claim.Unknown},
+		"before dispatch":  {func(*claim.Claim) error { return nil }, claim.OutcomeUnknown},
+		"after dispatch":   {(*claim.Claim).BeginDispatch, claim.OutcomeUnknown},
 		"after the answer": {func(claim *claim.Claim) error { return claim.Finish(background, okAnswer("yes")) }, claim.Done},
 	}
 	for name, test := range tests {
@@ -57,15 +57,15 @@
 				fleet.kill(first)
 				verdict, err := second.claimKey("k")
 				is.NoErr(err)
-				if test.want == claim.Unknown {
+				if test.want == claim.OutcomeUnknown {
 					// The killed instance might only be frozen and could still dispatch its
 					// claim.
-					is.Equal(verdict.Standing, claim.RunningElsewhere)
+					is.Equal(verdict.Status, claim.RunningElsewhere)
 					time.Sleep(verdict.RetryAfter)
 					verdict, err = second.claimKey("k")
 					is.NoErr(err)
 				}
-				is.Equal(verdict.Standing, test.want)
+				is.Equal(verdict.Status, test.want)
 				if test.want == claim.Done {
 					is.Equal(string(verdict.Answer.Body), "yes")
 				}
@@ -87,7 +87,7 @@
 		defer closeAll(is, again)
 		is.Equal(again.keyStatus(is, "k"), claim.RunningElsewhere)
 		time.Sleep(11 * time.Second)
-		is.Equal(again.keyStatus(is, "k"), claim.Unknown)
+		is.Equal(again.keyStatus(is, "k"), claim.OutcomeUnknown)
 	})
 }
 
@@ -99,7 +99,7 @@
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		instances := []*instance{fleet.start("a", 1, nil), fleet.start("b", 1, nil)}
 		defer closeAll(is, instances...)
-		statuses := map[claim.Standing]int{}
+		statuses := map[claim.KeyStatus]int{}
 		granted := map[string]int{}
 		var mu sync.Mutex
 		var callers sync.WaitGroup
@@ -118,7 +118,7 @@
 		}
 		callers.Wait()
 		is.Equal(len(granted), 100)
-		is.Equal(statuses, map[claim.Standing]int{claim.Granted: 100, claim.RunningElsewhere: 100})
+		is.Equal(statuses, map[claim.KeyStatus]int{claim.Granted: 100, claim.RunningElsewhere: 100})
 		t.Logf("platform calls %v for 200 claims", fleet.store.Calls())
 	})
 }
@@ -146,7 +146,7 @@
 						mu.Lock()
 						slowest = max(slowest, time.Since(claimedAt))
 						mu.Unlock()
-						is.NoErr(held.Dispatch())
+						is.NoErr(held.BeginDispatch())
 						time.Sleep(200 * time.Millisecond)
 						is.NoErr(held.Finish(background, okAnswer("yes")))
 					})
@@ -171,19 +171,19 @@
 		held := instance.mustClaim(is, "k")
 		attached, err := instance.claimKey("k")
 		is.NoErr(err)
-		is.Equal(attached.Standing, claim.RunningHere)
+		is.Equal(attached.Status, claim.RunningHere)
 		reused, err := instance.Claim(background, customer, "k", hash("another"))
 		is.NoErr(err)
 		is.Equal(reused.Result().Code, peridotpath.CodeKeyReused)
 		other, err := instance.Claim(background, "another airline", "k", hash("body"))
 		is.NoErr(err)
-		is.Equal(other.Standing, claim.Granted)
+		is.Equal(other.Status, claim.Granted)
 
 		is.NoErr(held.Finish(background, &claim.Answer{
 			Status: 201, Body: []byte("filed"),
 			Header: http.Header{"Location": {"/claims/7"}, "Set-Cookie": {"secret"}},
 		}))
-		answer, err := attached.Run.Wait(background)
+		answer, err := attached.InFlight.Wait(background)
 		is.NoErr(err)
 		is.Equal(answer.Header, http.Header{"Location": {"/claims/7"}})
 		is.True(held.Finish(background, okAnswer("twice")) != nil)
@@ -203,10 +203,10 @@
 		attached, err := first.claimKey("k")
 		is.NoErr(err)
 		is.NoErr(held.MarkUnknown(background))
-		_, err = attached.Run.Wait(background)
+		_, err = attached.InFlight.Wait(background)
 		is.True(isCode(err, peridotpath.CodeOutcomeUnknown))
-		is.Equal(first.keyStatus(is, "k"), claim.Unknown)
-		is.Equal(second.keyStatus(is, "k"), claim.Unknown)
+		is.Equal(first.keyStatus(is, "k"), claim.OutcomeUnknown)
+		is.Equal(second.keyStatus(is, "k"), claim.OutcomeUnknown)
 	})
 }
 
@@ -220,7 +220,7 @@
 		fleet.markDead(first)
 		second.keyStatus(is, "k")
 		time.Sleep(11 * time.Second)
-		is.Equal(second.keyStatus(is, "k"), claim.Unknown)
+		is.Equal(second.keyStatus(is, "k"), claim.OutcomeUnknown)
 		is.NoErr(held.Finish(background, okAnswer("yes")))
 		is.Equal(second.keyStatus(is, "k"), claim.Done)
 	})
@@ -236,7 +236,7 @@
 		attached, err := instance.claimKey("k")
 		is.NoErr(err)
 		is.NoErr(held.Release(background, nil))
-		_, err = attached.Run.Wait(background)
+		_, err = attached.InFlight.Wait(background)
 		var result *peridotpath.Result
 		is.True(errors.As(err, &result) && result != nil && result.Code.NotRun())
 	})
@@ -251,11 +251,11 @@
 		held := first.mustClaim(is, "k")
 		attached, err := first.claimKey("k")
 		is.NoErr(err)
-		is.True(!held.Dispatched())
-		is.NoErr(held.Dispatch())
-		is.True(held.Dispatched())
+		is.True(!held.HasDispatched())
+		is.NoErr(held.BeginDispatch())
+		is.True(held.HasDispatched())
 		is.NoErr(held.Finish(background, nil))
-		_, err = attached.Run.Wait(background)
+		_, err = attached.InFlight.Wait(background)
 		is.True(isCode(err, peridotpath.CodeAnswerGone))
 		for _, instance := range []*instance{first, second} {
 			verdict, err := instance.claimKey("k")
@@ -267,7 +267,7 @@
 
 // useSmallBuckets configures buckets that fill up quickly.
 func useSmallBuckets(ledger *claim.Ledger) {
-	ledger.Settings.MaxBytes, ledger.Settings.CallsPerSecond = 10<<10, 100
+	ledger.Settings.MaxBucketBytes, ledger.Settings.BucketCallsPerSecond = 10<<10, 100
 }
 
 func numberedCustomer(number int) peridotpath.CustomerID {
--- a/peridotpath/claim/queue.go
+++ b/peridotpath/claim/queue.go
@@ -38,7 +38,7 @@
 // newKeyReused returns a completed operation whose verdict is that the key is in use in
 // this process with another body.
 func newKeyReused() *operation {
-	operation := &operation{verdict: Verdict{Standing: KeyReused}, done: make(chan struct{})}
+	operation := &operation{verdict: Verdict{Status: KeyReused}, done: make(chan struct{})}
 	close(operation.done)
 	return operation
 }
@@ -53,11 +53,11 @@
 	switch {
 	case operation.err != nil:
 		return Verdict{}, operation.err
-	case verdict.Standing == Granted && operation.claimTaken:
-		return Verdict{Standing: RunningHere, Run: verdict.Claim.inFlight}, nil
-	case verdict.Standing == Granted:
+	case verdict.Status == Granted && operation.claimTaken:
+		return Verdict{Status: RunningHere, InFlight: verdict.Claim.inFlight}, nil
+	case verdict.Status == Granted:
 		operation.claimTaken = true
-	case verdict.Standing == Done && verdict.Answer == nil:
+	case verdict.Status == Done && verdict.Answer == nil:
 		verdict.Answer = bucket.ledger.answerCache.get(operation.key)
 	}
 	return verdict, nil
@@ -90,7 +90,7 @@
 	// During an outage, each claim whose write got no reply has to be released afterwards.
 	// Without a bound, a long outage would fill the memory; if some were forgotten, keys
 	// would stay claimed whose request never ran.
-	if ledger.openCount.Load() >= int64(ledger.Settings.MaxOpen) {
+	if ledger.openCount.Load() >= int64(ledger.Settings.MaxOpenClaims) {
 		return platformDownResult(reasonTooManyOpen, defaultRetryAfter)
 	}
 	if wait := bucket.retryAt.Sub(ledger.Clock.Read().Monotonic); wait > 0 {
@@ -131,7 +131,7 @@
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	renewal.waiters = 0
-	if renewal.verdict.Standing != Granted {
+	if renewal.verdict.Status != Granted {
 		return false
 	}
 	claimed.sentAt = renewal.sentAt
--- a/peridotpath/claim/random_test.go
+++ b/peridotpath/claim/random_test.go
@@ -117,7 +117,7 @@
 func (model *model) startProcess(number int, incarnation peridotpath.Incarnation) {
 	process := &process{claimed: map[int]bool{}}
 	process.instance = model.fleet.start(peridotpath.InstanceID(fmt.Sprint("i", number)), incarnation, func(ledger *claim.Ledger) {
-		ledger.Settings.Buckets, ledger.Settings.CallsPerSecond = 2, 20
+		ledger.Settings.Buckets, ledger.Settings.BucketCallsPerSecond = 2, 20
 	})
 	model.instances[number] = process
 }
@@ -129,10 +129,10 @@
 	if err != nil || !process.waitUntilThawed() {
 		return
 	}
-	switch verdict.Standing {
+	switch verdict.Status {
 	case claim.Granted:
 		model.runGranted(process, verdict.Claim, step)
-	case claim.Unknown:
+	case claim.OutcomeUnknown:
 		model.withLock(func() { model.reportedUnknown[step.key] = true })
 	case claim.Done:
 		model.withLock(func() {
@@ -154,7 +154,7 @@
 	if !process.waitUntilThawed() {
 		return
 	}
-	err := held.Dispatch()
+	err := held.BeginDispatch()
 	if err != nil || step.ending == "release" {
 		_ = held.Release(background, &peridotpath.Result{Code: peridotpath.CodeEndpointRefused})
 		return
@@ -240,8 +240,8 @@
 	model.requests.Wait()
 	time.Sleep(3 * time.Minute)
 	for _, process := range model.instances {
-		if !process.killed && process.Open() != 0 {
-			model.addViolation("%s has %d open claims after all requests ended", process.Instance, process.Open())
+		if !process.killed && process.OpenCount() != 0 {
+			model.addViolation("%s has %d open claims after all requests ended", process.Instance, process.OpenCount())
 		}
 	}
 	observer := model.fleet.start("observer", 1, func(ledger *claim.Ledger) { ledger.Settings.Buckets = 2 })
@@ -250,12 +250,12 @@
 		switch {
 		case err != nil:
 			model.addViolation("key %d: %v after all faults ended", key, err)
-		case model.runs[key] > 0 && verdict.Standing == claim.Granted:
+		case model.runs[key] > 0 && verdict.Status == claim.Granted:
 			model.addViolation("key %d: granted again after it ran", key)
-		case model.ended[key] && verdict.Standing != claim.Done:
-			model.addViolation("key %d: status is %v though its answer is recorded", key, verdict.Standing)
-		case model.runs[key] == 0 && !model.mayBeUnknown[key] && verdict.Standing != claim.Granted:
-			model.addViolation("key %d: status is %v though it never ran and no claimer was marked dead", key, verdict.Standing)
+		case model.ended[key] && verdict.Status != claim.Done:
+			model.addViolation("key %d: status is %v though its answer is recorded", key, verdict.Status)
+		case model.runs[key] == 0 && !model.mayBeUnknown[key] && verdict.Status != claim.Granted:
+			model.addViolation("key %d: status is %v though it never ran and no claimer was marked dead", key, verdict.Status)
 		}
 	}
 	for _, instance := range []*instance{observer, model.instances[0].instance, model.instances[1].instance, model.instances[2].instance} {
--- a/peridotpath/claim/restore.go
+++ b/peridotpath/claim/restore.go
@@ -20,9 +20,9 @@
 	maxLostAge = 2 * time.Minute
 )
 
-// WentBack must be called when the store was restored from an older copy, which lacks the
+// MarkStoreRestored must be called when the store was restored from an older copy, which lacks the
 // claims made since. It does not block.
-func (ledger *Ledger) WentBack() {
+func (ledger *Ledger) MarkStoreRestored() {
 	ledger.initialise()
 	for _, bucket := range ledger.buckets {
 		bucket.storeRestored.Raise()
--- a/peridotpath/claim/settings.go
+++ b/peridotpath/claim/settings.go
@@ -17,29 +17,29 @@
 	// ClockMarginMS is the maximum difference between the instances' wall clocks. Keys are
 	// kept this much longer than RetentionMS.
 	ClockMarginMS peridotpath.Millis `json:"clock_margin_ms"`
-	// DispatchMS is how long a granted claim may be dispatched, from the time before its
+	// DispatchWindowMS is how long a granted claim may be dispatched, from the time before its
 	// write was sent. It is also how long other instances wait before they mark a claim of
 	// a dead instance unknown.
-	DispatchMS peridotpath.Millis `json:"dispatch_ms"`
+	DispatchWindowMS peridotpath.Millis `json:"dispatch_ms"`
 	// ClaimTimeoutMS is how long a caller waits for a claim.
 	ClaimTimeoutMS peridotpath.Millis `json:"claim_timeout_ms"`
-	// DrainMS is how long Close continues to record the ends of claims.
-	DrainMS peridotpath.Millis `json:"drain_ms"`
-	// CallsPerSecond bounds the store calls of this process for one bucket.
-	CallsPerSecond int `json:"calls_per_second"`
-	// MaxOpen bounds the claims of this process whose end is not recorded in the store,
+	// DrainTimeoutMS is how long Close continues to record the ends of claims.
+	DrainTimeoutMS peridotpath.Millis `json:"drain_ms"`
+	// BucketCallsPerSecond bounds the store calls of this process for one bucket.
+	BucketCallsPerSecond int `json:"calls_per_second"`
+	// MaxOpenClaims bounds the claims of this process whose end is not recorded in the store,
 	// including refused claims that still have to be released.
-	MaxOpen int `json:"max_open"`
-	// MaxRecords and MaxBytes bound the size of one bucket.
-	MaxRecords int               `json:"max_records"`
-	MaxBytes   peridotpath.Bytes `json:"max_bytes"`
-	// MaxAnswer is the largest answer that is kept in the store, counted over body and
+	MaxOpenClaims int `json:"max_open"`
+	// MaxBucketRecords and MaxBucketBytes bound the size of one bucket.
+	MaxBucketRecords int               `json:"max_records"`
+	MaxBucketBytes   peridotpath.Bytes `json:"max_bytes"`
+	// MaxStoredAnswer is the largest answer that is kept in the store, counted over body and
 	// headers.
-	MaxAnswer peridotpath.Bytes `json:"max_answer"`
-	// AnswerMemory bounds this process's cache of larger answers.
-	AnswerMemory peridotpath.Bytes `json:"answer_memory"`
-	// Headers are the names of the headers that are kept with an answer.
-	Headers []string `json:"headers"`
+	MaxStoredAnswer peridotpath.Bytes `json:"max_answer"`
+	// AnswerCacheSize bounds this process's cache of larger answers.
+	AnswerCacheSize peridotpath.Bytes `json:"answer_memory"`
+	// StoredHeaders are the names of the headers that are kept with an answer.
+	StoredHeaders []string `json:"headers"`
 }
 
 // Defaults sets the fields that are zero to their defaults.
@@ -47,17 +47,17 @@
 	peridotpath.SetDefault(&settings.Buckets, 64)
 	peridotpath.SetDefault(&settings.RetentionMS, peridotpath.Millis((24 * time.Hour).Milliseconds()))
 	peridotpath.SetDefault(&settings.ClockMarginMS, peridotpath.Millis((5 * time.Minute).Milliseconds()))
-	peridotpath.SetDefault(&settings.DispatchMS, 10_000)
+	peridotpath.SetDefault(&settings.DispatchWindowMS, 10_000)
 	peridotpath.SetDefault(&settings.ClaimTimeoutMS, 8_000)
-	peridotpath.SetDefault(&settings.DrainMS, 5_000)
-	peridotpath.SetDefault(&settings.CallsPerSecond, 4)
-	peridotpath.SetDefault(&settings.MaxOpen, 10_000)
-	peridotpath.SetDefault(&settings.MaxRecords, 10_000)
-	peridotpath.SetDefault(&settings.MaxBytes, 900<<10)
-	peridotpath.SetDefault(&settings.MaxAnswer, 1<<10)
-	peridotpath.SetDefault(&settings.AnswerMemory, 32<<20)
-	if settings.Headers == nil {
-		settings.Headers = []string{"Content-Type", "Content-Encoding", "Etag", "Location"}
+	peridotpath.SetDefault(&settings.DrainTimeoutMS, 5_000)
+	peridotpath.SetDefault(&settings.BucketCallsPerSecond, 4)
+	peridotpath.SetDefault(&settings.MaxOpenClaims, 10_000)
+	peridotpath.SetDefault(&settings.MaxBucketRecords, 10_000)
+	peridotpath.SetDefault(&settings.MaxBucketBytes, 900<<10)
+	peridotpath.SetDefault(&settings.MaxStoredAnswer, 1<<10)
+	peridotpath.SetDefault(&settings.AnswerCacheSize, 32<<20)
+	if settings.StoredHeaders == nil {
+		settings.StoredHeaders = []string{"Content-Type", "Content-Encoding", "Etag", "Location"}
 	}
 }
 
@@ -67,16 +67,16 @@
 	var faults peridotpath.Faults
 	faults.Range(prefix+".buckets", int64(settings.Buckets), 1, 4096)
 	// A record must outlive the dispatch window of a frozen claimer by far.
-	faults.Range(prefix+".retention_ms", int64(settings.RetentionMS), 10*int64(settings.DispatchMS), 30*day)
+	faults.Range(prefix+".retention_ms", int64(settings.RetentionMS), 10*int64(settings.DispatchWindowMS), 30*day)
 	faults.Range(prefix+".clock_margin_ms", int64(settings.ClockMarginMS), 1_000, day)
-	faults.Range(prefix+".dispatch_ms", int64(settings.DispatchMS), 1_000, 60_000)
-	faults.Range(prefix+".claim_timeout_ms", int64(settings.ClaimTimeoutMS), 100, int64(settings.DispatchMS))
-	faults.Range(prefix+".drain_ms", int64(settings.DrainMS), 1, 60_000)
-	faults.Range(prefix+".calls_per_second", int64(settings.CallsPerSecond), 1, 100)
-	faults.Range(prefix+".max_open", int64(settings.MaxOpen), 1, 1_000_000)
-	faults.Range(prefix+".max_records", int64(settings.MaxRecords), 1, 100_000)
-	faults.Range(prefix+".max_bytes", int64(settings.MaxBytes), 1<<10, keyvalue.MaxValueBytes-(64<<10))
-	faults.Range(prefix+".max_answer", int64(settings.MaxAnswer), 0, 16<<10)
-	faults.Range(prefix+".answer_memory", int64(settings.AnswerMemory), 0, 1<<30)
+	faults.Range(prefix+".dispatch_ms", int64(settings.DispatchWindowMS), 1_000, 60_000)
+	faults.Range(prefix+".claim_timeout_ms", int64(settings.ClaimTimeoutMS), 100, int64(settings.DispatchWindowMS))
+	faults.Range(prefix+".drain_ms", int64(settings.DrainTimeoutMS), 1, 60_000)
+	faults.Range(prefix+".calls_per_second", int64(settings.BucketCallsPerSecond), 1, 100)
+	faults.Range(prefix+".max_open", int64(settings.MaxOpenClaims), 1, 1_000_000)
+	faults.Range(prefix+".max_records", int64(settings.MaxBucketRecords), 1, 100_000)
+	faults.Range(prefix+".max_bytes", int64(settings.MaxBucketBytes), 1<<10, keyvalue.MaxValueBytes-(64<<10))
+	faults.Range(prefix+".max_answer", int64(settings.MaxStoredAnswer), 0, 16<<10)
+	faults.Range(prefix+".answer_memory", int64(settings.AnswerCacheSize), 0, 1<<30)
 	return faults
 }
--- a/peridotpath/claim/store_test.go
+++ b/peridotpath/claim/store_test.go
@@ -29,7 +29,7 @@
 		})
 		held := instance.mustClaim(is, "k")
 		is.Equal(fleet.swaps(), 1)
-		is.NoErr(held.Dispatch())
+		is.NoErr(held.BeginDispatch())
 	})
 }
 
@@ -52,10 +52,10 @@
 		_, err := first.claimKey("k")
 		is.True(isCode(err, peridotpath.CodePlatformDown))
 		is.Equal(second.keyStatus(is, "k"), claim.RunningElsewhere)
-		is.Equal(first.Open(), 1)
+		is.Equal(first.OpenCount(), 1)
 		first.link.SetFaults(nil)
 		time.Sleep(6 * time.Second)
-		is.Equal(first.Open(), 0)
+		is.Equal(first.OpenCount(), 0)
 		is.Equal(second.keyStatus(is, "k"), claim.Granted)
 	})
 }
@@ -80,7 +80,7 @@
 		is.True(isCode(err, peridotpath.CodePlatformDown))
 		first.link.SetFaults(nil)
 		time.Sleep(time.Minute)
-		is.Equal(first.Open(), 0)
+		is.Equal(first.OpenCount(), 0)
 		is.Equal(second.keyStatus(is, "k"), claim.Granted)
 	})
 }
@@ -104,20 +104,20 @@
 			is.True(isCode(err, peridotpath.CodePlatformDown))
 		}
 		is.Equal(calls, 1)
-		is.NoErr(held.Dispatch())
+		is.NoErr(held.BeginDispatch())
 		ctx, cancel := context.WithTimeout(background, time.Minute)
 		defer cancel()
 		is.True(held.Finish(ctx, okAnswer("yes")) != nil) // it is not recorded yet
 		verdict, err := instance.claimKey("running")
 		is.NoErr(err)
-		answer, err := verdict.Run.Wait(background)
+		answer, err := verdict.InFlight.Wait(background)
 		is.NoErr(err)
 		is.Equal(string(answer.Body), "yes")
 		is.Equal(other.keyStatus(is, "running"), claim.RunningElsewhere)
 		instance.link.SetFaults(nil)
 		time.Sleep(6 * time.Second)
 		is.Equal(other.keyStatus(is, "running"), claim.Done)
-		is.Equal(instance.Open(), 0)
+		is.Equal(instance.OpenCount(), 0)
 	})
 }
 
@@ -126,7 +126,7 @@
 // instance's memory.
 func TestOpenClaimsAreBounded(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
-		instance := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.MaxOpen = 10 })
+		instance := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.MaxOpenClaims = 10 })
 		defer closeAll(is, instance)
 		swaps := 0
 		instance.link.SetFaults(func(call string) fault {
@@ -148,10 +148,10 @@
 			})
 		}
 		time.Sleep(time.Minute)
-		is.Equal(instance.Open(), 10)
+		is.Equal(instance.OpenCount(), 10)
 		instance.link.SetFaults(nil)
 		callers.Wait()
 		time.Sleep(time.Minute)
-		is.Equal(instance.Open(), 0)
+		is.Equal(instance.OpenCount(), 0)
 	})
 }
--- a/peridotpath/claim/verdict.go
+++ b/peridotpath/claim/verdict.go
@@ -8,14 +8,14 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Standing is the status of an idempotency key from the view of a caller that claims it.
-type Standing int
+// KeyStatus is the status of an idempotency key from the view of a caller that claims it.
+type KeyStatus int
 
 // Statuses of a key.
 const (
 	// Granted means that the caller may dispatch the request, using Verdict.Claim.
-	Granted Standing = iota + 1
-	// RunningHere means that this process runs the request; Verdict.Run waits for its
+	Granted KeyStatus = iota + 1
+	// RunningHere means that this process runs the request; Verdict.InFlight waits for its
 	// answer.
 	RunningHere
 	// RunningElsewhere means that another instance runs the request, or that an instance
@@ -24,8 +24,8 @@
 	// Done means that the request ended. Verdict.Answer is its answer, or nil if that is no
 	// longer kept.
 	Done
-	// Unknown means that the request may have run and never runs again.
-	Unknown
+	// OutcomeUnknown means that the request may have run and never runs again.
+	OutcomeUnknown
 	// KeyReused means that the key was used before with another body.
 	KeyReused
 	// ledgerFull means that the bucket has no room; callers receive it as a Result.
@@ -35,13 +35,13 @@
 	storeRestored
 )
 
-var statusNames = map[Standing]string{
+var statusNames = map[KeyStatus]string{
 	Granted: "granted", RunningHere: "running_here", RunningElsewhere: "running_elsewhere",
-	Done: "done", Unknown: "unknown", KeyReused: "key_reused", ledgerFull: "ledger_full", storeRestored: "unsettled",
+	Done: "done", OutcomeUnknown: "unknown", KeyReused: "key_reused", ledgerFull: "ledger_full", storeRestored: "unsettled",
 }
 
 // String returns the name that metrics use.
-func (standing Standing) String() string { return statusNames[standing] }
+func (keyStatus KeyStatus) String() string { return statusNames[keyStatus] }
 
 // Answer is the answer to a request, which repeats receive too.
 type Answer struct {
@@ -63,11 +63,11 @@
 
 // Verdict is the ledger's decision on a claim.
 type Verdict struct {
-	Standing Standing
+	Status KeyStatus
 	// Claim is set for Granted.
 	Claim *Claim
-	// Run is set for RunningHere.
-	Run *Run
+	// InFlight is set for RunningHere.
+	InFlight *InFlight
 	// Answer may be set for Done.
 	Answer *Answer
 	// RetryAfter is set for RunningElsewhere, and for verdicts that callers receive as a
@@ -78,10 +78,10 @@
 // Result returns the result code for the verdict, or nil when the verdict has a claim, a
 // run or an answer.
 func (verdict Verdict) Result() *peridotpath.Result {
-	switch verdict.Standing {
+	switch verdict.Status {
 	case RunningElsewhere:
 		return &peridotpath.Result{Code: peridotpath.CodeKeyRunning, RetryAfter: verdict.RetryAfter}
-	case Unknown:
+	case OutcomeUnknown:
 		return &peridotpath.Result{Code: peridotpath.CodeOutcomeUnknown}
 	case KeyReused:
 		return &peridotpath.Result{Code: peridotpath.CodeKeyReused}
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Run is a request in progress in this process, for callers that repeat it.
-type Run struct {
+// InFlight is a request in progress in this process, for callers that repeat it.
+type InFlight struct {
 	done   chan struct{}
 	answer *Answer
 	err    error
@@ -106,16 +106,16 @@
 
 // Wait returns the answer that the first caller received. The error is a Result: the first
 // caller's own failure, or CodeDeadline when ctx ends first.
-func (run *Run) Wait(ctx context.Context) (*Answer, error) {
+func (inFlight *InFlight) Wait(ctx context.Context) (*Answer, error) {
 	select {
-	case <-run.done:
-		return run.answer, run.err
+	case <-inFlight.done:
+		return inFlight.answer, inFlight.err
 	case <-ctx.Done():
 		return nil, &peridotpath.Result{Code: peridotpath.CodeDeadline}
 	}
 }
 
-func (run *Run) end(answer *Answer, err error) {
-	run.answer, run.err = answer, err
-	close(run.done)
+func (inFlight *InFlight) end(answer *Answer, err error) {
+	inFlight.answer, inFlight.err = answer, err
+	close(inFlight.done)
 }
--- a/peridotpath/cursor/cursor.go
+++ b/peridotpath/cursor/cursor.go
@@ -24,7 +24,7 @@
 // this Customer.
 var Error = errs.Class("cursor")
 
-// ErrNoSecret is the class of Signer.Open's error while the secret is not loaded. The
+// ErrNoSecret is the class of Signer.Verify's error while the secret is not loaded. The
 // cursor may be valid, and may be accepted by another Instance or later.
 var ErrNoSecret = errs.Class("no secret yet")
 
@@ -56,10 +56,10 @@
 // SetSecret sets the secret.
 func (signer *Signer) SetSecret(secret []byte) { signer.secret.Store(&secret) }
 
-// Token returns the signed part of a cursor, which all events of a stream share. It is
+// StreamToken returns the signed part of a cursor, which all events of a stream share. It is
 // computed once for each stream; the offset of each event is appended. It is empty while
 // there is no secret: the stream then has no cursors.
-func (signer *Signer) Token(customer peridotpath.CustomerID, stream Stream) string {
+func (signer *Signer) StreamToken(customer peridotpath.CustomerID, stream Stream) string {
 	secret := signer.secret.Load()
 	payload, err := json.Marshal(stream)
 	if err != nil || secret == nil {
@@ -80,16 +80,16 @@
 	return hash.Sum(nil)[:macBytes]
 }
 
-// At appends the cursor of the event with the given offset to buffer.
-func At(buffer []byte, token string, offset int64) []byte {
+// Append appends the cursor of the event with the given offset to buffer.
+func Append(buffer []byte, token string, offset int64) []byte {
 	buffer = append(buffer, token...)
 	buffer = append(buffer, '.')
 	return strconv.AppendInt(buffer, offset, 10)
 }
 
-// Open verifies a cursor and returns the stream and the offset of the last event that the
+// Verify verifies a cursor and returns the stream and the offset of the last event that the
 // caller received.
-func (signer *Signer) Open(customer peridotpath.CustomerID, text string) (Stream, int64, error) {
+func (signer *Signer) Verify(customer peridotpath.CustomerID, text string) (Stream, int64, error) {
 	var stream Stream
 	secret := signer.secret.Load()
 	if secret == nil {
--- a/peridotpath/cursor/cursor_test.go
+++ b/peridotpath/cursor/cursor_test.go
@@ -20,33 +20,33 @@
 // A cursor is valid at any instance, and only for the customer that it was issued to.
 func TestCursorIsValidForItsCustomerOnly(t *testing.T) {
 	is := is.New(t)
-	text := string(cursor.At(nil, newSigner().Token("volunteers", stream), 7))
-	have, offset, err := newSigner().Open("volunteers", text)
+	text := string(cursor.Append(nil, newSigner().StreamToken("volunteers", stream), 7))
+	have, offset, err := newSigner().Verify("volunteers", text)
 	is.NoErr(err)
 	is.Equal(have, stream)
 	is.Equal(offset, int64(7))
 	for i := range text[:strings.IndexByte(text, '.')] {
 		changed := []byte(text)
 		changed[i] ^= 1
-		if _, _, err := newSigner().Open("volunteers", string(changed)); err == nil {
+		if _, _, err := newSigner().Verify("volunteers", string(changed)); err == nil {
 			t.Errorf("want a cursor changed at byte %d refused", i)
 		}
 	}
-	_, _, err = newSigner().Open("scholars", text)
+	_, _, err = newSigner().Verify("scholars", text)
 	is.True(cursor.Error.Has(err)) // a cursor that leaked to another customer
-	_, _, err = (&cursor.Signer{}).Open("volunteers", text)
+	_, _, err = (&cursor.Signer{}).Verify("volunteers", text)
 	is.True(cursor.Error.Has(err)) // the secret is not loaded yet
 }
 
 // FuzzVerify checks that only issued cursors are accepted.
 func FuzzVerify(f *testing.F) {
 	signer := newSigner()
-	good := signer.Token("volunteers", stream)
+	good := signer.StreamToken("volunteers", stream)
 	for _, seed := range []string{good + ".7", good, good + ".-1", "." + good, "", ".", "AAAA.1", good + ".99999999999999999999"} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		have, offset, err := signer.Open("volunteers", text)
+		have, offset, err := signer.Verify("volunteers", text)
 		if err != nil {
 			return
 		}
--- a/peridotpath/cursor/example_test.go
+++ b/peridotpath/cursor/example_test.go
@@ -14,15 +14,15 @@
 	first.SetSecret(secret)
 	second.SetSecret(secret)
 
-	token := first.Token("airline", cursor.Stream{Endpoint: "engine-7", ID: "stream-1", Profile: "counter-lookup"})
+	token := first.StreamToken("airline", cursor.Stream{Endpoint: "engine-7", ID: "stream-1", Profile: "counter-lookup"})
 	var last []byte
 	for offset := range int64(3) {
-		last = cursor.At(last[:0], token, offset)
+		last = cursor.Append(last[:0], token, offset)
 	}
 
-	stream, offset, err := second.Open("airline", string(last))
+	stream, offset, err := second.Verify("airline", string(last))
 	fmt.Println(stream.Endpoint, stream.ID, offset, err)
-	_, _, err = second.Open("hotel", string(last))
+	_, _, err = second.Verify("hotel", string(last))
 	fmt.Println(err)
 	// Output:
 	// engine-7 stream-1 2 <nil>
--- a/peridotpath/cursor/secret.go
+++ b/peridotpath/cursor/secret.go
@@ -17,7 +17,7 @@
 )
 
 // Run loads the secret that all instances share from the key-value store, and creates it if
-// there is none. It loads it again after WentBack, until ctx ends. During an outage it
+// there is none. It loads it again after MarkStoreRestored, until ctx ends. During an outage it
 // retries, and new streams have no cursors.
 //
 // An instance whose write of a new secret conflicts reads the other instance's secret at
@@ -49,9 +49,9 @@
 	}
 }
 
-// WentBack must be called when the store was restored from an older copy, which may lack
+// MarkStoreRestored must be called when the store was restored from an older copy, which may lack
 // the secret. It does not block.
-func (signer *Signer) WentBack() { signer.storeRestored.Raise() }
+func (signer *Signer) MarkStoreRestored() { signer.storeRestored.Raise() }
 
 // loadOrCreateSecret reads the secret from the store. If the key does not exist, it writes
 // the current secret of this instance, since issued cursors are signed with it, or else a
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -161,7 +161,7 @@
 	}
 	ledger := &claim.Ledger{
 		Store: fleet.platform.Store(), Instance: id, Incarnation: 1, Logger: logger, Metrics: metrics.NewSet(),
-		Alive: func(peridotpath.InstanceID, peridotpath.Incarnation) bool { return true },
+		IsAlive: func(peridotpath.InstanceID, peridotpath.Incarnation) bool { return true },
 	}
 	signer := &cursor.Signer{}
 	signer.SetSecret([]byte("the same at every instance"))
--- a/peridotpath/sweep/sweep.go
+++ b/peridotpath/sweep/sweep.go
@@ -28,11 +28,11 @@
 const (
 	// DefaultInterval is the time between two sweeps. Together with the resume window, the
 	// margin and one failed sweep it bounds the time to free the memory of an orphaned
-	// stream (see Sweeper.Within).
+	// stream (see Sweeper.MaxReclaimTime).
 	DefaultInterval = 5 * time.Second
-	// DefaultBudget bounds the traffic of listing streams, in bytes a second. The interval
+	// DefaultListBytesPerSecond bounds the traffic of listing streams, in bytes a second. The interval
 	// is extended to stay within it.
-	DefaultBudget = 500
+	DefaultListBytesPerSecond = 500
 	// listBytesPerStream is the size of one stream in a list.
 	listBytesPerStream = 175
 	// resumeMargin is added to the resume window for a caller that resumes its stream at
@@ -50,13 +50,13 @@
 // before Run.
 type Sweeper struct {
 	Log zerolog.Logger
-	// Engines returns all engine endpoints; Sweeper.Owns reports whether this instance owns
+	// Engines returns all engine endpoints; Sweeper.IsOwner reports whether this instance owns
 	// one.
 	Engines func() []peridotpath.Endpoint
-	Owns    func(id peridotpath.EndpointID) bool
-	// Streams lists an engine's streams; Sweeper.Cancel cancels one of them.
-	Streams func(ctx context.Context, address netip.AddrPort) ([]engine.StreamInfo, error)
-	Cancel  func(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error
+	IsOwner func(id peridotpath.EndpointID) bool
+	// ListStreams lists an engine's streams; Sweeper.CancelStream cancels one of them.
+	ListStreams  func(ctx context.Context, address netip.AddrPort) ([]engine.StreamInfo, error)
+	CancelStream func(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error
 	// ResumeWindow is how long a stream without a reader is kept for its caller to resume
 	// it.
 	ResumeWindow time.Duration
@@ -66,10 +66,10 @@
 	Random func() float64
 }
 
-// Within returns the maximum time from the disconnect of a stream's last reader until its
+// MaxReclaimTime returns the maximum time from the disconnect of a stream's last reader until its
 // memory is freed, if one sweep fails. If the endpoint's owner died too, the delay until
 // the membership list shows it is added.
-func (sweeper *Sweeper) Within() time.Duration {
+func (sweeper *Sweeper) MaxReclaimTime() time.Duration {
 	return sweeper.ResumeWindow + resumeMargin + 2*sweeper.nextInterval(0)*11/10 + time.Second
 }
 
@@ -95,7 +95,7 @@
 	if interval == 0 {
 		interval = DefaultInterval
 	}
-	return max(interval, time.Duration(streams*listBytesPerStream)*time.Second/DefaultBudget)
+	return max(interval, time.Duration(streams*listBytesPerStream)*time.Second/DefaultListBytesPerSecond)
 }
 
 // sweep sweeps all owned endpoints once and returns the number of their streams.
@@ -104,7 +104,7 @@
 	group.SetLimit(maxConcurrentSweeps)
 	var streams atomic.Int64
 	for _, endpoint := range sweeper.Engines() {
-		if !sweeper.Owns(endpoint.ID) {
+		if !sweeper.IsOwner(endpoint.ID) {
 			continue
 		}
 		group.Go(func() error {
@@ -118,7 +118,7 @@
 
 func (sweeper *Sweeper) sweepEndpoint(ctx context.Context, endpoint peridotpath.Endpoint) int {
 	listRequestedAt := time.Now()
-	streams, err := sweeper.Streams(ctx, endpoint.Address)
+	streams, err := sweeper.ListStreams(ctx, endpoint.Address)
 	if err != nil {
 		listFailures.Inc()
 		return 0
@@ -136,7 +136,7 @@
 }
 
 func (sweeper *Sweeper) cancelStream(ctx context.Context, endpoint peridotpath.Endpoint, stream engine.StreamInfo) {
-	if err := sweeper.Cancel(ctx, endpoint.Address, stream.ID, true); err != nil {
+	if err := sweeper.CancelStream(ctx, endpoint.Address, stream.ID, true); err != nil {
 		// Either the request or its reply may have been lost; the next sweep lists the
 		// stream again if it still exists.
 		cancelFailures.Inc()
--- a/peridotpath/sweep/sweep_test.go
+++ b/peridotpath/sweep/sweep_test.go
@@ -88,9 +88,9 @@
 		Engines: func() []peridotpath.Endpoint {
 			return []peridotpath.Endpoint{{ID: "engine-1", Kind: peridotpath.KindEngine}}
 		},
-		Owns:         func(peridotpath.EndpointID) bool { return true },
-		Streams:      fake.streams,
-		Cancel:       fake.cancel,
+		IsOwner:      func(peridotpath.EndpointID) bool { return true },
+		ListStreams:  fake.streams,
+		CancelStream: fake.cancel,
 		ResumeWindow: resumeWindow,
 		Random:       func() float64 { return 0.5 },
 	}
@@ -132,7 +132,7 @@
 				}
 				fake.setStream("read", time.Time{})
 				one, two := newSweeper(fake), newSweeper(fake)
-				runSweepers(t, one.Within(), one, two)
+				runSweepers(t, one.MaxReclaimTime(), one, two)
 				for i := range 3 {
 					is.True(!fake.hasStream(fmt.Sprint("abandoned-", i)))
 				}
