--- a/peridotctl/apply_file.go
+++ b/peridotctl/apply_file.go
@@ -19,12 +19,12 @@
 `
 
 func applyFile(console *console) *command {
-	waiting := &waiting{}
+	changeFlags := &changeFlags{}
 	return &command{
 		console: console, name: "apply", synopsis: "puts a file of profiles and customers in force", usage: applyFileUsage,
-		flags: waiting.setFlags,
+		flags: changeFlags.setFlags,
 		run: func(ctx context.Context, args []string) error {
-			if len(args) != 1 || waiting.id != "" {
+			if len(args) != 1 || changeFlags.changeID != "" {
 				return errUsage
 			}
 			file, err := loadFile(console, args[0])
@@ -33,23 +33,23 @@
 			}
 			revisions := map[string]uint64{}
 			for i := range file.Profiles {
-				if err := console.applyOne(ctx, profiles, string(file.Profiles[i].Name), file.Profiles[i], revisions); err != nil {
+				if err := console.applyItem(ctx, profiles, string(file.Profiles[i].Name), file.Profiles[i], revisions); err != nil {
 					return err
 				}
 			}
 			for i := range file.Customers {
-				if err := console.applyOne(ctx, customers, string(file.Customers[i].ID), file.Customers[i], revisions); err != nil {
+				if err := console.applyItem(ctx, customers, string(file.Customers[i].ID), file.Customers[i], revisions); err != nil {
 					return err
 				}
 			}
-			return console.await(ctx, waiting, revisions)
+			return console.await(ctx, changeFlags, revisions)
 		},
 	}
 }
 
-// applyOne changes one item unless it is the same already, and notes the
+// applyItem changes one item unless it is unchanged, and records the
 // document's revision.
-func (console *console) applyOne(ctx context.Context, kind itemKind, name string, value any, revisions map[string]uint64) error {
+func (console *console) applyItem(ctx context.Context, kind itemKind, name string, value any, revisions map[string]uint64) error {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return err
@@ -58,11 +58,11 @@
 	if err != nil {
 		return err
 	}
-	if console.same(kind, current, string(text), revisions) {
+	if console.skipUnchanged(kind, current, string(text), revisions) {
 		return nil
 	}
 	request := &pb.ChangeRequest{Kind: string(kind.kind), Name: name, Base: current.Revision, Value: string(text)}
-	response, err := console.send(ctx, &waiting{}, request)
+	response, err := console.send(ctx, &changeFlags{}, request)
 	if err != nil {
 		return err
 	}
@@ -70,9 +70,10 @@
 	return console.showAccepted(request, response)
 }
 
-// same reports that an item needs no change. The instance asked has it in force;
-// others may still lack it, so its revision is noted all the same.
-func (console *console) same(kind itemKind, current *pb.Item, value string, revisions map[string]uint64) bool {
+// skipUnchanged prints a note and returns true if the item already has this
+// value. The value is active on the queried instance but may not be on others,
+// so its revision is recorded for --wait too.
+func (console *console) skipUnchanged(kind itemKind, current *pb.Item, value string, revisions map[string]uint64) bool {
 	if current.Value != value {
 		return false
 	}
--- a/peridotctl/bound.go
+++ b/peridotctl/bound.go
@@ -9,124 +9,125 @@
 	"peridotpath.example/peridotpath/logline"
 )
 
-// The bound is what one that knows all could at best have on time of the same
-// long prompts: every prompt is read by all engines at once without any loss,
-// nobody writes, short prompts cost nothing, and a prompt that is read in part
-// earns that part of its worth. Nothing that the instances could have decided is
-// better, so that what lies between the bound and what was reached is all that
-// other decisions could win.
+// The upper bound is the value that an offline scheduler with full knowledge of
+// the arrivals could have served within the TTFT targets. It relaxes the problem:
+// every prompt's prefill is split across all engines without overhead, no engine
+// decodes, short prompts take no time, and a prompt whose prefill completes in
+// part yields that fraction of its value. No schedule exceeds the bound, so the
+// gap between it and the achieved value is the most that better scheduling could
+// gain.
 
 const (
-	// boundLeast is the reading time, at one engine, from which a prompt takes part:
-	// shorter ones do not wait for their turn.
-	boundLeast = 150.0 // milliseconds
-	// boundSlot is the step of time in which engines are shared out.
+	// minBoundPrefill is the prefill time on one engine from which a prompt counts.
+	// Shorter prompts bypass the prefill queue.
+	minBoundPrefill = 150.0 // milliseconds
+	// boundSlot is the time slot in which engine capacity is allocated.
 	boundSlot = 50.0 // milliseconds
-	// boundSteps is how often the part of a prompt that fits is halved in search;
-	// ten make a thousandth.
-	boundSteps = 10
+	// bisectionSteps is the number of steps in the search for the fraction of a
+	// prompt that fits; ten steps resolve a thousandth.
+	bisectionSteps = 10
 )
 
 // boundJob is one long prompt; times are in milliseconds.
 type boundJob struct {
-	arrived, due float64
-	// reading is how long one engine takes.
-	reading, worth float64
-	onTime         bool
-	// part is how much of it is read in time.
-	part float64
+	arrived, deadline float64
+	// prefillTime is the prefill time on one engine.
+	prefillTime, value float64
+	metTarget          bool
+	// fraction is the part of the prefill that completes before the deadline.
+	fraction float64
 }
 
-// bound holds the long prompts, and how many engines there were in each second.
-type bound struct {
+// upperBound holds the long prompts and the number of engines in each second.
+type upperBound struct {
 	jobs    []*boundJob
 	engines map[int]int
 }
 
-func (bound *bound) add(line logline.Line) {
+func (upperBound *upperBound) add(line logline.Line) {
 	ended, err := time.Parse(time.RFC3339Nano, line.Pairs["time"])
-	reading, aim := line.Number("reading"), line.Number("aim")
-	if err != nil || reading == 0 || aim == 0 {
+	prefillTime, ttftTarget := line.Number("reading"), line.Number("aim")
+	if err != nil || prefillTime == 0 || ttftTarget == 0 {
 		return
 	}
 	arrived := float64(ended.UnixMilli()) - line.Number("took")
 	second := int(arrived / 1000)
-	bound.engines[second] = max(bound.engines[second], int(line.Number("engines")))
-	if reading < boundLeast {
+	upperBound.engines[second] = max(upperBound.engines[second], int(line.Number("engines")))
+	if prefillTime < minBoundPrefill {
 		return
 	}
-	first := line.Number("first_event")
-	bound.jobs = append(bound.jobs, &boundJob{
-		arrived: arrived, due: arrived + aim, reading: reading, worth: worthOf(line.Number("prompt")),
-		onTime: line.Pairs["event"] == "served" && first > 0 && first <= aim,
+	firstEvent := line.Number("first_event")
+	upperBound.jobs = append(upperBound.jobs, &boundJob{
+		arrived: arrived, deadline: arrived + ttftTarget, prefillTime: prefillTime, value: requestValue(line.Number("prompt")),
+		metTarget: line.Pairs["event"] == "served" && firstEvent > 0 && firstEvent <= ttftTarget,
 	})
 }
 
-// solve returns which part of the long prompts' worth was on time, and which could
-// have been. Prompts are taken in the order of their worth for a second of reading,
-// each as far as it fits beside those before it: for work that may be divided at
-// will no other order has more.
-func (bound *bound) solve() (reached, possible float64) {
-	slices.SortStableFunc(bound.jobs, func(a, b *boundJob) int {
-		return cmp.Compare(b.worth/b.reading, a.worth/a.reading)
+// solve returns the share of the long prompts' value that met the TTFT target, and
+// the share that could have. Prompts are admitted greedily by value per second of
+// prefill, each as far as it fits beside those before it. For divisible work this
+// order is optimal, as in the fractional knapsack problem.
+func (upperBound *upperBound) solve() (achieved, possible float64) {
+	slices.SortStableFunc(upperBound.jobs, func(a, b *boundJob) int {
+		return cmp.Compare(b.value/b.prefillTime, a.value/a.prefillTime)
 	})
 	total := 0.0
-	for i, job := range bound.jobs {
-		total += job.worth
-		if job.onTime {
-			reached += job.worth
+	for i, job := range upperBound.jobs {
+		total += job.value
+		if job.metTarget {
+			achieved += job.value
 		}
-		taken := bound.jobs[:i+1]
+		admitted := upperBound.jobs[:i+1]
 		low, high := 0.0, 1.0
-		job.part = high
-		if bound.fits(taken) {
-			possible += job.worth
+		job.fraction = high
+		if upperBound.fits(admitted) {
+			possible += job.value
 			continue
 		}
-		for range boundSteps {
-			job.part = (low + high) / 2
-			if bound.fits(taken) {
-				low = job.part
+		for range bisectionSteps {
+			job.fraction = (low + high) / 2
+			if upperBound.fits(admitted) {
+				low = job.fraction
 			} else {
-				high = job.part
+				high = job.fraction
 			}
 		}
-		// The upper end, so that the bound is one.
-		possible += high * job.worth
-		job.part = low
+		// The upper end of the interval keeps the result an upper bound.
+		possible += high * job.value
+		job.fraction = low
 	}
 	if total == 0 {
 		return 0, 0
 	}
-	return reached / total, possible / total
+	return achieved / total, possible / total
 }
 
-// fits reports whether the jobs' parts can all be read in time: those due first
-// are read first.
-func (bound *bound) fits(jobs []*boundJob) bool {
-	byDue := slices.Clone(jobs)
-	slices.SortStableFunc(byDue, func(a, b *boundJob) int { return cmp.Compare(a.due, b.due) })
-	left := make([]float64, len(byDue))
-	first, last := math.Inf(1), 0.0
-	for i, job := range byDue {
-		left[i] = job.part * job.reading
-		first, last = min(first, job.arrived), max(last, job.due)
+// fits reports whether the prefill fractions of all jobs can complete before their
+// deadlines, scheduled earliest deadline first.
+func (upperBound *upperBound) fits(jobs []*boundJob) bool {
+	byDeadline := slices.Clone(jobs)
+	slices.SortStableFunc(byDeadline, func(a, b *boundJob) int { return cmp.Compare(a.deadline, b.deadline) })
+	remaining := make([]float64, len(byDeadline))
+	begin, end := math.Inf(1), 0.0
+	for i, job := range byDeadline {
+		remaining[i] = job.fraction * job.prefillTime
+		begin, end = min(begin, job.arrived), max(end, job.deadline)
 	}
-	for start := first; start < last; start += boundSlot {
-		capacity := boundSlot * float64(bound.enginesAt(start))
-		for i, job := range byDue {
+	for start := begin; start < end; start += boundSlot {
+		capacity := boundSlot * float64(upperBound.enginesAt(start))
+		for i, job := range byDeadline {
 			if capacity <= 0 {
 				break
 			}
-			if left[i] == 0 || job.arrived >= start+boundSlot || job.due <= start {
+			if remaining[i] == 0 || job.arrived >= start+boundSlot || job.deadline <= start {
 				continue
 			}
-			read := min(left[i], capacity)
-			left[i] -= read
-			capacity -= read
+			processed := min(remaining[i], capacity)
+			remaining[i] -= processed
+			capacity -= processed
 		}
 	}
-	for _, rest := range left {
+	for _, rest := range remaining {
 		if rest > 0 {
 			return false
 		}
@@ -134,13 +135,13 @@
 	return true
 }
 
-// enginesAt returns how many engines there were: the most that a request found in
-// that second, or in the last one before it that had any.
-func (bound *bound) enginesAt(milliseconds float64) int {
-	const longestGap = 60
+// enginesAt returns the number of engines at a time: the most that any request
+// logged in that second, or in the last second before it with a logged count.
+func (upperBound *upperBound) enginesAt(milliseconds float64) int {
+	const maxGapSeconds = 60
 	second := int(milliseconds / 1000)
-	for back := range longestGap {
-		if count := bound.engines[second-back]; count > 0 {
+	for back := range maxGapSeconds {
+		if count := upperBound.engines[second-back]; count > 0 {
 			return count
 		}
 	}
--- a/peridotctl/check.go
+++ b/peridotctl/check.go
@@ -41,15 +41,15 @@
 	}
 }
 
-// loadFile reads a file of profiles and customers, with defaults filled in; the
-// error holds every fault.
+// loadFile reads a file of profiles and customers and fills in defaults. The error
+// lists every fault.
 func loadFile(console *console, path string) (*peridotpath.Config, error) {
 	text, err := console.read(path)
 	if err != nil {
 		return nil, err
 	}
-	file := &peridotpath.Config{}
-	faults := strictjson.Decode(text, file, strictjson.Partial)
-	file.Defaults()
-	return file, faults.Merge(file.Validate()).OrNil()
+	config := &peridotpath.Config{}
+	faults := strictjson.Decode(text, config, strictjson.Partial)
+	config.Defaults()
+	return config, faults.Merge(config.Validate()).OrNil()
 }
--- a/peridotctl/command.go
+++ b/peridotctl/command.go
@@ -13,7 +13,7 @@
 	"peridotpath.example/peridotpath"
 )
 
-// The exit codes. The topic "exit-codes" explains them.
+// Exit codes, documented in the help topic "exit-codes".
 const (
 	exitOK       = 0
 	exitFailure  = 1
@@ -24,15 +24,15 @@
 	exitUnknown  = 6
 )
 
-// command is one subcommand, or a group of them.
+// command is a subcommand or a group of subcommands.
 type command struct {
 	console  *console
 	name     string
 	synopsis string
 	usage    string
-	// flags adds the command's own flags; nil for none.
+	// flags registers the command's own flags; nil for none.
 	flags func(flags *flag.FlagSet)
-	// run does the work; its error decides the exit code.
+	// run executes the command; its error determines the exit code.
 	run func(ctx context.Context, args []string) error
 	// members are the subcommands of a group.
 	members []*command
@@ -41,13 +41,13 @@
 // Name returns the name that selects the command.
 func (command *command) Name() string { return command.name }
 
-// Synopsis returns one line about the command.
+// Synopsis returns a one-line description of the command.
 func (command *command) Synopsis() string { return command.synopsis }
 
 // Usage returns the command's help.
 func (command *command) Usage() string { return command.usage }
 
-// SetFlags adds the command's flags and those that every command takes.
+// SetFlags registers the command's flags and the common ones.
 func (command *command) SetFlags(flags *flag.FlagSet) {
 	if flags.Output() == os.Stderr {
 		flags.SetOutput(command.console.err)
@@ -66,7 +66,7 @@
 	if command.members != nil {
 		return newCommander(command.console, flags, "peridotctl "+command.name, command.members).Execute(ctx)
 	}
-	args, err := interleaved(flags)
+	args, err := parseInterleaved(flags)
 	if err != nil {
 		return exitUsage
 	}
@@ -74,12 +74,13 @@
 	if errors.Is(err, errUsage) {
 		flags.Usage()
 	}
-	return subcommands.ExitStatus(command.console.fail(err))
+	return subcommands.ExitStatus(command.console.reportError(err))
 }
 
-// interleaved returns the arguments that are no flags. The flag package stops
-// at the first of them; operators write "apply FILE --wait" as well.
-func interleaved(flags *flag.FlagSet) ([]string, error) {
+// parseInterleaved parses flags that follow positional arguments, as in
+// "apply FILE --wait", and returns the positional ones. The flag package stops
+// parsing at the first positional argument.
+func parseInterleaved(flags *flag.FlagSet) ([]string, error) {
 	var args []string
 	for flags.NArg() > 0 {
 		args = append(args, flags.Arg(0))
@@ -90,11 +91,11 @@
 	return args, nil
 }
 
-// errUsage says that the command line makes no sense.
+// errUsage reports an invalid command line.
 var errUsage = errors.New("usage")
 
-// exitError is an error with an exit code of its own. What is to be shown has
-// been printed already when message is empty.
+// exitError is an error with its own exit code. An empty message means that the
+// output has been printed already.
 type exitError struct {
 	code    int
 	message string
@@ -103,8 +104,8 @@
 // Error returns the message.
 func (failure *exitError) Error() string { return failure.message }
 
-// fail prints an error and returns its exit code.
-func (console *console) fail(err error) int {
+// reportError prints an error and returns its exit code.
+func (console *console) reportError(err error) int {
 	var failure *exitError
 	var faults peridotpath.Faults
 	var refusal twirp.Error
@@ -129,7 +130,7 @@
 	return exitFailure
 }
 
-// showFaults prints every fault, as JSON on the output when that is asked for.
+// showFaults prints every fault, as JSON to the standard output with --json.
 func (console *console) showFaults(faults peridotpath.Faults) {
 	if console.json {
 		console.showJSON(struct {
--- a/peridotctl/config_history.go
+++ b/peridotctl/config_history.go
@@ -16,17 +16,17 @@
 
 `
 
-const defaultHistory = 20
+const defaultHistoryLimit = 20
 
 func configHistory(console *console) *command {
 	limit := 0
 	return &command{
 		console: console, name: "history", synopsis: "lists the last accepted changes", usage: configHistoryUsage,
 		flags: func(flags *flag.FlagSet) {
-			flags.IntVar(&limit, "limit", defaultHistory, "how many changes, at most 1000")
+			flags.IntVar(&limit, "limit", defaultHistoryLimit, "how many changes, at most 1000")
 		},
 		run: func(ctx context.Context, args []string) error {
-			return view(ctx, console, args, pb.Operator.History, &pb.HistoryRequest{Limit: int32(limit)}, historyTable)
+			return callAndShow(ctx, console, args, pb.Operator.History, &pb.HistoryRequest{Limit: int32(limit)}, historyTable)
 		},
 	}
 }
@@ -38,6 +38,6 @@
 		if event.Deleted {
 			verb = "deleted"
 		}
-		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", clock(event.WhenMs), event.Who, event.Kind, event.Name, verb, event.Revision, event.ChangeId)
+		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%s\n", formatTime(event.WhenMs), event.Who, event.Kind, event.Name, verb, event.Revision, event.ChangeId)
 	}
 }
--- a/peridotctl/console.go
+++ b/peridotctl/console.go
@@ -22,37 +22,37 @@
 	"peridotpath.example/peridotpath/outbound"
 )
 
-// console is what every command works with.
+// console holds the streams, settings and dependencies shared by all commands.
 type console struct {
 	in       io.Reader
 	out, err io.Writer
-	// newID makes the id of a change.
+	// newID generates a change id.
 	newID func() string
-	// pause waits, or returns early when ctx is done.
-	pause func(ctx context.Context, span time.Duration)
+	// sleep returns after the duration or when ctx is done.
+	sleep func(ctx context.Context, span time.Duration)
 
 	servers string
 	who     string
 	json    bool
 }
 
-// setFlags adds the flags that every command takes.
+// setFlags registers the flags common to all commands.
 func (console *console) setFlags(flags *flag.FlagSet) {
 	flags.BoolVar(&console.json, "json", console.json, "print JSON")
-	flags.Func("servers", "peer `addresses` of instances, IP:PORT, separated by commas; else PERIDOTCTL_SERVERS", set(&console.servers))
-	flags.Func("who", "your `name` for the history of changes; else USER", set(&console.who))
+	flags.Func("servers", "peer `addresses` of instances, IP:PORT, separated by commas; else PERIDOTCTL_SERVERS", stringSetter(&console.servers))
+	flags.Func("who", "your `name` for the history of changes; else USER", stringSetter(&console.who))
 }
 
-// set returns a flag's setter. Unlike StringVar's it leaves what the environment
-// gave out of the help text.
-func set(field *string) func(value string) error {
+// stringSetter returns a flag.Func setter for field. Unlike StringVar it keeps the
+// default from the environment out of the help text.
+func stringSetter(field *string) func(value string) error {
 	return func(value string) error {
 		*field = value
 		return nil
 	}
 }
 
-func pause(ctx context.Context, span time.Duration) {
+func sleep(ctx context.Context, span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
@@ -61,10 +61,11 @@
 	}
 }
 
-// callTimeout bounds one call; an instance itself gives a change 15 s.
+// callTimeout bounds one call. It exceeds the 15 s within which an instance
+// completes a change.
 const callTimeout = 20 * time.Second
 
-// clients returns a client for each server, in the order given.
+// clients returns a client for each configured server, in order.
 func (console *console) clients() ([]pb.Operator, error) {
 	if console.servers == "" {
 		return nil, &exitError{exitUsage, "no instance to call: give --servers or PERIDOTCTL_SERVERS"}
@@ -80,19 +81,19 @@
 	return clients, nil
 }
 
-// method is one call of the service, as a method expression.
+// method is a method expression of the service's client.
 type method[Request, Response any] func(pb.Operator, context.Context, *Request) (*Response, error)
 
-// ask calls one instance after another until one answers. It is for calls that
-// change nothing.
-func ask[Request, Response any](ctx context.Context, console *console, method method[Request, Response], request *Request) (*Response, error) {
+// callAny calls one instance after another until one responds. It is for read-only
+// calls.
+func callAny[Request, Response any](ctx context.Context, console *console, method method[Request, Response], request *Request) (*Response, error) {
 	clients, err := console.clients()
 	if err != nil {
 		return nil, err
 	}
 	for _, client := range clients {
 		var response *Response
-		if response, err = call(ctx, client, method, request); err == nil || isAnswer(err) {
+		if response, err = call(ctx, client, method, request); err == nil || isDefinitive(err) {
 			return response, err
 		}
 	}
@@ -105,8 +106,8 @@
 	return method(client, ctx, request)
 }
 
-// isAnswer reports that another instance would say the same.
-func isAnswer(err error) bool {
+// isDefinitive reports whether the error would be the same on any other instance.
+func isDefinitive(err error) bool {
 	var failure twirp.Error
 	return errors.As(err, &failure) && (failure.Code() == twirp.NotFound || failure.Code() == twirp.InvalidArgument)
 }
@@ -116,22 +117,22 @@
 	return errors.As(err, &failure) && failure.Code() == twirp.NotFound
 }
 
-// view asks and prints the response. It takes no arguments.
-func view[Request, Response any, Message interface {
+// callAndShow calls any instance and prints the response. It accepts no arguments.
+func callAndShow[Request, Response any, Message interface {
 	*Response
 	proto.Message
 }](ctx context.Context, console *console, args []string, method method[Request, Response], request *Request, table func(out io.Writer, response *Response)) error {
 	if len(args) > 0 {
 		return errUsage
 	}
-	response, err := ask(ctx, console, method, request)
+	response, err := callAny(ctx, console, method, request)
 	if err != nil {
 		return err
 	}
 	return console.show(Message(response), func(out io.Writer) { table(out, response) })
 }
 
-// show prints a message as JSON, or by table.
+// show prints a message as JSON or, without --json, as a table.
 func (console *console) show(message proto.Message, table func(out io.Writer)) error {
 	if !console.json {
 		writer := tabwriter.NewWriter(console.out, 0, 0, 2, ' ', 0)
@@ -157,7 +158,7 @@
 	fmt.Fprintln(console.out, string(text))
 }
 
-// read returns a file's content; "-" is the standard input.
+// read returns a file's content, or the standard input for "-".
 func (console *console) read(path string) ([]byte, error) {
 	if path == "-" {
 		return io.ReadAll(console.in)
@@ -165,7 +166,7 @@
 	return os.ReadFile(path)
 }
 
-// compact returns JSON on one line.
+// compact returns JSON without insignificant whitespace.
 func compact(text string) string {
 	var buffer bytes.Buffer
 	if err := json.Compact(&buffer, []byte(text)); err != nil {
--- a/peridotctl/diff.go
+++ b/peridotctl/diff.go
@@ -8,37 +8,37 @@
 	"slices"
 )
 
-// difference is one field that two texts differ in.
+// difference is a field whose value differs between two JSON objects.
 type difference struct {
 	Field  string `json:"field"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// absent stands for a field, or a whole item, that is not there.
+// absent is printed for a missing field or item.
 const absent = "-"
 
-// differences compares two JSON objects field by field; an empty text is an
+// diffFields compares two JSON objects field by field. An empty text stands for an
 // item that does not exist.
-func differences(before, after string) []difference {
-	old, next := fields(before), fields(after)
+func diffFields(before, after string) []difference {
+	beforeFields, afterFields := jsonFields(before), jsonFields(after)
 	names := map[string]bool{}
-	for name := range old {
+	for name := range beforeFields {
 		names[name] = true
 	}
-	for name := range next {
+	for name := range afterFields {
 		names[name] = true
 	}
 	found := []difference{}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		if old[name] != next[name] {
-			found = append(found, difference{name, orAbsent(old[name]), orAbsent(next[name])})
+		if beforeFields[name] != afterFields[name] {
+			found = append(found, difference{name, orAbsent(beforeFields[name]), orAbsent(afterFields[name])})
 		}
 	}
 	return found
 }
 
-func fields(text string) map[string]string {
+func jsonFields(text string) map[string]string {
 	var raw map[string]json.RawMessage
 	if err := json.Unmarshal([]byte(text), &raw); err != nil {
 		return nil
--- a/peridotctl/endpoint_drain.go
+++ b/peridotctl/endpoint_drain.go
@@ -18,11 +18,11 @@
 `
 
 func endpointDrain(console *console) *command {
-	waiting, reason := &waiting{}, ""
+	changeFlags, reason := &changeFlags{}, ""
 	return &command{
 		console: console, name: "drain", synopsis: "takes an endpoint out of placement", usage: endpointDrainUsage,
 		flags: func(flags *flag.FlagSet) {
-			waiting.setFlags(flags)
+			changeFlags.setFlags(flags)
 			flags.StringVar(&reason, "reason", "", "why, for other operators")
 		},
 		run: func(ctx context.Context, args []string) error {
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			return console.commit(ctx, waiting, &pb.ChangeRequest{
+			return console.commit(ctx, changeFlags, &pb.ChangeRequest{
 				Kind: string(config.KindDrain), Name: args[0], Force: true, Value: string(drain),
 			})
 		},
--- a/peridotctl/endpoint_list.go
+++ b/peridotctl/endpoint_list.go
@@ -19,7 +19,7 @@
 	return &command{
 		console: console, name: "list", synopsis: "lists endpoints with their load", usage: endpointListUsage,
 		run: func(ctx context.Context, args []string) error {
-			return view(ctx, console, args, pb.Operator.ListEndpoints, &pb.ListEndpointsRequest{}, endpointTable)
+			return callAndShow(ctx, console, args, pb.Operator.ListEndpoints, &pb.ListEndpointsRequest{}, endpointTable)
 		},
 	}
 }
@@ -29,8 +29,8 @@
 	for _, endpoint := range list.Endpoints {
 		fmt.Fprintf(out, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\n",
 			endpoint.Id, endpoint.Service, endpoint.DataCentre, endpoint.Address, stateOf(endpoint),
-			endpoint.Running, endpoint.Waiting, endpoint.PrefillTokens, share(endpoint.KvUsedTokens, endpoint.KvTokens),
-			age(endpoint.ReportAgeMs), endpoint.Reason)
+			endpoint.Running, endpoint.Waiting, endpoint.PrefillTokens, formatShare(endpoint.KvUsedTokens, endpoint.KvTokens),
+			formatAge(endpoint.ReportAgeMs), endpoint.Reason)
 	}
 }
 
@@ -45,14 +45,14 @@
 	}
 }
 
-func share(used, all int64) string {
+func formatShare(used, all int64) string {
 	if all == 0 {
 		return absent
 	}
 	return fmt.Sprintf("%d%%", 100*used/all)
 }
 
-func age(millis int64) string {
+func formatAge(millis int64) string {
 	if millis < 0 {
 		return absent
 	}
--- a/peridotctl/endpoint_return.go
+++ b/peridotctl/endpoint_return.go
@@ -13,15 +13,15 @@
 `
 
 func endpointReturn(console *console) *command {
-	waiting := &waiting{}
+	changeFlags := &changeFlags{}
 	return &command{
 		console: console, name: "return", synopsis: "lets a drained endpoint take work again", usage: endpointReturnUsage,
-		flags: waiting.setFlags,
+		flags: changeFlags.setFlags,
 		run: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return errUsage
 			}
-			return console.commit(ctx, waiting, &pb.ChangeRequest{
+			return console.commit(ctx, changeFlags, &pb.ChangeRequest{
 				Kind: string(config.KindDrain), Name: args[0], Force: true, Delete: true,
 			})
 		},
--- a/peridotctl/explain.go
+++ b/peridotctl/explain.go
@@ -29,7 +29,7 @@
 			if len(args) > 0 || request.Profile == "" || request.PromptTokens < 1 {
 				return errUsage
 			}
-			return view(ctx, console, nil, pb.Operator.Explain, request, explainTable)
+			return callAndShow(ctx, console, nil, pb.Operator.Explain, request, explainTable)
 		},
 	}
 }
--- a/peridotctl/help.go
+++ b/peridotctl/help.go
@@ -13,7 +13,7 @@
 
 `
 
-// topics are texts that belong to no single command.
+// topics are help texts by name that apply to several commands.
 var topics = map[string]string{
 	"exit-codes": `Exit codes:
   0  done
--- a/peridotctl/instance_list.go
+++ b/peridotctl/instance_list.go
@@ -18,7 +18,7 @@
 	return &command{
 		console: console, name: "list", synopsis: "lists instances", usage: instanceListUsage,
 		run: func(ctx context.Context, args []string) error {
-			return view(ctx, console, args, pb.Operator.ListInstances, &pb.ListInstancesRequest{}, instanceTable)
+			return callAndShow(ctx, console, args, pb.Operator.ListInstances, &pb.ListInstancesRequest{}, instanceTable)
 		},
 	}
 }
--- a/peridotctl/item.go
+++ b/peridotctl/item.go
@@ -10,12 +10,13 @@
 	pb "peridotpath.example/peridotpath/operator/operatorpb"
 )
 
-// itemKind is what the commands for profiles and for customers differ in.
+// itemKind holds what differs between the commands for profiles and those for
+// customers.
 type itemKind struct {
 	kind config.Kind
-	// columns are the JSON fields that the list shows besides name and revision.
+	// columns are the JSON fields listed after name and revision.
 	columns []string
-	// decode checks a text and returns its name and its stored form.
+	// decode validates JSON text and returns the item's name and stored form.
 	decode func(text []byte) (name string, value any, faults peridotpath.Faults)
 }
 
@@ -38,17 +39,17 @@
 	}
 )
 
-// itemFile is one item as a file holds it: as "show" prints it, with the
-// revision it was read at, or bare.
+// itemFile is an item read from a file: either the output of "show", which includes
+// the revision, or the item alone.
 type itemFile struct {
 	name     string
 	value    string
 	revision uint64
-	// revised says that the file names a revision.
-	revised bool
+	// hasRevision is set if the file includes a revision.
+	hasRevision bool
 }
 
-// load reads and checks a file with one item.
+// load reads and validates a file with one item.
 func (kind itemKind) load(console *console, path string) (*itemFile, error) {
 	text, err := console.read(path)
 	if err != nil {
@@ -57,7 +58,7 @@
 	file := &itemFile{}
 	var shown map[string]json.RawMessage
 	if json.Unmarshal(text, &shown) == nil && shown["revision"] != nil && shown[string(kind.kind)] != nil {
-		file.revised = true
+		file.hasRevision = true
 		if err := json.Unmarshal(shown["revision"], &file.revision); err != nil {
 			return nil, peridotpath.Faults{{Path: "revision", Message: "must be a whole number"}}
 		}
@@ -72,17 +73,18 @@
 	return file, err
 }
 
-// current returns the item in force, with revision zero when there is none.
+// current returns the active item, or one with revision zero if there is none.
 func (kind itemKind) current(ctx context.Context, console *console, name string) (*pb.Item, error) {
-	item, err := ask(ctx, console, pb.Operator.GetItem, &pb.GetItemRequest{Kind: string(kind.kind), Name: name})
+	item, err := callAny(ctx, console, pb.Operator.GetItem, &pb.GetItemRequest{Kind: string(kind.kind), Name: name})
 	if isNotFound(err) {
 		return &pb.Item{Kind: string(kind.kind), Name: name}, nil
 	}
 	return item, err
 }
 
-// both returns the item in the file that args name, and the one in force.
-func (kind itemKind) both(ctx context.Context, console *console, args []string) (*itemFile, *pb.Item, error) {
+// loadWithCurrent returns the item in the file named by args, and the active item
+// of the same name.
+func (kind itemKind) loadWithCurrent(ctx context.Context, console *console, args []string) (*itemFile, *pb.Item, error) {
 	if len(args) != 1 {
 		return nil, nil, errUsage
 	}
@@ -94,12 +96,12 @@
 	return file, current, err
 }
 
-// usage puts the kind's name into a usage text.
-func (kind itemKind) usage(text string) string {
+// usageText inserts the kind's name into a usage text.
+func (kind itemKind) usageText(text string) string {
 	return fmt.Sprintf(text, kind.kind)
 }
 
-func faultsOf(faults []*pb.Fault) peridotpath.Faults {
+func faultsFromProto(faults []*pb.Fault) peridotpath.Faults {
 	converted := make(peridotpath.Faults, 0, len(faults))
 	for _, fault := range faults {
 		converted = append(converted, peridotpath.Fault{Path: fault.Path, Message: fault.Message})
--- a/peridotctl/item_apply.go
+++ b/peridotctl/item_apply.go
@@ -16,28 +16,28 @@
 `
 
 func itemApply(console *console, kind itemKind) *command {
-	waiting, force := &waiting{}, false
+	changeFlags, force := &changeFlags{}, false
 	return &command{
-		console: console, name: "apply", synopsis: "creates or changes a " + string(kind.kind), usage: kind.usage(itemApplyUsage),
+		console: console, name: "apply", synopsis: "creates or changes a " + string(kind.kind), usage: kind.usageText(itemApplyUsage),
 		flags: func(flags *flag.FlagSet) {
-			waiting.setFlags(flags)
+			changeFlags.setFlags(flags)
 			flags.BoolVar(&force, "force", false, "overwrite whatever is there")
 		},
 		run: func(ctx context.Context, args []string) error {
-			file, current, err := kind.both(ctx, console, args)
+			file, current, err := kind.loadWithCurrent(ctx, console, args)
 			if err != nil {
 				return err
 			}
-			if !file.revised {
+			if !file.hasRevision {
 				file.revision = current.Revision
 			}
 			revisions := map[string]uint64{}
-			if !console.same(kind, current, file.value, revisions) {
-				return console.commit(ctx, waiting, &pb.ChangeRequest{
+			if !console.skipUnchanged(kind, current, file.value, revisions) {
+				return console.commit(ctx, changeFlags, &pb.ChangeRequest{
 					Kind: string(kind.kind), Name: file.name, Base: file.revision, Force: force, Value: file.value,
 				})
 			}
-			return console.await(ctx, waiting, revisions)
+			return console.await(ctx, changeFlags, revisions)
 		},
 	}
 }
--- a/peridotctl/item_delete.go
+++ b/peridotctl/item_delete.go
@@ -13,11 +13,11 @@
 `
 
 func itemDelete(console *console, kind itemKind) *command {
-	waiting, base := &waiting{}, uint64(0)
+	changeFlags, base := &changeFlags{}, uint64(0)
 	return &command{
-		console: console, name: "delete", synopsis: "deletes a " + string(kind.kind), usage: kind.usage(itemDeleteUsage),
+		console: console, name: "delete", synopsis: "deletes a " + string(kind.kind), usage: kind.usageText(itemDeleteUsage),
 		flags: func(flags *flag.FlagSet) {
-			waiting.setFlags(flags)
+			changeFlags.setFlags(flags)
 			flags.Uint64Var(&base, "base", 0, "revision that you saw; the one in force when left out")
 		},
 		run: func(ctx context.Context, args []string) error {
@@ -34,7 +34,7 @@
 			if base == 0 {
 				return &exitError{exitFailure, string(kind.kind) + " " + args[0] + " does not exist"}
 			}
-			return console.commit(ctx, waiting, &pb.ChangeRequest{
+			return console.commit(ctx, changeFlags, &pb.ChangeRequest{
 				Kind: string(kind.kind), Name: args[0], Base: base, Delete: true,
 			})
 		},
--- a/peridotctl/item_diff.go
+++ b/peridotctl/item_diff.go
@@ -13,13 +13,13 @@
 
 func itemDiff(console *console, kind itemKind) *command {
 	return &command{
-		console: console, name: "diff", synopsis: "prints what apply would change", usage: kind.usage(itemDiffUsage),
+		console: console, name: "diff", synopsis: "prints what apply would change", usage: kind.usageText(itemDiffUsage),
 		run: func(ctx context.Context, args []string) error {
-			file, current, err := kind.both(ctx, console, args)
+			file, current, err := kind.loadWithCurrent(ctx, console, args)
 			if err != nil {
 				return err
 			}
-			found := differences(current.Value, file.value)
+			found := diffFields(current.Value, file.value)
 			if console.json {
 				console.showJSON(found)
 				return nil
--- a/peridotctl/item_list.go
+++ b/peridotctl/item_list.go
@@ -16,9 +16,9 @@
 
 func itemList(console *console, kind itemKind) *command {
 	return &command{
-		console: console, name: "list", synopsis: "lists every " + string(kind.kind), usage: kind.usage(itemListUsage),
+		console: console, name: "list", synopsis: "lists every " + string(kind.kind), usage: kind.usageText(itemListUsage),
 		run: func(ctx context.Context, args []string) error {
-			return view(ctx, console, args, pb.Operator.ListItems, &pb.ListItemsRequest{Kind: string(kind.kind)}, kind.table)
+			return callAndShow(ctx, console, args, pb.Operator.ListItems, &pb.ListItemsRequest{Kind: string(kind.kind)}, kind.table)
 		},
 	}
 }
@@ -26,7 +26,7 @@
 func (kind itemKind) table(out io.Writer, list *pb.ListItemsResponse) {
 	fmt.Fprintf(out, "name\trevision\t%s\n", strings.Join(kind.columns, "\t"))
 	for _, item := range list.Items {
-		values := fields(item.Value)
+		values := jsonFields(item.Value)
 		fmt.Fprintf(out, "%s\t%d", item.Name, item.Revision)
 		for _, column := range kind.columns {
 			fmt.Fprintf(out, "\t%s", strings.Trim(values[column], `"`))
--- a/peridotctl/item_show.go
+++ b/peridotctl/item_show.go
@@ -14,7 +14,7 @@
 
 func itemShow(console *console, kind itemKind) *command {
 	return &command{
-		console: console, name: "show", synopsis: "prints a " + string(kind.kind) + " for editing", usage: kind.usage(itemShowUsage),
+		console: console, name: "show", synopsis: "prints a " + string(kind.kind) + " for editing", usage: kind.usageText(itemShowUsage),
 		run: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
 				return errUsage
--- a/peridotctl/losses.go
+++ b/peridotctl/losses.go
@@ -27,38 +27,38 @@
 `
 
 const (
-	// defaultWindow is the span of a row of the table of windows.
+	// defaultWindow is the length of a time window, one row of the windows table.
 	defaultWindow = 2 * time.Second
-	// mispredicted is how much longer than predicted a first event may take
-	// before the prediction is the cause of its being late.
-	mispredicted = 1.3
-	// waitedShare is the part of the aim from which a wait for the request's turn
-	// is the cause.
-	waitedShare = 0.5
+	// maxPredictionRatio is the ratio of actual to predicted time to first event
+	// above which a missed target is attributed to the prediction.
+	maxPredictionRatio = 1.3
+	// queueWaitShare is the fraction of the TTFT target above which a missed target
+	// is attributed to the wait in the prefill queue.
+	queueWaitShare = 0.5
 )
 
-// lossKey is one row of the table of causes.
+// lossKey identifies a row of the causes table.
 type lossKey struct{ cause, kind string }
 
-// losses adds up what logs say was lost.
+// losses sums the value lost to missed targets and failed requests, from logs.
 type losses struct {
-	window   time.Duration
-	requests int
-	worth    float64
-	byCause  map[lossKey]*loss
-	byWindow map[time.Time]map[string]float64
-	bound    bound
+	window     time.Duration
+	requests   int
+	value      float64
+	byCause    map[lossKey]*loss
+	byWindow   map[time.Time]map[string]float64
+	upperBound upperBound
 }
 
 type loss struct {
 	requests int
-	worth    float64
+	value    float64
 }
 
 func newLosses(window time.Duration) *losses {
 	return &losses{
 		window: window, byCause: map[lossKey]*loss{}, byWindow: map[time.Time]map[string]float64{},
-		bound: bound{engines: map[int]int{}},
+		upperBound: upperBound{engines: map[int]int{}},
 	}
 }
 
@@ -67,16 +67,16 @@
 	if event != "served" && event != "failed" || line.Pairs["result"] == callerGone {
 		return
 	}
-	losses.bound.add(line)
-	worth := worthOf(line.Number("prompt"))
+	losses.upperBound.add(line)
+	value := requestValue(line.Number("prompt"))
 	losses.requests++
-	losses.worth += worth
-	cause, part := line.Pairs["result"], 1.0
+	losses.value += value
+	cause, lostShare := line.Pairs["result"], 1.0
 	if event == "served" {
-		if cause = lateCause(line); cause == "" {
+		if cause = missCause(line); cause == "" {
 			return
 		}
-		part = placement.MissedTargetCost
+		lostShare = placement.MissedTargetCost
 	}
 	key := lossKey{cause: cause, kind: line.Pairs["kind"] + " " + line.Pairs["length"]}
 	row := losses.byCause[key]
@@ -85,12 +85,12 @@
 		losses.byCause[key] = row
 	}
 	row.requests++
-	row.worth += part * worth
-	losses.addWindow(line, cause, part*worth)
+	row.value += lostShare * value
+	losses.addWindow(line, cause, lostShare*value)
 }
 
-// addWindow notes the loss under the window in which the request arrived.
-func (losses *losses) addWindow(line logline.Line, cause string, worth float64) {
+// addWindow adds a lost value to the window in which the request arrived.
+func (losses *losses) addWindow(line logline.Line, cause string, value float64) {
 	ended, err := time.Parse(time.RFC3339Nano, line.Pairs["time"])
 	if err != nil {
 		return
@@ -99,37 +99,39 @@
 	if losses.byWindow[start] == nil {
 		losses.byWindow[start] = map[string]float64{}
 	}
-	losses.byWindow[start][cause] += worth
+	losses.byWindow[start][cause] += value
 }
 
-// worthOf weighs a request as the decisions do; one without a prompt counts 1.
-func worthOf(prompt float64) float64 {
+// requestValue returns a request's value as placement computes it; 1 without a
+// prompt.
+func requestValue(prompt float64) float64 {
 	if prompt <= 0 {
 		return 1
 	}
 	return placement.PromptValue(peridotpath.Tokens(prompt))
 }
 
-// lateCause says why an answer was late; empty for one that was not.
-func lateCause(line logline.Line) string {
-	aim, reached := line.Number("aim"), line.Number("first_event")
-	if reached == 0 {
-		reached = line.Number("took")
+// missCause returns the cause of a missed latency target, or "" if the targets
+// were met.
+func missCause(line logline.Line) string {
+	ttftTarget, timeToFirstEvent := line.Number("aim"), line.Number("first_event")
+	if timeToFirstEvent == 0 {
+		timeToFirstEvent = line.Number("took")
 	}
-	waited, predicted := line.Number("waited"), line.Number("predicted")
-	pauseAim := line.Number("pause_aim")
+	queueWait, predicted := line.Number("waited"), line.Number("predicted")
+	itlTarget := line.Number("pause_aim")
 	switch {
-	case aim == 0:
+	case ttftTarget == 0:
 		return ""
-	case reached <= aim && pauseAim > 0 && line.Number("longest_pause") > pauseAim:
+	case timeToFirstEvent <= ttftTarget && itlTarget > 0 && line.Number("longest_pause") > itlTarget:
 		return "late_by_a_pause"
-	case reached <= aim:
+	case timeToFirstEvent <= ttftTarget:
 		return ""
 	case line.Number("tries") > 1:
 		return "late_after_failed_attempt"
-	case waited > waitedShare*aim:
+	case queueWait > queueWaitShare*ttftTarget:
 		return "late_waited_for_turn"
-	case predicted > 0 && reached-waited > mispredicted*predicted:
+	case predicted > 0 && timeToFirstEvent-queueWait > maxPredictionRatio*predicted:
 		return "late_slower_than_predicted"
 	default:
 		return "late_as_predicted"
@@ -140,26 +142,26 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprint(table, "\ncause\tkind\trequests\tof all worth\n")
 	keys := slices.SortedFunc(maps.Keys(losses.byCause), func(a, b lossKey) int {
-		return cmp.Or(cmp.Compare(losses.byCause[b].worth, losses.byCause[a].worth), cmp.Compare(a.cause+a.kind, b.cause+b.kind))
+		return cmp.Or(cmp.Compare(losses.byCause[b].value, losses.byCause[a].value), cmp.Compare(a.cause+a.kind, b.cause+b.kind))
 	})
 	for _, key := range keys {
 		row := losses.byCause[key]
-		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f %%\n", key.cause, key.kind, row.requests, 100*row.worth/losses.worth)
+		fmt.Fprintf(table, "%s\t%s\t%d\t%.1f %%\n", key.cause, key.kind, row.requests, 100*row.value/losses.value)
 	}
 	fmt.Fprint(table, "\nwindow from\tof all worth\tmost by\n")
 	for _, start := range losses.worstWindows(top) {
 		causes := losses.byWindow[start]
-		fmt.Fprintf(table, "%s\t%.1f %%\t%s\n", start.UTC().Format(time.RFC3339Nano), 100*sum(causes)/losses.worth, largest(causes))
+		fmt.Fprintf(table, "%s\t%.1f %%\t%s\n", start.UTC().Format(time.RFC3339Nano), 100*sum(causes)/losses.value, largestCause(causes))
 	}
-	// The console's writes do not fail.
+	// Write errors of the console are ignored.
 	_ = table.Flush()
-	if count := len(losses.bound.jobs); count > 0 {
-		reached, possible := losses.bound.solve()
-		fmt.Fprintf(out, "\n%d long prompts: %.1f %% of their worth on time, at best %.1f %% could have been\n", count, 100*reached, 100*possible)
+	if count := len(losses.upperBound.jobs); count > 0 {
+		achieved, possible := losses.upperBound.solve()
+		fmt.Fprintf(out, "\n%d long prompts: %.1f %% of their worth on time, at best %.1f %% could have been\n", count, 100*achieved, 100*possible)
 	}
 }
 
-// worstWindows returns the windows with most lost, in the order of time.
+// worstWindows returns the windows with the largest losses, in chronological order.
 func (losses *losses) worstWindows(top int) []time.Time {
 	starts := slices.SortedFunc(maps.Keys(losses.byWindow), func(a, b time.Time) int {
 		return cmp.Or(cmp.Compare(sum(losses.byWindow[b]), sum(losses.byWindow[a])), a.Compare(b))
@@ -169,17 +171,17 @@
 	return starts
 }
 
-func sum(parts map[string]float64) float64 {
+func sum(valueByCause map[string]float64) float64 {
 	total := 0.0
-	for _, name := range slices.Sorted(maps.Keys(parts)) {
-		total += parts[name]
+	for _, name := range slices.Sorted(maps.Keys(valueByCause)) {
+		total += valueByCause[name]
 	}
 	return total
 }
 
-func largest(parts map[string]float64) string {
-	names := slices.SortedFunc(maps.Keys(parts), func(a, b string) int {
-		return cmp.Or(cmp.Compare(parts[b], parts[a]), cmp.Compare(a, b))
+func largestCause(valueByCause map[string]float64) string {
+	names := slices.SortedFunc(maps.Keys(valueByCause), func(a, b string) int {
+		return cmp.Or(cmp.Compare(valueByCause[b], valueByCause[a]), cmp.Compare(a, b))
 	})
 	return names[0]
 }
--- a/peridotctl/main.go
+++ b/peridotctl/main.go
@@ -1,7 +1,8 @@
-// Command peridotctl is the operators' command line of peridotpath.
+// Command peridotctl is the command line for operators of peridotpath.
 //
-// It calls any instance; an instance that gives no answer is passed over for
-// the next one. `peridotctl help` lists the subcommands and the help topics.
+// It calls any instance, and fails over to the next configured one if an instance
+// does not respond. The subcommands trace, why, losses and audit analyse log files
+// instead. `peridotctl help` lists the subcommands and the help topics.
 package main
 
 import (
@@ -21,7 +22,7 @@
 	defer stop()
 	console := &console{
 		in: os.Stdin, out: os.Stdout, err: os.Stderr,
-		newID: uuid.NewString, pause: pause,
+		newID: uuid.NewString, sleep: sleep,
 		who:     os.Getenv("USER"),
 		servers: os.Getenv("PERIDOTCTL_SERVERS"),
 	}
@@ -33,7 +34,7 @@
 	flags := flag.NewFlagSet("peridotctl", flag.ContinueOnError)
 	flags.SetOutput(console.err)
 	console.setFlags(flags)
-	commander := newCommander(console, flags, "peridotctl", all(console))
+	commander := newCommander(console, flags, "peridotctl", allCommands(console))
 	commander.Register(commander.FlagsCommand(), "")
 	commander.ImportantFlag("servers")
 	commander.ImportantFlag("who")
@@ -44,7 +45,7 @@
 	return int(commander.Execute(ctx))
 }
 
-// newCommander returns a commander that knows commands and writes to console.
+// newCommander returns a commander with the given commands that writes to console.
 func newCommander(console *console, flags *flag.FlagSet, name string, commands []*command) *subcommands.Commander {
 	commander := subcommands.NewCommander(flags, name)
 	commander.Output, commander.Error = console.out, console.err
@@ -54,16 +55,16 @@
 	return commander
 }
 
-// all returns every subcommand.
-func all(console *console) []*command {
+// allCommands returns every subcommand.
+func allCommands(console *console) []*command {
 	commands := []*command{
-		group(console, "profile", "profiles: list, show, apply, delete, diff", itemCommands(console, profiles)),
-		group(console, "customer", "customers: list, show, apply, delete, diff", itemCommands(console, customers)),
-		group(console, "endpoint", "endpoints: list, drain, return", []*command{endpointList(console), endpointDrain(console), endpointReturn(console)}),
-		group(console, "instance", "instances: list", []*command{instanceList(console)}),
-		group(console, "config", "configuration: history", []*command{configHistory(console)}),
+		newGroup(console, "profile", "profiles: list, show, apply, delete, diff", itemCommands(console, profiles)),
+		newGroup(console, "customer", "customers: list, show, apply, delete, diff", itemCommands(console, customers)),
+		newGroup(console, "endpoint", "endpoints: list, drain, return", []*command{endpointList(console), endpointDrain(console), endpointReturn(console)}),
+		newGroup(console, "instance", "instances: list", []*command{instanceList(console)}),
+		newGroup(console, "config", "configuration: history", []*command{configHistory(console)}),
 		applyFile(console), status(console), watch(console), explain(console), check(console),
-		trace(console), why(console), lossesCommand(console), auditCommand(console),
+		trace(console), whyCommand(console), lossesCommand(console), auditCommand(console),
 	}
 	return append(commands, help(console, commands))
 }
@@ -75,8 +76,8 @@
 	}
 }
 
-// group returns a command that has subcommands of its own.
-func group(console *console, name, synopsis string, members []*command) *command {
+// newGroup returns a command with subcommands.
+func newGroup(console *console, name, synopsis string, members []*command) *command {
 	group := &command{console: console, name: name, synopsis: synopsis, members: members}
 	names := make([]string, 0, len(members))
 	for _, member := range members {
--- a/peridotctl/session_test.go
+++ b/peridotctl/session_test.go
@@ -25,31 +25,32 @@
 	pb "peridotpath.example/peridotpath/operator/operatorpb"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// platform loses answers of the key-value service's swaps.
-type platform struct {
-	lostAnswers int // how many swaps take effect without an answer
+// platformFaults injects faults into the key-value service.
+type platformFaults struct {
+	lostReplies int // number of swaps that will be applied but whose reply is lost
 	down        bool
 }
 
-func (platform *platform) fault(_ context.Context, call, _ string, applied bool) error {
-	if platform.down && call != "list" {
+func (platformFaults *platformFaults) fault(_ context.Context, call, _ string, applied bool) error {
+	if platformFaults.down && call != "list" {
 		return keyvalue.ErrNotSent.New("no route")
 	}
-	if call == "swap" && applied && platform.lostAnswers > 0 {
-		platform.lostAnswers--
+	if call == "swap" && applied && platformFaults.lostReplies > 0 {
+		platformFaults.lostReplies--
 		return keyvalue.ErrUnavailable.New("the answer was lost")
 	}
 	return nil
 }
 
-// serve returns the address of an instance with a canned fleet and a real
-// configuration on platform. Of its two instances the second one lags.
-func serve(t *testing.T, platform *platform, lag peridotpath.Revision) string {
+// serve returns the address of an instance that reports a fixed fleet and stores its
+// configuration in a key-value service with the given faults. The second of the two
+// reported instances lags by lag revisions.
+func serve(t *testing.T, platformFaults *platformFaults, lag peridotpath.Revision) string {
 	t.Helper()
 	store := &config.Store{
-		KeyValue: (&memory.Memory{Fault: platform.fault}).Store(),
+		KeyValue: (&memory.Memory{Fault: platformFaults.fault}).Store(),
 		Log:      zerolog.Nop(),
 		Now:      func() time.Time { return time.Date(2026, 6, 1, 12, 0, 0, 0, time.UTC) },
 	}
@@ -115,12 +116,12 @@
 	return explanation
 }
 
-// TestSessions runs whole sessions of an operator against one instance and
-// compares all that is printed, and the exit codes, with golden files.
+// TestSessions runs operator sessions against one instance and compares the whole
+// output and the exit codes with golden files.
 func TestSessions(t *testing.T) {
 	tests := []struct {
 		name     string
-		platform platform
+		platform platformFaults
 		lag      peridotpath.Revision
 		lines    []string
 	}{
@@ -151,10 +152,10 @@
 		{name: "wait_times_out", lag: 1, lines: []string{
 			"profile apply testdata/counter.json --wait --wait-timeout 1s", "apply testdata/fleet.json --wait --wait-timeout 1s",
 		}},
-		{name: "lost_answer", platform: platform{lostAnswers: 1}, lines: []string{
+		{name: "lost_answer", platform: platformFaults{lostReplies: 1}, lines: []string{
 			"profile apply testdata/counter.json", "config history",
 		}},
-		{name: "outage", platform: platform{down: true}, lines: []string{
+		{name: "outage", platform: platformFaults{down: true}, lines: []string{
 			"profile list", "profile apply testdata/counter.json",
 		}},
 		{name: "endpoints", lines: []string{
@@ -188,32 +189,32 @@
 			for _, line := range test.lines {
 				session.execute(t.Context(), line)
 			}
-			compare(t, filepath.Join("testdata", test.name+".golden"), session.transcript.Bytes())
+			compareGolden(t, filepath.Join("testdata", test.name+".golden"), session.transcript.Bytes())
 		})
 	}
 }
 
-// refuser is an instance whose changes end as its outcomes say, one after
-// another; an outcome that is not specified is an answer lost on the way back.
-type refuser struct {
+// scriptedOperator is an instance whose changes return the given outcomes in order.
+// OUTCOME_UNSPECIFIED stands for a lost response.
+type scriptedOperator struct {
 	pb.Operator
 	outcomes []pb.Outcome
 	ids      []string
 }
 
-func (refuser *refuser) Change(_ context.Context, request *pb.ChangeRequest) (*pb.ChangeResponse, error) {
-	refuser.ids = append(refuser.ids, request.ChangeId)
-	outcome := refuser.outcomes[min(len(refuser.ids), len(refuser.outcomes))-1]
+func (scriptedOperator *scriptedOperator) Change(_ context.Context, request *pb.ChangeRequest) (*pb.ChangeResponse, error) {
+	scriptedOperator.ids = append(scriptedOperator.ids, request.ChangeId)
+	outcome := scriptedOperator.outcomes[min(len(scriptedOperator.ids), len(scriptedOperator.outcomes))-1]
 	if outcome == pb.Outcome_OUTCOME_UNSPECIFIED {
 		return nil, twirp.InternalError("the answer was lost")
 	}
 	return &pb.ChangeResponse{Outcome: outcome, Reason: "platform"}, nil
 }
 
-// An operator's change may have taken effect although no answer said so. Then
-// "nothing changed" would be a lie, also when a later try ended in a refusal,
-// and each try must bear the same id, or the change could take effect twice.
-func TestOutcomeOfSeveralTries(t *testing.T) {
+// A change may have taken effect although its response was lost. Then "nothing
+// changed" would be false, even if a later attempt was refused. Every attempt must
+// carry the same id, or the change could take effect twice.
+func TestChangeOutcomeAfterRetries(t *testing.T) {
 	const (
 		lost     = pb.Outcome_OUTCOME_UNSPECIFIED
 		accepted = pb.Outcome_OUTCOME_ACCEPTED
@@ -223,7 +224,7 @@
 	tests := []struct {
 		name     string
 		outcomes []pb.Outcome
-		tries    int
+		attempts int
 		code     int
 	}{
 		{"accepted at last", []pb.Outcome{lost, unknown, accepted}, 3, exitOK},
@@ -234,22 +235,22 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			refuser := &refuser{outcomes: test.outcomes}
-			listener := httptest.NewServer(pb.NewOperatorServer(refuser))
+			operator := &scriptedOperator{outcomes: test.outcomes}
+			listener := httptest.NewServer(pb.NewOperatorServer(operator))
 			defer listener.Close()
-			const nobody = "127.0.0.1:1"
-			session := &session{address: nobody + "," + strings.TrimPrefix(listener.URL, "http://")}
+			const unreachable = "127.0.0.1:1"
+			session := &session{address: unreachable + "," + strings.TrimPrefix(listener.URL, "http://")}
 			code := session.execute(t.Context(), "endpoint drain engine-1")
 			is.Equal(code, test.code)
-			is.Equal(len(refuser.ids), test.tries)
-			for _, id := range refuser.ids {
+			is.Equal(len(operator.ids), test.attempts)
+			for _, id := range operator.ids {
 				is.Equal(id, "change-1")
 			}
 		})
 	}
 }
 
-// session collects what an operator sees.
+// session records the commands of an operator and their output.
 type session struct {
 	address    string
 	changes    int
@@ -261,15 +262,16 @@
 	console := &console{
 		in: strings.NewReader(""), out: &session.transcript, err: &session.transcript,
 		newID: func() string { session.changes++; return fmt.Sprintf("change-%d", session.changes) },
-		pause: func(context.Context, time.Duration) {}, who: "nimal", servers: session.address,
+		sleep: func(context.Context, time.Duration) {}, who: "nimal", servers: session.address,
 	}
 	code := run(ctx, console, strings.Fields(line))
 	fmt.Fprintf(&session.transcript, "exit %d\n\n", code)
 	return code
 }
 
-// compare holds a transcript to a golden file, or writes it with -update.
-func compare(t *testing.T, path string, have []byte) {
+// compareGolden compares a transcript with a golden file, or rewrites the file with
+// -update.
+func compareGolden(t *testing.T, path string, have []byte) {
 	t.Helper()
 	if *update {
 		is.New(t).NoErr(os.WriteFile(path, have, 0o644))
@@ -286,7 +288,8 @@
 	}
 }
 
-// Whatever stands in a log file, reading goes on.
+// FuzzParseLogLine guards against log lines that stop the reading of a file or are
+// accepted without an event.
 func FuzzParseLogLine(f *testing.F) {
 	f.Add(`time=2026-12-03T10:00:00Z event=served error="a \"b\" c" took=1.5`)
 	f.Add(`event="cut`)
@@ -294,7 +297,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		line, ok := logline.Parse(text)
 		if ok && line.Pairs["event"] == "" {
-			t.Error("a line without an event")
+			t.Error("want lines without an event rejected")
 		}
 		newTally().add(line)
 	})
--- a/peridotctl/status.go
+++ b/peridotctl/status.go
@@ -18,7 +18,7 @@
 	return &command{
 		console: console, name: "status", synopsis: "prints what an instance is doing", usage: statusUsage,
 		run: func(ctx context.Context, args []string) error {
-			return view(ctx, console, args, pb.Operator.Status, &pb.StatusRequest{}, statusTable)
+			return callAndShow(ctx, console, args, pb.Operator.Status, &pb.StatusRequest{}, statusTable)
 		},
 	}
 }
--- a/peridotctl/trace.go
+++ b/peridotctl/trace.go
@@ -17,10 +17,10 @@
 
 `
 
-// traceKeys are shown first, in this order; the others follow by name.
+// traceKeys are printed first, in this order; other keys follow sorted by name.
 var traceKeys = []string{"event", "result", "outcome", "endpoint", "helpers", "tries", "sent", "took", "waited", "predicted", "first_event", "error"}
 
-// traceHidden are the same on each line, or say nothing of the request.
+// traceHidden are keys that are identical on every line or unrelated to the request.
 var traceHidden = []string{"time", "level", "instance", "request", "code"}
 
 func trace(console *console) *command {
--- a/peridotctl/watch.go
+++ b/peridotctl/watch.go
@@ -18,7 +18,8 @@
 
 const (
 	defaultInterval = 2 * time.Second
-	// clearScreen puts the cursor in the corner and clears what follows.
+	// clearScreen is the ANSI sequence that moves the cursor home and clears the
+	// screen below it.
 	clearScreen = "\x1b[H\x1b[J"
 )
 
@@ -41,18 +42,18 @@
 				if round == count || ctx.Err() != nil {
 					return nil
 				}
-				console.pause(ctx, interval)
+				console.sleep(ctx, interval)
 			}
 		},
 	}
 }
 
 func (console *console) watchOnce(ctx context.Context) error {
-	status, err := ask(ctx, console, pb.Operator.Status, &pb.StatusRequest{})
+	status, err := callAny(ctx, console, pb.Operator.Status, &pb.StatusRequest{})
 	if err != nil {
 		return err
 	}
-	list, err := ask(ctx, console, pb.Operator.ListEndpoints, &pb.ListEndpointsRequest{})
+	list, err := callAny(ctx, console, pb.Operator.ListEndpoints, &pb.ListEndpointsRequest{})
 	if err != nil {
 		return err
 	}
--- a/peridotctl/why.go
+++ b/peridotctl/why.go
@@ -22,30 +22,31 @@
 
 `
 
-// defaultTop is how many rows of each table are shown.
+// defaultTop is the default number of rows per table.
 const defaultTop = 5
 
-// tally counts what a log says.
+// tally counts requests and failures in logs.
 type tally struct {
 	requests, failed int
-	// results counts failed requests by result, outcomes failed attempts by how
-	// they ended, the others failed requests by what they are named after.
+	// results counts failed requests by result and outcomes counts failed attempts
+	// by outcome. The others count failed requests by the named attribute.
 	results, outcomes, kinds, seconds, routes, customers map[string]int
-	// endpoints counts failed attempts, contents the requests that ran where an endpoint
-	// ended.
-	endpoints, contents map[string]int
-	changes             map[string]int
+	// endpoints counts failed attempts by endpoint. crashContents counts, by content
+	// hash, the requests that ran on an endpoint when its process terminated.
+	endpoints, crashContents map[string]int
+	otherEvents              map[string]int
 }
 
 func newTally() *tally {
 	return &tally{
 		results: map[string]int{}, outcomes: map[string]int{}, kinds: map[string]int{}, seconds: map[string]int{}, routes: map[string]int{},
-		customers: map[string]int{}, endpoints: map[string]int{}, contents: map[string]int{},
-		changes: map[string]int{},
+		customers: map[string]int{}, endpoints: map[string]int{}, crashContents: map[string]int{},
+		otherEvents: map[string]int{},
 	}
 }
 
-// callerGone is a result that is nobody's failure here.
+// callerGone is the result of a request whose caller disconnected. It does not count
+// as a failure.
 const callerGone = "caller_gone"
 
 func (tally *tally) add(line logline.Line) {
@@ -59,29 +60,29 @@
 		}
 		tally.failed++
 		tally.results[line.Pairs["result"]]++
-		tally.seconds[second(line.Pairs["time"])]++
-		note(tally.kinds, strings.TrimSpace(line.Pairs["kind"]+" "+line.Pairs["length"]))
-		note(tally.routes, line.Pairs["route"])
-		note(tally.customers, line.Pairs["customer"])
+		tally.seconds[truncateToSecond(line.Pairs["time"])]++
+		countName(tally.kinds, strings.TrimSpace(line.Pairs["kind"]+" "+line.Pairs["length"]))
+		countName(tally.routes, line.Pairs["route"])
+		countName(tally.customers, line.Pairs["customer"])
 	case "attempt_failed":
 		tally.outcomes[line.Pairs["outcome"]]++
-		note(tally.endpoints, line.Pairs["endpoint"])
+		countName(tally.endpoints, line.Pairs["endpoint"])
 		if line.Pairs["endpoint_gone"] == "true" {
-			note(tally.contents, line.Pairs["content"])
+			countName(tally.crashContents, line.Pairs["content"])
 		}
 	default:
-		tally.changes[line.Pairs["event"]]++
+		tally.otherEvents[line.Pairs["event"]]++
 	}
 }
 
-func note(counts map[string]int, name string) {
+func countName(counts map[string]int, name string) {
 	if name != "" {
 		counts[name]++
 	}
 }
 
-// second cuts a time to its second.
-func second(time string) string {
+// truncateToSecond removes the fraction of a second from a formatted time.
+func truncateToSecond(time string) string {
 	const length = len("2006-01-02T15:04:05")
 	if len(time) < length {
 		return time
@@ -89,7 +90,7 @@
 	return time[:length]
 }
 
-func why(console *console) *command {
+func whyCommand(console *console) *command {
 	top := defaultTop
 	return &command{
 		console: console, name: "why", synopsis: "counts the failures in log files by cause", usage: whyUsage,
@@ -117,14 +118,14 @@
 	}{
 		{"result", tally.results}, {"failed attempt", tally.outcomes}, {"kind", tally.kinds}, {"second", tally.seconds}, {"route", tally.routes},
 		{"customer", tally.customers}, {"endpoint of failed attempts", tally.endpoints},
-		{"content where an endpoint ended", tally.contents}, {"change of belief", tally.changes},
+		{"content where an endpoint ended", tally.crashContents}, {"change of belief", tally.otherEvents},
 	}
 	for _, table := range tables {
 		writeCounts(out, table.title, table.counts, top)
 	}
 }
 
-// writeCounts writes the largest counts, ties by name.
+// writeCounts writes the largest counts, with ties ordered by name.
 func writeCounts(out io.Writer, title string, counts map[string]int, top int) {
 	names := slices.SortedFunc(maps.Keys(counts), func(a, b string) int {
 		return cmp.Or(cmp.Compare(counts[b], counts[a]), cmp.Compare(a, b))
@@ -140,6 +141,6 @@
 	if len(names) > top {
 		fmt.Fprintf(table, "(%d more)\t\n", len(names)-top)
 	}
-	// The console's writes do not fail.
+	// Write errors of the console are ignored.
 	_ = table.Flush()
 }
