--- a/peridotpath/operator/server.go
+++ b/peridotpath/operator/server.go
@@ -1,5 +1,9 @@
-// Package operator serves the operators' interface of an instance. The messages
-// and the client are in operatorpb; peridotctl is their user.
+// Package operator serves the administrative API of an instance.
+//
+// Operators read and change the configuration through it, with optimistic
+// concurrency control by item revision, and inspect endpoints, instances, status
+// and placement decisions. It is a Twirp service: the messages and the client,
+// which peridotctl uses, are in operatorpb.
 package operator
 
 import (
@@ -17,41 +21,42 @@
 	pb "peridotpath.example/peridotpath/operator/operatorpb"
 )
 
-// Server answers operators. Set the exported fields before Handler.
+// Server implements the administrative API. Set the exported fields before calling
+// Handler.
 type Server struct {
 	Config *config.Store
 	Log    zerolog.Logger
-	// Applied returns the revision of a document on each live instance, with an
-	// entry also for those that gave no answer.
+	// Applied returns the revision of a document on each live instance, including an
+	// entry for each instance that did not respond.
 	Applied func(ctx context.Context, document config.DocumentName) ([]*pb.InstanceRevision, error)
-	// Endpoints returns the endpoints with their load. The server fills in what
-	// operators drained.
+	// Endpoints returns the endpoints with their load. The server adds whether
+	// operators have drained them.
 	Endpoints func(ctx context.Context) ([]*pb.Endpoint, error)
 	// Instances returns the instances on the membership list.
 	Instances func(ctx context.Context) ([]*pb.Instance, error)
-	// Status returns what this instance is doing.
+	// Status returns the state and load of this instance.
 	Status func(ctx context.Context) (*pb.StatusResponse, error)
-	// Explain returns what would become of a request now.
+	// Explain returns the placement decision that a request would get now.
 	Explain func(ctx context.Context, request *pb.ExplainRequest) (*pb.ExplainResponse, error)
 }
 
 const (
-	// changeTimeout bounds one change. It leaves the platform several tries
-	// when it takes 2 s an answer.
+	// changeTimeout bounds one change. It allows several attempts at the platform
+	// when each response takes 2 s.
 	changeTimeout = 15 * time.Second
-	// historyLimit bounds one answer about history.
-	historyLimit = 1_000
+	// maxHistoryEvents bounds one response about history.
+	maxHistoryEvents = 1_000
 )
 
-// Handler returns the service for a server's PathPrefix.
+// Handler returns the HTTP handler to be served under PathPrefix.
 func (server *Server) Handler() http.Handler {
 	return pb.NewOperatorServer(service{server})
 }
 
-// PathPrefix is where Handler is to be served.
+// PathPrefix is the URL path prefix under which Handler must be served.
 const PathPrefix = pb.OperatorPathPrefix
 
-// service keeps the rpc methods apart from the Server's fields of the same names.
+// service implements the RPC methods, whose names collide with fields of Server.
 type service struct{ server *Server }
 
 // ListItems returns the items of one kind.
@@ -66,7 +71,7 @@
 	}
 	response := &pb.ListItemsResponse{}
 	for _, item := range items {
-		response.Items = append(response.Items, itemOf(request.Kind, item))
+		response.Items = append(response.Items, itemToProto(request.Kind, item))
 	}
 	return response, nil
 }
@@ -84,14 +89,14 @@
 	if item == nil {
 		return nil, twirp.NotFoundError(request.Kind + " " + request.Name + " does not exist")
 	}
-	return itemOf(request.Kind, *item), nil
+	return itemToProto(request.Kind, *item), nil
 }
 
-// Change puts or deletes one item.
+// Change creates, replaces or deletes one item.
 func (service service) Change(ctx context.Context, request *pb.ChangeRequest) (*pb.ChangeResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, changeTimeout)
 	defer cancel()
-	accepted, err := service.server.Config.Change(ctx, changeOf(request))
+	accepted, err := service.server.Config.Change(ctx, changeFromProto(request))
 	response := responseOf(accepted, err)
 	service.server.Log.Info().Str("event", "config_change").Str("change_id", request.ChangeId).
 		Str("who", request.Who).Str("kind", request.Kind).Str("name", request.Name).
@@ -105,7 +110,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if request.Limit < 1 || request.Limit > historyLimit {
+	if request.Limit < 1 || request.Limit > maxHistoryEvents {
 		return nil, twirp.InvalidArgumentError("limit", "must be from 1 to 1000")
 	}
 	events, err := snapshot.History(int(request.Limit))
@@ -114,7 +119,7 @@
 	}
 	response := &pb.HistoryResponse{}
 	for i := range events {
-		response.Events = append(response.Events, eventOf(&events[i]))
+		response.Events = append(response.Events, eventToProto(&events[i]))
 	}
 	return response, nil
 }
@@ -127,7 +132,7 @@
 		return &pb.AppliedResponse{Instances: []*pb.InstanceRevision{{Revision: uint64(revision)}}}, nil
 	}
 	instances, err := service.server.Applied(ctx, document)
-	return &pb.AppliedResponse{Instances: instances}, unavailable(err)
+	return &pb.AppliedResponse{Instances: instances}, toTwirpError(err)
 }
 
 // ListEndpoints returns the endpoints with their load.
@@ -138,7 +143,7 @@
 	}
 	endpoints, err := service.server.Endpoints(ctx)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, toTwirpError(err)
 	}
 	for _, endpoint := range endpoints {
 		drain, drained := snapshot.Drains[peridotpath.EndpointID(endpoint.Id)]
@@ -150,16 +155,16 @@
 // ListInstances returns the instances on the membership list.
 func (service service) ListInstances(ctx context.Context, _ *pb.ListInstancesRequest) (*pb.ListInstancesResponse, error) {
 	instances, err := service.server.Instances(ctx)
-	return &pb.ListInstancesResponse{Instances: instances}, unavailable(err)
+	return &pb.ListInstancesResponse{Instances: instances}, toTwirpError(err)
 }
 
-// Status returns what the instance is doing.
+// Status returns the state and load of the instance.
 func (service service) Status(ctx context.Context, _ *pb.StatusRequest) (*pb.StatusResponse, error) {
 	status, err := service.server.Status(ctx)
-	return status, unavailable(err)
+	return status, toTwirpError(err)
 }
 
-// Explain returns what would become of a request now.
+// Explain returns the placement decision that a request would get now.
 func (service service) Explain(ctx context.Context, request *pb.ExplainRequest) (*pb.ExplainResponse, error) {
 	if request.PromptTokens < 1 || request.PromptTokens > int64(peridotpath.MaxPrompt) {
 		return nil, twirp.InvalidArgumentError("prompt_tokens", "must be from 1 to 1100000")
@@ -172,7 +177,7 @@
 		return nil, twirp.NotFoundError("profile " + request.Profile + " does not exist")
 	}
 	explanation, err := service.server.Explain(ctx, request)
-	return explanation, unavailable(err)
+	return explanation, toTwirpError(err)
 }
 
 func (service service) snapshot() (*config.Snapshot, error) {
@@ -183,9 +188,9 @@
 	return snapshot, nil
 }
 
-// unavailable makes a failure of the daemon's seams a twirp error that tells the
-// operator to ask another instance.
-func unavailable(err error) error {
+// toTwirpError returns err if it is a twirp error. It converts any other error to
+// twirp.Unavailable, on which peridotctl calls another instance.
+func toTwirpError(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -196,7 +201,7 @@
 	return twirp.NewError(twirp.Unavailable, err.Error())
 }
 
-func changeOf(request *pb.ChangeRequest) config.Change {
+func changeFromProto(request *pb.ChangeRequest) config.Change {
 	change := config.Change{
 		ID: config.ChangeID(request.ChangeId), Who: request.Who,
 		Kind: config.Kind(request.Kind), Name: request.Name,
@@ -211,7 +216,7 @@
 	return change
 }
 
-// responseOf sorts the outcome of a change into its typed form.
+// responseOf converts the result of a change to a typed outcome.
 func responseOf(accepted config.Accepted, err error) *pb.ChangeResponse {
 	var faults peridotpath.Faults
 	var conflict *config.Conflict
@@ -222,9 +227,9 @@
 			Document: string(accepted.Document), Revision: uint64(accepted.Revision),
 		}
 	case errors.As(err, &faults):
-		return &pb.ChangeResponse{Outcome: pb.Outcome_OUTCOME_FAULTS, Faults: faultsOf(faults)}
+		return &pb.ChangeResponse{Outcome: pb.Outcome_OUTCOME_FAULTS, Faults: faultsToProto(faults)}
 	case errors.As(err, &conflict):
-		return &pb.ChangeResponse{Outcome: pb.Outcome_OUTCOME_CONFLICT, Conflict: conflictOf(conflict)}
+		return &pb.ChangeResponse{Outcome: pb.Outcome_OUTCOME_CONFLICT, Conflict: conflictToProto(conflict)}
 	case config.ErrNotAccepted.Has(err):
 		return &pb.ChangeResponse{Outcome: pb.Outcome_OUTCOME_NOT_ACCEPTED, Reason: err.Error()}
 	default:
@@ -232,7 +237,7 @@
 	}
 }
 
-func faultsOf(faults peridotpath.Faults) []*pb.Fault {
+func faultsToProto(faults peridotpath.Faults) []*pb.Fault {
 	converted := make([]*pb.Fault, 0, len(faults))
 	for _, fault := range faults {
 		converted = append(converted, &pb.Fault{Path: fault.Path, Message: fault.Message})
@@ -240,14 +245,14 @@
 	return converted
 }
 
-func conflictOf(conflict *config.Conflict) *pb.Conflict {
+func conflictToProto(conflict *config.Conflict) *pb.Conflict {
 	return &pb.Conflict{
 		Base: uint64(conflict.Base), Current: uint64(conflict.Current),
-		Yours: string(conflict.Yours), Theirs: string(conflict.Theirs), Last: eventOf(conflict.Last),
+		Yours: string(conflict.Yours), Theirs: string(conflict.Theirs), Last: eventToProto(conflict.Last),
 	}
 }
 
-func eventOf(event *config.Event) *pb.Event {
+func eventToProto(event *config.Event) *pb.Event {
 	if event == nil {
 		return nil
 	}
@@ -257,6 +262,6 @@
 	}
 }
 
-func itemOf(kind string, item config.Item) *pb.Item {
+func itemToProto(kind string, item config.Item) *pb.Item {
 	return &pb.Item{Kind: kind, Name: item.Name, Revision: uint64(item.Revision), Value: string(item.Value)}
 }
--- a/peridotpath/operator/server_test.go
+++ b/peridotpath/operator/server_test.go
@@ -18,7 +18,8 @@
 	pb "peridotpath.example/peridotpath/operator/operatorpb"
 )
 
-// serve returns a client of a server over loopback, on a service with fault.
+// serve starts a server on loopback over an in-memory key-value service with the given
+// fault, and returns a client.
 func serve(t *testing.T, fault func(context.Context, string, string, bool) error) pb.Operator {
 	t.Helper()
 	store := &config.Store{KeyValue: (&memory.Memory{Fault: fault}).Store(), Log: zerolog.Nop()}
@@ -40,7 +41,7 @@
 	return pb.NewOperatorProtobufClient(listener.URL, http.DefaultClient)
 }
 
-func TestOutcomesOfAChange(t *testing.T) {
+func TestChangeOutcomes(t *testing.T) {
 	const good = `{"name": "p", "service": "s"}`
 	tests := []struct {
 		name    string
@@ -48,8 +49,8 @@
 		want    pb.Outcome
 	}{
 		{"accepted", &pb.ChangeRequest{ChangeId: "1", Value: good}, pb.Outcome_OUTCOME_ACCEPTED},
-		{"the same again", &pb.ChangeRequest{ChangeId: "1", Value: good}, pb.Outcome_OUTCOME_ACCEPTED},
-		{"seen nothing, but there is one", &pb.ChangeRequest{ChangeId: "2", Value: good}, pb.Outcome_OUTCOME_CONFLICT},
+		{"repeated with the same id", &pb.ChangeRequest{ChangeId: "1", Value: good}, pb.Outcome_OUTCOME_ACCEPTED},
+		{"based on no item, but one exists", &pb.ChangeRequest{ChangeId: "2", Value: good}, pb.Outcome_OUTCOME_CONFLICT},
 		{"forced", &pb.ChangeRequest{ChangeId: "3", Value: good, Force: true}, pb.Outcome_OUTCOME_ACCEPTED},
 		{"faults", &pb.ChangeRequest{ChangeId: "4", Value: `{"name": "p"}`, Base: 2}, pb.Outcome_OUTCOME_FAULTS},
 		{"no JSON", &pb.ChangeRequest{ChangeId: "5", Value: ``, Base: 2}, pb.Outcome_OUTCOME_FAULTS},
@@ -76,7 +77,8 @@
 	is.True(history.Events[0].Deleted)
 }
 
-// The platform is down: the operator hears that nothing changed.
+// While the platform is down, a change must return NOT_ACCEPTED: the operator then
+// knows that nothing changed.
 func TestChangeDuringOutage(t *testing.T) {
 	is := is.New(t)
 	client := serve(t, func(_ context.Context, call, _ string, _ bool) error {
@@ -90,7 +92,7 @@
 	is.Equal(response.Outcome, pb.Outcome_OUTCOME_NOT_ACCEPTED)
 }
 
-func TestDrainedEndpointIsListedSo(t *testing.T) {
+func TestListEndpointsMarksDrained(t *testing.T) {
 	is := is.New(t)
 	client := serve(t, nil)
 	_, err := client.Change(t.Context(), &pb.ChangeRequest{
@@ -104,7 +106,7 @@
 	is.Equal(list.Endpoints[1].Reason, "fan")
 }
 
-func TestRefusals(t *testing.T) {
+func TestErrorCodes(t *testing.T) {
 	is := is.New(t)
 	client := serve(t, nil)
 	_, err := client.GetItem(t.Context(), &pb.GetItemRequest{Kind: "profile", Name: "none"})
