--- a/peridotpath/config/change.go
+++ b/peridotpath/config/change.go
@@ -14,82 +14,81 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// ChangeID names one change of one operator. A repeat of the same change bears
-// the same id, so that it takes effect once.
+// ChangeID is the idempotency key of a change. A change that is repeated with the
+// same id takes effect once.
 type ChangeID string
 
-// AnyRevision as a Change's Base overwrites whatever is there.
+// AnyRevision as a Change's Base disables the conflict check.
 const AnyRevision = ^peridotpath.Revision(0)
 
-// Change puts or deletes one item.
+// Change creates, replaces or deletes one item.
 type Change struct {
 	ID   ChangeID
 	Who  string
 	Kind Kind
 	Name string
-	// Base is the item's revision that the operator saw, zero for "there is
-	// none", or AnyRevision.
+	// Base is the item revision that the change is based on: zero if the item must
+	// not exist, or AnyRevision.
 	Base peridotpath.Revision
 	// Value is the item as JSON; nil deletes it.
 	Value json.RawMessage
 }
 
-// Accepted says where an accepted change stands.
+// Accepted is the document and revision of an accepted change.
 type Accepted struct {
 	Document DocumentName
 	Revision peridotpath.Revision
 }
 
 var (
-	// ErrNotAccepted says that the change certainly did not take effect.
+	// ErrNotAccepted reports that the change certainly did not take effect.
 	ErrNotAccepted = errs.Class("config: not accepted")
-	// ErrUnknown says that the change may have taken effect. Sent again with
-	// the same id, it takes effect once.
+	// ErrUnknown reports that the change may have taken effect. It can be sent
+	// again with the same id and then takes effect once.
 	ErrUnknown = errs.Class("config: outcome unknown")
 )
 
-// Conflict says that the item is not what the operator saw.
+// Conflict reports that the item is not at the revision that the change is based on.
 type Conflict struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Base and Current are the revisions seen and found, zero for "no item".
+	// Base and Current are the expected and the actual revision; zero for no item.
 	Base    peridotpath.Revision `json:"base"`
 	Current peridotpath.Revision `json:"current"`
-	// Yours and Theirs are the texts, empty for a deletion.
+	// Yours and Theirs are the requested and the stored value; empty for a deletion.
 	Yours  json.RawMessage `json:"yours,omitempty"`
 	Theirs json.RawMessage `json:"theirs,omitempty"`
-	// Last is the change that was accepted first, if history still holds it.
+	// Last is the item's last accepted change, if history still holds it.
 	Last *Event `json:"last,omitempty"`
 }
 
-// Error returns both revisions.
+// Error returns a message with both revisions.
 func (conflict *Conflict) Error() string {
 	return fmt.Sprintf("config: conflict: %s %q is at revision %d, not %d",
 		conflict.Kind, conflict.Name, conflict.Current, conflict.Base)
 }
 
 const (
-	// historyLength bounds a document's history, and with it how many later
-	// changes of the document a change's read-back survives. With names at
-	// their longest it takes 13 kB of the document.
-	historyLength = 32
-	// maxDocument leaves room below the service's largest value.
-	maxDocument = keyvalue.MaxValue * 9 / 10
+	// maxHistoryEvents bounds a document's history, and thereby the number of later
+	// changes after which the outcome of a lost swap can still be determined. With
+	// names of maximum length the history takes 13 kB of the document.
+	maxHistoryEvents = 32
+	// maxDocumentBytes leaves a margin below the service's maximum value size.
+	maxDocumentBytes = keyvalue.MaxValue * 9 / 10
 )
 
-// Change checks a change and writes it with one compare-and-swap; accepted
-// means that this swap took effect. Errors hold peridotpath.Faults, a *Conflict
-// or the class ErrNotAccepted: all three certainly changed nothing; or the
-// class ErrUnknown.
+// Change validates a change and writes it with one compare-and-swap. It is accepted
+// if that swap took effect. An error is peridotpath.Faults, a *Conflict or of class
+// ErrNotAccepted, all of which mean that nothing changed, or of class ErrUnknown.
 //
-// The failure guarded against is a swap that takes effect though its answer is
-// lost: an operator told "failed" would change it again, or not know of it. The
-// swap is sent again on the same version until the service answers for sure.
-// It either takes effect now or conflicts, and then the document's history
-// tells whether the first one did.
+// A swap can take effect although its reply is lost. Reported as failed, it would
+// stay unnoticed or be made a second time. The swap is therefore repeated on the same
+// version until the service returns a definite result. The repetition either takes
+// effect or conflicts, and after a conflict the document's history shows whether the
+// first swap took effect.
 func (store *Store) Change(ctx context.Context, change Change) (Accepted, error) {
 	accepted, err := store.change(ctx, change)
-	metrics.GetOrCreateCounter(`peridotpath_config_changes_total{result="` + resultOf(err) + `"}`).Inc()
+	metrics.GetOrCreateCounter(`peridotpath_config_changes_total{result="` + resultLabel(err) + `"}`).Inc()
 	return accepted, err
 }
 
@@ -97,24 +96,24 @@
 	if store.Current() == nil {
 		return Accepted{}, ErrNotAccepted.New("this instance has no configuration yet")
 	}
-	if faults := change.check(); len(faults) > 0 {
+	if faults := change.validate(); len(faults) > 0 {
 		return Accepted{}, faults
 	}
 	writer := &writer{store: store, change: change, document: DocumentOf(change.Kind, change.Name)}
-	for backoff := backoffStart; ; backoff = min(2*backoff, backoffLimit) {
-		accepted, err := writer.try(ctx)
-		if err == nil || !errors.Is(err, errAgain) {
+	for backoff := minBackoff; ; backoff = min(2*backoff, maxBackoff) {
+		accepted, err := writer.attempt(ctx)
+		if err == nil || !errors.Is(err, errRetry) {
 			return accepted, err
 		}
-		store.pause(ctx, backoff)
+		store.sleepWithJitter(ctx, backoff)
 		if ctx.Err() != nil {
-			return Accepted{}, writer.giveUp(errs.Combine(ctx.Err(), writer.last))
+			return Accepted{}, writer.abortError(errs.Combine(ctx.Err(), writer.lastError))
 		}
 	}
 }
 
-// resultOf names an outcome for the counter.
-func resultOf(err error) string {
+// resultLabel returns the counter's label for an outcome.
+func resultLabel(err error) string {
 	var faults peridotpath.Faults
 	var conflict *Conflict
 	switch {
@@ -131,45 +130,46 @@
 	}
 }
 
-// errAgain says that nothing is decided yet.
-var errAgain = errs.New("config: again")
+// errRetry reports that the outcome of a change is not decided yet.
+var errRetry = errs.New("config: outcome undecided; retry")
 
-// writer carries one change through its attempts.
+// writer makes the attempts of one change.
 type writer struct {
 	store    *Store
 	change   Change
 	document DocumentName
-	// unsure is set while a swap on version, made at revision, may still take
-	// effect or have done so.
-	unsure   bool
-	last     error // of the service, for the operator who waited in vain
-	version  keyvalue.Version
-	revision peridotpath.Revision
+	// outcomeUnknown is set while a swap on swapVersion, made at swapRevision, may
+	// have taken effect or may still take effect.
+	outcomeUnknown bool
+	lastError      error // error of the service, reported on timeout
+	swapVersion    keyvalue.Version
+	swapRevision   peridotpath.Revision
 }
 
-// giveUp returns what is certain at the end of the operator's time.
-func (writer *writer) giveUp(err error) error {
-	if writer.unsure {
+// abortError returns the error with which to abort: ErrUnknown if a swap may have taken
+// effect, else ErrNotAccepted.
+func (writer *writer) abortError(err error) error {
+	if writer.outcomeUnknown {
 		return ErrUnknown.New("change %s of %s: %v", writer.change.ID, writer.document, err)
 	}
 	return ErrNotAccepted.Wrap(err)
 }
 
-// try reads the document, and decides or swaps once.
-func (writer *writer) try(ctx context.Context) (Accepted, error) {
+// attempt reads the document, and either determines the outcome or swaps once.
+func (writer *writer) attempt(ctx context.Context) (Accepted, error) {
 	entry, err := writer.store.KeyValue.Get(ctx, writer.document.key())
 	if err != nil {
-		return Accepted{}, writer.failed(err)
+		return Accepted{}, writer.classifyError(err)
 	}
-	text := writer.latest(entry.Value)
-	current, err := parse(text)
+	text := writer.newestText(entry.Value)
+	current, err := parseContent(text)
 	if err != nil {
-		return Accepted{}, writer.giveUp(err)
+		return Accepted{}, writer.abortError(err)
 	}
-	if done := current.event(writer.change.ID); done != nil {
-		return writer.accept(done.Revision, text), nil
+	if accepted := current.eventByID(writer.change.ID); accepted != nil {
+		return writer.accept(accepted.Revision, text), nil
 	}
-	if err := writer.settle(entry.Version, current.Revision); err != nil {
+	if err := writer.resolvePendingSwap(entry.Version, current.Revision); err != nil {
 		return Accepted{}, err
 	}
 	if err := writer.check(current); err != nil {
@@ -178,104 +178,105 @@
 	return writer.swap(ctx, entry.Version, current)
 }
 
-// latest returns the text to start from: what was read from the platform or, if
-// this instance has a higher revision in force, that one.
+// newestText returns the text to change: the one read from the platform or, if this
+// instance has a higher active revision, the active one.
 //
-// The platform holds the lower one after it was restored from an old copy. A
-// change made on it would be accepted under a revision that instances have seen
-// already and never come into force. Made on the higher one, it comes into force
-// and brings back what the copy lacked. A read that is merely late does no harm:
-// its version is no longer the document's, and the swap conflicts.
-func (writer *writer) latest(read []byte) []byte {
-	if read == nil {
-		read = []byte("{}")
+// The platform has the lower revision after it was restored from an old backup. A
+// change based on it would get a revision that instances have already seen, so they
+// would never apply it. A change based on the higher revision is applied, and
+// restores what the backup lacked. A stale read is harmless: its version is no longer
+// current, so the swap conflicts.
+func (writer *writer) newestText(stored []byte) []byte {
+	if stored == nil {
+		stored = []byte("{}")
 	}
-	held := writer.store.Current().documents[writer.document]
-	if held == nil {
-		return read
+	active := writer.store.Current().documents[writer.document]
+	if active == nil {
+		return stored
 	}
-	if current, err := parse(read); err != nil || current.Revision >= held.revision {
-		return read
+	if current, err := parseContent(stored); err != nil || current.Revision >= active.revision {
+		return stored
 	}
-	return held.text
+	return active.text
 }
 
-// failed sorts an error of the service. A call that never reached it is given
-// back at once, so that the operator can go to another instance.
-func (writer *writer) failed(err error) error {
-	writer.last = err
-	if writer.unsure || !keyvalue.ErrNotSent.Has(err) && !keyvalue.ErrInvalid.Has(err) {
-		return errAgain
+// classifyError returns errRetry or the final error for an error of the service. A
+// call that never reached the service fails at once, so that the operator can call
+// another instance.
+func (writer *writer) classifyError(err error) error {
+	writer.lastError = err
+	if writer.outcomeUnknown || !keyvalue.ErrNotSent.Has(err) && !keyvalue.ErrInvalid.Has(err) {
+		return errRetry
 	}
 	return ErrNotAccepted.Wrap(err)
 }
 
-// settle clears unsure when the document has moved on: a swap on the old version
-// can take effect no more, and had it done so, history would hold its id, unless
-// so many changes came after it that the id was dropped.
-func (writer *writer) settle(version keyvalue.Version, revision peridotpath.Revision) error {
-	if !writer.unsure || version == writer.version {
+// resolvePendingSwap clears outcomeUnknown if the document's version has changed. A
+// swap on the old version can then no longer take effect, and if it had, history
+// would hold its id, unless so many changes followed that the id was dropped.
+func (writer *writer) resolvePendingSwap(version keyvalue.Version, revision peridotpath.Revision) error {
+	if !writer.outcomeUnknown || version == writer.swapVersion {
 		return nil
 	}
-	if revision > writer.revision+historyLength {
+	if revision > writer.swapRevision+maxHistoryEvents {
 		return ErrUnknown.New("change %s of %s: history no longer reaches back", writer.change.ID, writer.document)
 	}
-	writer.unsure = false
+	writer.outcomeUnknown = false
 	return nil
 }
 
-// check compares with what the operator saw and with the rest of the
-// configuration. While a swap may still take effect nothing may be refused any
-// more as "not accepted", so it is sent again whatever has come up since.
+// check compares the change with its base revision and with other items. While an
+// earlier swap may still take effect, the change must not be refused as not accepted,
+// so the swap is repeated despite conflicts and clashes.
 func (writer *writer) check(current *content) error {
-	if err := writer.change.conflict(current); err != nil && !writer.unsure {
+	if err := writer.change.conflict(current); err != nil && !writer.outcomeUnknown {
 		return err
 	}
 	faults, err := writer.change.clashes(current, writer.store.Current())
 	if err != nil {
-		return writer.giveUp(err)
+		return writer.abortError(err)
 	}
-	if len(faults) > 0 && !writer.unsure {
+	if len(faults) > 0 && !writer.outcomeUnknown {
 		return faults
 	}
 	return nil
 }
 
-// swap writes the changed document on the version that was read.
+// swap writes the changed document if its version is still the one that was read.
 func (writer *writer) swap(ctx context.Context, version keyvalue.Version, current *content) (Accepted, error) {
-	before := current.Revision
-	current.apply(writer.change, writer.store.now())
+	baseRevision := current.Revision
+	current.applyChange(writer.change, writer.store.now())
 	text, err := json.Marshal(current)
 	if err != nil {
-		return Accepted{}, writer.giveUp(err)
+		return Accepted{}, writer.abortError(err)
 	}
-	if len(text) > maxDocument {
-		return Accepted{}, writer.giveUp(Error.New("document %s is full: %d of %d bytes", writer.document, len(text), maxDocument))
+	if len(text) > maxDocumentBytes {
+		return Accepted{}, writer.abortError(Error.New("document %s is full: %d of %d bytes", writer.document, len(text), maxDocumentBytes))
 	}
 	_, err = writer.store.KeyValue.Swap(ctx, writer.document.key(), version, text, keyvalue.LeaseID{})
 	switch {
 	case err == nil:
 		return writer.accept(current.Revision, text), nil
 	case keyvalue.ErrConflict.Has(err):
-		return Accepted{}, errAgain
+		return Accepted{}, errRetry
 	case keyvalue.ErrNotSent.Has(err), keyvalue.ErrInvalid.Has(err):
-		return Accepted{}, writer.failed(err)
+		return Accepted{}, writer.classifyError(err)
 	}
-	writer.unsure, writer.version, writer.revision = true, version, before
-	return Accepted{}, writer.failed(err)
+	writer.outcomeUnknown, writer.swapVersion, writer.swapRevision = true, version, baseRevision
+	return Accepted{}, writer.classifyError(err)
 }
 
-// accept puts the change in force on this instance, which spreads it without
-// waiting for a watch, and so that its operator sees it here at once.
+// accept applies the change on this instance at once. The operator can read it here
+// immediately, and it propagates to followers without waiting for a watch.
 func (writer *writer) accept(revision peridotpath.Revision, text []byte) Accepted {
-	writer.store.take([]Document{{Name: writer.document, Text: text}})
+	writer.store.applyDocuments([]Document{{Name: writer.document, Text: text}})
 	return Accepted{Document: writer.document, Revision: revision}
 }
 
-// apply makes the change in a document's content.
-func (content *content) apply(change Change, now time.Time) {
-	// Accepting instances' clocks differ, and steps happen: within a document,
-	// times follow the order in which changes were accepted.
+// applyChange applies a change to the content and records it in the history.
+func (content *content) applyChange(change Change, now time.Time) {
+	// The clocks of instances differ and can step back. Timestamps are kept
+	// monotonic within a document, in the order of acceptance.
 	if last := len(content.History) - 1; last >= 0 && content.History[last].When.After(now) {
 		now = content.History[last].When
 	}
@@ -285,11 +286,11 @@
 		Revision: content.Revision, ID: change.ID, Who: change.Who, When: now.UTC(),
 		Kind: change.Kind, Name: change.Name, Deleted: change.Value == nil,
 	})
-	content.History = content.History[max(0, len(content.History)-historyLength):]
+	content.History = content.History[max(0, len(content.History)-maxHistoryEvents):]
 }
 
-// event returns the accepted change with that id, or nil.
-func (content *content) event(id ChangeID) *Event {
+// eventByID returns the accepted change with that id, or nil.
+func (content *content) eventByID(id ChangeID) *Event {
 	for i := range content.History {
 		if content.History[i].ID == id {
 			return &content.History[i]
@@ -298,8 +299,8 @@
 	return nil
 }
 
-// last returns the latest change of an item, or nil.
-func (content *content) last(name string) *Event {
+// lastEvent returns the latest change of an item, or nil.
+func (content *content) lastEvent(name string) *Event {
 	for i := len(content.History) - 1; i >= 0; i-- {
 		if content.History[i].Name == name {
 			return &content.History[i]
--- a/peridotpath/config/change_test.go
+++ b/peridotpath/config/change_test.go
@@ -18,7 +18,7 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-func TestFaultsOfAChange(t *testing.T) {
+func TestChangeFaults(t *testing.T) {
 	tests := []struct {
 		name   string
 		change config.Change
@@ -38,52 +38,53 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			inFleet(t, 1, 1, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+			withFleet(t, 1, 1, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 				store := fleet.instances[0].store()
 				for _, change := range []config.Change{putProfile("1", "counter", 0, 100), putCustomer("2", "a", "key-a")} {
-					_, err := store.Change(soon(t), change)
+					_, err := store.Change(changeContext(t), change)
 					is.NoErr(err)
 				}
 				is.True(config.DocumentOf(config.KindCustomer, "a") != config.DocumentOf(config.KindCustomer, "b"))
-				_, err := store.Change(soon(t), test.change)
+				_, err := store.Change(changeContext(t), test.change)
 				var faults peridotpath.Faults
 				is.True(errors.As(err, &faults))
 				is.Equal(faults.Error(), test.want)
-				is.Equal(fleet.memory.Calls()["swap"], 2) // a faulty change was written
+				is.Equal(fleet.memory.Calls()["swap"], 2) // a swap was made for an invalid change
 			})
 		})
 	}
 }
 
-// Two operators open the same profile, and both save within the same moment at
-// different instances. Without a check the second would undo the first without
-// either of them noticing. The loser sees both texts and who was first.
-func TestRacingOperators(t *testing.T) {
-	inFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
-		_, err := fleet.instances[0].store().Change(soon(t), putProfile("first", "counter", 0, 100))
+// Two operators change the same revision of a profile concurrently on different
+// instances. Without optimistic concurrency control the second change would silently
+// overwrite the first (lost update). One must be rejected with a conflict that holds
+// both values and the accepted change.
+func TestConcurrentChangesConflict(t *testing.T) {
+	withFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+		_, err := fleet.instances[0].store().Change(changeContext(t), putProfile("first", "counter", 0, 100))
 		is.NoErr(err)
 		changes := []config.Change{putProfile("a", "counter", 1, 200), putProfile("b", "counter", 1, 300)}
-		failures := race(t, fleet, changes)
-		loser := 0
+		failures := changeConcurrently(t, fleet, changes)
+		rejected := 0
 		if failures[0] == nil {
-			loser = 1
+			rejected = 1
 		}
 		var conflict *config.Conflict
-		is.True(errors.As(failures[loser], &conflict)) // the loser was not told
-		is.NoErr(failures[1-loser])
+		is.True(errors.As(failures[rejected], &conflict)) // the rejected change did not return a conflict
+		is.NoErr(failures[1-rejected])
 		is.Equal(conflict.Base, peridotpath.Revision(1))
 		is.Equal(conflict.Current, peridotpath.Revision(2))
-		is.Equal(conflict.Last.ID, changes[1-loser].ID)
+		is.Equal(conflict.Last.ID, changes[1-rejected].ID)
 		deadlines := []string{`"deadline_ms":200`, `"deadline_ms":300`}
-		is.True(strings.Contains(string(conflict.Yours), deadlines[loser]))
-		is.True(strings.Contains(string(conflict.Theirs), deadlines[1-loser]))
+		is.True(strings.Contains(string(conflict.Yours), deadlines[rejected]))
+		is.True(strings.Contains(string(conflict.Theirs), deadlines[1-rejected]))
 	})
 }
 
-// race sends each change through another instance at the same moment.
-func race(t *testing.T, fleet *fleet, changes []config.Change) []error {
+// changeConcurrently makes each change on its own instance, all at the same time.
+func changeConcurrently(t *testing.T, fleet *fleet, changes []config.Change) []error {
 	t.Helper()
-	ctx := soon(t)
+	ctx := changeContext(t)
 	failures := make([]error, len(changes))
 	var group sync.WaitGroup
 	for i, change := range changes {
@@ -93,11 +94,12 @@
 	return failures
 }
 
-// Two operators change different profiles of one document. Both swaps expect the
-// same version, so one of them fails; that is no conflict between the operators.
-func TestRaceForOneDocumentIsNoConflict(t *testing.T) {
-	inFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
-		failures := race(t, fleet, []config.Change{putProfile("a", "counter", 0, 200), putProfile("b", "dossier", 0, 300)})
+// Two operators concurrently change different profiles of one document. Both swaps
+// expect the same version, so one of them fails. It must be retried, not reported as a
+// conflict.
+func TestConcurrentChangesOfDifferentItems(t *testing.T) {
+	withFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+		failures := changeConcurrently(t, fleet, []config.Change{putProfile("a", "counter", 0, 200), putProfile("b", "dossier", 0, 300)})
 		is.NoErr(errors.Join(failures...))
 		time.Sleep(time.Second)
 		for _, instance := range fleet.instances {
@@ -107,41 +109,41 @@
 	})
 }
 
-// An operator's change takes effect, but the answer is lost on its way, and in
-// one case another operator's change comes in before the read-back. Told
-// "failed", the operator would repeat or work around a change that is in force.
-func TestLostAnswer(t *testing.T) {
+// The call or the reply of a swap is lost, in some cases followed by another
+// operator's change. Reported as failed, a change that is active would be made again.
+// It must be accepted and take effect exactly once.
+func TestLostSwapReply(t *testing.T) {
 	tests := []struct {
-		name    string
-		applied bool // the fault comes after the write took effect
-		rival   bool
-		want    peridotpath.Revision
+		name       string
+		applied    bool // the fault occurs after the write took effect
+		concurrent bool
+		want       peridotpath.Revision
 	}{
 		{"answer lost", true, false, 1},
 		{"call lost", false, false, 1},
-		{"answer lost, then a rival", true, true, 1},
-		{"call lost, then a rival", false, true, 2},
+		{"answer lost, then another change", true, true, 1},
+		{"call lost, then another change", false, true, 2},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			var lost atomic.Bool
-			loseOne := func(_ *fleet, call, _ string, applied bool) error {
+			loseOneSwap := func(_ *fleet, call, _ string, applied bool) error {
 				if call != "swap" || applied != test.applied || lost.Swap(true) {
 					return nil
 				}
 				return keyvalue.ErrUnavailable.New("the answer was lost")
 			}
-			inFleet(t, 2, 2, loseOne, func(t *testing.T, is *is.I, fleet *fleet) {
-				if test.rival {
+			withFleet(t, 2, 2, loseOneSwap, func(t *testing.T, is *is.I, fleet *fleet) {
+				if test.concurrent {
 					go func() {
 						time.Sleep(10 * hop)
-						_, err := fleet.instances[1].store().Change(soon(t), putProfile("rival", "dossier", 0, 300))
+						_, err := fleet.instances[1].store().Change(changeContext(t), putProfile("rival", "dossier", 0, 300))
 						if err != nil {
 							t.Error(err)
 						}
 					}()
 				}
-				accepted, err := fleet.instances[0].store().Change(soon(t), putProfile("mine", "counter", 0, 200))
+				accepted, err := fleet.instances[0].store().Change(changeContext(t), putProfile("mine", "counter", 0, 200))
 				is.NoErr(err)
 				is.Equal(accepted.Revision, test.want)
 				time.Sleep(time.Second)
@@ -159,36 +161,36 @@
 	}
 }
 
-// The answer is lost and the platform goes away before it can be read back. The
-// operator must not be told "not accepted"; the same change, sent again through
-// another instance when the platform is back, takes effect once.
-func TestLostAnswerThenOutage(t *testing.T) {
+// A swap's reply is lost and the platform goes down before the document can be read
+// again. The outcome must be unknown, not "not accepted". The same change, repeated on
+// another instance after the outage, must take effect once.
+func TestLostSwapReplyThenOutage(t *testing.T) {
 	var lost atomic.Bool
-	loseOneAndGoDown := func(fleet *fleet, call, _ string, applied bool) error {
+	loseReplyAndGoDown := func(fleet *fleet, call, _ string, applied bool) error {
 		if call == "swap" && applied && !lost.Swap(true) {
-			fleet.down.Store(true)
+			fleet.platformDown.Store(true)
 			return keyvalue.ErrUnavailable.New("the answer was lost")
 		}
 		return nil
 	}
-	inFleet(t, 2, 2, loseOneAndGoDown, func(t *testing.T, is *is.I, fleet *fleet) {
+	withFleet(t, 2, 2, loseReplyAndGoDown, func(t *testing.T, is *is.I, fleet *fleet) {
 		change := putProfile("mine", "counter", 0, 200)
-		_, err := fleet.instances[0].store().Change(soon(t), change)
-		is.True(config.ErrUnknown.Has(err)) // the operator was told something certain
-		_, err = fleet.instances[1].store().Change(soon(t), putProfile("other", "dossier", 0, 300))
+		_, err := fleet.instances[0].store().Change(changeContext(t), change)
+		is.True(config.ErrUnknown.Has(err)) // a definite outcome was reported
+		_, err = fleet.instances[1].store().Change(changeContext(t), putProfile("other", "dossier", 0, 300))
 		is.True(config.ErrNotAccepted.Has(err))
-		fleet.down.Store(false)
-		accepted, err := fleet.instances[1].store().Change(soon(t), change)
+		fleet.platformDown.Store(false)
+		accepted, err := fleet.instances[1].store().Change(changeContext(t), change)
 		is.NoErr(err)
 		is.Equal(accepted.Revision, peridotpath.Revision(1))
 	})
 }
 
-// A change's call is lost, and so many changes of the document follow that its
-// history no longer tells whether it took effect. Nothing certain may be said.
-func TestHistoryNoLongerReachesBack(t *testing.T) {
+// A swap's call is lost, and so many changes of the document follow that its history
+// no longer shows whether the swap took effect. The outcome must be unknown.
+func TestOutcomeUnknownAfterHistoryOverflow(t *testing.T) {
 	var lost atomic.Bool
-	loseOneAndGoOn := func(fleet *fleet, call, _ string, applied bool) error {
+	loseCallThenChangeOften := func(fleet *fleet, call, _ string, applied bool) error {
 		if call != "swap" || applied || lost.Swap(true) {
 			return nil
 		}
@@ -200,31 +202,32 @@
 		}
 		return keyvalue.ErrUnavailable.New("the call was lost")
 	}
-	inFleet(t, 2, 2, loseOneAndGoOn, func(t *testing.T, is *is.I, fleet *fleet) {
-		_, err := fleet.instances[0].store().Change(soon(t), putProfile("mine", "counter", 0, 200))
+	withFleet(t, 2, 2, loseCallThenChangeOften, func(t *testing.T, is *is.I, fleet *fleet) {
+		_, err := fleet.instances[0].store().Change(changeContext(t), putProfile("mine", "counter", 0, 200))
 		is.True(config.ErrUnknown.Has(err))
 	})
 }
 
-// The platform's service is restored from a copy that lacks the last changes.
-// Instances keep them in force; the next change has to bring them back there,
-// or it would be accepted under a revision that no instance applies again.
-func TestRestoredPlatform(t *testing.T) {
-	inFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+// The key-value service is restored from a backup that lacks the last changes, which
+// stay active on the instances. The next change must be based on them and restore
+// them; otherwise it would get a revision that instances have already seen and would
+// never be applied.
+func TestPlatformRestoredFromBackup(t *testing.T) {
+	withFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		fleet.instances[0].mustChange(t, putProfile("1", "counter", 0, 100))
-		copied, err := fleet.platform.Get(t.Context(), "config/profiles")
+		backup, err := fleet.platform.Get(t.Context(), "config/profiles")
 		is.NoErr(err)
 		fleet.instances[0].mustChange(t, putProfile("2", "dossier", 0, 200))
 		fleet.instances[0].mustChange(t, putProfile("3", "folio", 0, 300))
 		time.Sleep(time.Second)
 		entry, err := fleet.platform.Get(t.Context(), "config/profiles")
 		is.NoErr(err)
-		_, err = fleet.platform.Swap(t.Context(), "config/profiles", entry.Version, copied.Value, keyvalue.LeaseID{})
+		_, err = fleet.platform.Swap(t.Context(), "config/profiles", entry.Version, backup.Value, keyvalue.LeaseID{})
 		is.NoErr(err)
 		time.Sleep(time.Minute)
 		restarted := fleet.instances[0]
 		restarted.restart(t)
-		is.Equal(restarted.revision(), peridotpath.Revision(3)) // the old copy came into force
+		is.Equal(restarted.revision(), peridotpath.Revision(3)) // the restored backup became active
 		is.Equal(fleet.instances[1].mustChange(t, putProfile("4", "page", 0, 400)), peridotpath.Revision(4))
 		time.Sleep(time.Second)
 		for _, instance := range fleet.instances {
@@ -233,18 +236,18 @@
 	})
 }
 
-// Two operators give one API key to two customers of different documents at the
-// same moment; one compare-and-swap can't prevent it. Every instance must give
-// the key to the same customer, in whatever order the documents came.
-func TestOneKeyInTwoDocuments(t *testing.T) {
-	inFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
-		failures := race(t, fleet, []config.Change{putCustomer("1", "b", "same"), putCustomer("2", "a", "same")})
+// Two operators concurrently assign one API key to customers of different documents,
+// which compare-and-swap on one document cannot prevent. Every instance must resolve
+// the key to the same customer, whatever the order in which it got the documents.
+func TestSameKeyInTwoDocuments(t *testing.T) {
+	withFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+		failures := changeConcurrently(t, fleet, []config.Change{putCustomer("1", "b", "same"), putCustomer("2", "a", "same")})
 		is.NoErr(errors.Join(failures...))
 		time.Sleep(time.Second)
 		for _, instance := range fleet.instances {
 			is.Equal(instance.store().Current().Config.CustomerByKey("same").ID, peridotpath.CustomerID("a"))
 		}
-		_, err := fleet.instances[0].store().Change(soon(t), config.Change{ID: "3", Who: "nimal", Kind: config.KindCustomer, Name: "a", Base: 1})
+		_, err := fleet.instances[0].store().Change(changeContext(t), config.Change{ID: "3", Who: "nimal", Kind: config.KindCustomer, Name: "a", Base: 1})
 		is.NoErr(err)
 		time.Sleep(time.Second)
 		for _, instance := range fleet.instances {
@@ -254,12 +257,12 @@
 }
 
 func TestHistoryIsBounded(t *testing.T) {
-	inFleet(t, 1, 1, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+	withFleet(t, 1, 1, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		store := fleet.instances[0].store()
 		for i := range 100 {
 			change := putProfile(strings.Repeat("i", 60)+string(rune('0'+i/10))+string(rune('0'+i%10)), "counter", config.AnyRevision, 200)
 			change.Who = strings.Repeat("w", 64)
-			_, err := store.Change(soon(t), change)
+			_, err := store.Change(changeContext(t), change)
 			is.NoErr(err)
 		}
 		events, err := store.Current().History(1_000)
--- a/peridotpath/config/check.go
+++ b/peridotpath/config/check.go
@@ -9,16 +9,16 @@
 	"peridotpath.example/peridotpath/strictjson"
 )
 
-// maxLabel bounds change ids, operators' names and reasons, which are kept in
-// each document's history.
-const maxLabel = 64
+// maxLabelBytes bounds change ids and operators' names, which each document's history
+// keeps, and reasons of drains.
+const maxLabelBytes = 64
 
-// check returns the faults of the change by itself and, where there are none,
-// leaves its value in the form that is stored: with all defaults.
-func (change *Change) check() peridotpath.Faults {
+// validate returns the faults of the change, without regard to other items. If there
+// are none it replaces the value by its stored form, with all defaults filled in.
+func (change *Change) validate() peridotpath.Faults {
 	var faults peridotpath.Faults
-	checkLabel(&faults, "change_id", string(change.ID))
-	checkLabel(&faults, "who", change.Who)
+	validateLabel(&faults, "change_id", string(change.ID))
+	validateLabel(&faults, "who", change.Who)
 	peridotpath.CheckName(&faults, "name", change.Name)
 	switch change.Kind {
 	case KindProfile, KindCustomer, KindDrain:
@@ -27,14 +27,14 @@
 		return faults
 	}
 	if change.Value != nil {
-		faults = append(faults, change.checkValue()...)
+		faults = append(faults, change.validateValue()...)
 	}
 	return faults
 }
 
-func checkLabel(faults *peridotpath.Faults, path, label string) {
-	if label == "" || len(label) > maxLabel {
-		faults.Add(path, "has %d bytes, must have from 1 to %d", len(label), maxLabel)
+func validateLabel(faults *peridotpath.Faults, path, label string) {
+	if label == "" || len(label) > maxLabelBytes {
+		faults.Add(path, "has %d bytes, must have from 1 to %d", len(label), maxLabelBytes)
 	}
 	for _, r := range label {
 		if !unicode.IsPrint(r) {
@@ -44,22 +44,22 @@
 	}
 }
 
-func (change *Change) checkValue() peridotpath.Faults {
+func (change *Change) validateValue() peridotpath.Faults {
 	switch change.Kind {
 	case KindProfile:
 		profile, faults := DecodeProfile(change.Value)
-		return change.store(profile, string(profile.Name), faults)
+		return change.setStoredValue(profile, string(profile.Name), faults)
 	case KindCustomer:
 		customer, faults := DecodeCustomer(change.Value)
-		return change.store(customer, string(customer.ID), faults)
+		return change.setStoredValue(customer, string(customer.ID), faults)
 	default:
 		drain, faults := decodeDrain(change.Value)
-		return change.store(drain, string(drain.Endpoint), faults)
+		return change.setStoredValue(drain, string(drain.Endpoint), faults)
 	}
 }
 
-// store replaces the value by its stored form.
-func (change *Change) store(value any, name string, faults peridotpath.Faults) peridotpath.Faults {
+// setStoredValue replaces the value by its stored form, unless there are faults.
+func (change *Change) setStoredValue(value any, name string, faults peridotpath.Faults) peridotpath.Faults {
 	if len(faults) == 0 && name != change.Name {
 		faults.Add(string(change.Kind), "bears the name %q, the change is for %q", name, change.Name)
 	}
@@ -74,24 +74,24 @@
 	return faults
 }
 
-// DecodeProfile reads a profile as operators write it, with defaults filled in.
+// DecodeProfile decodes a profile strictly, fills in defaults and validates it.
 func DecodeProfile(text []byte) (*peridotpath.Profile, peridotpath.Faults) {
 	return decodeItem[peridotpath.Profile](text, KindProfile)
 }
 
-// DecodeCustomer reads a customer as operators write it, with defaults filled in.
+// DecodeCustomer decodes a customer strictly, fills in defaults and validates it.
 func DecodeCustomer(text []byte) (*peridotpath.Customer, peridotpath.Faults) {
 	return decodeItem[peridotpath.Customer](text, KindCustomer)
 }
 
-// checked is a domain type with defaults and bounds.
-type checked[T any] interface {
+// validated is a domain type with defaults and validation.
+type validated[T any] interface {
 	*T
 	Defaults()
 	Validate(prefix string) peridotpath.Faults
 }
 
-func decodeItem[T any, P checked[T]](text []byte, kind Kind) (*T, peridotpath.Faults) {
+func decodeItem[T any, P validated[T]](text []byte, kind Kind) (*T, peridotpath.Faults) {
 	item := P(new(T))
 	faults := decode(text, item, kind)
 	item.Defaults()
@@ -101,13 +101,13 @@
 func decodeDrain(text []byte) (*Drain, peridotpath.Faults) {
 	drain := &Drain{}
 	faults := decode(text, drain, KindDrain)
-	if len(drain.Reason) > maxLabel {
-		faults.Add("drain.reason", "has %d bytes, at most %d are allowed", len(drain.Reason), maxLabel)
+	if len(drain.Reason) > maxLabelBytes {
+		faults.Add("drain.reason", "has %d bytes, at most %d are allowed", len(drain.Reason), maxLabelBytes)
 	}
 	return drain, faults
 }
 
-// decode reads value strictly and gives the faults' paths under kind.
+// decode decodes value strictly and prefixes the faults' paths with kind.
 func decode(text []byte, value any, kind Kind) peridotpath.Faults {
 	faults := strictjson.Decode(text, value, strictjson.Partial)
 	for i := range faults {
@@ -116,7 +116,7 @@
 	return faults
 }
 
-// conflict returns a *Conflict unless the item is what the operator saw.
+// conflict returns a *Conflict unless the item is at the change's base revision.
 func (change *Change) conflict(current *content) error {
 	item := current.item(change.Name)
 	if item == nil {
@@ -127,14 +127,15 @@
 	}
 	return &Conflict{
 		Kind: change.Kind, Name: change.Name, Base: change.Base, Current: item.Revision,
-		Yours: change.Value, Theirs: item.Value, Last: current.last(change.Name),
+		Yours: change.Value, Theirs: item.Value, Last: current.lastEvent(change.Name),
 	}
 }
 
-// clashes returns the faults of the change against the other items: those of
-// its document as just read, and those of other documents as in force here. Two
-// changes of different documents at the same moment can therefore both pass with
-// the same key; peridotpath.Config then gives the key to the lower customer id.
+// clashes returns names or keys of the changed item that other items already use. It
+// checks the items of the same document as just read, and those of other documents as
+// active on this instance. Two concurrent changes of different documents can therefore
+// both be accepted with the same key; peridotpath.Config then assigns the key to the
+// lower customer id.
 func (change *Change) clashes(current *content, snapshot *Snapshot) (peridotpath.Faults, error) {
 	if change.Value == nil {
 		return nil, nil
@@ -154,7 +155,7 @@
 	if err := json.Unmarshal(change.Value, profile); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	others, err := values[peridotpath.Profile](current)
+	others, err := decodeItems[peridotpath.Profile](current)
 	if err != nil {
 		return nil, err
 	}
@@ -171,8 +172,8 @@
 	return claimNames(profile, owners), nil
 }
 
-// claimNames returns a fault for each name of profile that is taken, by another
-// profile or by itself.
+// claimNames returns a fault for each name or alias of profile that is already used, by
+// another profile or by profile itself.
 func claimNames(profile *peridotpath.Profile, owners map[string]peridotpath.ProfileName) peridotpath.Faults {
 	var faults peridotpath.Faults
 	claim := func(path, name string) {
@@ -194,12 +195,12 @@
 	if err := json.Unmarshal(change.Value, customer); err != nil {
 		return nil, Error.Wrap(err)
 	}
-	others, err := values[peridotpath.Customer](current)
+	others, err := decodeItems[peridotpath.Customer](current)
 	if err != nil {
 		return nil, err
 	}
-	if inForce := snapshot.Config.CustomerByKeySHA256(customer.KeySHA256); inForce != nil {
-		others = append(others, inForce)
+	if active := snapshot.Config.CustomerByKeySHA256(customer.KeySHA256); active != nil {
+		others = append(others, active)
 	}
 	for _, other := range others {
 		if other.ID != customer.ID && other.KeySHA256 == customer.KeySHA256 {
--- a/peridotpath/config/config.go
+++ b/peridotpath/config/config.go
@@ -1,14 +1,17 @@
-// Package config keeps the operators' configuration in the platform's key-value
-// service and follows its changes.
+// Package config replicates the operators' configuration of profiles, customers
+// and drains from the platform's key-value service to every instance, and changes
+// it by compare-and-swap.
 //
-// The configuration is cut into documents, each with a revision of its own that
-// grows by one with each accepted change. A Store reads all documents once
-// (Load), follows changes (Run) and hands out what is in force as a Snapshot
-// (Current). It applies a document only when its revision is higher than the one
-// it holds, whatever source it came from, so what was in force never comes back.
+// The configuration is sharded into documents, each with its own revision, which
+// increases by one with each accepted change. A Store reads all documents once
+// (Load), follows changes (Run) and returns the active configuration as an
+// immutable Snapshot (Current). It applies a document only if its revision is
+// higher than the one it has, whatever the source, so the active configuration
+// never reverts.
 //
-// Few instances of a data centre watch the service; the others follow them with
-// long polls, because a waiting watch counts as a call of the service.
+// A pending watch counts as a call of the key-value service. To limit this load,
+// only a few readers in each data centre watch the service; the other instances
+// follow the readers with long polls.
 package config
 
 import (
@@ -28,67 +31,68 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("config")
 
-// ErrNoPeers is what Peers returns when the membership list names no other
-// live instance. It counts as contact: no other instance could serve better.
+// ErrNoPeers is returned by Peers if the membership list has no other live
+// instance. It counts as contact, because no other instance could serve callers
+// instead.
 var ErrNoPeers = errs.Class("config: no peers")
 
 // Defaults of the Store's fields.
 const (
-	// DefaultWait costs the platform one call in five seconds for each reader
-	// at rest, and bounds how long a follower takes to notice that the instance
-	// it follows is hung.
+	// DefaultWait causes one platform call every 5 s for each idle reader, and
+	// bounds the time in which a follower detects that the instance it follows
+	// hangs.
 	DefaultWait = 5 * time.Second
-	// DefaultStaleAfter is several waits, so that one lost poll sends no
-	// follower to the platform.
+	// DefaultStaleAfter is several times DefaultWait, so that followers do not
+	// fall back to the platform after one lost poll.
 	DefaultStaleAfter = 20 * time.Second
-	// DefaultCutOffAfter leaves room for one try of either source at the
-	// longest backoff.
+	// DefaultCutOffAfter allows one attempt at each source after the longest
+	// backoff.
 	DefaultCutOffAfter = 30 * time.Second
 )
 
-// Store follows the configuration and changes it. Set the exported fields
-// before Load; those that say so may stay zero.
+// Store follows the configuration and changes it. Set the exported fields before
+// calling Load; fields with a documented default are optional.
 type Store struct {
 	KeyValue *keyvalue.Store
 	Log      zerolog.Logger
-	// IsReader says whether this instance watches the platform at present; nil
-	// stands for always. See package ownership.
+	// IsReader reports whether this instance currently watches the platform; nil
+	// for always. See package ownership.
 	IsReader func() bool
-	// Peers asks other instances for documents above have, waiting up to wait
-	// for one to come. With wait zero it asks several instances, so that the
-	// highest revision any of them holds is found. nil stands for ErrNoPeers.
+	// Peers fetches the documents with higher revisions than have from another
+	// instance, with a long poll of up to wait. With wait zero it queries several
+	// instances, to find the highest revision among them. nil stands for ErrNoPeers.
 	Peers func(ctx context.Context, have Revisions, wait time.Duration) ([]Update, error)
-	// Publish is called with each new snapshot, in order; it must not block.
-	// nil stands for nothing.
+	// Publish is called with each new snapshot, in order, and must not block;
+	// optional.
 	Publish func(snapshot *Snapshot)
-	// Wait is the longest wait of one watch or long poll; zero for DefaultWait.
+	// Wait is the maximum duration of one watch or long poll; zero for DefaultWait.
 	Wait time.Duration
-	// StaleAfter is how old a peer's contact with the platform may be before a
-	// follower asks the platform itself; zero for DefaultStaleAfter.
+	// StaleAfter is the age of the last platform contact of any peer from which a
+	// follower reads the platform itself; zero for DefaultStaleAfter.
 	StaleAfter time.Duration
-	// CutOffAfter is how long after the last contact with the platform or a
-	// peer the instance stops being ready; zero for DefaultCutOffAfter.
+	// CutOffAfter is the time since the last contact with the platform or a peer
+	// after which the instance is not ready; zero for DefaultCutOffAfter.
 	CutOffAfter time.Duration
-	// Now is the clock that history is dated by; nil for time.Now.
+	// Now is the clock for history timestamps; nil for time.Now.
 	Now func() time.Time
-	// Random returns a number from 0 to 1 for jitter; nil for the global source.
+	// Random returns a number in [0, 1) for jitter; nil for the global source.
 	Random func() float64
 
 	current atomic.Pointer[Snapshot]
 
-	version keyvalue.Version // the platform's version read last; Load and Run only
+	platformVersion keyvalue.Version // last version read from the platform; used by Load and Run only
 
-	mu      sync.Mutex
-	fresh   time.Time     // when the platform was heard, here or by a peer
-	contact time.Time     // when the platform or a peer was heard
-	changed chan struct{} // closed when a new snapshot is in force
+	mu              sync.Mutex
+	platformContact time.Time     // last platform contact, by this instance or a peer
+	lastContact     time.Time     // last contact with the platform or a peer
+	changed         chan struct{} // closed when a new snapshot becomes active
 }
 
-// Current returns what is in force, or nil before Load has succeeded. It is one
-// atomic load and made for the path of a request.
+// Current returns the active snapshot, or nil before Load has succeeded. It is one
+// atomic load, cheap enough for each request.
 func (store *Store) Current() *Snapshot { return store.current.Load() }
 
-// Applied returns the revisions in force on this instance.
+// Applied returns the revisions that are active on this instance.
 func (store *Store) Applied() Revisions {
 	snapshot := store.Current()
 	if snapshot == nil {
@@ -97,40 +101,41 @@
 	return snapshot.Revisions()
 }
 
-// Ready reports whether the instance may take new callers: it has a
-// configuration, and it heard the platform or a peer recently.
+// Ready reports whether the instance may accept new callers: it has a
+// configuration, and had recent contact with the platform or a peer.
 //
-// The failure guarded against is an instance whose network is cut while callers
-// still reach it: it would go on serving by rules that were changed elsewhere,
-// with nothing to show for it. During an outage of the platform alone, all
-// instances hear one another and stay ready.
+// It guards against a network partition in which callers still reach the instance:
+// it would keep serving with an outdated configuration, without any visible
+// symptom. During an outage of the platform alone, instances have contact with one
+// another and stay ready.
 func (store *Store) Ready() bool {
 	return store.Current() != nil && time.Since(store.Contact()) < orDefault(store.CutOffAfter, DefaultCutOffAfter)
 }
 
-// Contact returns when the platform or a peer was last heard.
+// Contact returns the time of the last contact with the platform or a peer.
 func (store *Store) Contact() time.Time {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	return store.contact
+	return store.lastContact
 }
 
-// heard notes an answer that tells the platform's state of age ago.
-func (store *Store) heard(age time.Duration) {
+// recordContact records a response that reflects the platform's state of age ago.
+func (store *Store) recordContact(age time.Duration) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	now := time.Now()
-	store.contact = now
-	if fresh := now.Add(-age); fresh.After(store.fresh) {
-		store.fresh = fresh
+	store.lastContact = now
+	if platformContact := now.Add(-age); platformContact.After(store.platformContact) {
+		store.platformContact = platformContact
 	}
 }
 
-// age returns for how long the platform was not heard, here or by a peer.
-func (store *Store) age() time.Duration {
+// platformAge returns the time since the last platform contact, by this instance or
+// a peer.
+func (store *Store) platformAge() time.Duration {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	return time.Since(store.fresh)
+	return time.Since(store.platformContact)
 }
 
 func (store *Store) now() time.Time {
@@ -147,7 +152,7 @@
 	return store.Random()
 }
 
-// isReader reports whether this instance watches the platform at present.
+// isReader reports whether this instance currently watches the platform.
 func (store *Store) isReader() bool { return store.IsReader == nil || store.IsReader() }
 
 func orDefault(value, fallback time.Duration) time.Duration {
@@ -157,9 +162,9 @@
 	return value
 }
 
-// take applies the documents that are newer than what is held, as one step for
-// readers, and reports whether there were any.
-func (store *Store) take(documents []Document) bool {
+// applyDocuments applies the documents that have higher revisions than the active
+// ones, atomically for readers of the snapshot, and reports whether there were any.
+func (store *Store) applyDocuments(documents []Document) bool {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	before := store.current.Load()
@@ -167,7 +172,7 @@
 	if next == nil {
 		next = emptySnapshot()
 	}
-	next, applied := next.with(documents, store.Log)
+	next, applied := next.withDocuments(documents, store.Log)
 	if applied == 0 && before != nil {
 		return false
 	}
@@ -182,9 +187,9 @@
 	return true
 }
 
-// changes returns the snapshot in force and a channel that is closed when
-// another one is.
-func (store *Store) changes() (*Snapshot, <-chan struct{}) {
+// currentAndChanged returns the active snapshot and a channel that is closed when
+// it is replaced.
+func (store *Store) currentAndChanged() (*Snapshot, <-chan struct{}) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	if store.changed == nil {
@@ -193,21 +198,21 @@
 	return store.current.Load(), store.changed
 }
 
-// documentsOf returns the documents among entries.
+// documentsOf converts entries to documents and skips deleted ones.
 func documentsOf(entries []keyvalue.Entry, log zerolog.Logger) []Document {
 	documents := make([]Document, 0, len(entries))
 	for _, entry := range entries {
 		if entry.Deleted {
-			// Documents are never deleted by this system. Whoever did it by
-			// hand must not take the configuration out of force.
-			refused("deleted").Inc()
+			// This system never deletes documents. A manual deletion must not
+			// deactivate the configuration.
+			refusedCounter("deleted").Inc()
 			log.Error().Str("event", "config_document_deleted").Str("key", entry.Key).Send()
 			continue
 		}
-		documents = append(documents, Document{Name: nameOf(entry.Key), Text: entry.Value})
+		documents = append(documents, Document{Name: documentName(entry.Key), Text: entry.Value})
 	}
 	return documents
 }
 
-// Revisions holds the revision of each document.
+// Revisions maps documents to their revisions.
 type Revisions map[DocumentName]peridotpath.Revision
--- a/peridotpath/config/config_test.go
+++ b/peridotpath/config/config_test.go
@@ -17,7 +17,7 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// stored returns the stored form of a document with one item.
+// stored returns the JSON of a document with one item.
 func stored(t *testing.T, revision peridotpath.Revision, name string, value any) []byte {
 	t.Helper()
 	type item struct {
@@ -40,9 +40,9 @@
 	return peridotpath.Customer{ID: peridotpath.CustomerID(id), KeySHA256: peridotpath.HashKey(key)}
 }
 
-// A document comes into force through a watch, and one with a lower revision,
-// as a service restored from an old copy gives it, does not.
-func TestFollowTakesOnlyHigherRevisions(t *testing.T) {
+// A watch must apply a new document, but not one with a lower revision, such as a
+// service that was restored from an old backup returns.
+func TestFollowAppliesOnlyHigherRevisions(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -66,7 +66,7 @@
 		_, err = kv.Swap(ctx, "config/profiles", version, stored(t, 4, "old", profile("old")), keyvalue.LeaseID{})
 		is.NoErr(err)
 		time.Sleep(time.Minute)
-		is.Equal(store.Applied()["profiles"], peridotpath.Revision(5)) // a lower revision came into force
+		is.Equal(store.Applied()["profiles"], peridotpath.Revision(5)) // a lower revision was applied
 		is.True(store.Current().Config.Profile("old") == nil)
 		is.True(store.Ready())
 		cancel()
--- a/peridotpath/config/document.go
+++ b/peridotpath/config/document.go
@@ -12,27 +12,27 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Kind tells what an item of the configuration is.
+// Kind is the type of a configuration item.
 type Kind string
 
-// The kinds of item.
+// Kinds of configuration items.
 const (
 	KindProfile  Kind = "profile"
 	KindCustomer Kind = "customer"
-	// KindDrain takes an endpoint out of placement.
+	// KindDrain excludes an endpoint from placement.
 	KindDrain Kind = "drain"
 )
 
-// DocumentName names one document: "profiles", "drains" or "customers/17".
+// DocumentName identifies a document: "profiles", "drains" or "customers/17".
 type DocumentName string
 
 const (
-	// KeyPrefix comes before a document's name in the key-value service.
+	// KeyPrefix is the prefix of a document's key in the key-value service.
 	KeyPrefix = "config/"
-	// Shards is the number of documents that the customers are spread over.
-	// With 34,000 customers of about 250 bytes a document holds some 130 of
-	// them in 35 kB, a thirtieth of the largest value that the service holds,
-	// and a change writes and spreads that much. The number is part of the stored form.
+	// Shards is the number of documents that customers are sharded into. With
+	// 34,000 customers of about 250 bytes, a document holds about 130 of them in
+	// 35 kB, 1/30 of the service's maximum value size. A change writes and
+	// propagates one document. The number is part of the storage format.
 	Shards = 256
 
 	profilesDocument DocumentName = "profiles"
@@ -56,7 +56,7 @@
 	return DocumentName(fmt.Sprintf("%s%d", customersPrefix, shard))
 }
 
-// kind returns what the document holds.
+// kind returns the kind of the document's items.
 func (name DocumentName) kind() Kind {
 	switch {
 	case name == profilesDocument:
@@ -72,22 +72,22 @@
 
 func (name DocumentName) key() string { return KeyPrefix + string(name) }
 
-func nameOf(key string) DocumentName { return DocumentName(strings.TrimPrefix(key, KeyPrefix)) }
+func documentName(key string) DocumentName { return DocumentName(strings.TrimPrefix(key, KeyPrefix)) }
 
-// Document is one document as it is stored and as instances hand it on.
+// Document is a document as it is stored and forwarded between instances.
 type Document struct {
 	Name DocumentName `json:"name"`
-	// Text is the stored form, JSON.
+	// Text is the stored JSON.
 	Text []byte `json:"text"`
 }
 
-// content is what a document's text holds.
+// content is the parsed text of a document.
 type content struct {
-	// Revision grows by one with each accepted change of the document.
+	// Revision increases by one with each accepted change of the document.
 	Revision peridotpath.Revision `json:"revision"`
 	// Items are sorted by name.
 	Items []Item `json:"items"`
-	// History holds the last changes, latest last.
+	// History holds the most recent changes, latest last.
 	History []Event `json:"history"`
 }
 
@@ -95,8 +95,8 @@
 type Item struct {
 	Name     string               `json:"name"`
 	Revision peridotpath.Revision `json:"revision"`
-	// Value is kept as written, so that an instance of an older version keeps
-	// the fields of a newer one when it changes another item.
+	// Value is kept as raw JSON, so that an instance of an older software version
+	// preserves fields it does not know when it changes another item.
 	Value json.RawMessage `json:"value"`
 }
 
@@ -111,15 +111,15 @@
 	Deleted  bool                 `json:"deleted,omitempty"`
 }
 
-// Drain takes an endpoint out of placement: it gets no new work, and what it
-// runs is finished.
+// Drain excludes an endpoint from placement: it receives no new requests, and
+// running requests complete.
 type Drain struct {
 	Endpoint peridotpath.EndpointID `json:"endpoint"`
 	Reason   string                 `json:"reason,omitempty"`
 }
 
-// parse reads a document's text.
-func parse(text []byte) (*content, error) {
+// parseContent parses a document's text.
+func parseContent(text []byte) (*content, error) {
 	parsed := &content{}
 	if err := json.Unmarshal(text, parsed); err != nil {
 		return nil, Error.New("parse: %v", err)
@@ -127,14 +127,15 @@
 	return parsed, nil
 }
 
-// find returns the position of an item, or where it would be put.
+// find returns the index of an item, or the index at which to insert it, and
+// whether it exists.
 func (content *content) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(content.Items, name, func(item Item, name string) int {
 		return strings.Compare(item.Name, name)
 	})
 }
 
-// item returns an item, or nil.
+// item returns an item, or nil if it does not exist.
 func (content *content) item(name string) *Item {
 	at, found := content.find(name)
 	if !found {
@@ -157,8 +158,8 @@
 	}
 }
 
-// values decodes the items of a document, each into an allocation of its own.
-func values[T any](content *content) ([]*T, error) {
+// decodeItems decodes the items of a document, each into its own allocation.
+func decodeItems[T any](content *content) ([]*T, error) {
 	decoded := make([]*T, 0, len(content.Items))
 	for _, item := range content.Items {
 		value := new(T)
--- a/peridotpath/config/fleet_test.go
+++ b/peridotpath/config/fleet_test.go
@@ -19,29 +19,29 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// hop is the one-way delay between any two processes of a fleet.
+// hop is the one-way network delay between any two processes of a fleet.
 const hop = time.Millisecond
 
-// fleet is a few instances over one key-value service, on the clock of a
+// fleet is a group of instances that share one key-value service, on the clock of a
 // synctest bubble.
 type fleet struct {
-	memory    *memory.Memory
-	platform  *keyvalue.Store
-	down      atomic.Bool  // no call reaches the platform
-	slow      atomic.Int64 // how many answers to watches will come seconds late
-	hung      atomic.Bool  // the first instance takes calls of peers and never answers
-	instances []*instance
+	memory         *memory.Memory
+	platform       *keyvalue.Store
+	platformDown   atomic.Bool  // the platform is unreachable for all instances
+	delayedWatches atomic.Int64 // number of watch replies still to be delayed
+	firstHangs     atomic.Bool  // the first instance accepts polls but never responds
+	instances      []*instance
 }
 
-// instance is one life of one instance after another.
+// instance is one instance of a fleet, across its restarts.
 type instance struct {
-	fleet  *fleet
-	reader bool
-	cut    atomic.Bool // neither platform nor peers are reached
-	astray atomic.Bool // the platform is not reached
-	life   atomic.Pointer[config.Store]
-	cancel context.CancelFunc
-	done   chan error
+	fleet           *fleet
+	reader          bool
+	partitioned     atomic.Bool // the platform and all peers are unreachable
+	withoutPlatform atomic.Bool // the platform is unreachable
+	current         atomic.Pointer[config.Store]
+	cancel          context.CancelFunc
+	done            chan error
 }
 
 func newFleet(size, readers int) *fleet {
@@ -49,15 +49,15 @@
 	fleet.platform = fleet.memory.Store()
 	for i := range size {
 		instance := &instance{fleet: fleet, reader: i < readers}
-		instance.renew()
+		instance.replaceStore()
 		fleet.instances = append(fleet.instances, instance)
 	}
 	return fleet
 }
 
-// renew puts a new Store, which holds nothing, in the place of the old one.
-func (instance *instance) renew() {
-	instance.life.Store(&config.Store{
+// replaceStore replaces the instance's Store by an empty one.
+func (instance *instance) replaceStore() {
+	instance.current.Store(&config.Store{
 		KeyValue: instance.keyValue(),
 		Log:      zerolog.Nop(),
 		IsReader: func() bool { return instance.reader },
@@ -66,9 +66,9 @@
 	})
 }
 
-func (instance *instance) store() *config.Store { return instance.life.Load() }
+func (instance *instance) store() *config.Store { return instance.current.Load() }
 
-// start loads and runs; the error is that of Load.
+// start calls Load and starts Run. It returns Load's error.
 func (instance *instance) start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	store, done := instance.store(), make(chan error, 1)
@@ -78,7 +78,7 @@
 	return err
 }
 
-// stop ends a life and waits for its end.
+// stop cancels Run and waits until it returns.
 func (instance *instance) stop() {
 	if instance.done == nil {
 		return
@@ -90,8 +90,8 @@
 	instance.done = nil
 }
 
-// inFleet calls test in a synctest bubble with a running fleet.
-func inFleet(t *testing.T, size, readers int, fault fault, test func(t *testing.T, is *is.I, fleet *fleet)) {
+// withFleet calls test in a synctest bubble with a running fleet.
+func withFleet(t *testing.T, size, readers int, fault fault, test func(t *testing.T, is *is.I, fleet *fleet)) {
 	t.Helper()
 	virtual.Test(t, func(t *testing.T) {
 		fleet := newFleet(size, readers)
@@ -106,8 +106,8 @@
 	})
 }
 
-// fault decides whether a call of the platform fails, before or after it took
-// effect.
+// fault returns an error if a platform call is to fail. It is called before and after
+// the call takes effect.
 type fault func(fleet *fleet, call, key string, applied bool) error
 
 func (fleet *fleet) start(t *testing.T) {
@@ -119,11 +119,11 @@
 	}
 }
 
-// restart replaces an instance by one that holds nothing.
+// restart restarts an instance with an empty Store.
 func (instance *instance) restart(t *testing.T) {
 	t.Helper()
 	instance.stop()
-	instance.renew()
+	instance.replaceStore()
 	if err := instance.start(); err != nil {
 		t.Fatal(err)
 	}
@@ -135,73 +135,74 @@
 	}
 }
 
-// keyValue returns the platform as the instance reaches it.
+// keyValue returns the platform's key-value service, reached through the instance's
+// simulated network.
 func (instance *instance) keyValue() *keyvalue.Store {
 	platform := instance.fleet.platform
 	return &keyvalue.Store{
 		Get: func(ctx context.Context, key string) (keyvalue.Entry, error) {
-			if err := instance.reach(); err != nil {
+			if err := instance.callPlatform(); err != nil {
 				return keyvalue.Entry{}, err
 			}
 			return platform.Get(ctx, key)
 		},
 		List: func(ctx context.Context, prefix string) ([]keyvalue.Entry, keyvalue.Version, error) {
-			if err := instance.reach(); err != nil {
+			if err := instance.callPlatform(); err != nil {
 				return nil, 0, err
 			}
 			return platform.List(ctx, prefix)
 		},
 		Swap: func(ctx context.Context, key string, expect keyvalue.Version, value []byte, lease keyvalue.LeaseID) (keyvalue.Version, error) {
-			if err := instance.reach(); err != nil {
+			if err := instance.callPlatform(); err != nil {
 				return 0, err
 			}
 			return platform.Swap(ctx, key, expect, value, lease)
 		},
 		Watch: func(ctx context.Context, prefix string, after keyvalue.Version, wait time.Duration) ([]keyvalue.Entry, keyvalue.Version, error) {
-			if err := instance.reach(); err != nil {
+			if err := instance.callPlatform(); err != nil {
 				return nil, 0, err
 			}
 			entries, version, err := platform.Watch(ctx, prefix, after, wait)
-			instance.fleet.delay()
-			if cut := instance.reach(); cut != nil { // an answer on its way is lost too
-				return nil, 0, cut
+			instance.fleet.delayWatch()
+			if callErr := instance.callPlatform(); callErr != nil { // a reply in flight is lost too
+				return nil, 0, callErr
 			}
 			return entries, version, err
 		},
 	}
 }
 
-// delay holds an answer to a watch back, so that it tells old news.
-func (fleet *fleet) delay() {
-	if fleet.slow.Add(-1) >= 0 {
+// delayWatch delays a watch reply, so that it is stale on arrival.
+func (fleet *fleet) delayWatch() {
+	if fleet.delayedWatches.Add(-1) >= 0 {
 		time.Sleep(2 * time.Second)
 		return
 	}
-	fleet.slow.Store(0)
+	fleet.delayedWatches.Store(0)
 }
 
-func (instance *instance) reach() error {
+func (instance *instance) callPlatform() error {
 	time.Sleep(hop)
-	if instance.fleet.down.Load() || instance.cut.Load() || instance.astray.Load() {
+	if instance.fleet.platformDown.Load() || instance.partitioned.Load() || instance.withoutPlatform.Load() {
 		return keyvalue.ErrNotSent.New("no route")
 	}
 	return nil
 }
 
-// peers asks one reader or, without a wait, everyone.
+// peers polls one reader or, if wait is zero, all other instances.
 func (instance *instance) peers(ctx context.Context, have config.Revisions, wait time.Duration) ([]config.Update, error) {
 	time.Sleep(hop)
 	var updates []config.Update
 	for _, other := range instance.fleet.instances {
-		if other == instance || instance.cut.Load() || other.cut.Load() || wait > 0 && !other.reader {
+		if other == instance || instance.partitioned.Load() || other.partitioned.Load() || wait > 0 && !other.reader {
 			continue
 		}
-		if instance.fleet.hung.Load() && other == instance.fleet.instances[0] && wait > 0 {
+		if instance.fleet.firstHangs.Load() && other == instance.fleet.instances[0] && wait > 0 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		update, err := other.store().Changes(ctx, have, wait)
-		if err != nil || instance.cut.Load() || other.cut.Load() {
+		if err != nil || instance.partitioned.Load() || other.partitioned.Load() {
 			continue
 		}
 		updates = append(updates, update)
@@ -211,25 +212,25 @@
 	}
 	time.Sleep(hop)
 	if len(updates) == 0 {
-		return nil, errors.New("every peer is silent")
+		return nil, errors.New("no peer responded")
 	}
 	return updates, nil
 }
 
-// putProfile returns a change that writes a profile.
+// putProfile returns a change that creates or replaces a profile.
 func putProfile(id, name string, base peridotpath.Revision, deadline peridotpath.Millis) config.Change {
 	value := fmt.Sprintf(`{"name": %q, "service": "claims-llm", "deadline_ms": %d}`, name, deadline)
 	return config.Change{ID: config.ChangeID(id), Who: "nimal", Kind: config.KindProfile, Name: name, Base: base, Value: json.RawMessage(value)}
 }
 
-// putCustomer returns a change that writes a customer.
+// putCustomer returns a change that creates or replaces a customer.
 func putCustomer(id, name, key string) config.Change {
 	value := fmt.Sprintf(`{"id": %q, "key_sha256": %q}`, name, peridotpath.HashKey(key))
 	return config.Change{ID: config.ChangeID(id), Who: "nimal", Kind: config.KindCustomer, Name: name, Value: json.RawMessage(value)}
 }
 
-// soon bounds an operator's patience.
-func soon(t *testing.T) context.Context {
+// changeContext returns a context with an operator's client timeout.
+func changeContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	t.Cleanup(cancel)
--- a/peridotpath/config/follow.go
+++ b/peridotpath/config/follow.go
@@ -12,52 +12,52 @@
 )
 
 const (
-	backoffStart = 100 * time.Millisecond
-	// backoffLimit bounds what an outage costs the platform: some 530 instances
-	// that try every 7.5 s on average make about 70 calls a second, a small part
-	// of its two thousand. It also bounds how late a change comes into force
-	// after the outage.
-	backoffLimit = 10 * time.Second
-	// pollGrace is how much longer than its wait a peer's answer may take.
+	minBackoff = 100 * time.Millisecond
+	// maxBackoff bounds the load on the platform during an outage: about 530
+	// instances that retry every 7.5 s on average make about 70 calls/s, a small
+	// part of the platform's capacity of 2,000 calls/s. It also bounds the delay of
+	// changes after an outage.
+	maxBackoff = 10 * time.Second
+	// pollGrace is the time allowed for a peer's response beyond the long poll's wait.
 	pollGrace = time.Second
 )
 
-// Load reads the configuration once, from the platform and from peers: each
-// document at the highest revision that any of them holds. Peers matter while
-// the platform is down, and when it was restored from an old copy. Load returns
-// an error when nobody has a configuration; call Run in any case.
+// Load reads the configuration once, from the platform and from peers, and takes
+// each document at the highest revision found. Peers are needed while the platform
+// is down or after it was restored from an old backup. Load returns an error if no
+// source has a configuration; call Run in any case.
 func (store *Store) Load(ctx context.Context) (*Snapshot, error) {
-	listed := store.list(ctx)
-	asked := store.ask(ctx, 0)
+	listErr := store.listPlatform(ctx)
+	pollErr := store.pollPeers(ctx, 0)
 	if snapshot := store.Current(); snapshot != nil {
 		return snapshot, nil
 	}
-	return nil, Error.New("load: %v", errs.Combine(listed, asked))
+	return nil, Error.New("load: %v", errs.Combine(listErr, pollErr))
 }
 
-// Run follows the changes until ctx is done and returns its error.
+// Run follows changes until ctx is done and returns ctx's error.
 func (store *Store) Run(ctx context.Context) error {
-	backoff, wait := backoffStart, store.wait()
+	backoff, wait := minBackoff, store.pollWait()
 	for ctx.Err() == nil {
 		err := store.follow(ctx, wait)
 		if err == nil {
-			backoff, wait = backoffStart, store.wait()
+			backoff, wait = minBackoff, store.pollWait()
 			continue
 		}
-		// The first answer after a silence shall come at once, not after a
-		// wait: it may turn the instance ready.
+		// After a failure the next request does not long poll, because its
+		// response may make the instance ready.
 		wait = 0
 		metrics.GetOrCreateCounter(`peridotpath_config_follow_errors_total`).Inc()
 		store.Log.Warn().Str("event", "config_follow_failed").Err(err).Send()
-		store.pause(ctx, backoff)
-		backoff = min(2*backoff, backoffLimit)
+		store.sleepWithJitter(ctx, backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return ctx.Err()
 }
 
-// pause waits for a half to the whole of limit. Without the random part all
-// instances would come back to the platform in step after an outage.
-func (store *Store) pause(ctx context.Context, limit time.Duration) {
+// sleepWithJitter sleeps for half of limit up to limit. Without jitter all
+// instances would retry in lockstep after an outage and overload the platform.
+func (store *Store) sleepWithJitter(ctx context.Context, limit time.Duration) {
 	jitter := time.Duration(store.random() * float64(limit) / 2)
 	timer := time.NewTimer(limit/2 + jitter)
 	defer timer.Stop()
@@ -67,130 +67,133 @@
 	}
 }
 
-// follow waits for changes once, at this instance's first source, and for as
-// long at the other one when the first gives nothing of use. So an instance
-// whose source is gone loses no time, and makes no more calls than a reader. An
-// error says that neither source is of use.
+// follow makes one watch or long poll of the instance's primary source, and falls
+// back to the other source if the primary one fails: readers use the platform
+// first, followers their peers. An instance whose source is unreachable thus loses
+// no time and makes no more calls than a reader. The error means that both sources
+// failed.
 func (store *Store) follow(ctx context.Context, wait time.Duration) error {
 	if store.Current() == nil {
 		_, err := store.Load(ctx)
 		return err
 	}
-	first, second := store.fromPeers, store.watch
+	primary, fallback := store.followPeers, store.watchPlatform
 	if store.isReader() {
-		first, second = second, first
+		primary, fallback = fallback, primary
 	}
-	err := first(ctx, wait)
+	err := primary(ctx, wait)
 	if err == nil {
 		return nil
 	}
 	metrics.GetOrCreateCounter(`peridotpath_config_fallbacks_total`).Inc()
 	store.Log.Warn().Str("event", "config_fallback").Err(err).Send()
-	if failure := second(ctx, wait); failure != nil {
-		return errs.Combine(err, failure)
+	if fallbackErr := fallback(ctx, wait); fallbackErr != nil {
+		return errs.Combine(err, fallbackErr)
 	}
 	return nil
 }
 
-// fromPeers also fails when peers answer but have not heard the platform for
-// long: a follower of an instance that is cut off would otherwise stay on old
-// rules for good.
-func (store *Store) fromPeers(ctx context.Context, wait time.Duration) error {
-	if err := store.ask(ctx, wait); err != nil {
+// followPeers polls the peers. It also fails if no peer had recent contact with the
+// platform; otherwise a follower of a partitioned instance would keep an outdated
+// configuration indefinitely.
+func (store *Store) followPeers(ctx context.Context, wait time.Duration) error {
+	if err := store.pollPeers(ctx, wait); err != nil {
 		return err
 	}
-	if age := store.age(); age >= orDefault(store.StaleAfter, DefaultStaleAfter) {
-		return Error.New("the peers have not heard the platform for %s", age)
+	if age := store.platformAge(); age >= orDefault(store.StaleAfter, DefaultStaleAfter) {
+		return Error.New("no peer has had contact with the platform for %s", age)
 	}
 	return nil
 }
 
-func (store *Store) wait() time.Duration { return orDefault(store.Wait, DefaultWait) }
+func (store *Store) pollWait() time.Duration { return orDefault(store.Wait, DefaultWait) }
 
-// list reads all documents from the platform.
-func (store *Store) list(ctx context.Context) error {
+// listPlatform reads all documents from the platform.
+func (store *Store) listPlatform(ctx context.Context) error {
 	entries, version, err := store.KeyValue.List(ctx, KeyPrefix)
-	return store.read(entries, version, err)
+	return store.applyPlatformRead(entries, version, err)
 }
 
-// watch reads the documents that changed since the platform was last read.
-func (store *Store) watch(ctx context.Context, wait time.Duration) error {
-	entries, version, err := store.KeyValue.Watch(ctx, KeyPrefix, store.version, wait)
-	return store.read(entries, version, err)
+// watchPlatform reads the documents that changed since the platform was last read.
+func (store *Store) watchPlatform(ctx context.Context, wait time.Duration) error {
+	entries, version, err := store.KeyValue.Watch(ctx, KeyPrefix, store.platformVersion, wait)
+	return store.applyPlatformRead(entries, version, err)
 }
 
-// read takes in an answer of the platform. Its version may go down when the
-// service was restored from a copy. Going on from the lower one, the next watch
-// sees what is written from then on.
-func (store *Store) read(entries []keyvalue.Entry, version keyvalue.Version, err error) error {
+// applyPlatformRead applies the result of a list or watch. The version can decrease
+// if the service was restored from a backup. The next watch continues from the lower
+// version and so sees later writes.
+func (store *Store) applyPlatformRead(entries []keyvalue.Entry, version keyvalue.Version, err error) error {
 	if err != nil {
 		return err
 	}
-	store.take(documentsOf(entries, store.Log))
-	store.version = version
-	store.heard(0)
+	store.applyDocuments(documentsOf(entries, store.Log))
+	store.platformVersion = version
+	store.recordContact(0)
 	return nil
 }
 
-// ask takes in what peers hold above the revisions in force.
-func (store *Store) ask(ctx context.Context, wait time.Duration) error {
+// pollPeers fetches and applies the documents for which peers have higher revisions
+// than this instance.
+func (store *Store) pollPeers(ctx context.Context, wait time.Duration) error {
 	if store.Peers == nil {
-		return store.alone(ErrNoPeers.New("none are set"))
+		return store.recordNoPeers(ErrNoPeers.New("no peer source is configured"))
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+pollGrace)
 	defer cancel()
 	updates, err := store.Peers(ctx, store.Applied(), wait)
 	if err != nil {
-		return store.alone(err)
+		return store.recordNoPeers(err)
 	}
 	for _, update := range updates {
-		store.take(update.Documents)
-		store.heard(update.AgeMS.Duration())
+		store.applyDocuments(update.Documents)
+		store.recordContact(update.AgeMS.Duration())
 	}
 	return nil
 }
 
-// alone notes contact when err says that there are no peers to hear.
-func (store *Store) alone(err error) error {
+// recordNoPeers records contact if err is ErrNoPeers, and returns err.
+func (store *Store) recordNoPeers(err error) error {
 	if ErrNoPeers.Has(err) && store.Current() != nil {
-		store.heard(store.age())
+		store.recordContact(store.platformAge())
 	}
 	return err
 }
 
-// Update is what one instance hands to another.
+// Update is the response of one instance to another's long poll.
 type Update struct {
 	Documents []Document `json:"documents"`
-	// AgeMS is for how long the giver has not heard the platform.
+	// AgeMS is the time since the sender's last platform contact, direct or by way
+	// of its peers.
 	AgeMS peridotpath.Millis `json:"age_ms"`
 }
 
-// ErrNotLoaded says that this instance has no configuration to hand out.
+// ErrNotLoaded reports that this instance has no configuration yet.
 var ErrNotLoaded = errs.Class("config: not loaded")
 
-// Changes returns the documents above have, waiting up to wait for one. Other
-// instances' Peers end here.
+// Changes returns the documents with higher revisions than have, waiting up to wait
+// for one. It serves the long polls that other instances make through Peers.
 func (store *Store) Changes(ctx context.Context, have Revisions, wait time.Duration) (Update, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		snapshot, changed := store.changes()
+		snapshot, changed := store.currentAndChanged()
 		if snapshot == nil {
 			return Update{}, ErrNotLoaded.New("")
 		}
 		if documents := snapshot.Above(have); len(documents) > 0 {
-			return store.update(documents), nil
+			return store.newUpdate(documents), nil
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return store.update(nil), nil
+			return store.newUpdate(nil), nil
 		case <-ctx.Done():
 			return Update{}, Error.Wrap(ctx.Err())
 		}
 	}
 }
 
-func (store *Store) update(documents []Document) Update {
-	return Update{Documents: documents, AgeMS: peridotpath.Millis(store.age().Milliseconds())}
+func (store *Store) newUpdate(documents []Document) Update {
+	return Update{Documents: documents, AgeMS: peridotpath.Millis(store.platformAge().Milliseconds())}
 }
--- a/peridotpath/config/follow_test.go
+++ b/peridotpath/config/follow_test.go
@@ -17,10 +17,10 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// mustChange makes a change that is accepted.
+// mustChange makes a change and fails the test unless it is accepted.
 func (instance *instance) mustChange(t *testing.T, change config.Change) peridotpath.Revision {
 	t.Helper()
-	accepted, err := instance.store().Change(soon(t), change)
+	accepted, err := instance.store().Change(changeContext(t), change)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,113 +31,114 @@
 	return instance.store().Applied()["profiles"]
 }
 
-// The platform is down and an instance is replaced. The new one finds a peer
-// that missed the last change and one that has it. Taking the first answer, it
-// would put back in force what operators have changed.
-func TestStartInOutageTakesTheHighestRevision(t *testing.T) {
-	inFleet(t, 3, 3, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+// An instance starts while the platform is down, with one peer that missed the last
+// change and one that has it. If it took the first response, it could revert an
+// accepted change.
+func TestStartDuringOutageTakesHighestRevision(t *testing.T) {
+	withFleet(t, 3, 3, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		lagging, ahead, replaced := fleet.instances[0], fleet.instances[1], fleet.instances[2]
 		ahead.mustChange(t, putProfile("1", "counter", 0, 100))
 		time.Sleep(time.Second)
-		lagging.cut.Store(true)
+		lagging.partitioned.Store(true)
 		ahead.mustChange(t, putProfile("2", "counter", 1, 200))
 		time.Sleep(time.Second)
 		replaced.stop()
-		fleet.down.Store(true)
-		lagging.cut.Store(false)
+		fleet.platformDown.Store(true)
+		lagging.partitioned.Store(false)
 		is.Equal(lagging.revision(), peridotpath.Revision(1))
-		replaced.renew()
+		replaced.replaceStore()
 		is.NoErr(replaced.start())
-		is.Equal(replaced.revision(), peridotpath.Revision(2)) // the lagging peer's answer was taken
+		is.Equal(replaced.revision(), peridotpath.Revision(2)) // the lagging peer's revision was applied
 		is.True(replaced.store().Ready())
 	})
 }
 
-// The platform is down, and the only peer a starting instance reaches lags. It
-// takes what there is, and the last change when the platform is back.
-func TestStartFromALaggingPeer(t *testing.T) {
-	inFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+// An instance starts while the platform is down, and the only reachable peer lags. It
+// must take the peer's configuration, and the last change after the outage.
+func TestStartFromLaggingPeer(t *testing.T) {
+	withFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		lagging, replaced := fleet.instances[0], fleet.instances[1]
 		replaced.mustChange(t, putProfile("1", "counter", 0, 100))
 		time.Sleep(time.Second)
-		lagging.cut.Store(true)
+		lagging.partitioned.Store(true)
 		replaced.mustChange(t, putProfile("2", "counter", 1, 200))
 		replaced.stop()
-		fleet.down.Store(true)
-		lagging.cut.Store(false)
-		replaced.renew()
+		fleet.platformDown.Store(true)
+		lagging.partitioned.Store(false)
+		replaced.replaceStore()
 		is.NoErr(replaced.start())
 		is.Equal(replaced.revision(), peridotpath.Revision(1))
 		time.Sleep(10 * time.Minute)
-		is.True(replaced.store().Ready()) // an outage of the platform alone
-		fleet.down.Store(false)
+		is.True(replaced.store().Ready()) // not ready in an outage of the platform alone
+		fleet.platformDown.Store(false)
 		time.Sleep(11 * time.Second)
 		is.Equal(replaced.revision(), peridotpath.Revision(2))
 		is.Equal(lagging.revision(), peridotpath.Revision(2))
 	})
 }
 
-// An instance starts while it reaches neither the platform nor a peer. Ready
-// with nothing, it would refuse every caller that the balancer sends.
-func TestStartWithNobodyToHear(t *testing.T) {
-	inFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+// An instance starts without access to the platform or a peer. It must not become
+// ready: without a configuration it would refuse every caller that the load balancer
+// sends to it.
+func TestStartWithoutReachableSource(t *testing.T) {
+	withFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		fleet.instances[0].mustChange(t, putProfile("1", "counter", 0, 100))
-		alone := fleet.instances[1]
-		alone.stop()
-		alone.cut.Store(true)
-		alone.renew()
-		is.True(alone.start() != nil)
+		isolated := fleet.instances[1]
+		isolated.stop()
+		isolated.partitioned.Store(true)
+		isolated.replaceStore()
+		is.True(isolated.start() != nil)
 		time.Sleep(time.Hour)
-		is.True(!alone.store().Ready())
-		_, err := alone.store().Change(soon(t), putProfile("2", "counter", 1, 200))
+		is.True(!isolated.store().Ready())
+		_, err := isolated.store().Change(changeContext(t), putProfile("2", "counter", 1, 200))
 		is.True(config.ErrNotAccepted.Has(err))
-		alone.cut.Store(false)
+		isolated.partitioned.Store(false)
 		time.Sleep(11 * time.Second)
-		is.True(alone.store().Ready())
-		is.Equal(alone.revision(), peridotpath.Revision(1))
+		is.True(isolated.store().Ready())
+		is.Equal(isolated.revision(), peridotpath.Revision(1))
 	})
 }
 
-// An instance's network is cut while callers still reach it. It must stop
-// taking new ones within a stated time, go on by the rules it holds, and catch
-// up afterwards. Its peers, who miss only it, stay ready.
-func TestCutOffInstance(t *testing.T) {
-	inFleet(t, 3, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
-		for _, cut := range fleet.instances {
-			before := cut.mustChange(t, putProfile(fmt.Sprint(time.Now().UnixNano()), "counter", config.AnyRevision, 100))
+// An instance is partitioned from the platform and its peers while callers still reach
+// it. It must become not ready within the documented time, keep its configuration, and
+// catch up when the partition heals. Its peers must stay ready.
+func TestPartitionedInstance(t *testing.T) {
+	withFleet(t, 3, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+		for _, isolated := range fleet.instances {
+			before := isolated.mustChange(t, putProfile(fmt.Sprint(time.Now().UnixNano()), "counter", config.AnyRevision, 100))
 			time.Sleep(time.Second)
-			cut.cut.Store(true)
+			isolated.partitioned.Store(true)
 			time.Sleep(config.DefaultCutOffAfter - 7*time.Second)
-			is.True(cut.store().Ready()) // a short cut empties no instance
+			is.True(isolated.store().Ready()) // not ready after a short partition
 			other := fleet.instances[0]
-			if other == cut {
+			if other == isolated {
 				other = fleet.instances[1]
 			}
 			other.mustChange(t, putProfile(fmt.Sprint(time.Now().UnixNano()), "counter", config.AnyRevision, 200))
 			time.Sleep(8 * time.Second)
-			is.True(!cut.store().Ready()) // callers still come to an instance that is cut off
+			is.True(!isolated.store().Ready()) // a partitioned instance still accepts callers
 			is.True(other.store().Ready())
-			is.Equal(cut.revision(), before)
-			is.True(cut.store().Current().Config.Profile("counter") != nil)
+			is.Equal(isolated.revision(), before)
+			is.True(isolated.store().Current().Config.Profile("counter") != nil)
 			time.Sleep(time.Minute)
-			cut.cut.Store(false)
+			isolated.partitioned.Store(false)
 			time.Sleep(11 * time.Second)
-			is.True(cut.store().Ready())
-			is.Equal(cut.revision(), before+1)
+			is.True(isolated.store().Ready())
+			is.Equal(isolated.revision(), before+1)
 		}
 	})
 }
 
-// All instances are replaced one by one, during an outage of the platform. The
-// configuration lives in them only then; each has to take it over before the
-// next one goes.
+// All instances are replaced one by one during an outage of the platform, when only
+// they hold the configuration. Each must load it from its peers before the next one
+// is replaced.
 func TestReplaceAllDuringOutage(t *testing.T) {
-	inFleet(t, 4, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+	withFleet(t, 4, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		for i := range 3 {
 			fleet.instances[i].mustChange(t, putProfile(fmt.Sprint(i), "counter", config.AnyRevision, 100))
 			time.Sleep(time.Second)
 		}
-		fleet.down.Store(true)
+		fleet.platformDown.Store(true)
 		for _, instance := range fleet.instances {
 			instance.restart(t)
 			is.True(instance.store().Ready())
@@ -150,26 +151,26 @@
 	})
 }
 
-// The platform is down for long, and one instance alone is its data centre's
-// reader: it has no other reader to follow. It would turn not ready, and the
-// callers' work would move off it, though its peers are well.
+// The platform is down for long, and the data centre has only one reader, which has
+// no other reader to follow. It must stay ready: its callers would otherwise move to
+// the other instances without need.
 func TestOutageWithOneReader(t *testing.T) {
-	inFleet(t, 3, 1, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+	withFleet(t, 3, 1, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		fleet.instances[0].mustChange(t, putProfile("1", "counter", 0, 100))
-		fleet.down.Store(true)
+		fleet.platformDown.Store(true)
 		for range 60 {
 			time.Sleep(10 * time.Second)
 			for _, instance := range fleet.instances {
-				is.True(instance.store().Ready()) // an outage of the platform alone
+				is.True(instance.store().Ready()) // not ready in an outage of the platform alone
 			}
 		}
 	})
 }
 
-// A follower's peer answers every poll but has not heard the platform for long,
-// as when only its route to the platform is gone. The follower would stay on
-// old rules for as long as that lasts.
-func TestFollowerOfAPeerOutOfTouch(t *testing.T) {
+// A follower's peer responds to every poll but has had no platform contact for long,
+// for example because only its route to the platform is down. The follower must fall
+// back to the platform; otherwise it would keep an outdated configuration.
+func TestFollowerOfStalePeer(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -192,14 +193,15 @@
 		_, err = platform.Swap(ctx, "config/profiles", 0, stored(t, 1, "counter", profile("counter")), keyvalue.LeaseID{})
 		is.NoErr(err)
 		time.Sleep(config.DefaultStaleAfter + config.DefaultWait)
-		is.Equal(store.Applied()["profiles"], peridotpath.Revision(1)) // the follower stayed behind
+		is.Equal(store.Applied()["profiles"], peridotpath.Revision(1)) // the follower did not fall back to the platform
 		cancel()
 		is.True(errors.Is(<-done, context.Canceled))
 	})
 }
 
-// spread returns how long it took until every instance had a change.
-func (fleet *fleet) spread(t *testing.T, change config.Change) time.Duration {
+// propagationTime makes a change and returns the time until it is active on every
+// instance.
+func (fleet *fleet) propagationTime(t *testing.T, change config.Change) time.Duration {
 	t.Helper()
 	begin := time.Now()
 	want := fleet.instances[len(fleet.instances)-1].mustChange(t, change)
@@ -207,36 +209,37 @@
 		for instance.revision() < want {
 			time.Sleep(hop)
 			if time.Since(begin) > time.Minute {
-				t.Fatal("the change did not come into force")
+				t.Fatal("want the change active on every instance within a minute")
 			}
 		}
 	}
 	return time.Since(begin)
 }
 
-// longestSpread makes changes at varied times and returns the longest spread.
-func (fleet *fleet) longestSpread(t *testing.T, count int) time.Duration {
+// maxPropagationTime makes changes at varied intervals and returns the longest
+// propagation time.
+func (fleet *fleet) maxPropagationTime(t *testing.T, count int) time.Duration {
 	t.Helper()
 	var spans []time.Duration
 	for i := range count {
-		spans = append(spans, fleet.spread(t, putProfile(fmt.Sprint(i), "counter", config.AnyRevision, 100)))
+		spans = append(spans, fleet.propagationTime(t, putProfile(fmt.Sprint(i), "counter", config.AnyRevision, 100)))
 		time.Sleep(time.Duration(i) * 97 * time.Millisecond)
 	}
 	slices.Sort(spans)
 	longest := spans[count-1]
-	t.Logf("in force on %d instances: median %s, longest of %d %s", len(fleet.instances), spans[count/2], count, longest)
+	t.Logf("propagation to %d instances: median %s, longest of %d %s", len(fleet.instances), spans[count/2], count, longest)
 	return longest
 }
 
-// TestTimeUntilInForceEverywhere bounds, on the bubble's clock, the time from
-// an operator's call until 12 instances have the change, with 1 ms a hop.
-func TestTimeUntilInForceEverywhere(t *testing.T) {
+// TestPropagationTime bounds the time, on the synctest bubble's clock, from a change
+// until it is active on all 12 instances, with a network delay of 1 ms per hop.
+func TestPropagationTime(t *testing.T) {
 	tests := []struct {
 		name  string
 		fault fault
 		limit time.Duration
 	}{
-		{"all well", nil, 20 * time.Millisecond},
+		{"no fault", nil, 20 * time.Millisecond},
 		{"platform takes 2 s an answer", func(_ *fleet, call, _ string, applied bool) error {
 			if applied && call != "list" {
 				time.Sleep(2 * time.Second)
@@ -246,51 +249,51 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			inFleet(t, 12, 2, test.fault, func(t *testing.T, is *is.I, fleet *fleet) {
-				is.True(fleet.longestSpread(t, 100) <= test.limit)
+			withFleet(t, 12, 2, test.fault, func(t *testing.T, is *is.I, fleet *fleet) {
+				is.True(fleet.maxPropagationTime(t, 100) <= test.limit)
 			})
 		})
 	}
 }
 
-// A reader hangs: it takes its followers' polls and never answers. Or it loses
-// only its own route to the platform. Followers that stay with it would get the
-// next changes late or never.
-func TestTimeUntilInForceWithABadReader(t *testing.T) {
+// A reader hangs, so that it accepts its followers' polls but never responds, or loses
+// only its route to the platform. Followers must switch to another source; otherwise
+// they would receive later changes late or never.
+func TestPropagationTimeWithFailedReader(t *testing.T) {
 	tests := []struct {
-		name   string
-		damage func(fleet *fleet)
-		limit  time.Duration
+		name        string
+		injectFault func(fleet *fleet)
+		limit       time.Duration
 	}{
-		{"hung", func(fleet *fleet) { fleet.hung.Store(true) }, config.DefaultWait + 2*time.Second},
-		{"out of touch", func(fleet *fleet) { fleet.instances[0].astray.Store(true) }, config.DefaultStaleAfter + config.DefaultWait},
+		{"hung", func(fleet *fleet) { fleet.firstHangs.Store(true) }, config.DefaultWait + 2*time.Second},
+		{"without platform", func(fleet *fleet) { fleet.instances[0].withoutPlatform.Store(true) }, config.DefaultStaleAfter + config.DefaultWait},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			inFleet(t, 12, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
-				test.damage(fleet)
-				is.True(fleet.longestSpread(t, 100) <= test.limit)
+			withFleet(t, 12, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+				test.injectFault(fleet)
+				is.True(fleet.maxPropagationTime(t, 100) <= test.limit)
 			})
 		})
 	}
 }
 
-// TestCallsOfThePlatform counts what a data centre of 12 instances costs the
-// platform in ten minutes: at rest, and with a change every 2.2 s, which makes
-// 39,000 a day.
-func TestCallsOfThePlatform(t *testing.T) {
+// TestPlatformCallRate bounds the rate of platform calls of a data centre of 12
+// instances over ten minutes: idle, and with a change every 2.2 s, which is 39,000
+// changes a day.
+func TestPlatformCallRate(t *testing.T) {
 	const span = 10 * time.Minute
 	tests := []struct {
 		name     string
 		interval time.Duration
-		limit    float64 // calls in a second
+		limit    float64 // calls per second
 	}{
-		{"at rest", 0, 0.5},
+		{"no changes", 0, 0.5},
 		{"39,000 changes a day", 2215 * time.Millisecond, 3},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			inFleet(t, 12, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
+			withFleet(t, 12, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 				begin := time.Now()
 				for i := 0; time.Since(begin) < span; i++ {
 					if test.interval == 0 {
@@ -305,7 +308,7 @@
 					calls += count
 				}
 				rate := float64(calls) / time.Since(begin).Seconds()
-				t.Logf("%.2f calls of the platform in a second: %v", rate, fleet.memory.Calls())
+				t.Logf("%.2f platform calls per second: %v", rate, fleet.memory.Calls())
 				is.True(rate <= test.limit)
 			})
 		})
--- a/peridotpath/config/machine_test.go
+++ b/peridotpath/config/machine_test.go
@@ -20,33 +20,34 @@
 	"peridotpath.example/peridotpath/keyvalue"
 )
 
-// machineSize is the number of instances that a machine drives.
+// machineSize is the number of instances in a machine's fleet.
 const machineSize = 4
 
-// machine drives a fleet through random changes and faults, and holds what is
-// seen against the plain rules of the package.
+// machine runs random changes and faults against a fleet and checks the package's
+// invariants.
 type machine struct {
 	fleet *fleet
-	// loseBefore and loseAfter count swaps whose call or answer will be lost.
+	// loseBefore and loseAfter are the numbers of swaps whose call or reply is still
+	// to be lost.
 	loseBefore, loseAfter atomic.Int32
-	// lastWords takes the platform down with the next lost call or answer.
-	lastWords atomic.Bool
+	// downAfterLoss takes the platform down with the next lost call or reply.
+	downAfterLoss atomic.Bool
 
-	drawn int // how many changes were drawn
+	drawn int // number of changes made so far
 
 	mu       sync.Mutex
 	changes  map[config.ChangeID]config.Change
 	accepted map[config.ChangeID]config.Accepted
 	refused  map[config.ChangeID]error
-	unsure   map[config.ChangeID]bool
-	// events is every change that was ever seen in a document's history.
-	events map[config.DocumentName]map[peridotpath.Revision]config.ChangeID
-	seen   map[*config.Store]config.Revisions
-	wrong  []string
+	unknown  map[config.ChangeID]bool
+	// events holds every change ever read from a document's history.
+	events     map[config.DocumentName]map[peridotpath.Revision]config.ChangeID
+	seen       map[*config.Store]config.Revisions
+	violations []string
 }
 
 func (machine *machine) fail(format string, args ...any) {
-	machine.wrong = append(machine.wrong, fmt.Sprintf(format, args...))
+	machine.violations = append(machine.violations, fmt.Sprintf(format, args...))
 }
 
 func newMachine() *machine {
@@ -55,7 +56,7 @@
 		changes:  map[config.ChangeID]config.Change{},
 		accepted: map[config.ChangeID]config.Accepted{},
 		refused:  map[config.ChangeID]error{},
-		unsure:   map[config.ChangeID]bool{},
+		unknown:  map[config.ChangeID]bool{},
 		events:   map[config.DocumentName]map[peridotpath.Revision]config.ChangeID{},
 		seen:     map[*config.Store]config.Revisions{},
 	}
@@ -70,15 +71,15 @@
 	}
 	if call == "swap" && counter.Load() > 0 {
 		counter.Add(-1)
-		if machine.lastWords.Swap(false) {
-			machine.fleet.down.Store(true)
+		if machine.downAfterLoss.Swap(false) {
+			machine.fleet.platformDown.Store(true)
 		}
 		return keyvalue.ErrUnavailable.New("lost")
 	}
 	return nil
 }
 
-// submit sends one change to an instance and notes its outcome.
+// submit makes a change on an instance and records its outcome.
 func (machine *machine) submit(instance *instance, change config.Change) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -92,31 +93,32 @@
 	case err == nil:
 		machine.accepted[change.ID] = accepted
 	case config.ErrUnknown.Has(err):
-		machine.unsure[change.ID] = true
-	case !machine.unsure[change.ID] && machine.accepted[change.ID] == (config.Accepted{}):
-		// A refusal speaks of its own try; an earlier one may have taken effect.
+		machine.unknown[change.ID] = true
+	case !machine.unknown[change.ID] && machine.accepted[change.ID] == (config.Accepted{}):
+		// A refusal is definite only without an earlier attempt, which may have
+		// taken effect.
 		machine.refused[change.ID] = err
 	}
 }
 
-// step is one thing that happens, as drawn before the run.
+// step is one drawn action of a run.
 type step struct {
 	action string
-	// who are the instances that it happens to.
-	who [3]int
-	// edits are the changes of those that make one.
+	// targets are the indexes of the affected instances.
+	targets [3]int
+	// edits are the changes that the targets make.
 	edits [3]edit
 	count int
 	span  time.Duration
 }
 
-// edit is a change of one of four items.
+// edit is a drawn change of one of four items.
 type edit struct {
 	customer, deleted bool
-	// blind overwrites whatever is there.
-	blind    bool
-	name     string
-	deadline peridotpath.Millis
+	// overwrite disables the conflict check.
+	overwrite bool
+	name      string
+	deadline  peridotpath.Millis
 }
 
 func drawStep(t *rapid.T) step {
@@ -129,8 +131,8 @@
 		count:  rapid.IntRange(1, 9).Draw(t, "count"),
 		span:   time.Duration(rapid.IntRange(1, 40_000).Draw(t, "ms")) * time.Millisecond,
 	}
-	for i := range drawn.who {
-		drawn.who[i] = rapid.IntRange(0, machineSize-1).Draw(t, "who")
+	for i := range drawn.targets {
+		drawn.targets[i] = rapid.IntRange(0, machineSize-1).Draw(t, "who")
 		drawn.edits[i] = drawEdit(t)
 	}
 	return drawn
@@ -138,17 +140,17 @@
 
 func drawEdit(t *rapid.T) edit {
 	return edit{
-		customer: rapid.Bool().Draw(t, "customer"),
-		deleted:  rapid.IntRange(0, 4).Draw(t, "deleted") == 0,
-		blind:    rapid.IntRange(0, 4).Draw(t, "blind") == 0,
-		name:     rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
-		deadline: peridotpath.Millis(rapid.IntRange(100, 999).Draw(t, "deadline")),
+		customer:  rapid.Bool().Draw(t, "customer"),
+		deleted:   rapid.IntRange(0, 4).Draw(t, "deleted") == 0,
+		overwrite: rapid.IntRange(0, 4).Draw(t, "blind") == 0,
+		name:      rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
+		deadline:  peridotpath.Millis(rapid.IntRange(100, 999).Draw(t, "deadline")),
 	}
 }
 
-// change makes an edit into a change on what the instance has in force, which
-// may be stale.
-func (machine *machine) change(instance *instance, edit edit) config.Change {
+// newChange returns the change for an edit, based on the instance's active revision,
+// which may be stale.
+func (machine *machine) newChange(instance *instance, edit edit) config.Change {
 	machine.drawn++
 	id := fmt.Sprintf("change-%d", machine.drawn)
 	change := putProfile(id, edit.name, 0, edit.deadline)
@@ -163,21 +165,21 @@
 			change.Base = item.Revision
 		}
 	}
-	if edit.blind {
+	if edit.overwrite {
 		change.Base = config.AnyRevision
 	}
 	return change
 }
 
-// take makes one step happen.
-func (machine *machine) take(step step) {
+// runStep performs one step and checks the invariants.
+func (machine *machine) runStep(step step) {
 	fleet := machine.fleet
-	instance := fleet.instances[step.who[0]]
+	instance := fleet.instances[step.targets[0]]
 	switch step.action {
 	case "change":
-		machine.submit(instance, machine.change(instance, step.edits[0]))
+		machine.submit(instance, machine.newChange(instance, step.edits[0]))
 	case "race":
-		machine.race(step)
+		machine.changeConcurrently(step)
 	case "repeat":
 		machine.repeat(instance, step.count)
 	case "lose answers":
@@ -186,25 +188,25 @@
 		machine.loseBefore.Store(int32(step.count/3 + 1))
 	case "lose one and go down":
 		machine.loseAfter.Store(1)
-		machine.lastWords.Store(true)
-		machine.submit(instance, machine.change(instance, step.edits[0]))
+		machine.downAfterLoss.Store(true)
+		machine.submit(instance, machine.newChange(instance, step.edits[0]))
 	case "late watches":
-		fleet.slow.Store(int64(step.count))
-		for i, who := range step.who {
-			machine.submit(fleet.instances[who], machine.change(fleet.instances[who], step.edits[i]))
+		fleet.delayedWatches.Store(int64(step.count))
+		for i, target := range step.targets {
+			machine.submit(fleet.instances[target], machine.newChange(fleet.instances[target], step.edits[i]))
 		}
 	case "platform":
-		toggle(&fleet.down)
+		toggle(&fleet.platformDown)
 	case "cut":
-		toggle(&instance.cut)
+		toggle(&instance.partitioned)
 	case "astray":
-		toggle(&instance.astray)
+		toggle(&instance.withoutPlatform)
 	case "hang":
-		toggle(&fleet.hung)
+		toggle(&fleet.firstHangs)
 	case "restart":
 		instance.stop()
-		instance.renew()
-		_ = instance.start() // fails where nobody is reached
+		instance.replaceStore()
+		_ = instance.start() // fails if no source is reachable
 	default:
 		time.Sleep(step.span)
 	}
@@ -213,33 +215,33 @@
 
 func toggle(flag *atomic.Bool) { flag.Store(!flag.Load()) }
 
-// race makes three changes at the same moment.
-func (machine *machine) race(step step) {
+// changeConcurrently makes three changes at the same time.
+func (machine *machine) changeConcurrently(step step) {
 	var group sync.WaitGroup
-	for i, who := range step.who {
-		instance := machine.fleet.instances[who]
-		change := machine.change(instance, step.edits[i])
+	for i, target := range step.targets {
+		instance := machine.fleet.instances[target]
+		change := machine.newChange(instance, step.edits[i])
 		group.Go(func() { machine.submit(instance, change) })
 	}
 	group.Wait()
 }
 
-// repeat sends one of the changes again that were not refused for sure.
+// repeat submits again one of the changes without a definite refusal.
 func (machine *machine) repeat(instance *instance, choice int) {
-	var open []string
+	var repeatable []string
 	for id := range machine.changes {
 		if machine.refused[id] == nil {
-			open = append(open, string(id))
+			repeatable = append(repeatable, string(id))
 		}
 	}
-	if len(open) == 0 {
+	if len(repeatable) == 0 {
 		return
 	}
-	slices.Sort(open)
-	machine.submit(instance, machine.changes[config.ChangeID(open[choice%len(open)])])
+	slices.Sort(repeatable)
+	machine.submit(instance, machine.changes[config.ChangeID(repeatable[choice%len(repeatable)])])
 }
 
-// check looks at every instance and at the platform after each action.
+// check checks the invariants on every instance and the platform.
 func (machine *machine) check() {
 	for i, instance := range machine.fleet.instances {
 		store := instance.store()
@@ -261,7 +263,7 @@
 	}
 }
 
-// document is a stored document as the test reads it.
+// document is a stored document, decoded by the test.
 type document struct {
 	name     config.DocumentName
 	Revision peridotpath.Revision `json:"revision"`
@@ -269,7 +271,7 @@
 	History  []config.Event       `json:"history"`
 }
 
-// documents reads the platform past all faults.
+// documents reads the platform's documents without faults.
 func (machine *machine) documents() []document {
 	entries, _, err := machine.fleet.platform.List(context.Background(), config.KeyPrefix)
 	if err != nil {
@@ -285,8 +287,8 @@
 	return documents
 }
 
-// record notes a document's history. A revision is one change for good, and a
-// change is one revision.
+// record adds a document's history to events. It checks that a revision always stands
+// for the same change, and a change for one revision.
 func (machine *machine) record(document document) {
 	events := machine.events[document.name]
 	if events == nil {
@@ -307,19 +309,19 @@
 	}
 }
 
-// finish ends all faults and checks where the fleet has come to.
+// finish ends all faults and checks that the fleet converges.
 func (machine *machine) finish() {
 	machine.loseBefore.Store(0)
 	machine.loseAfter.Store(0)
-	machine.lastWords.Store(false)
-	machine.fleet.slow.Store(0)
-	machine.fleet.down.Store(false)
-	machine.fleet.hung.Store(false)
+	machine.downAfterLoss.Store(false)
+	machine.fleet.delayedWatches.Store(0)
+	machine.fleet.platformDown.Store(false)
+	machine.fleet.firstHangs.Store(false)
 	for _, instance := range machine.fleet.instances {
-		instance.cut.Store(false)
-		instance.astray.Store(false)
+		instance.partitioned.Store(false)
+		instance.withoutPlatform.Store(false)
 	}
-	// The longest pause, then a poll that hangs to its end.
+	// The maximum backoff, then a poll that hangs until its timeout.
 	time.Sleep(17 * time.Second)
 	machine.check()
 	documents := machine.documents()
@@ -338,16 +340,16 @@
 	}
 }
 
-// replay makes all changes of a document again, in order, on a plain map: none
-// may have overwritten what its operator did not see, none that was refused may
-// be among them, and what comes out is what is stored.
+// replay applies all changes of a document in order to a model map. It checks that no
+// change overwrote a revision other than its base, that no refused change took effect,
+// and that the result equals the stored document.
 func (machine *machine) replay(document document) {
 	items := map[string]peridotpath.Revision{}
 	for revision := peridotpath.Revision(1); revision <= document.Revision; revision++ {
 		id := machine.events[document.name][revision]
 		change := machine.changes[id]
 		if err := machine.refused[id]; err != nil {
-			machine.fail("%s took effect but its operator was told %v", id, err)
+			machine.fail("%s took effect but was refused with %v", id, err)
 		}
 		if change.Base != config.AnyRevision && change.Base != items[change.Name] {
 			machine.fail("%s is based on revision %d and overwrote %d", id, change.Base, items[change.Name])
@@ -367,27 +369,28 @@
 	}
 }
 
-// Operators change things through four instances, one by one and at the same
-// moment, while calls and answers are lost, watches tell old news, the platform
-// goes down, and instances are cut off, hang and restart. No instance may go back,
-// no change may overwrite what its operator did not see or take effect twice, no
-// operator may be told "not accepted" of one that did, and in the end all agree.
+// Operators make changes on four instances, one by one and concurrently, while calls
+// and replies are lost, watch replies are stale, the platform goes down, and instances
+// are partitioned, hang and restart. No instance may apply a lower revision, no change
+// may overwrite a revision other than its base or take effect twice, no change that
+// took effect may be reported as not accepted, and in the end all instances must
+// converge.
 func TestRandomFaults(t *testing.T) {
 	soak.Check(t, 5, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(drawStep), 10, 60).Draw(rt, "script")
-		var wrong []string
+		var violations []string
 		virtual.Test(t, func(t *testing.T) {
 			machine := newMachine()
 			machine.fleet.start(t)
 			defer machine.fleet.stop()
 			for _, step := range script {
-				machine.take(step)
+				machine.runStep(step)
 			}
 			machine.finish()
-			wrong = machine.wrong
+			violations = machine.violations
 		})
-		if len(wrong) > 0 {
-			rt.Fatal(strings.Join(wrong, "\n"))
+		if len(violations) > 0 {
+			rt.Fatal(strings.Join(violations, "\n"))
 		}
 	})
 }
--- a/peridotpath/config/size_test.go
+++ b/peridotpath/config/size_test.go
@@ -14,12 +14,12 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// manyCustomers is what the largest deployment is expected to have.
+// manyCustomers is the number of customers expected in the largest deployment.
 const manyCustomers = 34_000
 
 func customerName(i int) string { return fmt.Sprintf("customer-of-a-long-name-%06d", i) }
 
-// fill writes manyCustomers to a new service and returns a loaded Store.
+// fill writes manyCustomers to a new key-value service and returns a loaded Store.
 func fill(tb testing.TB) (*config.Store, *keyvalue.Store) {
 	tb.Helper()
 	items := map[config.DocumentName][]config.Item{}
@@ -53,7 +53,7 @@
 func TestManyCustomers(t *testing.T) {
 	is := is.New(t)
 	store, platform := fill(t)
-	for i := range 100 { // until every history that is touched is full
+	for i := range 100 { // until the history of the changed document is full
 		change := putCustomer(fmt.Sprint(i), customerName(7), fmt.Sprint("new-", i))
 		change.Base = config.AnyRevision
 		_, err := store.Change(t.Context(), change)
@@ -76,8 +76,8 @@
 	is.True(largest < keyvalue.MaxValue/10)
 }
 
-// BenchmarkChange is one customer's change among manyCustomers: check, swap and
-// what it takes to be in force.
+// BenchmarkChange measures one change among manyCustomers: validation, swap and
+// applying it to the snapshot.
 func BenchmarkChange(b *testing.B) {
 	store, _ := fill(b)
 	b.ReportAllocs()
@@ -90,8 +90,8 @@
 	}
 }
 
-// BenchmarkIndexAll is the look-up table of manyCustomers built as a whole,
-// which each change would cost without a table that shares what is unchanged.
+// BenchmarkIndexAll measures building the key index of manyCustomers from scratch,
+// which would be the cost of each change without structural sharing.
 func BenchmarkIndexAll(b *testing.B) {
 	whole := &peridotpath.Config{}
 	for i := range manyCustomers {
@@ -103,7 +103,8 @@
 	}
 }
 
-// BenchmarkReplaceCustomers is the same table after one customer's change.
+// BenchmarkReplaceCustomers measures updating the key index after one customer's
+// change.
 func BenchmarkReplaceCustomers(b *testing.B) {
 	whole := &peridotpath.Config{}
 	for i := range manyCustomers {
@@ -123,7 +124,7 @@
 	}
 }
 
-// BenchmarkCustomerByKey is the look-up on the path of a request.
+// BenchmarkCustomerByKey measures the key lookup that each request makes.
 func BenchmarkCustomerByKey(b *testing.B) {
 	store, _ := fill(b)
 	b.ReportAllocs()
--- a/peridotpath/config/snapshot.go
+++ b/peridotpath/config/snapshot.go
@@ -11,18 +11,18 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Snapshot is the configuration in force at one moment. It is never changed.
+// Snapshot is the configuration that was active at one time. It is immutable.
 type Snapshot struct {
-	// Config is indexed; its plain list of customers is nil.
+	// Config is indexed; its Customers list is nil.
 	Config *peridotpath.Config
-	// Drains are the endpoints that operators took out of placement.
+	// Drains are the endpoints that operators excluded from placement.
 	Drains map[peridotpath.EndpointID]Drain
 
-	documents map[DocumentName]*held
+	documents map[DocumentName]*activeDocument
 }
 
-// held is one document in force.
-type held struct {
+// activeDocument is a document that is part of a snapshot.
+type activeDocument struct {
 	revision  peridotpath.Revision
 	text      []byte
 	customers []*peridotpath.Customer
@@ -31,7 +31,7 @@
 func emptySnapshot() *Snapshot {
 	config := &peridotpath.Config{}
 	config.Index()
-	return &Snapshot{Config: config, Drains: map[peridotpath.EndpointID]Drain{}, documents: map[DocumentName]*held{}}
+	return &Snapshot{Config: config, Drains: map[peridotpath.EndpointID]Drain{}, documents: map[DocumentName]*activeDocument{}}
 }
 
 // Revisions returns the revision of each document.
@@ -43,7 +43,7 @@
 	return revisions
 }
 
-// Revision returns one document's revision, zero if it does not exist.
+// Revision returns a document's revision, or zero if it does not exist.
 func (snapshot *Snapshot) Revision(name DocumentName) peridotpath.Revision {
 	if document := snapshot.documents[name]; document != nil {
 		return document.revision
@@ -51,7 +51,7 @@
 	return 0
 }
 
-// Above returns the documents with a higher revision than have gives them.
+// Above returns the documents with higher revisions than have.
 func (snapshot *Snapshot) Above(have Revisions) []Document {
 	var documents []Document
 	for name, document := range snapshot.documents {
@@ -63,19 +63,19 @@
 	return documents
 }
 
-// with returns a snapshot that holds the documents with a higher revision than
-// held, and how many there were.
+// withDocuments returns a copy of the snapshot to which the documents with higher
+// revisions have been applied, and their number.
 //
-// A lower or equal revision comes from a lagging peer, from a late answer or
-// from a service that was restored from a copy. Applying it would take an
-// accepted change out of force; keeping the higher one can't.
-func (snapshot *Snapshot) with(documents []Document, log zerolog.Logger) (*Snapshot, int) {
+// A lower or equal revision comes from a lagging peer, from a delayed response or
+// from a service that was restored from a backup. Applying it would revert an
+// accepted change; ignoring it cannot.
+func (snapshot *Snapshot) withDocuments(documents []Document, log zerolog.Logger) (*Snapshot, int) {
 	next := &Snapshot{Config: snapshot.Config, Drains: snapshot.Drains, documents: maps.Clone(snapshot.documents)}
 	applied := 0
 	for _, document := range documents {
-		ok, err := next.apply(document)
+		ok, err := next.applyDocument(document)
 		if err != nil {
-			refused("invalid").Inc()
+			refusedCounter("invalid").Inc()
 			log.Error().Str("event", "config_document_refused").Str("document", string(document.Name)).Err(err).Send()
 		}
 		if ok {
@@ -85,21 +85,21 @@
 	return next, applied
 }
 
-// apply puts one document in force in a snapshot that nobody else reads yet.
-func (snapshot *Snapshot) apply(document Document) (bool, error) {
-	parsed, err := parse(document.Text)
+// applyDocument applies one document to a snapshot that is not published yet.
+func (snapshot *Snapshot) applyDocument(document Document) (bool, error) {
+	parsed, err := parseContent(document.Text)
 	if err != nil {
 		return false, err
 	}
 	before := snapshot.documents[document.Name]
 	if before == nil {
-		before = &held{}
+		before = &activeDocument{}
 	}
 	if parsed.Revision <= before.revision {
-		refused("not_higher").Inc()
+		refusedCounter("not_higher").Inc()
 		return false, nil
 	}
-	after := &held{revision: parsed.Revision, text: document.Text}
+	after := &activeDocument{revision: parsed.Revision, text: document.Text}
 	if err := snapshot.rebuild(document.Name.kind(), parsed, before, after); err != nil {
 		return false, err
 	}
@@ -107,8 +107,8 @@
 	return true, nil
 }
 
-// rebuild rebuilds the part of the snapshot that the document's kind makes up.
-func (snapshot *Snapshot) rebuild(kind Kind, parsed *content, before, after *held) error {
+// rebuild rebuilds the part of the snapshot that depends on documents of this kind.
+func (snapshot *Snapshot) rebuild(kind Kind, parsed *content, before, after *activeDocument) error {
 	switch kind {
 	case KindProfile:
 		return snapshot.applyProfiles(parsed)
@@ -117,12 +117,12 @@
 	case KindDrain:
 		return snapshot.applyDrains(parsed)
 	default:
-		return Error.New("unknown document")
+		return Error.New("document name has no known kind")
 	}
 }
 
 func (snapshot *Snapshot) applyProfiles(parsed *content) error {
-	decoded, err := values[peridotpath.Profile](parsed)
+	decoded, err := decodeItems[peridotpath.Profile](parsed)
 	if err != nil {
 		return err
 	}
@@ -138,8 +138,8 @@
 	return nil
 }
 
-func (snapshot *Snapshot) applyCustomers(parsed *content, before, after *held) error {
-	customers, err := values[peridotpath.Customer](parsed)
+func (snapshot *Snapshot) applyCustomers(parsed *content, before, after *activeDocument) error {
+	customers, err := decodeItems[peridotpath.Customer](parsed)
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 }
 
 func (snapshot *Snapshot) applyDrains(parsed *content) error {
-	drains, err := values[Drain](parsed)
+	drains, err := decodeItems[Drain](parsed)
 	if err != nil {
 		return err
 	}
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// refused counts documents that were not put in force, by reason.
-func refused(reason string) *metrics.Counter {
+// refusedCounter counts documents that were not applied, by reason.
+func refusedCounter(reason string) *metrics.Counter {
 	return metrics.GetOrCreateCounter(`peridotpath_config_documents_refused_total{reason="` + reason + `"}`)
 }
