--- a/peridotpath/faults/faults.go
+++ b/peridotpath/faults/faults.go
@@ -1,5 +1,6 @@
-// Package faults switches faults of a stand-in on and off while it runs. The
-// stand-ins of engines, plain services and the key-value service share it.
+// Package faults implements runtime fault injection for the stand-ins of engines,
+// plain services and the key-value service. Faults are switched over HTTP; a stand-in
+// queries them for each call.
 package faults
 
 import (
@@ -11,119 +12,122 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Path is where a stand-in takes and shows its faults.
+// Path is the URL path at which a stand-in serves Faults.
 const Path = "/faults"
 
-// Kind names what goes wrong.
+// Kind is a type of fault.
 type Kind string
 
-// The kinds. Not every stand-in knows each of them.
+// Kinds of faults. A stand-in may support only some of them.
 const (
-	// Refuse refuses before anything ran, and says so.
+	// Refuse rejects a request before execution, and indicates that it did not run.
 	Refuse Kind = "refuse"
-	// Drain refuses new work as Refuse does; what runs is finished.
+	// Drain rejects new requests like Refuse; running requests complete.
 	Drain Kind = "drain"
-	// Fail answers 500 at once, without saying whether the work ran.
+	// Fail responds 500 at once, without indicating whether the request ran.
 	Fail Kind = "fail"
-	// Slow delays: an engine's rates are divided by Factor, any other call waits DelayMS.
+	// Slow divides an engine's rates by Factor, and delays any other call by DelayMS.
 	Slow Kind = "slow"
-	// Empty answers 200 without content.
+	// Empty responds 200 without content.
 	Empty Kind = "empty"
-	// Garbage answers 200 with a body that is not what was asked for.
+	// Garbage responds 200 with an invalid body.
 	Garbage Kind = "garbage"
-	// Half sends half of the answer, closes the connection and forgets the rest.
+	// Half sends half of the response and closes the connection; the stream cannot be
+	// resumed.
 	Half Kind = "half"
-	// Cut sends half of the answer and closes the connection; the stream can be resumed.
+	// Cut sends half of the response and closes the connection; the stream can be
+	// resumed.
 	Cut Kind = "cut"
-	// Close reads the request, runs it and closes the connection without an answer.
+	// Close executes the request and closes the connection without a response.
 	Close Kind = "close"
-	// Hang reads the request and never answers.
+	// Hang reads the request and never responds.
 	Hang Kind = "hang"
-	// Outage refuses every call.
+	// Outage rejects every call.
 	Outage Kind = "outage"
 )
 
-var known = map[Kind]bool{
+var knownKinds = map[Kind]bool{
 	Refuse: true, Drain: true, Fail: true, Slow: true, Empty: true, Garbage: true,
 	Half: true, Cut: true, Close: true, Hang: true, Outage: true,
 }
 
-// Fault is one fault that is switched on.
+// Fault is an active fault.
 type Fault struct {
 	Kind Kind `json:"kind"`
-	// Count is how many calls it meets; zero for all until it is cleared.
+	// Count is the number of calls it affects; zero for all calls until cleared.
 	Count int `json:"count,omitempty"`
-	// Factor divides the rates of an engine that is slow; zero stands for 10.
+	// Factor is the divisor of a slow engine's rates; zero for 10.
 	Factor float64 `json:"factor,omitempty"`
-	// DelayMS is how long a call waits where Slow is a delay.
+	// DelayMS is the delay of a call for which Slow is a delay.
 	DelayMS peridotpath.Millis `json:"delay_ms,omitempty"`
 }
 
-// Faults are the faults that are on. The zero value has none.
+// Faults is a set of active faults. The zero value is empty.
 type Faults struct {
-	mu sync.Mutex
-	on map[Kind]*Fault
+	mu     sync.Mutex
+	active map[Kind]*Fault
 }
 
-// Set switches a fault on; it replaces one of the same kind.
+// Set activates a fault, and replaces any active one of the same kind.
 func (faults *Faults) Set(fault Fault) {
 	faults.mu.Lock()
 	defer faults.mu.Unlock()
-	if faults.on == nil {
-		faults.on = map[Kind]*Fault{}
+	if faults.active == nil {
+		faults.active = map[Kind]*Fault{}
 	}
-	faults.on[fault.Kind] = &fault
+	faults.active[fault.Kind] = &fault
 }
 
-// Clear switches all faults off.
+// Clear deactivates all faults.
 func (faults *Faults) Clear() {
 	faults.mu.Lock()
 	defer faults.mu.Unlock()
-	faults.on = nil
+	faults.active = nil
 }
 
-// Take reports whether a fault of the kind meets this call, and uses up one of
-// its Count.
+// Take returns the active fault of the kind for this call, if any, and decrements its
+// Count.
 func (faults *Faults) Take(kind Kind) (Fault, bool) {
 	faults.mu.Lock()
 	defer faults.mu.Unlock()
-	fault := faults.on[kind]
+	fault := faults.active[kind]
 	if fault == nil {
 		return Fault{}, false
 	}
 	taken := *fault
 	if fault.Count == 1 {
-		delete(faults.on, kind)
+		delete(faults.active, kind)
 	} else if fault.Count > 1 {
 		fault.Count--
 	}
 	return taken, true
 }
 
-// On returns the fault of the kind without using it up.
+// On returns the active fault of the kind, if any, without changing its Count.
 func (faults *Faults) On(kind Kind) (Fault, bool) {
 	faults.mu.Lock()
 	defer faults.mu.Unlock()
-	if fault := faults.on[kind]; fault != nil {
+	if fault := faults.active[kind]; fault != nil {
 		return *fault, true
 	}
 	return Fault{}, false
 }
 
-// First returns the first of the kinds that meets this call; "" for none.
+// First takes the first of the kinds that has an active fault and returns it, or "" if
+// none has.
 func (faults *Faults) First(kinds ...Kind) Kind {
 	for _, kind := range kinds {
-		if _, on := faults.Take(kind); on {
+		if _, active := faults.Take(kind); active {
 			return kind
 		}
 	}
 	return ""
 }
 
-// Wait waits as Slow says, or until done.
+// Wait takes the Slow fault, if active, and sleeps for its delay or until done.
 func (faults *Faults) Wait(done <-chan struct{}) {
-	fault, on := faults.Take(Slow)
-	if !on {
+	fault, active := faults.Take(Slow)
+	if !active {
 		return
 	}
 	select {
@@ -132,13 +136,13 @@
 	}
 }
 
-// ServeHTTP shows the faults on GET, switches one on by POST, and clears all by
+// ServeHTTP returns the active faults on GET, activates one on POST, and clears all on
 // DELETE.
 func (faults *Faults) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	switch request.Method {
 	case http.MethodPost:
 		var fault Fault
-		if err := json.NewDecoder(request.Body).Decode(&fault); err != nil || !known[fault.Kind] {
+		if err := json.NewDecoder(request.Body).Decode(&fault); err != nil || !knownKinds[fault.Kind] {
 			http.Error(writer, "not a fault that is known", http.StatusBadRequest)
 			return
 		}
@@ -148,7 +152,7 @@
 	case http.MethodGet:
 		faults.mu.Lock()
 		defer faults.mu.Unlock()
-		_ = json.NewEncoder(writer).Encode(faults.on)
+		_ = json.NewEncoder(writer).Encode(faults.active)
 	default:
 		writer.WriteHeader(http.StatusMethodNotAllowed)
 	}
