--- a/peridotpath/strictjson/strictjson.go
+++ b/peridotpath/strictjson/strictjson.go
@@ -1,6 +1,9 @@
-// Package strictjson decodes JSON that people write by hand: settings and
-// profiles. Where encoding/json stops at the first fault and lets unknown and
-// repeated keys pass, it reports every fault at once, each with its path.
+// Package strictjson decodes and validates JSON.
+//
+// Decode is for JSON that is written by hand, such as settings and profiles. Where
+// encoding/json stops at the first error and accepts unknown and duplicate keys, it
+// reports every fault, each with its path. Valid checks the syntax of untrusted JSON
+// with bounded recursion.
 package strictjson
 
 import (
@@ -16,22 +19,22 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Mode says what is asked of keys that are left out.
+// Mode is the treatment of missing keys.
 type Mode int
 
 const (
-	// Partial lets any key be left out; defaults are the caller's business.
+	// Partial makes all keys optional; the caller applies defaults.
 	Partial Mode = iota
-	// Complete asks for every key whose field has no omitempty.
+	// Complete requires every key whose field has no omitempty.
 	Complete
 )
 
-// Decode fills the struct that value points to and returns every fault. What
-// has no fault is filled in also when something else has one, so that the
-// caller's own checks can add theirs.
+// Decode decodes text into the struct that value points to and returns every fault.
+// Fields without faults are filled in even if others have faults, so that the caller's
+// validation can report further ones.
 func Decode(text []byte, value any, mode Mode) peridotpath.Faults {
 	decoder := decoder{mode: mode}
-	if err := syntax(text); err != nil {
+	if err := checkSyntax(text); err != nil {
 		decoder.faults.Add("$", "%v", err)
 		return decoder.faults
 	}
@@ -39,10 +42,10 @@
 	return decoder.faults
 }
 
-// syntax finds what makes the text no JSON at all, with the line it stands on.
-func syntax(text []byte) error {
-	var whole json.RawMessage
-	err := json.Unmarshal(text, &whole)
+// checkSyntax returns the syntax error of text, if any, with its line number.
+func checkSyntax(text []byte) error {
+	var value json.RawMessage
+	err := json.Unmarshal(text, &value)
 	var malformed *json.SyntaxError
 	if errors.As(err, &malformed) {
 		line := 1 + bytes.Count(text[:malformed.Offset], []byte("\n"))
@@ -56,24 +59,24 @@
 	faults peridotpath.Faults
 }
 
-// decode fills target from one well-formed JSON value.
+// decode decodes one well-formed JSON value into target.
 func (decoder *decoder) decode(path string, raw []byte, target reflect.Value) {
 	if _, ok := target.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		decoder.leaf(path, raw, target)
+		decoder.decodeLeaf(path, raw, target)
 		return
 	}
 	switch target.Kind() {
 	case reflect.Struct:
-		decoder.object(path, raw, target)
+		decoder.decodeObject(path, raw, target)
 	case reflect.Slice:
-		decoder.list(path, raw, target)
+		decoder.decodeList(path, raw, target)
 	default:
-		decoder.leaf(path, raw, target)
+		decoder.decodeLeaf(path, raw, target)
 	}
 }
 
-// leaf leaves the decoding of numbers, strings and addresses to encoding/json.
-func (decoder *decoder) leaf(path string, raw []byte, target reflect.Value) {
+// decodeLeaf decodes numbers, strings and addresses with encoding/json.
+func (decoder *decoder) decodeLeaf(path string, raw []byte, target reflect.Value) {
 	err := json.Unmarshal(raw, target.Addr().Interface())
 	if string(raw) == "null" {
 		err = errors.New("null")
@@ -83,16 +86,16 @@
 	}
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) || string(raw) == "null" {
-		decoder.faults.Add(path, "is %s, must be %s", shorten(raw), describe(target.Type()))
+		decoder.faults.Add(path, "is %s, must be %s", truncate(raw), describeType(target.Type()))
 		return
 	}
-	decoder.faults.Add(path, "is %s: %v", shorten(raw), err)
+	decoder.faults.Add(path, "is %s: %v", truncate(raw), err)
 }
 
-func (decoder *decoder) list(path string, raw []byte, target reflect.Value) {
+func (decoder *decoder) decodeList(path string, raw []byte, target reflect.Value) {
 	var items []json.RawMessage
 	if err := json.Unmarshal(raw, &items); err != nil || items == nil {
-		decoder.faults.Add(path, "is %s, must be a list", shorten(raw))
+		decoder.faults.Add(path, "is %s, must be a list", truncate(raw))
 		return
 	}
 	target.Set(reflect.MakeSlice(target.Type(), len(items), len(items)))
@@ -101,78 +104,78 @@
 	}
 }
 
-func (decoder *decoder) object(path string, raw []byte, target reflect.Value) {
+func (decoder *decoder) decodeObject(path string, raw []byte, target reflect.Value) {
 	members, ok := decoder.members(path, raw)
 	if !ok {
 		return
 	}
 	known := map[string]bool{}
 	for i := range target.NumField() {
-		key, optional, tagged := keyOf(target.Type().Field(i))
+		key, optional, tagged := jsonKey(target.Type().Field(i))
 		if !tagged {
 			continue
 		}
 		known[key] = true
-		switch member, given := members[key]; {
-		case given:
-			decoder.decode(join(path, key), member, target.Field(i))
+		switch member, found := members[key]; {
+		case found:
+			decoder.decode(joinPath(path, key), member, target.Field(i))
 		case decoder.mode == Complete && !optional:
-			decoder.faults.Add(join(path, key), "is missing")
+			decoder.faults.Add(joinPath(path, key), "is missing")
 		}
 	}
-	decoder.unknown(path, raw, known)
+	decoder.reportUnknown(path, raw, known)
 }
 
-// members returns the members of an object and reports repeated ones: the last
-// would win in silence.
+// members returns the members of an object and reports duplicate keys, of which
+// encoding/json silently uses the last.
 func (decoder *decoder) members(path string, raw []byte) (map[string]json.RawMessage, bool) {
-	keys, values, err := walk(raw)
+	keys, values, err := orderedMembers(raw)
 	if err != nil {
-		decoder.faults.Add(orRoot(path), "is %s, must be an object", shorten(raw))
+		decoder.faults.Add(pathOrRoot(path), "is %s, must be an object", truncate(raw))
 		return nil, false
 	}
 	members := map[string]json.RawMessage{}
 	for i, key := range keys {
 		if _, ok := members[key]; ok {
-			decoder.faults.Add(join(path, key), "is given twice")
+			decoder.faults.Add(joinPath(path, key), "is given twice")
 		}
 		members[key] = values[i]
 	}
 	return members, true
 }
 
-// unknown reports keys that the struct has no field for, in the text's order.
-func (decoder *decoder) unknown(path string, raw []byte, known map[string]bool) {
-	keys, _, _ := walk(raw)
+// reportUnknown reports keys without a struct field, in the order of the text.
+func (decoder *decoder) reportUnknown(path string, raw []byte, known map[string]bool) {
+	keys, _, _ := orderedMembers(raw)
 	for _, key := range keys {
 		if known[key] {
 			continue
 		}
-		if other := sameStem(key, known); other != "" {
-			decoder.faults.Add(join(path, key), "is unknown; the unit is part of the key: %s", other)
+		if knownKey := keyWithOtherUnit(key, known); knownKey != "" {
+			decoder.faults.Add(joinPath(path, key), "is unknown; the unit is part of the key: %s", knownKey)
 			continue
 		}
-		decoder.faults.Add(join(path, key), "is unknown")
+		decoder.faults.Add(joinPath(path, key), "is unknown")
 	}
 }
 
-// sameStem returns a known key that differs from key by its unit only.
-func sameStem(key string, known map[string]bool) string {
+// keyWithOtherUnit returns a known key that differs from key only in its unit suffix.
+func keyWithOtherUnit(key string, known map[string]bool) string {
 	at := strings.LastIndexByte(key, '_')
 	if at < 0 {
 		at = len(key)
 	}
-	for other := range known {
-		end := strings.LastIndexByte(other, '_')
-		if end > 0 && (other[:end] == key[:at] || other[:end] == key) {
-			return other
+	for knownKey := range known {
+		end := strings.LastIndexByte(knownKey, '_')
+		if end > 0 && (knownKey[:end] == key[:at] || knownKey[:end] == key) {
+			return knownKey
 		}
 	}
 	return ""
 }
 
-// walk returns the keys and values of an object in the text's order.
-func walk(raw []byte) ([]string, []json.RawMessage, error) {
+// orderedMembers returns the keys and values of an object in the order of the text.
+func orderedMembers(raw []byte) ([]string, []json.RawMessage, error) {
 	reader := json.NewDecoder(bytes.NewReader(raw))
 	if token, err := reader.Token(); err != nil || token != json.Delim('{') {
 		return nil, nil, errors.Join(errors.New("not an object"), err)
@@ -194,21 +197,22 @@
 	return keys, values, nil
 }
 
-// keyOf returns the JSON key of a field and whether it may be left out.
-func keyOf(field reflect.StructField) (key string, optional, tagged bool) {
+// jsonKey returns the JSON key of a field, whether it is optional, and whether the
+// field has a key.
+func jsonKey(field reflect.StructField) (key string, optional, tagged bool) {
 	key, options, _ := strings.Cut(field.Tag.Get("json"), ",")
 	return key, strings.Contains(options, "omitempty"), key != "" && key != "-"
 }
 
-// describe says in words what a field takes.
-func describe(kind reflect.Type) string {
-	switch kind {
+// describeType describes the values that a field accepts.
+func describeType(fieldType reflect.Type) string {
+	switch fieldType {
 	case reflect.TypeFor[peridotpath.Millis]():
 		return "a whole number of milliseconds, without a unit"
 	case reflect.TypeFor[peridotpath.Bytes]():
 		return "a whole number of bytes, without a unit"
 	}
-	switch kind.Kind() {
+	switch fieldType.Kind() {
 	case reflect.Bool:
 		return "true or false"
 	case reflect.String:
@@ -220,25 +224,25 @@
 	}
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-func orRoot(path string) string {
+func pathOrRoot(path string) string {
 	if path == "" {
 		return "$"
 	}
 	return path
 }
 
-const maxShown = 40
+const maxShownBytes = 40
 
-func shorten(raw []byte) string {
-	if len(raw) > maxShown {
-		return string(raw[:maxShown]) + "..."
+func truncate(raw []byte) string {
+	if len(raw) > maxShownBytes {
+		return string(raw[:maxShownBytes]) + "..."
 	}
 	return string(raw)
 }
--- a/peridotpath/strictjson/valid.go
+++ b/peridotpath/strictjson/valid.go
@@ -6,17 +6,16 @@
 	"github.com/tidwall/gjson"
 )
 
-// maxNesting bounds how deep values may stand in one another. Prompts with
-// tools and their schemas need a few dozen.
+// maxNesting bounds the nesting depth of values. Prompts with tools and their schemas
+// need a few dozen levels.
 const maxNesting = 1000
 
-// Valid reports whether text is one JSON value that is not nested too deep.
+// Valid reports whether text is one JSON value that is not nested too deeply.
 //
-// gjson checks nested values by recursion. A body of 16 MB of opening brackets
-// takes its stack past the limit of 1 GB, which ends the whole process with
-// every request that it serves: one caller, or one endpoint, could take an
-// instance down. The brackets are counted first, which is fast; only a text with
-// many of them is looked at closer.
+// gjson validates nested values recursively. A body of 16 MB of opening brackets
+// exceeds the stack limit of 1 GB, which terminates the process and every request it
+// serves: a single caller or endpoint could crash an instance. Brackets are therefore
+// counted first, which is fast, and the depth is computed only for texts with many.
 func Valid(text []byte) bool {
 	opening := bytes.Count(text, []byte("[")) + bytes.Count(text, []byte("{"))
 	if opening > maxNesting && nesting(text) > maxNesting {
@@ -25,8 +24,8 @@
 	return gjson.ValidBytes(text)
 }
 
-// nesting returns how deep the brackets outside of strings stand in one another,
-// or the first depth past maxNesting.
+// nesting returns the maximum nesting depth of brackets outside of strings. It stops at
+// the first depth above maxNesting.
 func nesting(text []byte) int {
 	depth, deepest := 0, 0
 	for i := 0; i < len(text) && deepest <= maxNesting; i++ {
@@ -43,7 +42,8 @@
 	return deepest
 }
 
-// stringEnd returns where the string that begins at from ends.
+// stringEnd returns the index of the closing quote of the string whose content starts
+// at from, or len(text) if it is unterminated.
 func stringEnd(text []byte, from int) int {
 	for i := from; i < len(text); i++ {
 		switch text[i] {
--- a/peridotpath/strictjson/valid_test.go
+++ b/peridotpath/strictjson/valid_test.go
@@ -10,9 +10,9 @@
 	"peridotpath.example/peridotpath/strictjson"
 )
 
-// A caller sends 16 MB of opening brackets. The instance died with "stack
-// overflow", and with it every stream that it was relaying.
-func TestValidRefusesDeepNesting(t *testing.T) {
+// A request body of 16 MB of opening brackets caused a stack overflow, which terminated
+// the instance and every stream that it was relaying.
+func TestValidRejectsDeepNesting(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -21,7 +21,7 @@
 		{"16 MB of brackets", strings.Repeat("[", 16<<20), false},
 		{"16 MB of braces", strings.Repeat(`{"a":`, 16<<20/5), false},
 		{"closed, too deep", strings.Repeat("[", 1001) + strings.Repeat("]", 1001), false},
-		{"deep enough for anyone", strings.Repeat("[", 1000) + strings.Repeat("]", 1000), true},
+		{"at the maximum depth", strings.Repeat("[", 1000) + strings.Repeat("]", 1000), true},
 		{"brackets in a string", `{"prompt":"` + strings.Repeat("[{", 1<<20) + `"}`, true},
 		{"an escaped quote before brackets", `["\"` + strings.Repeat("[", 2000) + `"]`, true},
 		{"many messages", `[` + strings.Repeat(`{"role":"user"},`, 5000) + `{}]`, true},
@@ -43,7 +43,7 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if have := strictjson.Valid(text); have && !json.Valid(text) {
-			t.Errorf("want %q refused, as encoding/json does", text)
+			t.Errorf("want %q invalid, as in encoding/json", text)
 		}
 	})
 }
