--- a/peridotpath/config/config.go
+++ b/peridotpath/config/config.go
@@ -31,7 +31,7 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("config")
 
-// ErrNoPeers is returned by Peers if the membership list has no other live
+// ErrNoPeers is returned by Store.Peers if the membership list has no other live
 // instance. It counts as contact, because no other instance could serve callers
 // instead.
 var ErrNoPeers = errs.Class("config: no peers")
--- a/peridotpath/config/follow.go
+++ b/peridotpath/config/follow.go
@@ -23,7 +23,7 @@
 )
 
 // Load reads the configuration once, from the platform and from peers, and takes
-// each document at the highest revision found. Peers are needed while the platform
+// each document at the highest revision found. The peers are needed while the platform
 // is down or after it was restored from an old backup. Load returns an error if no
 // source has a configuration; call Run in any case.
 func (store *Store) Load(ctx context.Context) (*Snapshot, error) {
@@ -172,7 +172,7 @@
 var ErrNotLoaded = errs.Class("config: not loaded")
 
 // Changes returns the documents with higher revisions than have, waiting up to wait
-// for one. It serves the long polls that other instances make through Peers.
+// for one. It serves the long polls that other instances make through Store.Peers.
 func (store *Store) Changes(ctx context.Context, have Revisions, wait time.Duration) (Update, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
