--- a/peridotctl/check.go
+++ b/peridotctl/check.go
@@ -49,7 +49,7 @@
 		return nil, err
 	}
 	config := &peridotpath.Config{}
-	faults := strictjson.Decode(text, config, strictjson.Partial)
+	faults := strictjson.Decode(text, config, strictjson.AllowMissing)
 	config.Defaults()
 	return config, faults.Merge(config.Validate()).OrNil()
 }
--- a/peridotctl/session_test.go
+++ b/peridotctl/session_test.go
@@ -66,7 +66,7 @@
 			return cannedExplanation(request), nil
 		},
 		Applied: func(_ context.Context, document config.DocumentName) ([]*pb.InstanceRevision, error) {
-			revision := store.Applied()[document]
+			revision := store.ActiveRevisions()[document]
 			return []*pb.InstanceRevision{
 				{Instance: "colombo-a-1", DataCentre: "colombo-a", Revision: uint64(revision)},
 				{Instance: "negombo-b-1", DataCentre: "negombo-b", Revision: uint64(revision - lag)},
--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -85,10 +85,10 @@
 		Peers: tracker.peers, Call: client.Exchange, Report: tracker.view.Report,
 	}
 	tracker.relay = &peer.Relay{Readers: tracker.readers, Others: tracker.peers, Changes: client.Changes}
-	tracker.service = &peer.Service{Exchanger: tracker.exchanger, Changes: daemon.config.Changes}
-	daemon.config.Peers = tracker.relay.Peers
+	tracker.service = &peer.Service{Exchanger: tracker.exchanger, Changes: daemon.config.WaitForUpdate}
+	daemon.config.FetchFromPeers = tracker.relay.Peers
 	daemon.config.IsReader = tracker.isReader
-	daemon.config.Publish = func(*config.Snapshot) { tracker.view.Refresh(time.Now()) }
+	daemon.config.OnSnapshot = func(*config.Snapshot) { tracker.view.Refresh(time.Now()) }
 	tracker.limiter = &share.Limiter{
 		Peers: tracker.exchanger.Remotes, Publish: tracker.digests.PutCustomer, Keep: tracker.digests.KeepCustomers,
 	}
--- a/peridotd/operate.go
+++ b/peridotd/operate.go
@@ -142,7 +142,7 @@
 	response := &pb.StatusResponse{
 		Instance: string(daemon.settings.InstanceID), DataCentre: string(daemon.settings.DataCentre),
 		Ready: daemon.callers.IsReady(), Stopping: daemon.callers.Stopping(),
-		ConfigAgeMs: time.Since(daemon.config.Contact()).Milliseconds(),
+		ConfigAgeMs: time.Since(daemon.config.LastContact()).Milliseconds(),
 		Running:     int32(daemon.callers.Active()), Waiting: int32(daemon.scheduler.Waiting()),
 	}
 	for _, state := range daemon.scheduler.Endpoints(time.Now()) {
--- a/peridotpath/caller/deadline_test.go
+++ b/peridotpath/caller/deadline_test.go
@@ -322,7 +322,7 @@
 		status int
 	}{
 		{"answered", "", http.StatusOK},
-		{"may have run", faults.Close, http.StatusFailedDependency},
+		{"may have run", faults.CloseUnanswered, http.StatusFailedDependency},
 		{"not run", faults.Refuse, http.StatusServiceUnavailable},
 	}
 	for _, test := range tests {
--- a/peridotpath/config/change.go
+++ b/peridotpath/config/change.go
@@ -43,9 +43,9 @@
 var (
 	// ErrNotAccepted reports that the change certainly did not take effect.
 	ErrNotAccepted = errs.Class("config: not accepted")
-	// ErrUnknown reports that the change may have taken effect. It can be sent
+	// ErrOutcomeUnknown reports that the change may have taken effect. It can be sent
 	// again with the same id and then takes effect once.
-	ErrUnknown = errs.Class("config: outcome unknown")
+	ErrOutcomeUnknown = errs.Class("config: outcome unknown")
 )
 
 // Conflict reports that the item is not at the revision that the change is based on.
@@ -79,7 +79,7 @@
 
 // Change validates a change and writes it with one compare-and-swap. It is accepted
 // if that swap took effect. An error is peridotpath.Faults, a *Conflict or of class
-// ErrNotAccepted, all of which mean that nothing changed, or of class ErrUnknown.
+// ErrNotAccepted, all of which mean that nothing changed, or of class ErrOutcomeUnknown.
 //
 // A swap can take effect although its reply is lost. Reported as failed, it would
 // stay unnoticed or be made a second time. The swap is therefore repeated on the same
@@ -123,7 +123,7 @@
 		return "faults"
 	case errors.As(err, &conflict):
 		return "conflict"
-	case ErrUnknown.Has(err):
+	case ErrOutcomeUnknown.Has(err):
 		return "unknown"
 	default:
 		return "not_accepted"
@@ -146,11 +146,11 @@
 	swapRevision   peridotpath.Revision
 }
 
-// abortError returns the error with which to abort: ErrUnknown if a swap may have taken
+// abortError returns the error with which to abort: ErrOutcomeUnknown if a swap may have taken
 // effect, else ErrNotAccepted.
 func (writer *writer) abortError(err error) error {
 	if writer.outcomeUnknown {
-		return ErrUnknown.New("change %s of %s: %v", writer.change.ID, writer.document, err)
+		return ErrOutcomeUnknown.New("change %s of %s: %v", writer.change.ID, writer.document, err)
 	}
 	return ErrNotAccepted.Wrap(err)
 }
@@ -219,7 +219,7 @@
 		return nil
 	}
 	if revision > writer.swapRevision+maxHistoryEvents {
-		return ErrUnknown.New("change %s of %s: history no longer reaches back", writer.change.ID, writer.document)
+		return ErrOutcomeUnknown.New("change %s of %s: history no longer reaches back", writer.change.ID, writer.document)
 	}
 	writer.outcomeUnknown = false
 	return nil
--- a/peridotpath/config/change_test.go
+++ b/peridotpath/config/change_test.go
@@ -104,7 +104,7 @@
 		time.Sleep(time.Second)
 		for _, instance := range fleet.instances {
 			is.Equal(len(instance.store().Current().Config.Profiles), 2)
-			is.Equal(instance.store().Applied()["profiles"], peridotpath.Revision(2))
+			is.Equal(instance.store().ActiveRevisions()["profiles"], peridotpath.Revision(2))
 		}
 	})
 }
@@ -176,7 +176,7 @@
 	withFleet(t, 2, 2, loseReplyAndGoDown, func(t *testing.T, is *is.I, fleet *fleet) {
 		change := putProfile("mine", "counter", 0, 200)
 		_, err := fleet.instances[0].store().Change(changeContext(t), change)
-		is.True(config.ErrUnknown.Has(err)) // a definite outcome was reported
+		is.True(config.ErrOutcomeUnknown.Has(err)) // a definite outcome was reported
 		_, err = fleet.instances[1].store().Change(changeContext(t), putProfile("other", "dossier", 0, 300))
 		is.True(config.ErrNotAccepted.Has(err))
 		fleet.platformDown.Store(false)
@@ -204,7 +204,7 @@
 	}
 	withFleet(t, 2, 2, loseCallThenChangeOften, func(t *testing.T, is *is.I, fleet *fleet) {
 		_, err := fleet.instances[0].store().Change(changeContext(t), putProfile("mine", "counter", 0, 200))
-		is.True(config.ErrUnknown.Has(err))
+		is.True(config.ErrOutcomeUnknown.Has(err))
 	})
 }
 
--- a/peridotpath/config/check.go
+++ b/peridotpath/config/check.go
@@ -109,7 +109,7 @@
 
 // decode decodes value strictly and prefixes the faults' paths with kind.
 func decode(text []byte, value any, kind Kind) peridotpath.Faults {
-	faults := strictjson.Decode(text, value, strictjson.Partial)
+	faults := strictjson.Decode(text, value, strictjson.AllowMissing)
 	for i := range faults {
 		faults[i].Path = fmt.Sprintf("%s.%s", kind, faults[i].Path)
 	}
--- a/peridotpath/config/config.go
+++ b/peridotpath/config/config.go
@@ -31,23 +31,23 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("config")
 
-// ErrNoPeers is returned by Store.Peers if the membership list has no other live
+// ErrNoPeers is returned by Store.FetchFromPeers if the membership list has no other live
 // instance. It counts as contact, because no other instance could serve callers
 // instead.
 var ErrNoPeers = errs.Class("config: no peers")
 
 // Defaults of the Store's fields.
 const (
-	// DefaultWait causes one platform call every 5 s for each idle reader, and
+	// DefaultMaxPollWait causes one platform call every 5 s for each idle reader, and
 	// bounds the time in which a follower detects that the instance it follows
 	// hangs.
-	DefaultWait = 5 * time.Second
-	// DefaultStaleAfter is several times DefaultWait, so that followers do not
+	DefaultMaxPollWait = 5 * time.Second
+	// DefaultStaleAfter is several times DefaultMaxPollWait, so that followers do not
 	// fall back to the platform after one lost poll.
 	DefaultStaleAfter = 20 * time.Second
-	// DefaultCutOffAfter allows one attempt at each source after the longest
+	// DefaultNotReadyAfter allows one attempt at each source after the longest
 	// backoff.
-	DefaultCutOffAfter = 30 * time.Second
+	DefaultNotReadyAfter = 30 * time.Second
 )
 
 // Store follows the configuration and changes it. Set the exported fields before
@@ -58,21 +58,21 @@
 	// IsReader reports whether this instance currently watches the platform; nil
 	// for always. See package ownership.
 	IsReader func() bool
-	// Peers fetches the documents with higher revisions than have from another
+	// FetchFromPeers fetches the documents with higher revisions than have from another
 	// instance, with a long poll of up to wait. With wait zero it queries several
 	// instances, to find the highest revision among them. nil stands for ErrNoPeers.
-	Peers func(ctx context.Context, have Revisions, wait time.Duration) ([]Update, error)
-	// Publish is called with each new snapshot, in order, and must not block;
+	FetchFromPeers func(ctx context.Context, have Revisions, wait time.Duration) ([]Update, error)
+	// OnSnapshot is called with each new snapshot, in order, and must not block;
 	// optional.
-	Publish func(snapshot *Snapshot)
-	// Wait is the maximum duration of one watch or long poll; zero for DefaultWait.
-	Wait time.Duration
+	OnSnapshot func(snapshot *Snapshot)
+	// MaxPollWait is the maximum duration of one watch or long poll; zero for DefaultMaxPollWait.
+	MaxPollWait time.Duration
 	// StaleAfter is the age of the last platform contact of any peer from which a
 	// follower reads the platform itself; zero for DefaultStaleAfter.
 	StaleAfter time.Duration
-	// CutOffAfter is the time since the last contact with the platform or a peer
-	// after which the instance is not ready; zero for DefaultCutOffAfter.
-	CutOffAfter time.Duration
+	// NotReadyAfter is the time since the last contact with the platform or a peer
+	// after which the instance is not ready; zero for DefaultNotReadyAfter.
+	NotReadyAfter time.Duration
 	// Now is the clock for history timestamps; nil for time.Now.
 	Now func() time.Time
 	// Random returns a number in [0, 1) for jitter; nil for the global source.
@@ -92,8 +92,8 @@
 // atomic load, cheap enough for each request.
 func (store *Store) Current() *Snapshot { return store.current.Load() }
 
-// Applied returns the revisions that are active on this instance.
-func (store *Store) Applied() Revisions {
+// ActiveRevisions returns the revisions that are active on this instance.
+func (store *Store) ActiveRevisions() Revisions {
 	snapshot := store.Current()
 	if snapshot == nil {
 		return Revisions{}
@@ -109,11 +109,11 @@
 // symptom. During an outage of the platform alone, instances have contact with one
 // another and stay ready.
 func (store *Store) Ready() bool {
-	return store.Current() != nil && time.Since(store.Contact()) < orDefault(store.CutOffAfter, DefaultCutOffAfter)
+	return store.Current() != nil && time.Since(store.LastContact()) < orDefault(store.NotReadyAfter, DefaultNotReadyAfter)
 }
 
-// Contact returns the time of the last contact with the platform or a peer.
-func (store *Store) Contact() time.Time {
+// LastContact returns the time of the last contact with the platform or a peer.
+func (store *Store) LastContact() time.Time {
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	return store.lastContact
@@ -181,8 +181,8 @@
 		close(store.changed)
 	}
 	store.changed = make(chan struct{})
-	if store.Publish != nil {
-		store.Publish(next)
+	if store.OnSnapshot != nil {
+		store.OnSnapshot(next)
 	}
 	return true
 }
--- a/peridotpath/config/config_test.go
+++ b/peridotpath/config/config_test.go
@@ -66,7 +66,7 @@
 		_, err = kv.Swap(ctx, "config/profiles", version, stored(t, 4, "old", profile("old")), keyvalue.LeaseID{})
 		is.NoErr(err)
 		time.Sleep(time.Minute)
-		is.Equal(store.Applied()["profiles"], peridotpath.Revision(5)) // a lower revision was applied
+		is.Equal(store.ActiveRevisions()["profiles"], peridotpath.Revision(5)) // a lower revision was applied
 		is.True(store.Current().Config.Profile("old") == nil)
 		is.True(store.Ready())
 		cancel()
--- a/peridotpath/config/document.go
+++ b/peridotpath/config/document.go
@@ -29,11 +29,11 @@
 const (
 	// KeyPrefix is the prefix of a document's key in the key-value service.
 	KeyPrefix = "config/"
-	// Shards is the number of documents that customers are sharded into. With
+	// CustomerShards is the number of documents that customers are sharded into. With
 	// 34,000 customers of about 250 bytes, a document holds about 130 of them in
 	// 35 kB, 1/30 of the service's maximum value size. A change writes and
 	// propagates one document. The number is part of the storage format.
-	Shards = 256
+	CustomerShards = 256
 
 	profilesDocument DocumentName = "profiles"
 	drainsDocument   DocumentName = "drains"
@@ -48,7 +48,7 @@
 	case KindDrain:
 		return drainsDocument
 	default:
-		return shardName(xxhash.Sum64String(name) % Shards)
+		return shardName(xxhash.Sum64String(name) % CustomerShards)
 	}
 }
 
--- a/peridotpath/config/fleet_test.go
+++ b/peridotpath/config/fleet_test.go
@@ -58,11 +58,11 @@
 // replaceStore replaces the instance's Store by an empty one.
 func (instance *instance) replaceStore() {
 	instance.current.Store(&config.Store{
-		KeyValue: instance.keyValue(),
-		Log:      zerolog.Nop(),
-		IsReader: func() bool { return instance.reader },
-		Peers:    instance.peers,
-		Random:   func() float64 { return 0.5 },
+		KeyValue:       instance.keyValue(),
+		Log:            zerolog.Nop(),
+		IsReader:       func() bool { return instance.reader },
+		FetchFromPeers: instance.peers,
+		Random:         func() float64 { return 0.5 },
 	})
 }
 
@@ -201,7 +201,7 @@
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
-		update, err := other.store().Changes(ctx, have, wait)
+		update, err := other.store().WaitForUpdate(ctx, have, wait)
 		if err != nil || instance.partitioned.Load() || other.partitioned.Load() {
 			continue
 		}
--- a/peridotpath/config/follow.go
+++ b/peridotpath/config/follow.go
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func (store *Store) pollWait() time.Duration { return orDefault(store.Wait, DefaultWait) }
+func (store *Store) pollWait() time.Duration { return orDefault(store.MaxPollWait, DefaultMaxPollWait) }
 
 // listPlatform reads all documents from the platform.
 func (store *Store) listPlatform(ctx context.Context) error {
@@ -136,12 +136,12 @@
 // pollPeers fetches and applies the documents for which peers have higher revisions
 // than this instance.
 func (store *Store) pollPeers(ctx context.Context, wait time.Duration) error {
-	if store.Peers == nil {
+	if store.FetchFromPeers == nil {
 		return store.recordNoPeers(ErrNoPeers.New("no peer source is configured"))
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+pollGrace)
 	defer cancel()
-	updates, err := store.Peers(ctx, store.Applied(), wait)
+	updates, err := store.FetchFromPeers(ctx, store.ActiveRevisions(), wait)
 	if err != nil {
 		return store.recordNoPeers(err)
 	}
@@ -171,9 +171,9 @@
 // ErrNotLoaded reports that this instance has no configuration yet.
 var ErrNotLoaded = errs.Class("config: not loaded")
 
-// Changes returns the documents with higher revisions than have, waiting up to wait
-// for one. It serves the long polls that other instances make through Store.Peers.
-func (store *Store) Changes(ctx context.Context, have Revisions, wait time.Duration) (Update, error) {
+// WaitForUpdate returns the documents with higher revisions than have, waiting up to wait
+// for one. It serves the long polls that other instances make through Store.FetchFromPeers.
+func (store *Store) WaitForUpdate(ctx context.Context, have Revisions, wait time.Duration) (Update, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -181,7 +181,7 @@
 		if snapshot == nil {
 			return Update{}, ErrNotLoaded.New("")
 		}
-		if documents := snapshot.Above(have); len(documents) > 0 {
+		if documents := snapshot.NewerThan(have); len(documents) > 0 {
 			return store.newUpdate(documents), nil
 		}
 		select {
--- a/peridotpath/config/follow_test.go
+++ b/peridotpath/config/follow_test.go
@@ -28,7 +28,7 @@
 }
 
 func (instance *instance) revision() peridotpath.Revision {
-	return instance.store().Applied()["profiles"]
+	return instance.store().ActiveRevisions()["profiles"]
 }
 
 // An instance starts while the platform is down, with one peer that missed the last
@@ -108,7 +108,7 @@
 			before := isolated.mustChange(t, putProfile(fmt.Sprint(time.Now().UnixNano()), "counter", config.AnyRevision, 100))
 			time.Sleep(time.Second)
 			isolated.partitioned.Store(true)
-			time.Sleep(config.DefaultCutOffAfter - 7*time.Second)
+			time.Sleep(config.DefaultNotReadyAfter - 7*time.Second)
 			is.True(isolated.store().Ready()) // not ready after a short partition
 			other := fleet.instances[0]
 			if other == isolated {
@@ -178,7 +178,7 @@
 		store := &config.Store{
 			KeyValue: platform,
 			IsReader: func() bool { return false },
-			Peers: func(ctx context.Context, _ config.Revisions, wait time.Duration) ([]config.Update, error) {
+			FetchFromPeers: func(ctx context.Context, _ config.Revisions, wait time.Duration) ([]config.Update, error) {
 				select {
 				case <-time.After(wait):
 				case <-ctx.Done():
@@ -192,8 +192,8 @@
 		go func() { done <- store.Run(ctx) }()
 		_, err = platform.Swap(ctx, "config/profiles", 0, stored(t, 1, "counter", profile("counter")), keyvalue.LeaseID{})
 		is.NoErr(err)
-		time.Sleep(config.DefaultStaleAfter + config.DefaultWait)
-		is.Equal(store.Applied()["profiles"], peridotpath.Revision(1)) // the follower did not fall back to the platform
+		time.Sleep(config.DefaultStaleAfter + config.DefaultMaxPollWait)
+		is.Equal(store.ActiveRevisions()["profiles"], peridotpath.Revision(1)) // the follower did not fall back to the platform
 		cancel()
 		is.True(errors.Is(<-done, context.Canceled))
 	})
@@ -265,8 +265,8 @@
 		injectFault func(fleet *fleet)
 		limit       time.Duration
 	}{
-		{"hung", func(fleet *fleet) { fleet.firstHangs.Store(true) }, config.DefaultWait + 2*time.Second},
-		{"without platform", func(fleet *fleet) { fleet.instances[0].withoutPlatform.Store(true) }, config.DefaultStaleAfter + config.DefaultWait},
+		{"hung", func(fleet *fleet) { fleet.firstHangs.Store(true) }, config.DefaultMaxPollWait + 2*time.Second},
+		{"without platform", func(fleet *fleet) { fleet.instances[0].withoutPlatform.Store(true) }, config.DefaultStaleAfter + config.DefaultMaxPollWait},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/peridotpath/config/machine_test.go
+++ b/peridotpath/config/machine_test.go
@@ -92,7 +92,7 @@
 	switch {
 	case err == nil:
 		machine.accepted[change.ID] = accepted
-	case config.ErrUnknown.Has(err):
+	case config.ErrOutcomeUnknown.Has(err):
 		machine.unknown[change.ID] = true
 	case !machine.unknown[change.ID] && machine.accepted[change.ID] == (config.Accepted{}):
 		// A refusal is definite only without an earlier attempt, which may have
@@ -245,7 +245,7 @@
 func (machine *machine) check() {
 	for i, instance := range machine.fleet.instances {
 		store := instance.store()
-		now := store.Applied()
+		now := store.ActiveRevisions()
 		for document, revision := range machine.seen[store] {
 			if now[document] < revision {
 				machine.fail("instance %d went from revision %d of %s back to %d", i, revision, document, now[document])
@@ -330,7 +330,7 @@
 			machine.fail("instance %d is not ready", i)
 		}
 		for _, document := range documents {
-			if have := instance.store().Applied()[document.name]; have != document.Revision {
+			if have := instance.store().ActiveRevisions()[document.name]; have != document.Revision {
 				machine.fail("instance %d has revision %d of %s, not %d", i, have, document.name, document.Revision)
 			}
 		}
--- a/peridotpath/config/size_test.go
+++ b/peridotpath/config/size_test.go
@@ -112,7 +112,7 @@
 	}
 	whole.Index()
 	var before, after []*peridotpath.Customer
-	for i := range manyCustomers / config.Shards {
+	for i := range manyCustomers / config.CustomerShards {
 		before = append(before, &whole.Customers[i])
 		after = append(after, &whole.Customers[i])
 	}
--- a/peridotpath/config/snapshot.go
+++ b/peridotpath/config/snapshot.go
@@ -51,8 +51,8 @@
 	return 0
 }
 
-// Above returns the documents with higher revisions than have.
-func (snapshot *Snapshot) Above(have Revisions) []Document {
+// NewerThan returns the documents with higher revisions than have.
+func (snapshot *Snapshot) NewerThan(have Revisions) []Document {
 	var documents []Document
 	for name, document := range snapshot.documents {
 		if document.revision > have[name] {
--- a/peridotpath/engine/enginetest/engine.go
+++ b/peridotpath/engine/enginetest/engine.go
@@ -218,7 +218,7 @@
 	defer engine.mu.Unlock()
 	seconds := now.Sub(engine.last).Seconds()
 	engine.last = now
-	if fault, on := engine.Faults.On(faults.Slow); on {
+	if fault, on := engine.Faults.Peek(faults.Slow); on {
 		if fault.Factor <= 0 {
 			fault.Factor = slowFactor
 		}
@@ -310,7 +310,7 @@
 
 func (engine *Engine) snapshot(now time.Time) peridotpath.Load {
 	engine.reportRevision++
-	_, leaving := engine.Faults.On(faults.Drain)
+	_, leaving := engine.Faults.Peek(faults.Drain)
 	leaving = leaving || engine.orders.mayServe(now) != nil
 	waiting, ahead := engine.waiting()
 	return peridotpath.Load{
--- a/peridotpath/engine/enginetest/engine_test.go
+++ b/peridotpath/engine/enginetest/engine_test.go
@@ -219,7 +219,7 @@
 		{faults.Refuse, false, engine.ErrRefused.Has, 0},
 		{faults.Drain, true, engine.ErrRefused.Has, 0},
 		{faults.Fail, false, engine.ErrFailed.Has, 0},
-		{faults.Close, true, engine.ErrFailed.Has, 1},
+		{faults.CloseUnanswered, true, engine.ErrFailed.Has, 1},
 	}
 	for _, test := range tests {
 		t.Run(string(test.kind), func(t *testing.T) {
@@ -241,14 +241,14 @@
 func TestCutAndHalf(t *testing.T) {
 	fake := &enginetest.Engine{}
 	with(t, fake, func(is *is.I, bench *bench) {
-		for _, kind := range []faults.Kind{faults.Cut, faults.Half} {
+		for _, kind := range []faults.Kind{faults.CutResumable, faults.CutUnresumable} {
 			fake.Faults.Set(faults.Fault{Kind: kind, Count: 1})
 			answer, err := bench.send(context.Background(), string(kind), body("x", 10, true), 0)
 			is.NoErr(err)
 			_, last, whole := read(answer, everything)
 			is.True(!whole)
 			_, err = bench.client.Resume(context.Background(), address, answer.StreamID, last)
-			is.Equal(err == nil, kind == faults.Cut)
+			is.Equal(err == nil, kind == faults.CutResumable)
 		}
 	})
 }
--- a/peridotpath/engine/enginetest/serve.go
+++ b/peridotpath/engine/enginetest/serve.go
@@ -54,7 +54,7 @@
 
 func (engine *Engine) complete(writer http.ResponseWriter, request *http.Request) {
 	sender := senderOf(request)
-	switch kind := engine.Faults.First(faults.Refuse, faults.Drain, faults.Fail); kind {
+	switch kind := engine.Faults.TakeFirst(faults.Refuse, faults.Drain, faults.Fail); kind {
 	case faults.Drain:
 		engine.noteRefused(sender)
 		writer.Header().Set(wire.HeaderNotRun, wire.NotRunLeaving)
@@ -97,13 +97,13 @@
 
 // answer gives the answer in the form that was asked for, or in the form of a fault.
 func (stream *stream) answer(writer http.ResponseWriter, request *http.Request) {
-	kind := stream.engine.Faults.First(faults.Hang, faults.Close, faults.Empty, faults.Garbage, faults.Half, faults.Cut)
+	kind := stream.engine.Faults.TakeFirst(faults.Hang, faults.CloseUnanswered, faults.Empty, faults.Garbage, faults.CutUnresumable, faults.CutResumable)
 	writer.Header().Set(wire.HeaderStreamID, stream.id)
 	switch kind {
 	case faults.Hang:
 		<-request.Context().Done()
 		stream.engine.drop(stream.id, false)
-	case faults.Close:
+	case faults.CloseUnanswered:
 		stream.lose()
 		panic(http.ErrAbortHandler)
 	case faults.Garbage:
@@ -156,7 +156,7 @@
 	stream.read()
 	writer.Header().Set("Content-Type", "application/json")
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if kind == faults.Half || kind == faults.Cut {
+	if kind == faults.CutUnresumable || kind == faults.CutResumable {
 		_, _ = writer.Write(body[:len(body)/2])
 		panic(http.ErrAbortHandler)
 	}
@@ -180,8 +180,8 @@
 	for {
 		ready, over, changed := stream.ready()
 		for ; next < ready; next++ {
-			if (kind == faults.Half || kind == faults.Cut) && next >= stream.events()/2 {
-				if kind == faults.Half {
+			if (kind == faults.CutUnresumable || kind == faults.CutResumable) && next >= stream.events()/2 {
+				if kind == faults.CutUnresumable {
 					stream.lose()
 				}
 				_ = controller.Flush()
--- a/peridotpath/faults/faults.go
+++ b/peridotpath/faults/faults.go
@@ -32,14 +32,14 @@
 	Empty Kind = "empty"
 	// Garbage responds 200 with an invalid body.
 	Garbage Kind = "garbage"
-	// Half sends half of the response and closes the connection; the stream cannot be
+	// CutUnresumable sends half of the response and closes the connection; the stream cannot be
 	// resumed.
-	Half Kind = "half"
-	// Cut sends half of the response and closes the connection; the stream can be
+	CutUnresumable Kind = "half"
+	// CutResumable sends half of the response and closes the connection; the stream can be
 	// resumed.
-	Cut Kind = "cut"
-	// Close executes the request and closes the connection without a response.
-	Close Kind = "close"
+	CutResumable Kind = "cut"
+	// CloseUnanswered executes the request and closes the connection without a response.
+	CloseUnanswered Kind = "close"
 	// Hang reads the request and never responds.
 	Hang Kind = "hang"
 	// Outage rejects every call.
@@ -48,7 +48,7 @@
 
 var knownKinds = map[Kind]bool{
 	Refuse: true, Drain: true, Fail: true, Slow: true, Empty: true, Garbage: true,
-	Half: true, Cut: true, Close: true, Hang: true, Outage: true,
+	CutUnresumable: true, CutResumable: true, CloseUnanswered: true, Hang: true, Outage: true,
 }
 
 // Fault is an active fault.
@@ -103,8 +103,8 @@
 	return taken, true
 }
 
-// On returns the active fault of the kind, if any, without changing its Count.
-func (faults *Faults) On(kind Kind) (Fault, bool) {
+// Peek returns the active fault of the kind, if any, without changing its Count.
+func (faults *Faults) Peek(kind Kind) (Fault, bool) {
 	faults.mu.Lock()
 	defer faults.mu.Unlock()
 	if fault := faults.active[kind]; fault != nil {
@@ -113,9 +113,9 @@
 	return Fault{}, false
 }
 
-// First takes the first of the kinds that has an active fault and returns it, or "" if
+// TakeFirst takes the first of the kinds that has an active fault and returns it, or "" if
 // none has.
-func (faults *Faults) First(kinds ...Kind) Kind {
+func (faults *Faults) TakeFirst(kinds ...Kind) Kind {
 	for _, kind := range kinds {
 		if _, active := faults.Take(kind); active {
 			return kind
@@ -124,8 +124,8 @@
 	return ""
 }
 
-// Wait takes the Slow fault, if active, and sleeps for its delay or until done.
-func (faults *Faults) Wait(done <-chan struct{}) {
+// SleepIfSlow takes the Slow fault, if active, and sleeps for its delay or until done.
+func (faults *Faults) SleepIfSlow(done <-chan struct{}) {
 	fault, active := faults.Take(Slow)
 	if !active {
 		return
--- a/peridotpath/operator/server.go
+++ b/peridotpath/operator/server.go
@@ -128,7 +128,7 @@
 func (service service) Applied(ctx context.Context, request *pb.AppliedRequest) (*pb.AppliedResponse, error) {
 	document := config.DocumentName(request.Document)
 	if request.Local {
-		revision := service.server.Config.Applied()[document]
+		revision := service.server.Config.ActiveRevisions()[document]
 		return &pb.AppliedResponse{Instances: []*pb.InstanceRevision{{Revision: uint64(revision)}}}, nil
 	}
 	instances, err := service.server.Applied(ctx, document)
--- a/peridotpath/peer/relay.go
+++ b/peridotpath/peer/relay.go
@@ -42,7 +42,7 @@
 	asked   uint64
 }
 
-// Peers asks other instances for documents above have; it is config.Store.Peers.
+// Peers asks other instances for documents above have; it is config.Store.FetchFromPeers.
 func (relay *Relay) Peers(ctx context.Context, have config.Revisions, wait time.Duration) ([]config.Update, error) {
 	others := relay.Others()
 	if len(others) == 0 {
--- a/peridotpath/peer/relay_test.go
+++ b/peridotpath/peer/relay_test.go
@@ -46,8 +46,8 @@
 				return nil, 0, down()
 			},
 		},
-		IsReader: func() bool { return false },
-		Peers:    relay.Peers,
+		IsReader:       func() bool { return false },
+		FetchFromPeers: relay.Peers,
 	}
 }
 
@@ -73,7 +73,7 @@
 	book := &digest.Book{Epoch: 5}
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 4, AsOf: time.Now()})
 	service := &peer.Service{
-		Changes:   source.Changes,
+		Changes:   source.WaitForUpdate,
 		Exchanger: &peer.Exchanger{Self: "instance-1", Book: book},
 	}
 	server := httptest.NewServer(service.Handler())
@@ -99,7 +99,7 @@
 type askedCount struct{ questions, long int }
 
 func relayTo(source *config.Store, asked *askedCount) *peer.Relay {
-	service := &peer.Service{Changes: source.Changes}
+	service := &peer.Service{Changes: source.WaitForUpdate}
 	others := func() []peridotpath.Instance { return []peridotpath.Instance{{ID: "instance-1"}} }
 	return &peer.Relay{
 		Readers: others, Others: others,
@@ -131,14 +131,14 @@
 			version, err = kv.Swap(ctx, "config/profiles", version, profiles(t, revision+2, "counter"), keyvalue.LeaseID{})
 			is.NoErr(err)
 			time.Sleep(time.Second)
-			is.Equal(fresh.Applied()["profiles"], revision+2)
+			is.Equal(fresh.ActiveRevisions()["profiles"], revision+2)
 		}
 		is.Equal(asked.long, 0) // the hash stood in for the revisions
 
 		// The reader starts anew and knows no hash: it asks for the revisions
 		// once, and does not send every document of 34,000 customers again.
 		anew := &askedCount{}
-		updates, err := relayTo(source, anew).Peers(ctx, fresh.Applied(), time.Second)
+		updates, err := relayTo(source, anew).Peers(ctx, fresh.ActiveRevisions(), time.Second)
 		is.NoErr(err)
 		is.Equal(len(updates[0].Documents), 0)
 		is.Equal(anew.long, 1)
@@ -173,7 +173,7 @@
 		fresh := follower(relay)
 		_, _ = fresh.Load(ctx)
 		for ctx.Err() == nil {
-			_, _ = relay.Peers(ctx, fresh.Applied(), config.DefaultWait)
+			_, _ = relay.Peers(ctx, fresh.ActiveRevisions(), config.DefaultMaxPollWait)
 		}
 		is.True(asked.questions <= 62)
 	})
--- a/peridotpath/peer/service.go
+++ b/peridotpath/peer/service.go
@@ -24,7 +24,7 @@
 // Service answers other instances. Set the exported fields before Handler.
 type Service struct {
 	Exchanger *Exchanger
-	// Changes returns documents above have, waiting for one: Store.Changes.
+	// Changes returns documents above have, waiting for one: Store.WaitForUpdate.
 	Changes func(ctx context.Context, have config.Revisions, wait time.Duration) (config.Update, error)
 
 	known  knownRevisions
--- a/peridotpath/service/servicetest/service.go
+++ b/peridotpath/service/servicetest/service.go
@@ -69,7 +69,7 @@
 	if key == "" {
 		key = request.Header.Get(engine.HeaderRequestID)
 	}
-	switch service.Faults.First(faults.Refuse, faults.Drain, faults.Fail) {
+	switch service.Faults.TakeFirst(faults.Refuse, faults.Drain, faults.Fail) {
 	case faults.Drain:
 		service.recordCount(key, func(count *engine.Count) { count.Refused++ })
 		writer.Header().Set(engine.HeaderNotRun, engine.NotRunLeaving)
@@ -90,7 +90,7 @@
 	}
 	run := service.beginRun(key)
 	defer service.endRun()
-	service.Faults.Wait(request.Context().Done())
+	service.Faults.SleepIfSlow(request.Context().Done())
 	time.Sleep(service.CallDuration)
 	service.recordCount(key, func(count *engine.Count) { count.Finished++ })
 	service.writeAnswer(writer, request, Answer{
@@ -106,15 +106,15 @@
 		http.Error(writer, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	switch service.Faults.First(faults.Hang, faults.Close, faults.Empty, faults.Garbage, faults.Half) {
+	switch service.Faults.TakeFirst(faults.Hang, faults.CloseUnanswered, faults.Empty, faults.Garbage, faults.CutUnresumable) {
 	case faults.Hang:
 		<-request.Context().Done()
-	case faults.Close:
+	case faults.CloseUnanswered:
 		panic(http.ErrAbortHandler)
 	case faults.Empty:
 	case faults.Garbage:
 		_, _ = writer.Write([]byte("<html>502</html>"))
-	case faults.Half:
+	case faults.CutUnresumable:
 		writer.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		_, _ = writer.Write(text[:len(text)/2])
 		panic(http.ErrAbortHandler)
--- a/peridotpath/session/bad_input_test.go
+++ b/peridotpath/session/bad_input_test.go
@@ -140,7 +140,7 @@
 // An endpoint that answers badly makes a failure with its code, never an answer
 // that looks whole; the one good attempt after it, where it is allowed, is whole.
 func TestBadAnswers(t *testing.T) {
-	kinds := []faults.Kind{faults.Empty, faults.Garbage, faults.Half, faults.Close, faults.Fail, faults.Hang}
+	kinds := []faults.Kind{faults.Empty, faults.Garbage, faults.CutUnresumable, faults.CloseUnanswered, faults.Fail, faults.Hang}
 	for _, kind := range kinds {
 		for _, stream := range []bool{true, false} {
 			t.Run(fmt.Sprint(kind, " stream ", stream), func(t *testing.T) {
@@ -173,7 +173,7 @@
 		fleet := newFleet(t, portal())
 		defer fleet.close()
 		for i := range fleet.services {
-			fleet.services[i].Faults.Set(faults.Fault{Kind: faults.Half})
+			fleet.services[i].Faults.Set(faults.Fault{Kind: faults.CutUnresumable})
 		}
 		half := fleet.call(t, http.MethodGet, "/services/page-image/12.png", strings.NewReader(""), nil)
 		is.True(half.broken)
--- a/peridotpath/session/claims_test.go
+++ b/peridotpath/session/claims_test.go
@@ -81,7 +81,7 @@
 
 		session.title("the desk's service dies with a claim in its hands")
 		for i := range fleet.services {
-			fleet.services[i].Faults.Set(faults.Fault{Kind: faults.Close, Count: 1})
+			fleet.services[i].Faults.Set(faults.Fault{Kind: faults.CloseUnanswered, Count: 1})
 		}
 		session.send(acknowledgement(colombo, "death-1", "claim-death", `{"claim":"death"}`))
 		time.Sleep(time.Second)
--- a/peridotpath/session/portal_test.go
+++ b/peridotpath/session/portal_test.go
@@ -50,7 +50,7 @@
 		session.send(line(kolkata, "line-1"))
 
 		session.title("the engine's connection breaks in the middle of a line: the reading goes on")
-		fleet.engine.Faults.Set(faults.Fault{Kind: faults.Cut, Count: 1})
+		fleet.engine.Faults.Set(faults.Fault{Kind: faults.CutResumable, Count: 1})
 		session.send(line(kolkata, "line-2"))
 
 		session.title("the engine answers empty: the line is read again")
--- a/peridotpath/settings/settings.go
+++ b/peridotpath/settings/settings.go
@@ -96,7 +96,7 @@
 // Parse parses the settings in text, fills in defaults, and returns every fault.
 func Parse(text []byte) (*Settings, peridotpath.Faults) {
 	settings := &Settings{}
-	faults := strictjson.Decode(text, settings, strictjson.Complete)
+	faults := strictjson.Decode(text, settings, strictjson.RequireAll)
 	settings.Defaults()
 	return settings, faults.Merge(settings.Validate())
 }
--- a/peridotpath/strictjson/strictjson.go
+++ b/peridotpath/strictjson/strictjson.go
@@ -23,10 +23,10 @@
 type Mode int
 
 const (
-	// Partial makes all keys optional; the caller applies defaults.
-	Partial Mode = iota
-	// Complete requires every key whose field has no omitempty.
-	Complete
+	// AllowMissing makes all keys optional; the caller applies defaults.
+	AllowMissing Mode = iota
+	// RequireAll requires every key whose field has no omitempty.
+	RequireAll
 )
 
 // Decode decodes text into the struct that value points to and returns every fault.
@@ -119,7 +119,7 @@
 		switch member, found := members[key]; {
 		case found:
 			decoder.decode(joinPath(path, key), member, target.Field(i))
-		case decoder.mode == Complete && !optional:
+		case decoder.mode == RequireAll && !optional:
 			decoder.faults.Add(joinPath(path, key), "is missing")
 		}
 	}
--- a/standin/examples_test.go
+++ b/standin/examples_test.go
@@ -107,7 +107,7 @@
 	is.True(write("a") != nil)
 	command.faults.Clear()
 	is.Equal(version("a"), keyvalue.Version(0)) // a write got through the outage
-	command.faults.Set(faults.Fault{Kind: faults.Close, Count: 1})
+	command.faults.Set(faults.Fault{Kind: faults.CloseUnanswered, Count: 1})
 	is.True(write("b") != nil)
 	is.True(version("b") > 0) // the write whose answer was lost did not stand
 }
--- a/standin/key_value.go
+++ b/standin/key_value.go
@@ -74,13 +74,13 @@
 // delay, after it the loss of its answer.
 func (command *keyValueCommand) fault(ctx context.Context, _, _ string, applied bool) error {
 	if applied {
-		if command.faults.First(faults.Close) != "" {
+		if command.faults.TakeFirst(faults.CloseUnanswered) != "" {
 			return errFault.New("answer lost")
 		}
 		return nil
 	}
-	command.faults.Wait(ctx.Done())
-	if command.faults.First(faults.Outage) != "" {
+	command.faults.SleepIfSlow(ctx.Done())
+	if command.faults.TakeFirst(faults.Outage) != "" {
 		return errFault.New("outage")
 	}
 	return nil
--- a/standin/load/plan.go
+++ b/standin/load/plan.go
@@ -69,7 +69,7 @@
 // ParsePlan reads a plan and returns every fault.
 func ParsePlan(text []byte) (*Plan, peridotpath.Faults) {
 	plan := &Plan{}
-	faults := strictjson.Decode(text, plan, strictjson.Complete)
+	faults := strictjson.Decode(text, plan, strictjson.RequireAll)
 	if len(faults) > 0 {
 		return plan, faults
 	}
