--- a/peridotpath/order/book.go
+++ b/peridotpath/order/book.go
@@ -12,46 +12,47 @@
 )
 
 const (
-	// keptChanges is how many of the latest changes can be told from new ones.
-	keptChanges = 32
-	// maxTries bounds how often a change is written when answers are lost.
-	maxTries = 4
+	// maxStoredChangeIDs is how many change ids are stored to detect repeated changes.
+	maxStoredChangeIDs = 32
+	// maxChangeAttempts bounds the attempts to write a change when replies are lost.
+	maxChangeAttempts = 4
 )
 
-// ChangeID names one change of one operator, through all its repeats.
+// ChangeID identifies a change; its retries bear the same id.
 type ChangeID string
 
-// Desired is what the engines of one data centre and service are to be.
+// Desired is the desired state of the engines of one data centre and service.
 type Desired struct {
 	Revision  peridotpath.Revision             `json:"revision"`
 	Endpoints map[peridotpath.EndpointID]State `json:"endpoints"`
-	// Changes are the latest accepted changes, the newest last.
+	// Changes are the ids of the latest accepted changes, the newest last.
 	Changes []ChangeID `json:"changes,omitempty"`
 }
 
-// Change is what an operator asks for.
+// Change is an operator's change to the desired state.
 type Change struct {
 	ID ChangeID
-	// From is the revision that the operator saw.
+	// From is the revision that the change is based on.
 	From peridotpath.Revision
-	// Set gives endpoints the state they are to have.
+	// Set holds the new desired states by endpoint.
 	Set map[peridotpath.EndpointID]State
-	// Forget names endpoints to leave as they are.
+	// Forget lists endpoints whose desired state is removed; they get no more orders.
 	Forget []peridotpath.EndpointID
 }
 
-// ConflictError says that another change came first.
+// ConflictError is returned for a change whose base revision is outdated because
+// another change was accepted first.
 type ConflictError struct {
 	From    peridotpath.Revision
 	Current Desired
 }
 
-// Error names both revisions.
+// Error returns a message with both revisions.
 func (conflict *ConflictError) Error() string {
-	return fmt.Sprintf("order: change of revision %d: revision %d is in force", conflict.From, conflict.Current.Revision)
+	return fmt.Sprintf("order: change is based on revision %d, the current revision is %d", conflict.From, conflict.Current.Revision)
 }
 
-// Book keeps the Desired of one data centre and service on the platform.
+// Book stores the Desired of one data centre and service in the key-value store.
 type Book struct {
 	Store *keyvalue.Store
 	Key   string
@@ -62,7 +63,7 @@
 	return "orders/" + string(dataCentre) + "/" + string(service)
 }
 
-// Get returns what is in force.
+// Get returns the current desired state.
 func (book *Book) Get(ctx context.Context) (Desired, error) {
 	desired, _, err := book.read(ctx)
 	return desired, err
@@ -83,16 +84,16 @@
 	return desired, entry.Version, nil
 }
 
-// Change puts the change in force and returns the result. A *ConflictError
-// says that it was not, since another came first. After any other error the
-// outcome is unknown, and the operator repeats the change with the same id.
+// Change applies the change and returns the new desired state. After a
+// *ConflictError the change has not been applied. After any other error the
+// outcome is unknown, and the operator retries with the same change id.
 //
-// A change whose answer is lost must neither be reported as failed, since the
-// operator would undo it by hand, nor be taken for another's. Its id in the
-// value shows whether it took effect.
+// A change that was written but whose reply was lost must not be reported as
+// failed, because the operator would revert it by hand, nor as a conflict. The
+// ids stored in the value show whether it took effect.
 func (book *Book) Change(ctx context.Context, change Change) (Desired, error) {
-	var lost error
-	for range maxTries {
+	var lastErr error
+	for range maxChangeAttempts {
 		current, version, err := book.read(ctx)
 		switch {
 		case err != nil:
@@ -102,7 +103,7 @@
 		case current.Revision != change.From:
 			return Desired{}, &ConflictError{From: change.From, Current: current}
 		}
-		next := current.with(change)
+		next := current.withChange(change)
 		value, err := json.Marshal(next)
 		if err != nil {
 			return Desired{}, Error.Wrap(err)
@@ -110,20 +111,20 @@
 		if _, err = book.Store.Swap(ctx, book.Key, version, value, keyvalue.LeaseID{}); err == nil {
 			return next, nil
 		}
-		lost = err
+		lastErr = err
 	}
-	return Desired{}, Error.New("change %s: outcome unknown: %w", change.ID, lost)
+	return Desired{}, Error.New("change %s: outcome unknown: %w", change.ID, lastErr)
 }
 
-// with returns the state that the change leads to.
-func (desired Desired) with(change Change) Desired {
+// withChange returns the desired state after the change.
+func (desired Desired) withChange(change Change) Desired {
 	next := Desired{Revision: desired.Revision + 1, Endpoints: map[peridotpath.EndpointID]State{}}
 	maps.Copy(next.Endpoints, desired.Endpoints)
 	maps.Copy(next.Endpoints, change.Set)
 	for _, id := range change.Forget {
 		delete(next.Endpoints, id)
 	}
-	kept := desired.Changes[max(0, len(desired.Changes)-keptChanges+1):]
-	next.Changes = append(slices.Clone(kept), change.ID)
+	recentIDs := desired.Changes[max(0, len(desired.Changes)-maxStoredChangeIDs+1):]
+	next.Changes = append(slices.Clone(recentIDs), change.ID)
 	return next
 }
--- a/peridotpath/order/fixture_test.go
+++ b/peridotpath/order/fixture_test.go
@@ -18,13 +18,13 @@
 	"peridotpath.example/peridotpath/order"
 )
 
-// engine takes orders as a model engine does.
+// engine is a fake model engine that follows orders.
 type engine struct {
-	mu      sync.Mutex
-	state   order.State
-	checks  bool
-	highest peridotpath.FencingNumber
-	refused int
+	mu             sync.Mutex
+	state          order.State
+	checksFencing  bool
+	highestFencing peridotpath.FencingNumber
+	refusals       int
 }
 
 func (engine *engine) read() order.State {
@@ -33,48 +33,48 @@
 	return engine.state
 }
 
-func (engine *engine) take(given order.Order) error {
+func (engine *engine) apply(given order.Order) error {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	if engine.checks && given.Fencing < engine.highest {
-		engine.refused++
+	if engine.checksFencing && given.Fencing < engine.highestFencing {
+		engine.refusals++
 		return fmt.Errorf("old fencing number %d", given.Fencing)
 	}
-	engine.highest = max(engine.highest, given.Fencing)
+	engine.highestFencing = max(engine.highestFencing, given.Fencing)
 	engine.state = given.Want
 	return nil
 }
 
-// weightStore counts the loads at once; more than limit are refused.
+// weightStore is a fake weight store that refuses more than limit concurrent loads.
 type weightStore struct {
-	load time.Duration
+	loadTime time.Duration
 
-	mu                        sync.Mutex
-	now, peak, limit, refused int
+	mu                            sync.Mutex
+	active, peak, limit, refusals int
 }
 
-func (store *weightStore) begin() bool {
+func (store *weightStore) acquire() bool {
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if store.now >= store.limit {
-		store.refused++
+	if store.active >= store.limit {
+		store.refusals++
 		return false
 	}
-	store.now++
-	store.peak = max(store.peak, store.now)
+	store.active++
+	store.peak = max(store.peak, store.active)
 	return true
 }
 
 func (store *weightStore) read(ctx context.Context) error {
-	if !store.begin() {
+	if !store.acquire() {
 		return order.ErrBusy.New("limit")
 	}
 	defer func() {
 		store.mu.Lock()
 		defer store.mu.Unlock()
-		store.now--
+		store.active--
 	}()
-	if !clock.Pause(ctx, store.load) {
+	if !clock.Pause(ctx, store.loadTime) {
 		return ctx.Err()
 	}
 	return nil
@@ -84,88 +84,89 @@
 	store.mu.Lock()
 	defer store.mu.Unlock()
 	store.limit = limit
-	return store.refused
+	return store.refusals
 }
 
-// site is one data centre's engines of one service, and the platform.
+// site is the engines of one data centre and service, with a key-value store.
 type site struct {
-	platform memory.Memory
-	book     *order.Book
-	engines  map[peridotpath.EndpointID]*engine
-	list     []peridotpath.Endpoint
-	weights  weightStore
-	// hanging engines do not tell their state, failing ones fail their orders.
+	keyValue  memory.Memory
+	book      *order.Book
+	engines   map[peridotpath.EndpointID]*engine
+	endpoints []peridotpath.Endpoint
+	weights   weightStore
+	// Reads of the state of hanging engines time out; orders to failing ones fail.
 	hanging, failing map[peridotpath.EndpointID]bool
 }
 
-func newSite(engines int, checks bool) *site {
-	site := &site{engines: map[peridotpath.EndpointID]*engine{}, weights: weightStore{limit: 2, load: 5 * time.Second}}
-	site.book = &order.Book{Store: site.platform.Store(), Key: order.Key("colombo-a", "claims-llm")}
+func newSite(engines int, checksFencing bool) *site {
+	site := &site{engines: map[peridotpath.EndpointID]*engine{}, weights: weightStore{limit: 2, loadTime: 5 * time.Second}}
+	site.book = &order.Book{Store: site.keyValue.Store(), Key: order.Key("colombo-a", "claims-llm")}
 	for i := range engines {
 		id := peridotpath.EndpointID(fmt.Sprintf("e%02d", i))
-		site.engines[id] = &engine{state: oldState, checks: checks}
-		site.list = append(site.list, peridotpath.Endpoint{ID: id})
+		site.engines[id] = &engine{state: oldState, checksFencing: checksFencing}
+		site.endpoints = append(site.endpoints, peridotpath.Endpoint{ID: id})
 	}
 	return site
 }
 
-// want puts one state in force for all engines.
-func (site *site) want(is *is.I, id order.ChangeID, from peridotpath.Revision, state order.State) {
+// setDesired sets the same desired state for all engines.
+func (site *site) setDesired(is *is.I, id order.ChangeID, from peridotpath.Revision, state order.State) {
 	set := map[peridotpath.EndpointID]order.State{}
-	for _, endpoint := range site.list {
+	for _, endpoint := range site.endpoints {
 		set[endpoint.ID] = state
 	}
 	_, err := site.book.Change(background, order.Change{ID: id, From: from, Set: set})
 	is.NoErr(err)
 }
 
-// wrong counts the engines that are not in the state.
-func (site *site) wrong(state order.State) int {
-	wrong := 0
+// countPending counts the engines that are not in the state.
+func (site *site) countPending(state order.State) int {
+	pending := 0
 	for _, engine := range site.engines {
 		if !engine.read().Equal(state) {
-			wrong++
+			pending++
 		}
 	}
-	return wrong
+	return pending
 }
 
-// repaired returns how long it took until all engines that can were in the state.
-func (site *site) repaired(is *is.I, state order.State) time.Duration {
+// awaitState waits until all engines but the failing ones have the state, and
+// returns how long that took.
+func (site *site) awaitState(is *is.I, state order.State) time.Duration {
 	begin := time.Now()
-	for site.wrong(state) > len(site.failing) {
+	for site.countPending(state) > len(site.failing) {
 		if time.Since(begin) > 10*time.Minute {
-			is.Fail() // never repaired
+			is.Fail() // engines did not reach the state within 10 minutes
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 	return time.Since(begin)
 }
 
-// process is an instance that gives orders when it holds the lease.
+// process is an instance that sends orders while it holds the lease.
 type process struct {
 	holder *lease.Holder
 	link   memory.Link
 	cancel context.CancelFunc
 	ended  chan error
-	// thaw and thawReads are until when sends, after their check, and reads are
-	// held up.
-	thaw, thawReads atomic.Int64
-	// outlived counts the orders that were sent with too little of the lease left.
-	outlived atomic.Int64
+	// ordersBlockedUntil and readsBlockedUntil are the times until which orders (after the lease check)
+	// and reads of states are blocked, in nanoseconds since 1970.
+	ordersBlockedUntil, readsBlockedUntil atomic.Int64
+	// ordersPastLease counts orders whose time limit exceeded the rest of the lease.
+	ordersPastLease atomic.Int64
 }
 
-func (site *site) start(name string, waitOut bool) *process {
+func (site *site) start(name string, waitForOldOrders bool) *process {
 	process := &process{ended: make(chan error, 2)}
 	process.holder = &lease.Holder{
-		Store: process.link.Store(&site.platform), Key: lease.Key("colombo-a", "claims-llm"),
-		Instance: peridotpath.InstanceID(name), WaitOut: waitOut, Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
+		Store: process.link.Store(&site.keyValue), Key: lease.Key("colombo-a", "claims-llm"),
+		Instance: peridotpath.InstanceID(name), WaitOut: waitForOldOrders, Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
 	reconciler := &order.Reconciler{
 		Desired: site.book.Get, Held: process.holder.Held,
-		Endpoints: func() []peridotpath.Endpoint { return site.list },
+		Endpoints: func() []peridotpath.Endpoint { return site.endpoints },
 		Read: func(ctx context.Context, endpoint peridotpath.Endpoint) (order.State, error) {
-			clock.Pause(background, time.Until(time.Unix(0, process.thawReads.Load())))
+			clock.Pause(background, time.Until(time.Unix(0, process.readsBlockedUntil.Load())))
 			if site.hanging[endpoint.ID] {
 				<-ctx.Done()
 				return order.State{}, ctx.Err()
@@ -174,10 +175,10 @@
 		},
 		Send: func(ctx context.Context, endpoint peridotpath.Endpoint, given order.Order) error {
 			if term, held := process.holder.Held(); !held || term.Left < given.Limit {
-				process.outlived.Add(1)
+				process.ordersPastLease.Add(1)
 			}
 			weights := site.engines[endpoint.ID].read().NeedsWeights(given.Want)
-			time.Sleep(time.Until(time.Unix(0, process.thaw.Load())))
+			time.Sleep(time.Until(time.Unix(0, process.ordersBlockedUntil.Load())))
 			if weights {
 				if err := site.weights.read(ctx); err != nil {
 					return err
@@ -186,7 +187,7 @@
 			if site.failing[endpoint.ID] {
 				return fmt.Errorf("out of memory")
 			}
-			return site.engines[endpoint.ID].take(given)
+			return site.engines[endpoint.ID].apply(given)
 		},
 		Settings: order.Settings{LoadsPerMinute: 20},
 		Logger:   zerolog.Nop(), Metrics: metrics.NewSet(),
@@ -198,14 +199,14 @@
 	return process
 }
 
-// freeze holds up what the process sends, and its calls to the platform.
+// freeze blocks the process's orders and its calls to the key-value store.
 func (process *process) freeze(span time.Duration) {
-	thaw := time.Now().Add(span)
-	process.thaw.Store(thaw.UnixNano())
-	process.link.Set(func(string) memory.Fate { return memory.Fate{Delay: max(0, time.Until(thaw))} })
+	until := time.Now().Add(span)
+	process.ordersBlockedUntil.Store(until.UnixNano())
+	process.link.Set(func(string) memory.Fate { return memory.Fate{Delay: max(0, time.Until(until))} })
 }
 
-// kill ends the process; its lease is not given back.
+// kill stops the process without releasing its lease.
 func (process *process) kill(is *is.I) {
 	process.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
 	process.stop(is)
--- a/peridotpath/order/plan.go
+++ b/peridotpath/order/plan.go
@@ -12,104 +12,107 @@
 )
 
 const (
-	// After the weight store refused, loads pause for a while that doubles.
-	minLoadPause = time.Second
-	maxLoadPause = time.Minute
+	// Bounds of the exponential backoff of loads after the weight store refused one.
+	minLoadBackoff = time.Second
+	maxLoadBackoff = time.Minute
 )
 
-// repair is an order that the plan wants sent.
-type repair struct {
+// dueOrder is an order that is due to be sent.
+type dueOrder struct {
 	endpoint peridotpath.EndpointID
-	want     State
-	// weights says that it holds a turn at the weight store.
-	weights bool
+	desired  State
+	// loadsWeights is set if the order counts as a load from the weight store.
+	loadsWeights bool
 }
 
-// planner decides which engines get an order now. It does no input or output.
+// planner decides which engines get an order now. It does no I/O.
 //
-// The load it is made for is a new version for a whole service: twenty engines
-// that each read many gigabytes from a weight store with a rate limit. All at
-// once they would be refused or slow each other down past the time limit of
-// their orders, and none would finish. So loads take turns: a few at a time, a
-// number a minute, the engine that has waited longest first, lest the same few
-// win each time. Orders that need no weights are not held up by them.
+// It matters when a whole service gets a new version: twenty engines that each
+// read many gigabytes from a weight store with a rate limit. If all load
+// concurrently, they are refused or slow each other down beyond the time limit of
+// their orders, and none finishes. So loads are limited in number and rate, and
+// the engine that has differed from its desired state longest is first, so that
+// no engine starves. Orders that need no weights are not limited.
 type planner struct {
-	limiter  *rate.Limiter
-	maxLoads int
+	limiter            *rate.Limiter
+	maxConcurrentLoads int
 
-	loads  int
-	wrong  map[peridotpath.EndpointID]time.Time
-	pause  time.Duration
-	paused time.Time
+	activeLoads int
+	// queuedSince holds the time since when an engine has differed from its desired
+	// state; a failed order resets it.
+	queuedSince      map[peridotpath.EndpointID]time.Time
+	loadBackoff      time.Duration
+	loadsPausedUntil time.Time
 }
 
 func newPlanner(settings Settings) *planner {
-	every := time.Minute / time.Duration(settings.LoadsPerMinute)
+	loadInterval := time.Minute / time.Duration(settings.LoadsPerMinute)
 	return &planner{
-		limiter:  rate.NewLimiter(rate.Every(every), settings.MaxLoads),
-		maxLoads: settings.MaxLoads,
-		wrong:    map[peridotpath.EndpointID]time.Time{},
+		limiter:            rate.NewLimiter(rate.Every(loadInterval), settings.MaxLoads),
+		maxConcurrentLoads: settings.MaxLoads,
+		queuedSince:        map[peridotpath.EndpointID]time.Time{},
 	}
 }
 
-// plan returns the repairs to begin now, given the states that were just read.
-// An engine that is missing from seen is left alone.
-func (planner *planner) plan(now time.Time, desired, seen map[peridotpath.EndpointID]State) []repair {
-	maps.DeleteFunc(planner.wrong, func(id peridotpath.EndpointID, _ time.Time) bool {
+// dueOrders returns the orders to send now, given the states that were just read.
+// Engines without a state are skipped.
+func (planner *planner) dueOrders(now time.Time, desired, actual map[peridotpath.EndpointID]State) []dueOrder {
+	maps.DeleteFunc(planner.queuedSince, func(id peridotpath.EndpointID, _ time.Time) bool {
 		_, wanted := desired[id]
 		return !wanted
 	})
-	var waiting []peridotpath.EndpointID
-	for id, state := range seen {
+	var queue []peridotpath.EndpointID
+	for id, state := range actual {
 		want, ok := desired[id]
 		if !ok || state.Equal(want) {
-			delete(planner.wrong, id)
+			delete(planner.queuedSince, id)
 			continue
 		}
-		if planner.wrong[id].IsZero() {
-			planner.wrong[id] = now
+		if planner.queuedSince[id].IsZero() {
+			planner.queuedSince[id] = now
 		}
-		waiting = append(waiting, id)
+		queue = append(queue, id)
 	}
-	slices.SortFunc(waiting, planner.longestFirst)
-	var repairs []repair
-	for _, id := range waiting {
-		weights := seen[id].NeedsWeights(desired[id])
-		if weights && !planner.turn(now) {
+	slices.SortFunc(queue, planner.compareByQueueTime)
+	var due []dueOrder
+	for _, id := range queue {
+		loadsWeights := actual[id].NeedsWeights(desired[id])
+		if loadsWeights && !planner.acquireLoad(now) {
 			continue
 		}
-		repairs = append(repairs, repair{endpoint: id, want: desired[id], weights: weights})
+		due = append(due, dueOrder{endpoint: id, desired: desired[id], loadsWeights: loadsWeights})
 	}
-	return repairs
+	return due
 }
 
-func (planner *planner) longestFirst(a, b peridotpath.EndpointID) int {
-	return cmp.Or(planner.wrong[a].Compare(planner.wrong[b]), cmp.Compare(a, b))
+func (planner *planner) compareByQueueTime(a, b peridotpath.EndpointID) int {
+	return cmp.Or(planner.queuedSince[a].Compare(planner.queuedSince[b]), cmp.Compare(a, b))
 }
 
-// turn takes a turn at the weight store if there is one.
-func (planner *planner) turn(now time.Time) bool {
-	if planner.loads >= planner.maxLoads || now.Before(planner.paused) || !planner.limiter.AllowN(now, 1) {
+// acquireLoad reserves a load from the weight store and reports whether the limits
+// allow one now.
+func (planner *planner) acquireLoad(now time.Time) bool {
+	if planner.activeLoads >= planner.maxConcurrentLoads || now.Before(planner.loadsPausedUntil) || !planner.limiter.AllowN(now, 1) {
 		return false
 	}
-	planner.loads++
+	planner.activeLoads++
 	return true
 }
 
-// done takes back the turn of a repair. If the weight store refused, loads
-// pause. An engine whose order failed goes to the end of the line: two broken
-// ones would otherwise take every turn.
-func (planner *planner) done(now time.Time, repair repair, err error) {
-	if repair.weights {
-		planner.loads--
+// recordResult releases the order's load. If the weight store refused it, loads back off.
+// An engine whose order failed moves to the end of the queue; otherwise as many
+// broken engines as there are concurrent loads would block all others.
+func (planner *planner) recordResult(now time.Time, order dueOrder, err error) {
+	if order.loadsWeights {
+		planner.activeLoads--
 	}
 	switch {
 	case err == nil:
-		planner.pause = 0
+		planner.loadBackoff = 0
 		return
 	case ErrBusy.Has(err):
-		planner.pause = min(max(2*planner.pause, minLoadPause), maxLoadPause)
-		planner.paused = now.Add(planner.pause)
+		planner.loadBackoff = min(max(2*planner.loadBackoff, minLoadBackoff), maxLoadBackoff)
+		planner.loadsPausedUntil = now.Add(planner.loadBackoff)
 	}
-	planner.wrong[repair.endpoint] = now
+	planner.queuedSince[order.endpoint] = now
 }
--- a/peridotpath/order/reconciler.go
+++ b/peridotpath/order/reconciler.go
@@ -13,139 +13,141 @@
 	"peridotpath.example/peridotpath/lease"
 )
 
-// readers bounds how many engines are asked for their state at once.
-const readers = 16
+// maxConcurrentReads bounds the concurrent reads of engines' states.
+const maxConcurrentReads = 16
 
-// Reconciler gives the orders for one data centre and service while its
-// process holds the lease. Set the exported fields before Run.
+// Reconciler sends orders to the engines of one data centre and service while
+// its process holds the lease. Set the exported fields before Run.
 type Reconciler struct {
-	// Desired returns what the engines are to be; Book.Get does.
+	// Desired returns the current desired state from the store.
 	Desired func(ctx context.Context) (Desired, error)
-	// Held returns the process's term; lease.Holder.Held does.
+	// Held returns the current lease term, if any; usually lease.Holder.Held.
 	Held func() (lease.Term, bool)
-	// Endpoints returns the engines that can take orders now.
+	// Endpoints returns the engines that accept orders now.
 	Endpoints func() []peridotpath.Endpoint
-	// Read returns an engine's own state.
+	// Read returns the state that the engine reports.
 	Read func(ctx context.Context, endpoint peridotpath.Endpoint) (State, error)
-	// Send gives an order and returns when the engine has carried it out.
+	// Send sends an order and returns when the engine has executed it.
 	Send func(ctx context.Context, endpoint peridotpath.Endpoint, order Order) error
 
 	Settings Settings
 	Logger   zerolog.Logger
-	// Metrics takes the counters; nil stands for the default set.
+	// Metrics holds the counters; nil selects the default set.
 	Metrics *metrics.Set
 
 	planner *planner
-	busy    map[peridotpath.EndpointID]bool
-	results chan result
+	// inFlight holds the engines that have an order in flight.
+	inFlight map[peridotpath.EndpointID]bool
+	results  chan orderResult
 }
 
-// result is how a repair ended.
-type result struct {
-	repair repair
-	err    error
+// orderResult is the outcome of a sent order.
+type orderResult struct {
+	order dueOrder
+	err   error
 }
 
-// Run looks at the engines at each interval until ctx ends, and then waits for
-// the orders under way.
+// Run reconciles at each interval until ctx is done, then waits for the orders in
+// flight.
 func (reconciler *Reconciler) Run(ctx context.Context) error {
 	reconciler.Settings.Defaults()
 	if reconciler.Metrics == nil {
 		reconciler.Metrics = metrics.GetDefaultSet()
 	}
 	reconciler.planner = newPlanner(reconciler.Settings)
-	reconciler.busy = map[peridotpath.EndpointID]bool{}
-	reconciler.results = make(chan result)
+	reconciler.inFlight = map[peridotpath.EndpointID]bool{}
+	reconciler.results = make(chan orderResult)
 	ticker := time.NewTicker(reconciler.Settings.IntervalMS.Duration())
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		select {
 		case <-ticker.C:
-			reconciler.look(ctx)
+			reconciler.reconcile(ctx)
 		case result := <-reconciler.results:
-			reconciler.end(result)
+			reconciler.recordResult(result)
 		case <-ctx.Done():
 		}
 	}
-	for len(reconciler.busy) > 0 {
-		reconciler.end(<-reconciler.results)
+	for len(reconciler.inFlight) > 0 {
+		reconciler.recordResult(<-reconciler.results)
 	}
 	return nil
 }
 
-// look reads what is wanted and what is, and begins the orders that are due.
-func (reconciler *Reconciler) look(ctx context.Context) {
+// reconcile reads the desired and actual states and sends the orders that are due.
+func (reconciler *Reconciler) reconcile(ctx context.Context) {
 	if _, held := reconciler.Held(); !held {
-		reconciler.count("order_looks_without_lease_total")
+		reconciler.incrementCounter("order_looks_without_lease_total")
 		return
 	}
-	ctxRead, cancel := context.WithTimeout(ctx, reconciler.Settings.ReadTimeoutMS.Duration())
+	readCtx, cancel := context.WithTimeout(ctx, reconciler.Settings.ReadTimeoutMS.Duration())
 	defer cancel()
-	desired, err := reconciler.Desired(ctxRead)
+	desired, err := reconciler.Desired(readCtx)
 	if err != nil {
-		reconciler.count("order_desired_unread_total")
+		reconciler.incrementCounter("order_desired_unread_total")
 		return
 	}
 	endpoints := map[peridotpath.EndpointID]peridotpath.Endpoint{}
 	for _, endpoint := range reconciler.Endpoints() {
-		if _, wanted := desired.Endpoints[endpoint.ID]; wanted && !reconciler.busy[endpoint.ID] {
+		if _, wanted := desired.Endpoints[endpoint.ID]; wanted && !reconciler.inFlight[endpoint.ID] {
 			endpoints[endpoint.ID] = endpoint
 		}
 	}
-	seen := reconciler.readAll(ctx, endpoints)
-	for _, repair := range reconciler.planner.plan(time.Now(), desired.Endpoints, seen) {
-		reconciler.busy[repair.endpoint] = true
+	actual := reconciler.readStates(ctx, endpoints)
+	for _, due := range reconciler.planner.dueOrders(time.Now(), desired.Endpoints, actual) {
+		reconciler.inFlight[due.endpoint] = true
 		go func() {
-			reconciler.results <- result{repair, reconciler.send(ctx, endpoints[repair.endpoint], repair)}
+			reconciler.results <- orderResult{due, reconciler.send(ctx, endpoints[due.endpoint], due)}
 		}()
 	}
 }
 
-// readAll asks the engines for their states. One that does not answer in time
-// is left out and holds up nobody.
-func (reconciler *Reconciler) readAll(ctx context.Context, endpoints map[peridotpath.EndpointID]peridotpath.Endpoint) map[peridotpath.EndpointID]State {
+// readStates returns the states of the engines that reply within the timeout. The
+// others are left out, so one that hangs does not delay the rest.
+func (reconciler *Reconciler) readStates(ctx context.Context, endpoints map[peridotpath.EndpointID]peridotpath.Endpoint) map[peridotpath.EndpointID]State {
 	ctx, cancel := context.WithTimeout(ctx, reconciler.Settings.ReadTimeoutMS.Duration())
 	defer cancel()
 	var mu sync.Mutex
-	seen := map[peridotpath.EndpointID]State{}
+	states := map[peridotpath.EndpointID]State{}
 	var group errgroup.Group
-	group.SetLimit(readers)
+	group.SetLimit(maxConcurrentReads)
 	for id, endpoint := range endpoints {
 		group.Go(func() error {
 			state, err := reconciler.Read(ctx, endpoint)
 			if err != nil {
-				reconciler.count("order_states_unread_total")
-				return nil //nolint:nilerr // it is left out
+				reconciler.incrementCounter("order_states_unread_total")
+				return nil //nolint:nilerr // engines that cannot be read are left out
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			seen[id] = state
+			states[id] = state
 			return nil
 		})
 	}
 	_ = group.Wait()
-	return seen
+	return states
 }
 
-// send gives one order. The lease is asked for as late as can be, since the
-// process may have been paused since the look. What is left of it must be
-// enough for the whole order: one that outlives the lease could undo the next
-// holder's, and one cut short has read weights for nothing.
-func (reconciler *Reconciler) send(ctx context.Context, endpoint peridotpath.Endpoint, repair repair) error {
+// send sends one order. It checks the lease immediately before, because the
+// process may have been paused since the states were read. The rest of the lease
+// must cover the order's time limit: an order that outlives the lease could
+// overwrite one of the next holder, and one that is cut short has loaded weights
+// in vain.
+func (reconciler *Reconciler) send(ctx context.Context, endpoint peridotpath.Endpoint, due dueOrder) error {
 	limit := reconciler.Settings.LongestOrderMS.Duration()
 	term, held := reconciler.Held()
 	if !held || term.Left < limit {
-		return Error.New("send: too little of the lease is left")
+		return Error.New("send: remaining lease time is shorter than the order's time limit")
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	return reconciler.Send(ctx, endpoint, Order{Want: repair.want, Fencing: term.Fencing, Limit: limit})
+	return reconciler.Send(ctx, endpoint, Order{Want: due.desired, Fencing: term.Fencing, Limit: limit})
 }
 
-// end notes how an order went. What it did shows at the next look.
-func (reconciler *Reconciler) end(result result) {
-	delete(reconciler.busy, result.repair.endpoint)
-	reconciler.planner.done(time.Now(), result.repair, result.err)
+// recordResult records the outcome of an order. Its effect is read at the next interval.
+func (reconciler *Reconciler) recordResult(result orderResult) {
+	delete(reconciler.inFlight, result.order.endpoint)
+	reconciler.planner.recordResult(time.Now(), result.order, result.err)
 	event := reconciler.Logger.Info()
 	outcome := "order_sent"
 	switch {
@@ -155,10 +157,10 @@
 		outcome = "order_failed"
 		event = reconciler.Logger.Warn().Err(result.err)
 	}
-	reconciler.count(outcome + "_total")
-	event.Str("event", outcome).Str("endpoint", string(result.repair.endpoint)).Send()
+	reconciler.incrementCounter(outcome + "_total")
+	event.Str("event", outcome).Str("endpoint", string(result.order.endpoint)).Send()
 }
 
-func (reconciler *Reconciler) count(name string) {
+func (reconciler *Reconciler) incrementCounter(name string) {
 	reconciler.Metrics.GetOrCreateCounter("peridotpath_" + name).Inc()
 }
--- a/peridotpath/order/settings.go
+++ b/peridotpath/order/settings.go
@@ -6,22 +6,23 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Settings are a Reconciler's limits.
+// Settings hold a Reconciler's intervals and limits.
 type Settings struct {
-	// IntervalMS is the time from one look at the engines to the next.
+	// IntervalMS is the time between two reads of the engines' states.
 	IntervalMS peridotpath.Millis `json:"interval_ms"`
-	// ReadTimeoutMS is how long an engine may take to tell its state.
+	// ReadTimeoutMS bounds the read of the desired state, and that of the
+	// engines' states.
 	ReadTimeoutMS peridotpath.Millis `json:"read_timeout_ms"`
-	// LongestOrderMS is the longest time an order may take; the lease's
-	// setting has the same value.
+	// LongestOrderMS is the time limit of one order. It must equal the setting
+	// of the same name of the lease.
 	LongestOrderMS peridotpath.Millis `json:"longest_order_ms"`
-	// LoadsPerMinute and MaxLoads bound the orders that read from the weight
-	// store, begun and at once.
+	// LoadsPerMinute bounds the rate at which orders that read from the weight
+	// store start, MaxLoads how many of them run concurrently.
 	LoadsPerMinute int `json:"loads_per_minute"`
 	MaxLoads       int `json:"max_loads"`
 }
 
-// Defaults fills what was left out.
+// Defaults sets the fields that are zero.
 func (settings *Settings) Defaults() {
 	peridotpath.SetDefault(&settings.IntervalMS, 2_000)
 	peridotpath.SetDefault(&settings.ReadTimeoutMS, 1_000)
@@ -30,7 +31,7 @@
 	peridotpath.SetDefault(&settings.MaxLoads, 2)
 }
 
-// Validate returns every fault by field.
+// Validate returns all invalid fields.
 func (settings *Settings) Validate(prefix string) peridotpath.Faults {
 	var faults peridotpath.Faults
 	faults.Range(prefix+".interval_ms", int64(settings.IntervalMS), 100, time.Minute.Milliseconds())
--- a/peridotpath/order/state.go
+++ b/peridotpath/order/state.go
@@ -1,10 +1,12 @@
-// Package order brings model engines to the state that operators want.
+// Package order reconciles model engines with their desired state.
 //
-// Orders are absolute: "be this", never "change that". So an order that comes
-// twice does no harm, and one that comes late shows in the engine's state and
-// is put right. The state wanted is kept on the platform and changed by
-// compare-and-swap; the holder of a lease reads each engine's state again and
-// again and sends an order where it differs.
+// The desired state of the engines of one data centre and service is a value in
+// the key-value store, changed by compare-and-swap. The lease holder polls each
+// engine's actual state and sends an order where the two differ (level-triggered
+// reconciliation). An order holds the complete state, not a difference, so it is
+// idempotent: a duplicate has no effect, and the result of a delayed one shows in
+// the engine's state and is corrected at the next poll. Orders carry a fencing
+// token, and orders that read from the weight store are rate limited.
 package order
 
 import (
@@ -19,15 +21,14 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("order")
 
-// ErrBusy is the class of a Send whose order was refused because the weight
-// store is at its rate limit.
+// ErrBusy is the class of errors of orders that failed because the weight store
+// refused the load at its rate limit.
 var ErrBusy = errs.Class("order: weight store busy")
 
-// Role is the part that an engine plays, in the form of engine.Role; this
-// package only compares roles.
+// Role has the form of engine.Role; this package only compares roles.
 type Role string
 
-// State is what an engine is, or is to be.
+// State is the actual or the desired state of an engine.
 type State struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
@@ -35,15 +36,14 @@
 	Role     Role     `json:"role"`
 }
 
-// Equal reports that the states are the same; the order of adapters is not
-// part of it.
+// Equal reports whether the states are the same, ignoring the order of adapters.
 func (state State) Equal(other State) bool {
 	return state.Model == other.Model && state.Version == other.Version && state.Role == other.Role &&
 		slices.Equal(slices.Sorted(slices.Values(state.Adapters)), slices.Sorted(slices.Values(other.Adapters)))
 }
 
-// NeedsWeights reports that an engine in this state reads from the weight store
-// to become the other.
+// NeedsWeights reports whether an engine in this state has to read from the
+// weight store to reach the state want.
 func (state State) NeedsWeights(want State) bool {
 	if state.Model != want.Model || state.Version != want.Version {
 		return true
@@ -53,13 +53,13 @@
 	})
 }
 
-// Order tells one engine what to be.
+// Order instructs one engine to reach a state.
 type Order struct {
 	Want State `json:"want"`
-	// Fencing is the number of the holder's tenure. Engines that check it
-	// refuse an order with a lower one than they have seen.
+	// Fencing is the fencing token of the holder's lease. Engines that check it
+	// refuse an order with a lower token than the highest they have received.
 	Fencing peridotpath.FencingNumber `json:"fencing"`
-	// Limit is how long the order may take; the engine gives it up after that.
-	// It ends within the holder's lease.
+	// Limit is the time after which the engine abandons the order. It is no
+	// longer than the rest of the holder's lease.
 	Limit time.Duration `json:"limit"`
 }
