--- a/peridotpath/shift/demand.go
+++ b/peridotpath/shift/demand.go
@@ -15,8 +15,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("shift")
 
-// Total counts the prompts beyond one engine that came to a service, at any
-// data centre of the region. It only grows, so that no clock is needed to read a rate from it.
+// Total counts the prompts of a service that are too long for one engine, at all
+// data centres of the region. It is cumulative, so a reader computes the rate with
+// its own clock alone.
 type Total struct {
 	Prompts uint64             `json:"prompts"`
 	Tokens  peridotpath.Tokens `json:"tokens"`
@@ -39,36 +40,36 @@
 	return total, entry.Version, nil
 }
 
-// Counter adds the prompts beyond one engine that came to this instance to the
-// platform's totals. Set the exported fields before Run.
+// Counter adds the prompts of this instance that are too long for one engine to the
+// totals in the key-value store. Set the exported fields before Run.
 type Counter struct {
 	Store *keyvalue.Store
-	// Interval bounds the platform calls: at most a read and a write in each,
-	// and none while no such prompt comes.
+	// Interval is the time between two writes of the totals. Each takes a read and
+	// a write per service; without new prompts there is neither.
 	Interval time.Duration
 
-	mu   sync.Mutex
-	news map[peridotpath.Service]Total
+	mu        sync.Mutex
+	unwritten map[peridotpath.Service]Total
 }
 
-// Note counts one prompt that needs the given tokens. It makes no call.
+// Note counts one prompt of the given size, in memory only.
 func (counter *Counter) Note(service peridotpath.Service, tokens peridotpath.Tokens) {
-	counter.add(service, Total{Prompts: 1, Tokens: tokens})
+	counter.addUnwritten(service, Total{Prompts: 1, Tokens: tokens})
 }
 
-func (counter *Counter) add(service peridotpath.Service, more Total) {
+func (counter *Counter) addUnwritten(service peridotpath.Service, added Total) {
 	counter.mu.Lock()
 	defer counter.mu.Unlock()
-	if counter.news == nil {
-		counter.news = map[peridotpath.Service]Total{}
+	if counter.unwritten == nil {
+		counter.unwritten = map[peridotpath.Service]Total{}
 	}
-	sum := counter.news[service]
-	sum.Prompts += more.Prompts
-	sum.Tokens += more.Tokens
-	counter.news[service] = sum
+	sum := counter.unwritten[service]
+	sum.Prompts += added.Prompts
+	sum.Tokens += added.Tokens
+	counter.unwritten[service] = sum
 }
 
-// Run adds what was noted at each interval until ctx ends.
+// Run writes the counted prompts to the store at each interval until ctx is done.
 func (counter *Counter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(counter.Interval)
 	defer ticker.Stop()
@@ -79,27 +80,27 @@
 		case <-ticker.C:
 		}
 		counter.mu.Lock()
-		news := counter.news
-		counter.news = nil
+		unwritten := counter.unwritten
+		counter.unwritten = nil
 		counter.mu.Unlock()
-		for service, more := range news {
-			if err := counter.write(ctx, service, more); err != nil {
-				counter.add(service, more)
+		for service, added := range unwritten {
+			if err := counter.write(ctx, service, added); err != nil {
+				counter.addUnwritten(service, added)
 			}
 		}
 	}
 }
 
-// write adds to the total. A swap whose answer is lost may count twice, which
-// costs a group at the most; the figure is a demand, not an account.
-func (counter *Counter) write(ctx context.Context, service peridotpath.Service, more Total) error {
+// write adds to the total in the store. A swap whose reply is lost may be counted
+// twice, which costs one group too many at most.
+func (counter *Counter) write(ctx context.Context, service peridotpath.Service, added Total) error {
 	key := demandKey(service)
 	total, version, err := readTotal(ctx, counter.Store, key)
 	if err != nil {
 		return err
 	}
-	total.Prompts += more.Prompts
-	total.Tokens += more.Tokens
+	total.Prompts += added.Prompts
+	total.Tokens += added.Tokens
 	value, err := json.Marshal(total)
 	if err != nil {
 		return Error.Wrap(err)
--- a/peridotpath/shift/demand_internal_test.go
+++ b/peridotpath/shift/demand_internal_test.go
@@ -7,18 +7,18 @@
 	"github.com/matryer/is"
 )
 
-// The service comes back from a copy with smaller totals; that is no demand, and none that
-// came before is forgotten.
-func TestDemandWhenTheServiceWentBack(t *testing.T) {
+// The store is restored from an older copy with smaller totals. That must count as no
+// demand, and the rate so far must be kept.
+func TestDemandAfterStoreRestore(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
-	var demand demand
-	demand.sample(now, Total{Prompts: 10, Tokens: 1_000_000})
-	demand.sample(now.Add(time.Second), Total{Prompts: 12, Tokens: 1_200_000})
-	before, changed := demand.perS, demand.changed
-	demand.sample(now.Add(2*time.Second), Total{Prompts: 9, Tokens: 900_000})
-	is.Equal(demand.perS, before)
-	is.Equal(demand.changed, changed)
-	demand.sample(now.Add(3*time.Second), Total{Prompts: 10, Tokens: 1_000_000})
-	is.True(demand.perS >= 0 && demand.perS <= 1_200_000)
+	var estimator demandEstimator
+	estimator.addSample(now, Total{Prompts: 10, Tokens: 1_000_000})
+	estimator.addSample(now.Add(time.Second), Total{Prompts: 12, Tokens: 1_200_000})
+	rate, lastPromptAt := estimator.tokensPerSecond, estimator.lastPromptAt
+	estimator.addSample(now.Add(2*time.Second), Total{Prompts: 9, Tokens: 900_000})
+	is.Equal(estimator.tokensPerSecond, rate)
+	is.Equal(estimator.lastPromptAt, lastPromptAt)
+	estimator.addSample(now.Add(3*time.Second), Total{Prompts: 10, Tokens: 1_000_000})
+	is.True(estimator.tokensPerSecond >= 0 && estimator.tokensPerSecond <= 1_200_000)
 }
--- a/peridotpath/shift/engines.go
+++ b/peridotpath/shift/engines.go
@@ -11,58 +11,59 @@
 	"peridotpath.example/peridotpath/order"
 )
 
-// looksAtOnce bounds the engines that are read at a time.
-const looksAtOnce = 16
+// maxConcurrentReads bounds the engines that are read concurrently.
+const maxConcurrentReads = 16
 
-// Engines reads the engines of a site and gives them orders.
+// Engines reads the state of a site's engines and sends them orders.
 type Engines struct {
 	Client *engine.Client
 	// Endpoints returns the listed engines of the site.
 	Endpoints func() []peridotpath.Endpoint
 }
 
-// Look reads the roles and the memory of all engines from themselves: what
-// instances hand on is late, and a step taken too early cuts off work.
+// Look reads the roles and the KV memory in use of all engines. It queries the
+// engines themselves, because loads that instances gossip are delayed and a role
+// that changes too early aborts running requests.
 func (engines *Engines) Look(ctx context.Context) ([]Engine, error) {
 	endpoints := engines.Endpoints()
-	seen := make([]Engine, len(endpoints))
+	states := make([]Engine, len(endpoints))
 	var group errgroup.Group
-	group.SetLimit(looksAtOnce)
+	group.SetLimit(maxConcurrentReads)
 	for i, endpoint := range endpoints {
 		group.Go(func() error {
-			seen[i] = engines.lookAt(ctx, endpoint)
+			states[i] = engines.readEngine(ctx, endpoint)
 			return nil
 		})
 	}
-	return seen, group.Wait()
+	return states, group.Wait()
 }
 
-func (engines *Engines) lookAt(ctx context.Context, endpoint peridotpath.Endpoint) Engine {
+func (engines *Engines) readEngine(ctx context.Context, endpoint peridotpath.Endpoint) Engine {
 	listed := endpoint.State == peridotpath.StateLive
-	silent := Engine{ID: endpoint.ID, KVTokens: endpoint.KVTokens, Alive: listed}
+	unresponsive := Engine{ID: endpoint.ID, KVTokens: endpoint.KVTokens, Alive: listed}
 	state, err := engines.State(ctx, endpoint)
 	if err != nil {
-		return silent
+		return unresponsive
 	}
 	load, err := engines.Client.Load(ctx, endpoint.Address)
 	if err != nil {
-		return silent
+		return unresponsive
 	}
 	streams, err := engines.Client.Streams(ctx, endpoint.Address)
 	if err != nil {
-		return silent
+		return unresponsive
 	}
-	seen := silent
-	seen.Answered = true
-	seen.Actual = state
-	seen.PrefillPerS = load.PrefillPerS
+	responsive := unresponsive
+	responsive.Answered = true
+	responsive.Actual = state
+	responsive.PrefillPerS = load.PrefillPerS
 	for _, stream := range streams {
-		seen.Held += stream.KVTokens
+		responsive.Held += stream.KVTokens
 	}
-	return seen
+	return responsive
 }
 
-// State returns what an engine says it is; it is order.Reconciler's Read.
+// State returns the state that an engine reports; it serves as order.Reconciler.Read.
 func (engines *Engines) State(ctx context.Context, endpoint peridotpath.Endpoint) (order.State, error) {
 	state, err := engines.Client.Orders(ctx, endpoint.Address)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return order.State{Model: state.Model, Version: state.Version, Adapters: splitAdapters(state.Adapter), Role: order.Role(state.Role)}, nil
 }
 
-// adapterSeparator stands between adapters in an engine's orders.
+// adapterSeparator separates the adapters in an engine's order.
 const adapterSeparator = ","
 
 func splitAdapters(text string) []string {
@@ -81,11 +82,11 @@
 	return strings.Split(text, adapterSeparator)
 }
 
-// Order gives an order; it is order.Reconciler's Send.
-func (engines *Engines) Order(ctx context.Context, endpoint peridotpath.Endpoint, given order.Order) error {
+// Order sends an order; it serves as order.Reconciler.Send.
+func (engines *Engines) Order(ctx context.Context, endpoint peridotpath.Endpoint, sent order.Order) error {
 	return engines.Client.Order(ctx, endpoint.Address, engine.Order{
-		Fencing: given.Fencing, Model: given.Want.Model, Version: given.Want.Version,
-		Adapter: strings.Join(given.Want.Adapters, adapterSeparator),
-		Role:    engine.Role(given.Want.Role), LimitMS: peridotpath.Millis(given.Limit.Milliseconds()),
+		Fencing: sent.Fencing, Model: sent.Want.Model, Version: sent.Want.Version,
+		Adapter: strings.Join(sent.Want.Adapters, adapterSeparator),
+		Role:    engine.Role(sent.Want.Role), LimitMS: peridotpath.Millis(sent.Limit.Milliseconds()),
 	})
 }
--- a/peridotpath/shift/fixture_test.go
+++ b/peridotpath/shift/fixture_test.go
@@ -29,29 +29,29 @@
 )
 
 const (
-	service    = peridotpath.Service("lipi-model")
-	dataCentre = peridotpath.DataCentre("kolkata-hall")
-	volume     = 1_000_000
-	holdGroups = 5 * time.Minute
+	service          = peridotpath.Service("lipi-model")
+	dataCentre       = peridotpath.DataCentre("kolkata-hall")
+	longPromptTokens = 1_000_000
+	groupIdleTimeout = 5 * time.Minute
 )
 
-// cell is a data centre: engines, the platform, and instances before them.
+// cell is a data centre with engines, a key-value store and instances.
 type cell struct {
-	t         *testing.T
-	platform  memory.Memory
-	network   enginetest.Network
-	engines   []*enginetest.Engine
-	endpoints []peridotpath.Endpoint
-	tasks     sync.WaitGroup
-	cancel    context.CancelFunc
-	hold      time.Duration
-	looks     atomic.Int64
+	t                *testing.T
+	keyValue         memory.Memory
+	network          enginetest.Network
+	engines          []*enginetest.Engine
+	endpoints        []peridotpath.Endpoint
+	tasks            sync.WaitGroup
+	cancel           context.CancelFunc
+	groupIdleTimeout time.Duration
+	engineReads      atomic.Int64
 
 	mu        sync.Mutex
 	instances []*instance
 }
 
-// instance is one process with the parts that long prompts need.
+// instance is one process with the components that long prompts need.
 type instance struct {
 	dispatcher *dispatch.Dispatcher
 	counter    *shift.Counter
@@ -60,10 +60,10 @@
 	cancel     context.CancelFunc
 }
 
-func newCell(t *testing.T, engines, instances int, hold time.Duration) *cell {
+func newCell(t *testing.T, engines, instances int, groupIdleTimeout time.Duration) *cell {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	cell := &cell{t: t, cancel: cancel, hold: hold}
+	cell := &cell{t: t, cancel: cancel, groupIdleTimeout: groupIdleTimeout}
 	for i := range engines {
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7100)
 		fake := &enginetest.Engine{
@@ -75,7 +75,7 @@
 			DataCentre: dataCentre, Address: address, State: peridotpath.StateLive, KVTokens: 400_000, ChecksFencing: true,
 		})
 		cell.network.Serve(address.String(), fake.Handler())
-		cell.run(ctx, fake.Run)
+		cell.goRun(ctx, fake.Run)
 	}
 	for i := range instances {
 		cell.instances = append(cell.instances, cell.start(ctx, fmt.Sprintf("i%d", i)))
@@ -83,8 +83,8 @@
 	return cell
 }
 
-// run runs a task until the cell is closed.
-func (cell *cell) run(ctx context.Context, task func(context.Context) error) {
+// goRun runs a task until the cell is closed.
+func (cell *cell) goRun(ctx context.Context, task func(context.Context) error) {
 	cell.tasks.Go(func() { _ = task(ctx) })
 }
 
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	client := &engine.Client{Instance: peridotpath.InstanceID(name), Do: cell.network.Do}
 	started := &instance{cancel: cancel}
-	store := started.link.Store(&cell.platform)
+	store := started.link.Store(&cell.keyValue)
 	scheduler := &decide.Scheduler{Seed: uint64(len(cell.instances) + 1)}
 	scheduler.SetInstances(2)
 	view := &fleet.View{Log: zerolog.Nop(), Publish: scheduler.SetEndpoints, Load: scheduler.Report}
@@ -125,8 +125,8 @@
 	}
 	keeper := &shift.Keeper{
 		Log: zerolog.Nop(), Store: store, DataCentre: dataCentre, Service: service, Book: book,
-		Held: started.holder.Held, Engines: cell.counted(engines.Look), Interval: 2 * time.Second,
-		Limits:  shift.Limits{Hold: cell.hold},
+		Held: started.holder.Held, Engines: cell.countReads(engines.Look), Interval: 2 * time.Second,
+		Limits:  shift.Limits{Hold: cell.groupIdleTimeout},
 		Longest: func() peridotpath.Tokens { return 1_100_000 },
 		Sites:   func() []shift.Site { return []shift.Site{{DataCentre: dataCentre, Engines: len(cell.endpoints)}} },
 	}
@@ -134,29 +134,29 @@
 	for _, task := range []func(context.Context) error{
 		poller.Run, started.dispatcher.Run, started.counter.Run, started.holder.Run, reconciler.Run, keeper.Run,
 	} {
-		cell.run(ctx, task)
+		cell.goRun(ctx, task)
 	}
 	return started
 }
 
-// kill ends an instance as SIGKILL does: nothing is given back.
+// kill stops an instance without releasing its lease, as SIGKILL does.
 func (instance *instance) kill() {
 	instance.link.Set(func(string) memory.Fate { return memory.Fate{NotSent: true} })
 	instance.cancel()
 }
 
-// answer is what became of one prompt.
+// answer is the outcome of one prompt.
 type answer struct {
-	result  *peridotpath.Result
-	first   time.Duration
-	took    time.Duration
-	tokens  int
-	refused int
+	result           *peridotpath.Result
+	timeToFirstToken time.Duration
+	totalTime        time.Duration
+	tokens           int
+	refusals         int
 }
 
-// ask sends a prompt through an instance, and again when it is told to come
-// back, until its deadline.
-func (cell *cell) ask(at int, id string, tokens, output peridotpath.Tokens, deadline time.Duration) answer {
+// sendUntilAnswered sends a prompt through an instance and retries it after each RetryAfter until
+// its deadline.
+func (cell *cell) sendUntilAnswered(index int, id string, tokens, output peridotpath.Tokens, deadline time.Duration) answer {
 	class := peridotpath.ClassOf(tokens, 400_000)
 	profile := &peridotpath.Profile{Name: "volume", Service: service, Idempotent: true, DeadlineMS: peridotpath.Millis(deadline.Milliseconds())}
 	if class == peridotpath.Short {
@@ -169,7 +169,7 @@
 	begin := time.Now()
 	var answer answer
 	for {
-		instance := cell.at(at)
+		instance := cell.instanceAt(index)
 		now := time.Now()
 		work := &decide.Work{
 			ID: peridotpath.RequestID(id), Customer: customer, Profile: profile, Class: class,
@@ -179,7 +179,7 @@
 			instance.counter.Note(service, tokens)
 		}
 		sink := &dispatch.Sink{
-			Start: func(http.Header, peridotpath.EndpointID, string) { answer.first = time.Since(begin) },
+			Start: func(http.Header, peridotpath.EndpointID, string) { answer.timeToFirstToken = time.Since(begin) },
 			Event: func(_ int64, data []byte) error {
 				if gjson.GetBytes(data, "choices.0.text").String() != "" {
 					answer.tokens++
@@ -189,33 +189,33 @@
 		}
 		request := &dispatch.Request{Work: work, Path: engine.PathCompletions, Body: engine.NewBody(text), Stream: true}
 		answer.result = instance.dispatcher.Do(context.Background(), request, sink)
-		answer.took = time.Since(begin)
-		again := answer.result != nil && answer.result.RetryAfter > 0 && answer.tokens == 0
-		if !again || answer.took+answer.result.RetryAfter >= deadline {
+		answer.totalTime = time.Since(begin)
+		retry := answer.result != nil && answer.result.RetryAfter > 0 && answer.tokens == 0
+		if !retry || answer.totalTime+answer.result.RetryAfter >= deadline {
 			return answer
 		}
-		answer.refused++
+		answer.refusals++
 		time.Sleep(answer.result.RetryAfter)
-		at++
+		index++
 	}
 }
 
-// at returns an instance, as a balancer that goes round does.
-func (cell *cell) at(number int) *instance {
+// instanceAt returns an instance in round-robin order.
+func (cell *cell) instanceAt(index int) *instance {
 	cell.mu.Lock()
 	defer cell.mu.Unlock()
-	return cell.instances[number%len(cell.instances)]
+	return cell.instances[index%len(cell.instances)]
 }
 
-// lose takes an engine away, with what it held.
-func (cell *cell) lose(number int) {
-	cell.network.Serve(cell.endpoints[number].Address.String(), nil)
+// disconnect disconnects an engine.
+func (cell *cell) disconnect(index int) {
+	cell.network.Serve(cell.endpoints[index].Address.String(), nil)
 }
 
-// role returns the first part of an engine's role.
-func (cell *cell) role(number int) string {
+// duty returns the duty of an engine, or "gone" if it is unreachable.
+func (cell *cell) duty(index int) string {
 	client := &engine.Client{Do: cell.network.Do}
-	state, err := client.Orders(context.Background(), cell.endpoints[number].Address)
+	state, err := client.Orders(context.Background(), cell.endpoints[index].Address)
 	if err != nil {
 		return "gone"
 	}
@@ -223,10 +223,10 @@
 	return string(first)
 }
 
-// counted counts how often the engines are looked at.
-func (cell *cell) counted(look func(context.Context) ([]shift.Engine, error)) func(context.Context) ([]shift.Engine, error) {
+// countReads wraps read with a counter of its calls.
+func (cell *cell) countReads(read func(context.Context) ([]shift.Engine, error)) func(context.Context) ([]shift.Engine, error) {
 	return func(ctx context.Context) ([]shift.Engine, error) {
-		cell.looks.Add(1)
-		return look(ctx)
+		cell.engineReads.Add(1)
+		return read(ctx)
 	}
 }
--- a/peridotpath/shift/group_test.go
+++ b/peridotpath/shift/group_test.go
@@ -12,97 +12,99 @@
 	"peridotpath.example/peridotpath"
 )
 
-// TestVolumesOneAfterTheOther: scholars send two, three and ten bound volumes at
-// once, on engines for one group, while volunteers read lines. Each volume must
-// be answered whole, in turn, and no line may wait for one.
-func TestVolumesOneAfterTheOther(t *testing.T) {
+// TestConcurrentLongPrompts sends two, three and ten prompts of a million tokens at
+// once to a cell with engines for one group, together with short prompts. Each long
+// prompt must be answered in full, one after the other, and no short prompt may queue
+// behind one.
+func TestConcurrentLongPrompts(t *testing.T) {
 	for _, count := range []int{2, 3, 10} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				cell := newCell(t, 4, 2, holdGroups)
+				cell := newCell(t, 4, 2, groupIdleTimeout)
 				defer cell.close()
 				time.Sleep(10 * time.Second)
-				volumes := make([]answer, count)
+				answers := make([]answer, count)
 				var sending sync.WaitGroup
 				for i := range count {
-					sending.Go(func() { volumes[i] = cell.ask(i, fmt.Sprintf("v%d", i), volume, 20, 10*time.Minute) })
+					sending.Go(func() {
+						answers[i] = cell.sendUntilAnswered(i, fmt.Sprintf("v%d", i), longPromptTokens, 20, 10*time.Minute)
+					})
 				}
-				lines := cell.readLines(&sending)
-				for _, volume := range volumes {
-					is.Equal(volume.result, nil)
-					is.Equal(volume.tokens, 20)
+				shortAnswers := cell.sendShortPrompts(&sending)
+				for _, answer := range answers {
+					is.Equal(answer.result, nil)
+					is.Equal(answer.tokens, 20)
 				}
 				slowest := time.Duration(0)
-				for _, line := range lines {
-					is.Equal(line.result, nil)
-					slowest = max(slowest, line.first)
+				for _, answer := range shortAnswers {
+					is.Equal(answer.result, nil)
+					slowest = max(slowest, answer.timeToFirstToken)
 				}
-				t.Logf("volumes=%d last_done=%v lines=%d slowest_line=%v", count, longest(volumes), len(lines), slowest)
+				t.Logf("long_prompts=%d last_done=%v short_prompts=%d slowest_short=%v", count, maxTotalTime(answers), len(shortAnswers), slowest)
 				is.True(slowest < 2*time.Second)
 				finished := 0
 				for _, fake := range cell.engines {
 					finished += fake.Counts().Total.Finished
 				}
-				is.Equal(finished, count+len(lines)) // nothing ran to its end twice
-				time.Sleep(holdGroups + time.Minute)
+				is.Equal(finished, count+len(shortAnswers)) // no prompt was executed to its end twice
+				time.Sleep(groupIdleTimeout + time.Minute)
 				for i := range cell.engines {
-					is.Equal(cell.role(i), "serve")
+					is.Equal(cell.duty(i), "serve")
 				}
 			})
 		})
 	}
 }
 
-// readLines sends a line a second until the volumes are done.
-func (cell *cell) readLines(volumes *sync.WaitGroup) []answer {
+// sendShortPrompts sends one short prompt a second until the long ones are answered.
+func (cell *cell) sendShortPrompts(longPrompts *sync.WaitGroup) []answer {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		volumes.Wait()
+		longPrompts.Wait()
 	}()
-	var lines []answer
+	var answers []answer
 	var mu sync.Mutex
 	var sending sync.WaitGroup
 	for i := 0; ; i++ {
 		select {
 		case <-done:
 			sending.Wait()
-			return lines
+			return answers
 		case <-time.After(time.Second):
 		}
 		sending.Go(func() {
-			line := cell.ask(i, fmt.Sprintf("l%d", i), 1000, 20, 15*time.Second)
+			answer := cell.sendUntilAnswered(i, fmt.Sprintf("l%d", i), 1000, 20, 15*time.Second)
 			mu.Lock()
 			defer mu.Unlock()
-			lines = append(lines, line)
+			answers = append(answers, answer)
 		})
 	}
 }
 
-func longest(answers []answer) time.Duration {
+func maxTotalTime(answers []answer) time.Duration {
 	var longest time.Duration
 	for _, answer := range answers {
-		longest = max(longest, answer.took)
+		longest = max(longest, answer.totalTime)
 	}
 	return longest
 }
 
-// TestVolumeOutlivesWhatItRunsOn takes away the group's leader or a member while
-// a volume is being read, or the instance that forms the group while engines
-// drain for it. The scholar gets the whole answer within the time, or a coded
-// failure where the answer had begun, and no engine may stay behind with memory
-// set aside.
-func TestVolumeOutlivesWhatItRunsOn(t *testing.T) {
+// TestLongPromptSurvivesFailures disconnects the group's leader or a member while a
+// long prompt runs, or kills the instance that forms the group while engines drain.
+// The client gets the whole answer before its deadline, or a result code if the
+// answer had started, and no engine may keep memory reserved.
+func TestLongPromptSurvivesFailures(t *testing.T) {
 	cases := map[string]struct {
-		role   string // the failure comes when an engine has it
+		duty   string // the failure occurs once an engine has this duty
 		output peridotpath.Tokens
 		fail   func(cell *cell, holder int)
 		want   *peridotpath.Result
 	}{
-		"leader dies before the first token": {"lead", 20, func(cell *cell, _ int) { cell.lose(cell.first("lead")) }, nil},
+		"leader dies before the first token": {"lead", 20, func(cell *cell, _ int) { cell.disconnect(cell.firstWithDuty("lead")) }, nil},
 		"member dies within the answer": {
-			"lead", 3000, func(cell *cell, _ int) { cell.lose(cell.first("member")) },
+			"lead", 3000, func(cell *cell, _ int) { cell.disconnect(cell.firstWithDuty("member")) },
 			&peridotpath.Result{Code: peridotpath.CodeStreamCut},
 		},
 		"holder of the lease dies": {"drain", 20, func(cell *cell, holder int) { cell.instances[holder].kill() }, nil},
@@ -111,130 +113,130 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				cell := newCell(t, 5, 2, holdGroups)
+				cell := newCell(t, 5, 2, groupIdleTimeout)
 				defer cell.close()
 				time.Sleep(10 * time.Second)
 				holder := cell.holder()
 				done := make(chan answer, 1)
-				go func() { done <- cell.ask(1-holder, "v", volume, test.output, 10*time.Minute) }()
-				cell.awaitRole(test.role)
+				go func() { done <- cell.sendUntilAnswered(1-holder, "v", longPromptTokens, test.output, 10*time.Minute) }()
+				cell.awaitDuty(test.duty)
 				test.fail(cell, holder)
-				cell.only(1 - holder)
+				cell.useOnly(1 - holder)
 				failed := time.Now()
-				volume := <-done
-				t.Logf("done %v after the failure, refused %d times", time.Since(failed), volume.refused)
+				answer := <-done
+				t.Logf("answered %v after the failure, refused %d times", time.Since(failed), answer.refusals)
 				if test.want != nil {
-					is.Equal(volume.result.Code, test.want.Code)
+					is.Equal(answer.result.Code, test.want.Code)
 				} else {
-					is.Equal(volume.result, nil)
-					is.Equal(volume.tokens, int(test.output))
+					is.Equal(answer.result, nil)
+					is.Equal(answer.tokens, int(test.output))
 				}
-				time.Sleep(holdGroups + 2*time.Minute)
+				time.Sleep(groupIdleTimeout + 2*time.Minute)
 				for i := range cell.engines {
-					role := cell.role(i)
-					is.True(role == "serve" || role == "gone")
+					duty := cell.duty(i)
+					is.True(duty == "serve" || duty == "gone")
 				}
-				is.Equal(cell.heldByLiving(), 0)
+				is.Equal(cell.kvUsedByReachable(), 0)
 			})
 		})
 	}
 }
 
-// holder returns the number of the instance that holds the lease.
+// holder returns the index of the instance that holds the lease.
 func (cell *cell) holder() int {
 	for i, instance := range cell.instances {
 		if _, held := instance.holder.Held(); held {
 			return i
 		}
 	}
-	cell.t.Fatal("nobody holds the lease")
+	cell.t.Fatal("no instance holds the lease")
 	return 0
 }
 
-// only has callers come to one instance.
-func (cell *cell) only(number int) {
+// useOnly sends all further prompts to one instance.
+func (cell *cell) useOnly(index int) {
 	cell.mu.Lock()
 	defer cell.mu.Unlock()
-	cell.instances = cell.instances[number : number+1]
+	cell.instances = cell.instances[index : index+1]
 }
 
-// first returns the first engine with the role, or -1.
-func (cell *cell) first(role string) int {
+// firstWithDuty returns the index of the first engine with the duty, or -1.
+func (cell *cell) firstWithDuty(duty string) int {
 	for i := range cell.engines {
-		if cell.role(i) == role {
+		if cell.duty(i) == duty {
 			return i
 		}
 	}
 	return -1
 }
 
-// awaitRole waits until an engine has the role; for a leader, until it runs a
-// volume.
-func (cell *cell) awaitRole(role string) {
+// awaitDuty waits until an engine has the duty and, if it is a leader, runs a long
+// prompt.
+func (cell *cell) awaitDuty(duty string) {
 	for {
-		i := cell.first(role)
-		if i >= 0 && (role != "lead" || cell.engines[i].Load().KVUsed > volume/2) {
+		i := cell.firstWithDuty(duty)
+		if i >= 0 && (duty != "lead" || cell.engines[i].Load().KVUsed > longPromptTokens/2) {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// heldByLiving returns the memory held on engines that are still there.
-func (cell *cell) heldByLiving() int {
+// kvUsedByReachable returns the KV memory in use on the reachable engines.
+func (cell *cell) kvUsedByReachable() int {
 	held := 0
 	for i, fake := range cell.engines {
-		if cell.role(i) != "gone" {
+		if cell.duty(i) != "gone" {
 			held += int(fake.Load().KVUsed)
 		}
 	}
 	return held
 }
 
-// TestStandingGroupAgainstOneForEachPrompt compares the group that stays with
-// one that is formed for each prompt and dissolved once the caller has had time
-// to come back for it: ten volumes, one every three minutes. It keeps the reason
-// for the choice true.
-func TestStandingGroupAgainstOneForEachPrompt(t *testing.T) {
+// TestPersistentGroupIsFaster compares a persistent group with one that
+// is formed for each prompt and dissolved once the client has had time to retry: ten
+// long prompts, one every three minutes. It verifies the reason for keeping a group
+// while there is demand.
+func TestPersistentGroupIsFaster(t *testing.T) {
 	mean := map[string]time.Duration{}
-	for name, hold := range map[string]time.Duration{"standing": holdGroups, "for each prompt": 40 * time.Second} {
+	for name, groupIdleTimeout := range map[string]time.Duration{"persistent": groupIdleTimeout, "for each prompt": 40 * time.Second} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				cell := newCell(t, 4, 2, hold)
+				cell := newCell(t, 4, 2, groupIdleTimeout)
 				defer cell.close()
 				time.Sleep(10 * time.Second)
 				for i := range 10 {
-					volume := cell.ask(i, fmt.Sprintf("v%d", i), volume, 20, 5*time.Minute)
-					is.Equal(volume.result, nil)
-					mean[name] += volume.first / 10
-					time.Sleep(3*time.Minute - volume.took)
+					answer := cell.sendUntilAnswered(i, fmt.Sprintf("v%d", i), longPromptTokens, 20, 5*time.Minute)
+					is.Equal(answer.result, nil)
+					mean[name] += answer.timeToFirstToken / 10
+					time.Sleep(3*time.Minute - answer.totalTime)
 				}
 				t.Logf("mean_first_token=%v", mean[name])
 			})
 		})
 	}
 	is := is.New(t)
-	is.True(mean["standing"] < mean["for each prompt"]/2)
+	is.True(mean["persistent"] < mean["for each prompt"]/2)
 }
 
-// TestEnginesAreLeftAloneAtRest: a fleet without prompts beyond one engine would
-// still have each of its engines read every two seconds, 750 of them in a data
+// TestNoEngineReadsWithoutDemand checks that engines are not read without demand and
+// groups. Otherwise each engine would be read every two seconds, 750 of them in a data
 // centre of the size that is designed for.
-func TestEnginesAreLeftAloneAtRest(t *testing.T) {
+func TestNoEngineReadsWithoutDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		cell := newCell(t, 4, 2, holdGroups)
+		cell := newCell(t, 4, 2, groupIdleTimeout)
 		defer cell.close()
 		time.Sleep(time.Minute)
-		before := cell.looks.Load()
+		readsAtRest := cell.engineReads.Load()
 		time.Sleep(time.Minute)
-		is.Equal(cell.looks.Load(), before)
-		is.Equal(cell.ask(0, "v", volume, 20, 5*time.Minute).result, nil)
-		is.True(cell.looks.Load() > before)
-		time.Sleep(2 * holdGroups)
-		after := cell.looks.Load()
+		is.Equal(cell.engineReads.Load(), readsAtRest)
+		is.Equal(cell.sendUntilAnswered(0, "v", longPromptTokens, 20, 5*time.Minute).result, nil)
+		is.True(cell.engineReads.Load() > readsAtRest)
+		time.Sleep(2 * groupIdleTimeout)
+		readsAfterGroup := cell.engineReads.Load()
 		time.Sleep(time.Minute)
-		is.Equal(cell.looks.Load(), after)
+		is.Equal(cell.engineReads.Load(), readsAfterGroup)
 	})
 }
--- a/peridotpath/shift/keeper.go
+++ b/peridotpath/shift/keeper.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// demandSpan is the time over which the demand is averaged.
-	demandSpan = time.Minute
-	// readTimeout bounds the reading of all engines' roles and memory.
+	// demandAveragingTime is the time constant of the moving average of the demand.
+	demandAveragingTime = time.Minute
+	// readTimeout is half the time limit of one plan, which covers reading the
+	// engines' roles and memory.
 	readTimeout = 2 * time.Second
 )
 
-// Keeper shifts the engines of one data centre and service while its process
-// holds the lease. Set the exported fields before Run.
+// Keeper changes the roles of the engines of one data centre and service by the
+// demand, while its process holds the lease. Set the exported fields before Run.
 type Keeper struct {
 	Log        zerolog.Logger
 	Store      *keyvalue.Store
@@ -30,66 +31,68 @@
 	Service    peridotpath.Service
 	Book       *order.Book
 	Held       func() (lease.Term, bool)
-	// Engines returns what is seen of the service's engines, Alive for those on
-	// the list; Wanted is filled in by the Keeper.
+	// Engines reads the service's engines, with Engine.Alive set for those that are
+	// live on the membership list and without their desired roles.
 	Engines func(ctx context.Context) ([]Engine, error)
 	// Sites returns the region's data centres with their live engines of the service.
 	Sites func() []Site
-	// Longest returns the most tokens that a prompt of the service may take.
+	// Longest returns the maximum size of a prompt of the service.
 	Longest func() peridotpath.Tokens
 	Limits  Limits
 	// Interval is the time between two plans.
 	Interval time.Duration
 
-	demand demand
-	// missed counts the readings in a row that an engine did not answer.
-	missed map[peridotpath.EndpointID]int
+	demandRate demandEstimator
+	// missedReads counts the consecutive reads that an engine did not respond to.
+	missedReads map[peridotpath.EndpointID]int
 }
 
-// missedMost is how many readings in a row an engine may miss. Taking apart a
-// group loses the prompts that it runs, so one slow answer must not do it.
-const missedMost = 3
+// maxMissedReads is the number of consecutive reads without a response after which an
+// engine counts as lost. Dissolving a group aborts its prompts, so a single slow
+// response must not cause it.
+const maxMissedReads = 3
 
-// demand turns the totals into a rate, by the holder's own clock.
-type demand struct {
-	known   bool
-	last    Total
-	changed time.Time
-	perS    float64
-	sampled time.Time
+// demandEstimator computes a moving average of the rate from the totals, by the lease
+// holder's clock.
+type demandEstimator struct {
+	initialised     bool
+	lastTotal       Total
+	lastPromptAt    time.Time
+	tokensPerSecond float64
+	sampledAt       time.Time
 }
 
-// sample takes in a reading of the totals.
-func (demand *demand) sample(now time.Time, total Total) {
-	if !demand.known {
-		// A new holder knows no rate yet, and must not take old prompts for new
-		// ones, nor dissolve what the last holder formed.
-		*demand = newDemand(now, total)
+// addSample updates the rate with a new value of the total.
+func (estimator *demandEstimator) addSample(now time.Time, total Total) {
+	if !estimator.initialised {
+		// A new holder has no rate yet. It must neither count earlier prompts as
+		// new nor dissolve groups that the last holder formed.
+		*estimator = newDemandEstimator(now, total)
 		return
 	}
-	elapsed := now.Sub(demand.sampled).Seconds()
+	elapsed := now.Sub(estimator.sampledAt).Seconds()
 	if elapsed <= 0 {
 		return
 	}
-	if total.Prompts < demand.last.Prompts {
-		// The service came back from an older copy: what it lost says nothing of the demand.
-		demand.last, demand.sampled = total, now
+	if total.Prompts < estimator.lastTotal.Prompts {
+		// The store was restored from an older copy; the lost counts are no demand.
+		estimator.lastTotal, estimator.sampledAt = total, now
 		return
 	}
-	rate := float64(total.Tokens-demand.last.Tokens) / elapsed
-	weight := min(elapsed/demandSpan.Seconds(), 1)
-	demand.perS += weight * (rate - demand.perS)
-	if total.Prompts != demand.last.Prompts {
-		demand.changed = now
+	rate := float64(total.Tokens-estimator.lastTotal.Tokens) / elapsed
+	weight := min(elapsed/demandAveragingTime.Seconds(), 1)
+	estimator.tokensPerSecond += weight * (rate - estimator.tokensPerSecond)
+	if total.Prompts != estimator.lastTotal.Prompts {
+		estimator.lastPromptAt = now
 	}
-	demand.last, demand.sampled = total, now
+	estimator.lastTotal, estimator.sampledAt = total, now
 }
 
-func newDemand(now time.Time, total Total) demand {
-	return demand{known: true, last: total, changed: now, sampled: now}
+func newDemandEstimator(now time.Time, total Total) demandEstimator {
+	return demandEstimator{initialised: true, lastTotal: total, lastPromptAt: now, sampledAt: now}
 }
 
-// Run plans at each interval until ctx ends.
+// Run plans at each interval until ctx is done.
 func (keeper *Keeper) Run(ctx context.Context) error {
 	ticker := time.NewTicker(keeper.Interval)
 	defer ticker.Stop()
@@ -100,19 +103,19 @@
 		case <-ticker.C:
 		}
 		if _, held := keeper.Held(); !held {
-			keeper.demand, keeper.missed = demand{}, nil
+			keeper.demandRate, keeper.missedReads = demandEstimator{}, nil
 			continue
 		}
-		if err := keeper.look(ctx); err != nil {
+		if err := keeper.replan(ctx); err != nil {
 			keeper.Log.Warn().Str("service", string(keeper.Service)).Err(err).Msg("shift_failed")
 		}
 	}
 }
 
-// look makes one plan and puts it in force with one compare-and-swap. Wanted
-// roles are read together with their revision, so a plan made on roles that
-// somebody has changed meanwhile is refused and made anew.
-func (keeper *Keeper) look(ctx context.Context) error {
+// replan makes one plan and applies it with one compare-and-swap. The desired roles
+// are read together with their revision, so a plan based on roles that have changed
+// since is refused and recomputed at the next interval.
+func (keeper *Keeper) replan(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*readTimeout)
 	defer cancel()
 	total, _, err := readTotal(ctx, keeper.Store, demandKey(keeper.Service))
@@ -120,16 +123,16 @@
 		return err
 	}
 	now := time.Now()
-	keeper.demand.sample(now, total)
+	keeper.demandRate.addSample(now, total)
 	desired, err := keeper.Book.Get(ctx)
 	if err != nil {
 		return err
 	}
 	need := Need{
-		Longest: keeper.Longest(), PerS: keeper.demand.perS, Idle: now.Sub(keeper.demand.changed),
+		Longest: keeper.Longest(), PerS: keeper.demandRate.tokensPerSecond, Idle: now.Sub(keeper.demandRate.lastPromptAt),
 		Sites: keeper.Sites(), Here: keeper.DataCentre,
 	}
-	if !need.asks(keeper.Limits) && !anyGroup(desired) {
+	if !need.mayRequireGroup(keeper.Limits) && !hasGroup(desired) {
 		return nil
 	}
 	engines, err := keeper.Engines(ctx)
@@ -138,39 +141,39 @@
 	}
 	for i := range engines {
 		engines[i].Wanted = desired.Endpoints[engines[i].ID].Role
-		engines[i].Alive = engines[i].Alive && keeper.answers(engines[i])
+		engines[i].Alive = engines[i].Alive && keeper.isResponsive(engines[i])
 	}
-	return keeper.apply(ctx, desired, engines, Plan(engines, need, keeper.Limits))
+	return keeper.applyMoves(ctx, desired, engines, Plan(engines, need, keeper.Limits))
 }
 
-// anyGroup reports whether a group is wanted. Without one, and without demand, no
-// plan moves anything, and engines need not be read: that costs three calls to
-// each of a site's engines in every interval.
-func anyGroup(desired order.Desired) bool {
+// hasGroup reports whether the desired state has a group. Without groups and
+// without demand no plan moves an engine, so the engines are not read, which saves
+// three calls to each of them in every interval.
+func hasGroup(desired order.Desired) bool {
 	for _, state := range desired.Endpoints {
-		if parseRole(state.Role).duty != serve {
+		if parseRole(state.Role).duty != dutyServe {
 			return true
 		}
 	}
 	return false
 }
 
-// answers reports whether the engine answered in one of the last readings.
-func (keeper *Keeper) answers(engine Engine) bool {
-	if keeper.missed == nil {
-		keeper.missed = map[peridotpath.EndpointID]int{}
+// isResponsive reports whether the engine responded to one of the last reads.
+func (keeper *Keeper) isResponsive(engine Engine) bool {
+	if keeper.missedReads == nil {
+		keeper.missedReads = map[peridotpath.EndpointID]int{}
 	}
 	if engine.Answered {
-		delete(keeper.missed, engine.ID)
+		delete(keeper.missedReads, engine.ID)
 		return true
 	}
-	keeper.missed[engine.ID]++
-	return keeper.missed[engine.ID] < missedMost
+	keeper.missedReads[engine.ID]++
+	return keeper.missedReads[engine.ID] < maxMissedReads
 }
 
-// apply puts the moves in force. Only the role changes: the model, version and
-// adapters stay as they are wanted, or as the engine has them.
-func (keeper *Keeper) apply(ctx context.Context, desired order.Desired, engines []Engine, moves []Move) error {
+// applyMoves writes the moves to the desired state. Only roles change: model, version
+// and adapters stay as desired, or as the engine has them if it has no desired state.
+func (keeper *Keeper) applyMoves(ctx context.Context, desired order.Desired, engines []Engine, moves []Move) error {
 	if len(moves) == 0 {
 		return nil
 	}
@@ -181,8 +184,8 @@
 	}
 	for _, move := range moves {
 		state := actual[move.Endpoint]
-		if wanted, known := desired.Endpoints[move.Endpoint]; known {
-			state = wanted
+		if desiredState, ok := desired.Endpoints[move.Endpoint]; ok {
+			state = desiredState
 		}
 		state.Role = move.Role
 		change.Set[move.Endpoint] = state
--- a/peridotpath/shift/plan.go
+++ b/peridotpath/shift/plan.go
@@ -10,117 +10,120 @@
 	"peridotpath.example/peridotpath/order"
 )
 
-// Engine is one engine as a plan sees it.
+// Engine is the state of one engine as input of a plan.
 type Engine struct {
 	ID peridotpath.EndpointID
-	// Wanted is the role that is in force; empty stands for serve.
+	// Wanted is the desired role; empty means serve.
 	Wanted order.Role
-	// Actual is what the engine says it is; its role is empty while it does not
-	// answer.
+	// Actual is the state that the engine reports; its role is empty while the
+	// engine does not respond.
 	Actual order.State
-	// Answered says that the engine answered just now, Alive that it is on the
-	// membership list, not leaving, and answered of late.
+	// Answered reports whether the engine responded to the last read, Alive
+	// whether it is live on the membership list and responded to a recent read.
 	Answered, Alive bool
-	// Held is the KV memory that its streams hold, of KVTokens.
+	// Held is the KV memory that the engine's streams use, of KVTokens.
 	Held, KVTokens peridotpath.Tokens
-	// PrefillPerS is its prompt rate.
+	// PrefillPerS is the prefill rate in tokens a second.
 	PrefillPerS peridotpath.Tokens
 }
 
-// Need says what prompts beyond one engine ask for.
+// Need is the demand of prompts that are too long for one engine.
 type Need struct {
-	// Longest is the most tokens that one prompt with its answer may take, by
-	// the profiles of the service.
+	// Longest is the maximum size of a prompt with its answer, by the profiles of
+	// the service.
 	Longest peridotpath.Tokens
-	// PerS is their demand in tokens a second.
+	// PerS is the demand in tokens a second.
 	PerS float64
-	// Idle is how long none has come.
+	// Idle is the time since the last such prompt.
 	Idle time.Duration
-	// Sites are the data centres that have engines of the service, and Here is
-	// the one that the plan is for.
+	// Sites are the data centres that have engines of the service.
 	Sites []Site
-	Here  peridotpath.DataCentre
+	// Here is the data centre that the plan is for.
+	Here peridotpath.DataCentre
 }
 
-// asks reports whether there is demand that a group could be formed for.
-func (need *Need) asks(limits Limits) bool { return need.Idle < limits.Hold && need.PerS > 0 }
+// mayRequireGroup reports whether there is demand that may require a group.
+func (need *Need) mayRequireGroup(limits Limits) bool {
+	return need.Idle < limits.Hold && need.PerS > 0
+}
 
-// Site is a data centre with its live engines of a service.
+// Site is a data centre with its number of live engines of a service.
 type Site struct {
 	DataCentre peridotpath.DataCentre
 	Engines    int
 }
 
-// Limits bound what a plan may do.
+// Limits are the limits of a plan.
 type Limits struct {
-	// Hold is how long a group stays without demand. Forming one drains its
-	// members, which costs their work for tens of seconds; a group that came
-	// and went with every prompt would cost more than it serves.
+	// Hold is the time without demand after which a group is dissolved. Forming
+	// one drains its members, which takes them out of service for tens of seconds;
+	// a group for each single prompt would cost more capacity than it provides.
 	Hold time.Duration
 }
 
-// Move is one change of role, with its reason for the log and for operators.
+// Move is a change of one engine's role, with its reason for the log.
 type Move struct {
 	Endpoint peridotpath.EndpointID
 	Role     order.Role
 	Reason   string
 }
 
-// Plan returns the next moves. It is a function of what is in force and what
-// is seen, and keeps nothing: a new holder of the lease goes on where the last
-// one was frozen or died, at whatever step.
+// Plan returns the next moves. It depends only on the desired and the actual
+// states and keeps none of its own, so a new lease holder continues at whatever
+// step the last one froze or died.
 //
-// A group forms in steps, each after the last has shown: its members drain,
-// they turn over their memory, the leader begins to serve. So a group is
-// reserved whole before it serves, and two groups cannot hold half each. Only
-// one group forms or dissolves at a time, which bounds the engines that are
-// out of work.
+// A group forms in steps, each after the engines report that the previous one is
+// complete: the members drain, they reserve their memory, the leader begins to
+// serve. All memory of a group is therefore reserved before it serves, and two
+// groups cannot deadlock with half of it each. Only one group forms or dissolves
+// at a time, which bounds the number of engines out of service.
 func Plan(engines []Engine, need Need, limits Limits) []Move {
-	plan := &plan{engines: map[peridotpath.EndpointID]*Engine{}, need: need, limits: limits}
+	planner := &planner{engines: map[peridotpath.EndpointID]*Engine{}, demand: need, limits: limits}
 	for i := range engines {
-		plan.engines[engines[i].ID] = &engines[i]
-		plan.order = append(plan.order, engines[i].ID)
+		planner.engines[engines[i].ID] = &engines[i]
+		planner.ids = append(planner.ids, engines[i].ID)
 	}
-	slices.Sort(plan.order)
-	if moves := plan.repair(); len(moves) > 0 {
+	slices.Sort(planner.ids)
+	if moves := planner.dissolveBroken(); len(moves) > 0 {
 		return moves
 	}
-	if moves, underWay := plan.goOn(); underWay {
+	if moves, inTransition := planner.advance(); inTransition {
 		return moves
 	}
-	return plan.resize()
+	return planner.resize()
 }
 
-type plan struct {
+type planner struct {
 	engines map[peridotpath.EndpointID]*Engine
-	order   []peridotpath.EndpointID
-	need    Need
+	ids     []peridotpath.EndpointID
+	demand  Need
 	limits  Limits
 }
 
-// group is the engines that are wanted in one group, the leader first.
+// group holds the engines that are in one group by their desired roles, the
+// leader first.
 type group struct {
 	leader  peridotpath.EndpointID
 	engines []peridotpath.EndpointID
 }
 
-// groups returns the groups that are wanted, by leader.
-func (plan *plan) groups() []group {
+// groups returns the groups that the desired roles define, ordered by leader.
+func (planner *planner) groups() []group {
 	byLeader := map[peridotpath.EndpointID][]peridotpath.EndpointID{}
-	for _, id := range plan.order {
-		wanted := parseRole(plan.engines[id].Wanted)
-		switch wanted.duty {
-		case lead, closing:
+	for _, id := range planner.ids {
+		desired := parseRole(planner.engines[id].Wanted)
+		switch desired.duty {
+		case dutyLead, dutyClose:
 			byLeader[id] = append([]peridotpath.EndpointID{id}, byLeader[id]...)
-		case drain, member:
-			leader := wanted.leader()
+		case dutyDrain, dutyMember:
+			leader := desired.leader()
 			byLeader[leader] = append(byLeader[leader], id)
 		}
 	}
 	var groups []group
 	for leader, engines := range byLeader {
 		slices.SortStableFunc(engines, func(a, b peridotpath.EndpointID) int {
-			return cmp.Compare(boolInt(a != leader), boolInt(b != leader))
+			return cmp.Compare(boolToInt(a != leader), boolToInt(b != leader))
 		})
 		groups = append(groups, group{leader: leader, engines: engines})
 	}
@@ -128,67 +131,68 @@
 	return groups
 }
 
-func boolInt(value bool) int {
+func boolToInt(value bool) int {
 	if value {
 		return 1
 	}
 	return 0
 }
 
-// repair takes apart every group that has lost an engine: its pooled memory is
-// not whole, and what it ran is lost. Its engines are of use again at once.
-func (plan *plan) repair() []Move {
+// dissolveBroken dissolves every group that has lost an engine: its pooled memory is
+// incomplete and its requests are lost. The remaining engines serve again at once.
+func (planner *planner) dissolveBroken() []Move {
 	var moves []Move
-	for _, group := range plan.groups() {
-		if lost := plan.lost(group); lost != "" {
-			moves = append(moves, plan.all(group, serve, "lost "+string(lost))...)
+	for _, group := range planner.groups() {
+		if lost := planner.lostEngine(group); lost != "" {
+			moves = append(moves, planner.assignDuty(group, dutyServe, "lost engine "+string(lost))...)
 		}
 	}
 	return moves
 }
 
-// lost names an engine of the group that is no longer there.
-func (plan *plan) lost(group group) peridotpath.EndpointID {
-	leader := plan.engines[group.leader]
+// lostEngine returns an engine of the group that is removed, not alive or has another
+// desired role, or "".
+func (planner *planner) lostEngine(group group) peridotpath.EndpointID {
+	leader := planner.engines[group.leader]
 	if leader == nil || !leader.Alive {
 		return group.leader
 	}
 	for _, id := range group.engines {
-		if !plan.engines[id].Alive {
+		if !planner.engines[id].Alive {
 			return id
 		}
 	}
-	wanted := parseRole(leader.Wanted)
-	for _, id := range wanted.of {
-		if wanted.duty != drain && (plan.engines[id] == nil || parseRole(plan.engines[id].Wanted).leader() != group.leader) {
+	desired := parseRole(leader.Wanted)
+	for _, id := range desired.engines {
+		if desired.duty != dutyDrain && (planner.engines[id] == nil || parseRole(planner.engines[id].Wanted).leader() != group.leader) {
 			return id
 		}
 	}
 	return ""
 }
 
-// all gives the same duty to all live engines of a group.
-func (plan *plan) all(group group, duty duty, reason string) []Move {
+// assignDuty returns moves that give the same duty to all engines of a group.
+func (planner *planner) assignDuty(group group, duty duty, reason string) []Move {
 	var moves []Move
 	for _, id := range group.engines {
-		if plan.engines[id] != nil {
-			moves = append(moves, Move{Endpoint: id, Role: roleOf(duty), Reason: reason})
+		if planner.engines[id] != nil {
+			moves = append(moves, Move{Endpoint: id, Role: formatRole(duty), Reason: reason})
 		}
 	}
 	return moves
 }
 
-// goOn takes the next step of the group that is forming or dissolving. It
-// reports whether there is one, even when nothing can be done yet.
-func (plan *plan) goOn() ([]Move, bool) {
-	for _, group := range plan.groups() {
-		switch parseRole(plan.engines[group.leader].Wanted).duty {
-		case drain:
-			return plan.form(group), true
-		case closing:
-			return plan.dissolve(group), true
-		case lead:
-			if plan.engines[group.leader].Actual.Role != plan.engines[group.leader].Wanted {
+// advance returns the next step of the group that is forming or dissolving, and
+// whether there is such a group, even if its next step is not due yet.
+func (planner *planner) advance() ([]Move, bool) {
+	for _, group := range planner.groups() {
+		switch parseRole(planner.engines[group.leader].Wanted).duty {
+		case dutyDrain:
+			return planner.advanceForming(group), true
+		case dutyClose:
+			return planner.advanceClosing(group), true
+		case dutyLead:
+			if planner.engines[group.leader].Actual.Role != planner.engines[group.leader].Wanted {
 				return nil, true
 			}
 		}
@@ -196,81 +200,83 @@
 	return nil, false
 }
 
-// form takes a forming group's next step.
-func (plan *plan) form(group group) []Move {
+// advanceForming returns the next step of a group that is forming.
+func (planner *planner) advanceForming(group group) []Move {
 	members := group.engines[1:]
 	for _, id := range group.engines {
-		engine := plan.engines[id]
+		engine := planner.engines[id]
 		if engine.Actual.Role != engine.Wanted || engine.Held > 0 {
 			return nil
 		}
 	}
-	if allAre(plan, members, member) {
-		return []Move{{Endpoint: group.leader, Role: roleOf(lead, members...), Reason: "its members are ready"}}
+	if haveDuty(planner, members, dutyMember) {
+		return []Move{{Endpoint: group.leader, Role: formatRole(dutyLead, members...), Reason: "members are ready"}}
 	}
 	var moves []Move
 	for _, id := range members {
-		moves = append(moves, Move{Endpoint: id, Role: roleOf(member, group.leader), Reason: "it has finished its work"})
+		moves = append(moves, Move{Endpoint: id, Role: formatRole(dutyMember, group.leader), Reason: "engine is drained"})
 	}
 	return moves
 }
 
-func allAre(plan *plan, ids []peridotpath.EndpointID, duty duty) bool {
+func haveDuty(planner *planner, ids []peridotpath.EndpointID, duty duty) bool {
 	for _, id := range ids {
-		if parseRole(plan.engines[id].Wanted).duty != duty {
+		if parseRole(planner.engines[id].Wanted).duty != duty {
 			return false
 		}
 	}
 	return true
 }
 
-// dissolve lets the members of a closing group go once it runs nothing more.
-func (plan *plan) dissolve(group group) []Move {
-	leader := plan.engines[group.leader]
+// advanceClosing returns the engines of a closing group to service once no request runs
+// in it.
+func (planner *planner) advanceClosing(group group) []Move {
+	leader := planner.engines[group.leader]
 	if leader.Actual.Role != leader.Wanted || leader.Held > 0 {
 		return nil
 	}
-	return plan.all(group, serve, "its group has finished")
+	return planner.assignDuty(group, dutyServe, "group is drained")
 }
 
-// resize begins to form a group when there are too few, or to dissolve one
-// when there are too many.
-func (plan *plan) resize() []Move {
-	groups := plan.groups()
-	wanted := plan.wantedGroups()
+// resize starts to form a group when there are too few, or to dissolve one when
+// there are too many.
+func (planner *planner) resize() []Move {
+	groups := planner.groups()
+	needed := planner.desiredGroupCount()
 	switch {
-	case len(groups) < wanted:
-		return plan.begin(len(groups), wanted)
-	case len(groups) > wanted:
-		last := groups[len(groups)-1]
-		reason := fmt.Sprintf("%d groups, %d wanted", len(groups), wanted)
-		members := parseRole(plan.engines[last.leader].Wanted).of
-		return []Move{{Endpoint: last.leader, Role: roleOf(closing, members...), Reason: reason}}
+	case len(groups) < needed:
+		return planner.startForming(len(groups), needed)
+	case len(groups) > needed:
+		surplus := groups[len(groups)-1]
+		reason := fmt.Sprintf("%d groups, %d needed", len(groups), needed)
+		members := parseRole(planner.engines[surplus.leader].Wanted).engines
+		return []Move{{Endpoint: surplus.leader, Role: formatRole(dutyClose, members...), Reason: reason}}
 	default:
 		return nil
 	}
 }
 
-// begin has the engines drain that are soonest empty.
-func (plan *plan) begin(existing, wanted int) []Move {
-	var free []*Engine
-	for _, id := range plan.order {
-		engine := plan.engines[id]
-		serving := parseRole(engine.Wanted).duty == serve && parseRole(engine.Actual.Role).duty == serve
+// startForming starts to form a group of the engines with the least memory in use, which
+// drain soonest.
+func (planner *planner) startForming(existing, needed int) []Move {
+	var candidates []*Engine
+	for _, id := range planner.ids {
+		engine := planner.engines[id]
+		serving := parseRole(engine.Wanted).duty == dutyServe && parseRole(engine.Actual.Role).duty == dutyServe
 		if engine.Alive && engine.Answered && serving {
-			free = append(free, engine)
+			candidates = append(candidates, engine)
 		}
 	}
-	size := plan.groupSize()
-	if len(free) < size {
+	size := planner.groupSize()
+	if len(candidates) < size {
 		return nil
 	}
-	slices.SortStableFunc(free, func(a, b *Engine) int { return cmp.Compare(a.Held, b.Held) })
-	leader := free[0].ID
-	reason := fmt.Sprintf("%d groups of %d engines, %d wanted", existing, size, wanted)
+	slices.SortStableFunc(candidates, func(a, b *Engine) int { return cmp.Compare(a.Held, b.Held) })
+	leader := candidates[0].ID
+	reason := fmt.Sprintf("%d groups of %d engines, %d needed", existing, size, needed)
 	var moves []Move
-	for _, engine := range free[:size] {
-		moves = append(moves, Move{Endpoint: engine.ID, Role: roleOf(drain, leader), Reason: reason})
+	for _, engine := range candidates[:size] {
+		moves = append(moves, Move{Endpoint: engine.ID, Role: formatRole(dutyDrain, leader), Reason: reason})
 	}
 	return moves
 }
--- a/peridotpath/shift/role.go
+++ b/peridotpath/shift/role.go
@@ -1,8 +1,9 @@
-// Package shift moves model engines between duties: serving prompts by
-// themselves, or pooling their memory in a group that serves prompts longer
-// than one engine holds. Plan decides and does no input or output; Keeper
-// carries its decisions out through package order while its process holds the
-// lease.
+// Package shift decides which model engines serve prompts on their own and which
+// pool their KV memory in a group that serves prompts too long for one engine. It
+// sizes the groups by the demand of such prompts, averaged over the region, and
+// forms and dissolves them in steps: members drain, reserve their memory, then the
+// leader serves. Plan is a pure function and does no I/O; the holder of the site's
+// lease runs it and writes the new roles to the desired state of package order.
 package shift
 
 import (
@@ -13,62 +14,64 @@
 	"peridotpath.example/peridotpath/order"
 )
 
-// duty is the first part of an engine's role.
+// duty is the part of an engine's role before the slash.
 type duty string
 
 const (
-	// serve: the engine takes any prompt that fits. The empty role means it too.
-	serve = duty(engine.RoleServe)
-	// drain: the engine finishes what it runs and takes nothing new, on its way
-	// into the group of the leader named.
-	drain = duty(engine.RoleDrain)
-	// member: the engine keeps its memory for the group of the leader named.
-	member = duty(engine.RoleMember)
-	// lead: the engine serves prompts with the memory of the members named.
-	lead = duty(engine.RoleLead)
-	// closing: the leader finishes what its group runs and takes nothing new,
-	// before the group is dissolved.
-	closing = duty(engine.RoleClose)
+	// dutyServe is the duty of an engine that accepts any prompt that fits its memory.
+	// The empty role means the same.
+	dutyServe = duty(engine.RoleServe)
+	// dutyDrain is the duty of an engine that finishes its running requests and accepts
+	// no new ones, before it joins the group of the leader in the role.
+	dutyDrain = duty(engine.RoleDrain)
+	// dutyMember is the duty of an engine whose memory is reserved for the group of the
+	// leader in the role.
+	dutyMember = duty(engine.RoleMember)
+	// dutyLead is the duty of an engine that serves prompts with its own memory and
+	// that of the members in the role.
+	dutyLead = duty(engine.RoleLead)
+	// dutyClose is the duty of a leader that finishes the group's running requests
+	// and accepts no new ones, before the group is dissolved.
+	dutyClose = duty(engine.RoleClose)
 )
 
-// role is a role taken apart. Its text form, which engines are ordered by, is
-// "serve", "drain/LEADER", "member/LEADER", "lead/MEMBER,MEMBER" or
-// "close/MEMBER,MEMBER".
+// role is a parsed role. Its text form, which orders hold, is "serve",
+// "drain/LEADER", "member/LEADER", "lead/MEMBER,MEMBER" or "close/MEMBER,MEMBER".
 type role struct {
 	duty duty
-	// of names the leader, or the members.
-	of []peridotpath.EndpointID
+	// engines holds the leader of a drain or member role, the members of the others.
+	engines []peridotpath.EndpointID
 }
 
 func parseRole(text order.Role) role {
 	first, ids := engine.Role(text).Split()
 	if first == "" {
-		return role{duty: serve}
+		return role{duty: dutyServe}
 	}
 	parsed := role{duty: duty(first)}
 	for _, id := range ids {
 		if id != "" {
-			parsed.of = append(parsed.of, peridotpath.EndpointID(id))
+			parsed.engines = append(parsed.engines, peridotpath.EndpointID(id))
 		}
 	}
 	return parsed
 }
 
-func roleOf(duty duty, of ...peridotpath.EndpointID) order.Role {
-	if len(of) == 0 {
+func formatRole(duty duty, engines ...peridotpath.EndpointID) order.Role {
+	if len(engines) == 0 {
 		return order.Role(duty)
 	}
-	names := make([]string, 0, len(of))
-	for _, id := range of {
-		names = append(names, string(id))
+	ids := make([]string, 0, len(engines))
+	for _, id := range engines {
+		ids = append(ids, string(id))
 	}
-	return order.Role(string(duty) + "/" + strings.Join(names, ","))
+	return order.Role(string(duty) + "/" + strings.Join(ids, ","))
 }
 
-// leader returns the engine that a drain or member role names.
+// leader returns the leader in a drain or member role, or "".
 func (role role) leader() peridotpath.EndpointID {
-	if len(role.of) == 1 && (role.duty == drain || role.duty == member) {
-		return role.of[0]
+	if len(role.engines) == 1 && (role.duty == dutyDrain || role.duty == dutyMember) {
+		return role.engines[0]
 	}
 	return ""
 }
--- a/peridotpath/shift/size.go
+++ b/peridotpath/shift/size.go
@@ -9,80 +9,80 @@
 )
 
 const (
-	// groupLoad is the load that the number of groups is sized for: prompts of
-	// a million tokens come in bunches, and one that finds the group busy waits
-	// for minutes.
-	groupLoad = 0.5
-	// poolSlack is how much more memory a group has than its longest prompt
-	// needs, for lengths estimated too low.
-	poolSlack = 1.05
-	// leastServing is the share of a service's engines that always serve by
-	// themselves, one at least. Short work would otherwise find no engine while
-	// a group drains its members.
-	leastServing = 0.25
+	// targetUtilisation is the utilisation that the number of groups is sized for:
+	// prompts of a million tokens arrive in bursts, and one that arrives while
+	// the group is busy queues for minutes.
+	targetUtilisation = 0.5
+	// groupMemoryMargin is the ratio of a group's memory to that of the longest prompt,
+	// as a margin for prompt lengths that are underestimated.
+	groupMemoryMargin = 1.05
+	// minServingShare is the share of a service's engines, at least one, that are
+	// never in a group. Without it short prompts have no engine while the members
+	// of a group drain.
+	minServingShare = 0.25
 )
 
-// wantedGroups sizes the groups for the demand. A group goes only after Hold
-// without any demand, so demand near a boundary moves nothing to and fro: the
-// number that exists is kept while it is not too small.
-func (plan *plan) wantedGroups() int {
-	existing := len(plan.groups())
-	if plan.need.Idle >= plan.limits.Hold {
+// desiredGroupCount returns the number of groups for the demand. It never shrinks while
+// there is demand and drops to zero once there was none for the idle timeout: with
+// this hysteresis, demand near a boundary does not form and dissolve groups in turn.
+func (planner *planner) desiredGroupCount() int {
+	existing := len(planner.groups())
+	if planner.demand.Idle >= planner.limits.Hold {
 		return 0
 	}
-	size := plan.groupSize()
-	rate := groupLoad * float64(size) * float64(plan.typical().PrefillPerS)
-	if plan.need.PerS <= 0 || rate <= 0 {
+	size := planner.groupSize()
+	groupRate := targetUtilisation * float64(size) * float64(planner.referenceEngine().PrefillPerS)
+	if planner.demand.PerS <= 0 || groupRate <= 0 {
 		return existing
 	}
-	total := int(math.Ceil(plan.need.PerS / rate))
-	return max(existing, allot(total, size, plan.need.Sites)[plan.need.Here])
+	count := int(math.Ceil(planner.demand.PerS / groupRate))
+	return max(existing, allotGroups(count, size, planner.demand.Sites)[planner.demand.Here])
 }
 
-// allot spreads groups over the data centres, each to the one with the most
-// engines left. Every data centre's plan computes the same from the membership
-// list, so they need no word from one another. The engines that must go on
-// serving by themselves are counted over all data centres of the region: they
-// are a millisecond apart.
-func allot(total, size int, sites []Site) map[peridotpath.DataCentre]int {
+// allotGroups assigns groups to data centres, each to the one with the most engines
+// left. The result depends only on the membership list, so the plans of all data
+// centres agree without communication. The engines that stay out of groups are
+// counted over all data centres of the region, which are a millisecond apart.
+func allotGroups(total, size int, sites []Site) map[peridotpath.DataCentre]int {
 	allotted := map[peridotpath.DataCentre]int{}
 	if size < 2 {
 		return allotted
 	}
-	left := slices.Clone(sites)
-	all := 0
-	for _, site := range left {
-		all += site.Engines
+	remaining := slices.Clone(sites)
+	engineCount := 0
+	for _, site := range remaining {
+		engineCount += site.Engines
 	}
-	keep := max(int(math.Ceil(leastServing*float64(all))), 1)
-	for range min(total, (all-keep)/size) {
-		slices.SortFunc(left, func(a, b Site) int {
+	serving := max(int(math.Ceil(minServingShare*float64(engineCount))), 1)
+	for range min(total, (engineCount-serving)/size) {
+		slices.SortFunc(remaining, func(a, b Site) int {
 			return cmp.Or(cmp.Compare(b.Engines, a.Engines), cmp.Compare(a.DataCentre, b.DataCentre))
 		})
-		if left[0].Engines < size {
+		if remaining[0].Engines < size {
 			break
 		}
-		left[0].Engines -= size
-		allotted[left[0].DataCentre]++
+		remaining[0].Engines -= size
+		allotted[remaining[0].DataCentre]++
 	}
 	return allotted
 }
 
-// typical returns an engine that stands for all: those of a service are alike.
-func (plan *plan) typical() Engine {
-	for _, id := range plan.order {
-		if plan.engines[id].Alive && plan.engines[id].KVTokens > 0 {
-			return *plan.engines[id]
+// referenceEngine returns a live engine whose memory and prefill rate are used for all: the
+// engines of a service are alike.
+func (planner *planner) referenceEngine() Engine {
+	for _, id := range planner.ids {
+		if planner.engines[id].Alive && planner.engines[id].KVTokens > 0 {
+			return *planner.engines[id]
 		}
 	}
 	return Engine{}
 }
 
-// groupSize is how many engines hold the longest prompt together.
-func (plan *plan) groupSize() int {
-	memory := plan.typical().KVTokens
+// groupSize returns how many engines together hold the longest prompt.
+func (planner *planner) groupSize() int {
+	memory := planner.referenceEngine().KVTokens
 	if memory <= 0 {
 		return 0
 	}
-	return int(math.Ceil(poolSlack * float64(plan.need.Longest) / float64(memory)))
+	return int(math.Ceil(groupMemoryMargin * float64(planner.demand.Longest) / float64(memory)))
 }
