--- a/peridotpath/engine/body.go
+++ b/peridotpath/engine/body.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// Body is a request's body that can be let go of while the request still runs.
+// Body is a request body whose memory can be released while the request runs.
 //
-// net/http holds on to a request, and with it to its body, until the answer has
-// been read to its end. A long prompt's body is 4 to 6 MB and its answer takes
-// minutes; some forty of them would use up what an instance may hold and have
-// it refuse every other request.
+// net/http keeps a request, and so its body, reachable until the response has been
+// read to its end. A long prompt's body is 4 to 6 MB and its answer takes minutes;
+// about forty of them would use up an instance's memory limit, and it would refuse
+// all other requests.
 type Body struct {
 	bytes atomic.Pointer[[]byte]
 }
@@ -23,10 +23,10 @@
 	return body
 }
 
-// Drop lets go of the bytes. What is read from then on fails.
+// Drop releases the bytes. Later reads fail.
 func (body *Body) Drop() { body.bytes.Store(nil) }
 
-// Len returns the number of bytes, zero after Drop.
+// Len returns the number of bytes, zero once they are released.
 func (body *Body) Len() int {
 	if bytes := body.bytes.Load(); bytes != nil {
 		return len(*bytes)
@@ -34,7 +34,7 @@
 	return 0
 }
 
-// attach makes the request send the body.
+// attach sets the body as that of the request.
 func (body *Body) attach(request *http.Request) {
 	request.ContentLength = int64(body.Len())
 	request.Body = &bodyReader{body: body}
@@ -43,23 +43,23 @@
 
 // bodyReader reads a Body from its start.
 type bodyReader struct {
-	body *Body
-	done int
+	body   *Body
+	offset int
 }
 
-// Read returns io.ErrUnexpectedEOF when the body was let go of.
+// Read returns io.ErrUnexpectedEOF once the body's bytes are released.
 func (reader *bodyReader) Read(piece []byte) (int, error) {
 	bytes := reader.body.bytes.Load()
 	if bytes == nil {
 		return 0, io.ErrUnexpectedEOF
 	}
-	if reader.done == len(*bytes) {
+	if reader.offset == len(*bytes) {
 		return 0, io.EOF
 	}
-	n := copy(piece, (*bytes)[reader.done:])
-	reader.done += n
+	n := copy(piece, (*bytes)[reader.offset:])
+	reader.offset += n
 	return n, nil
 }
 
-// Close does nothing.
+// Close has no effect.
 func (reader *bodyReader) Close() error { return nil }
--- a/peridotpath/engine/body_test.go
+++ b/peridotpath/engine/body_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// TestBodyCanBeReadAgainUntilDropped covers a sending that the transport starts
-// again on a fresh connection, and one that is still being read when the body
-// is let go of: it must fail, not end short and look whole.
-func TestBodyCanBeReadAgainUntilDropped(t *testing.T) {
+// TestBodyIsReadableUntilDropped covers a request that the transport retries on a
+// new connection, and one whose body is dropped while it is being sent: the read must
+// fail, because a regular end would make the truncated body look complete.
+func TestBodyIsReadableUntilDropped(t *testing.T) {
 	is := is.New(t)
 	body := NewBody([]byte("a prompt"))
 	request := &http.Request{}
--- a/peridotpath/engine/client.go
+++ b/peridotpath/engine/client.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	controlTimeout  = 2 * time.Second
-	maxControlReply = 4 << 20
+	controlTimeout       = 2 * time.Second
+	maxControlReplyBytes = 4 << 20
 )
 
-// Client sends work to engines in the name of one Instance.
+// Client sends requests to engines on behalf of one Instance.
 type Client struct {
 	Instance    peridotpath.InstanceID
 	Incarnation peridotpath.Incarnation
-	// Do makes an HTTP call; nil stands for outbound.Do.
+	// Do sends an HTTP request; nil selects outbound.Do.
 	Do func(request *http.Request) (*http.Response, error)
 }
 
@@ -34,7 +34,7 @@
 	return outbound.Do(request)
 }
 
-// Request is one prompt on its way to an engine.
+// Request is a prompt to be sent to an engine.
 type Request struct {
 	ID   peridotpath.RequestID
 	Path string
@@ -44,7 +44,8 @@
 	Deadline time.Time
 }
 
-// Answer is an engine's answer once its headers are in. The caller closes Body.
+// Answer is an engine's response, whose headers have been received. The caller
+// closes Body.
 type Answer struct {
 	Status   int
 	Header   http.Header
@@ -52,34 +53,33 @@
 	StreamID string
 }
 
-// Send posts the prompt and returns when the engine's headers are in. The
-// error's class tells whether the work may have run.
-func (client *Client) Send(ctx context.Context, address netip.AddrPort, work *Request) (*Answer, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+work.Path, nil)
+// Send posts the prompt and returns when the engine's response headers have been
+// received. The class of the error determines whether the request may have run.
+func (client *Client) Send(ctx context.Context, address netip.AddrPort, prompt *Request) (*Answer, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+prompt.Path, nil)
 	if err != nil {
 		return nil, ErrUnreached.Wrap(err)
 	}
-	if work.Body != nil {
-		work.Body.attach(request)
+	if prompt.Body != nil {
+		prompt.Body.attach(request)
 	}
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set(HeaderRequestID, string(work.ID))
-	request.Header.Set(HeaderPriority, strconv.Itoa(work.Priority))
-	request.Header.Set(HeaderDeadlineMS, strconv.FormatInt(time.Until(work.Deadline).Milliseconds(), 10))
-	client.name(request)
-	// No Idempotency-Key goes to an engine: with it the transport would send a
-	// POST again by itself after an answer was lost, and run work twice without
-	// this system knowing.
-	return answer(client.do(request))
+	request.Header.Set(HeaderRequestID, string(prompt.ID))
+	request.Header.Set(HeaderPriority, strconv.Itoa(prompt.Priority))
+	request.Header.Set(HeaderDeadlineMS, strconv.FormatInt(time.Until(prompt.Deadline).Milliseconds(), 10))
+	client.setSender(request)
+	// No Idempotency-Key header is set: with it net/http retries a POST by itself
+	// after a lost response, and the request may run twice unnoticed.
+	return classify(client.do(request))
 }
 
-func (client *Client) name(request *http.Request) {
+func (client *Client) setSender(request *http.Request) {
 	request.Header.Set(HeaderInstance, string(client.Instance))
 	request.Header.Set(HeaderIncarnation, strconv.FormatUint(uint64(client.Incarnation), 10))
 }
 
-// answer sorts what came back into an Answer or a class of failure.
-func answer(response *http.Response, err error) (*Answer, error) {
+// classify returns an Answer for a successful response, otherwise a classified error.
+func classify(response *http.Response, err error) (*Answer, error) {
 	if outbound.ErrNotSent.Has(err) {
 		return nil, ErrUnreached.Wrap(err)
 	}
@@ -94,12 +94,12 @@
 	}
 	defer response.Body.Close()
 	text, _ := io.ReadAll(io.LimitReader(response.Body, 512))
-	return nil, refusal(response, string(text))
+	return nil, refusalError(response, string(text))
 }
 
-// refusal sorts a status into a class. errs compares classes by their address,
-// so a copy of one would match nothing and pass for unknown.
-func refusal(response *http.Response, text string) error {
+// refusalError returns an error of the class for the status. The class is a pointer
+// because errs compares classes by address; a copy would match none.
+func refusalError(response *http.Response, text string) error {
 	if response.Header.Get(HeaderNotRun) == NotRunLeaving {
 		return ErrRefused.Wrap(ErrLeaving.New("status %d: %s", response.StatusCode, text))
 	}
@@ -115,7 +115,7 @@
 	return class.New("status %d: %s", response.StatusCode, text)
 }
 
-// Resume attaches to a stream that the engine still holds and returns its
+// Resume attaches a reader to a stream that the engine still holds, and returns the
 // events after the given offset.
 func (client *Client) Resume(ctx context.Context, address netip.AddrPort, stream string, after int64) (*Answer, error) {
 	target := "http://" + address.String() + PathStreams + "/" + url.PathEscape(stream) + "?after=" + strconv.FormatInt(after, 10)
@@ -123,13 +123,13 @@
 	if err != nil {
 		return nil, ErrGone.Wrap(err)
 	}
-	client.name(request)
-	return answer(client.do(request))
+	client.setSender(request)
+	return classify(client.do(request))
 }
 
-// Cancel ends a stream and frees its memory. With onlyDetached the engine does
-// so only if no reader is attached, so a stream that was meanwhile resumed
-// elsewhere lives on. Cancelling a stream that is gone succeeds.
+// Cancel ends a stream and frees its memory. With onlyDetached the engine does so
+// only if no reader is attached, so that a stream that another process has resumed
+// continues. Cancelling a stream that no longer exists succeeds.
 func (client *Client) Cancel(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error {
 	target := "http://" + address.String() + PathStreams + "/" + url.PathEscape(stream)
 	if onlyDetached {
@@ -142,7 +142,7 @@
 	return err
 }
 
-// Load reads the engine's report about itself.
+// Load returns the engine's load report.
 func (client *Client) Load(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error) {
 	var load peridotpath.Load
 	err := client.control(ctx, http.MethodGet, "http://"+address.String()+PathLoad, &load)
@@ -156,7 +156,8 @@
 	return streams, err
 }
 
-// control makes one short call and decodes its answer into reply, if not nil.
+// control sends a request with controlTimeout and decodes the JSON response into
+// reply, if not nil.
 func (client *Client) control(ctx context.Context, method, target string, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
@@ -164,16 +165,16 @@
 	if err != nil {
 		return ErrUnreached.Wrap(err)
 	}
-	client.name(request)
-	got, err := answer(client.do(request))
+	client.setSender(request)
+	response, err := classify(client.do(request))
 	if err != nil {
 		return err
 	}
-	defer got.Body.Close()
+	defer response.Body.Close()
 	if reply == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(got.Body, maxControlReply)).Decode(reply); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxControlReplyBytes)).Decode(reply); err != nil {
 		return ErrFailed.Wrap(err)
 	}
 	return nil
--- a/peridotpath/engine/client_test.go
+++ b/peridotpath/engine/client_test.go
@@ -16,10 +16,10 @@
 	"peridotpath.example/peridotpath/outbound"
 )
 
-// A saved correction meets an engine that drains. The engine refuses it before
-// it begins, but the volunteer reads "the request may have run and will not be
-// run again" and does not dare to save it anew: the refusal was not recognised.
-func TestSendSortsFailures(t *testing.T) {
+// Guards against a refusal that is classified as ErrFailed: the result then states that
+// the request may have run, and the client does not retry it, although a draining engine
+// refused it before starting it.
+func TestSendClassifiesFailures(t *testing.T) {
 	refused := outbound.ErrNotSent.New("dial")
 	tests := []struct {
 		name   string
@@ -30,10 +30,10 @@
 	}{
 		{"refused while draining", 503, "true", nil, &engine.ErrRefused},
 		{"refused when full", 429, "true", nil, &engine.ErrRefused},
-		{"503 that says nothing", 503, "", nil, &engine.ErrFailed},
+		{"503 without the header", 503, "", nil, &engine.ErrFailed},
 		{"500", 500, "", nil, &engine.ErrFailed},
 		{"bad request", 400, "", nil, &engine.ErrBadRequest},
-		{"not understood", 422, "", nil, &engine.ErrBadRequest},
+		{"unprocessable request", 422, "", nil, &engine.ErrBadRequest},
 		{"gone", 410, "", nil, &engine.ErrGone},
 		{"not found", 404, "", nil, &engine.ErrGone},
 		{"redirect", 302, "", nil, &engine.ErrFailed},
--- a/peridotpath/engine/control.go
+++ b/peridotpath/engine/control.go
@@ -15,69 +15,72 @@
 	"peridotpath.example/peridotpath/clock"
 )
 
-// ErrStale says that an engine refused an order with an old fencing number.
+// ErrStale is the class of orders that an engine refused for an outdated fencing
+// token.
 var ErrStale = errs.Class("engine: stale order")
 
-// Paths of what an engine offers besides prompts and streams.
+// Paths of an engine's API besides prompts and streams.
 const (
-	// PathOrders takes an Order by POST and shows the OrderState by GET.
+	// PathOrders accepts an Order by POST and returns the OrderState by GET.
 	PathOrders = "/orders"
-	// PathCacheEvents gives a CacheEvents by GET, ?after=N.
+	// PathCacheEvents returns CacheEvents by GET, ?after=N.
 	PathCacheEvents = "/cache/events"
 	// PathKV exports the prompt of a stream by GET, ?stream=ID, and imports one by POST.
 	PathKV = "/kv"
-	// PathCounts gives what the engine ran, by request id.
+	// PathCounts returns the Counts by GET.
 	PathCounts = "/counts"
 )
 
-// Role says what work an engine takes.
+// Role determines which requests an engine accepts.
 type Role string
 
-// The roles, or what stands before the slash in them.
+// The roles, or their parts before the slash.
 const (
-	// RoleServe takes any prompt that fits.
+	// RoleServe accepts any prompt that fits the engine's memory.
 	RoleServe Role = "serve"
-	// RoleDrain, as "drain/LEADER", finishes what runs and takes nothing new.
+	// RoleDrain, as "drain/LEADER", finishes running requests and accepts no new ones.
 	RoleDrain Role = "drain"
-	// RoleMember, as "member/LEADER", keeps the engine's memory for a group.
+	// RoleMember, as "member/LEADER", reserves the engine's memory for a group.
 	RoleMember Role = "member"
-	// RoleLead, as "lead/MEMBER,MEMBER", serves with the memory of the members too.
+	// RoleLead, as "lead/MEMBER,MEMBER", serves with the pooled memory of the group.
 	RoleLead Role = "lead"
-	// RoleClose, as "close/MEMBER,MEMBER", is a leader that takes nothing new.
+	// RoleClose, as "close/MEMBER,MEMBER", is a leader that accepts no new requests.
 	RoleClose Role = "close"
 )
 
-// Split returns the role's first part and the engines that it names.
+// Split returns the part of the role before the slash and the engines after it.
 func (role Role) Split() (Role, []string) {
-	first, rest, found := strings.Cut(string(role), "/")
+	name, engines, found := strings.Cut(string(role), "/")
 	if !found {
 		return role, nil
 	}
-	return Role(first), strings.Split(rest, ",")
+	return Role(name), strings.Split(engines, ",")
 }
 
-// Order tells an engine what to be. It is absolute, so repeating it is harmless.
+// Order instructs an engine to reach a state. It holds the complete state, so it is
+// idempotent.
 type Order struct {
 	Fencing peridotpath.FencingNumber `json:"fencing"`
 	Model   string                    `json:"model"`
 	Adapter string                    `json:"adapter,omitempty"`
 	Version string                    `json:"version"`
 	Role    Role                      `json:"role"`
-	// LimitMS is how long the order may take; the engine gives it up after that.
+	// LimitMS is the time after which the engine abandons the order.
 	LimitMS peridotpath.Millis `json:"limit_ms,omitempty"`
 }
 
-// Orders reads what the engine was told to be.
+// Orders returns the order that the engine follows.
 func (client *Client) Orders(ctx context.Context, address netip.AddrPort) (OrderState, error) {
 	var state OrderState
 	err := client.control(ctx, http.MethodGet, "http://"+address.String()+PathOrders, &state)
 	return state, err
 }
 
-// orderPoll is how often an engine that loads weights is asked whether it is done.
-const orderPoll = 500 * time.Millisecond
+// weightLoadPollInterval is the interval of polling an engine that loads weights.
+const weightLoadPollInterval = 500 * time.Millisecond
 
-// Order gives an order and returns once the engine has carried it out.
+// Order sends an order and returns once the engine has executed it, including the
+// load of its weights.
 func (client *Client) Order(ctx context.Context, address netip.AddrPort, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -87,7 +90,7 @@
 	if err != nil {
 		return ErrUnreached.Wrap(err)
 	}
-	client.name(request)
+	client.setSender(request)
 	response, err := client.do(request)
 	if err != nil {
 		return ErrFailed.Wrap(err)
@@ -109,8 +112,8 @@
 		if err != nil || !state.Loading {
 			return err
 		}
-		if !clock.Pause(ctx, orderPoll) {
-			// The order stands; that the engine still loads shows in its state.
+		if !clock.Pause(ctx, weightLoadPollInterval) {
+			// The engine has accepted the order; its state shows that it still loads.
 			return nil
 		}
 	}
@@ -119,37 +122,38 @@
 // OrderState is the order that an engine follows.
 type OrderState struct {
 	Order
-	// Loading says that the engine takes no work until its weights are in.
+	// Loading is set while the engine loads weights and accepts no requests.
 	Loading bool `json:"loading"`
-	// Highest is the highest fencing number seen.
+	// Highest is the highest fencing token received.
 	Highest peridotpath.FencingNumber `json:"highest_fencing"`
 }
 
-// CacheEvent says that a prompt prefix came into or left an engine's cache.
+// CacheEvent reports that a prompt prefix was added to or evicted from an engine's
+// prefix cache.
 type CacheEvent struct {
-	// Sequence grows by one with each event; a gap is a lost event.
+	// Sequence increases by one with each event; a gap means a lost event.
 	Sequence uint64 `json:"sequence"`
 	Evicted  bool   `json:"evicted,omitempty"`
-	// Prefix is the xxhash of the prompt's text from its start to the end of a block.
+	// Prefix is the xxhash of the prompt's text up to the end of a block.
 	Prefix uint64             `json:"prefix"`
 	Tokens peridotpath.Tokens `json:"tokens"`
 }
 
-// CacheEvents is one reading of an engine's cache events.
+// CacheEvents is the response to a poll of an engine's cache events.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
-	// Next is the sequence to ask for next time.
+	// Next is the value of after for the next poll.
 	Next uint64 `json:"next"`
 }
 
-// KV is a prompt prefix on its way from one engine to another.
+// KV is the KV cache of a prompt prefix in transfer between engines.
 type KV struct {
 	// Prefixes are the hashes of the prefix's blocks, shortest first.
 	Prefixes []uint64           `json:"prefixes"`
 	Tokens   peridotpath.Tokens `json:"tokens"`
 }
 
-// Count is what an engine or a plain service did for one request.
+// Count holds what an engine or a plain service did for one request.
 type Count struct {
 	Runs      int `json:"runs"`
 	Finished  int `json:"finished"`
@@ -157,10 +161,10 @@
 	Refused   int `json:"refused"`
 }
 
-// Counts is what an engine or a plain service did so far.
+// Counts holds what an engine or a plain service has done since its start.
 type Counts struct {
 	Total Count `json:"total"`
-	// Requests holds a Count by request id, or by idempotency key where a plain
-	// service got one.
+	// Requests holds the counts by request id, or by idempotency key if a plain
+	// service received one.
 	Requests map[string]Count `json:"requests"`
 }
--- a/peridotpath/engine/enginetest/answer.go
+++ b/peridotpath/engine/enginetest/answer.go
@@ -14,16 +14,16 @@
 
 const bytesPerToken = 4
 
-// prompt is what the engine reads of a request's body.
+// prompt holds the fields of a request body that the engine uses.
 type prompt struct {
-	// text is the raw JSON of prompt and messages, as prefixes are hashed over.
-	text   string
-	model  string
-	chat   bool
-	stream bool
-	tokens peridotpath.Tokens
-	output peridotpath.Tokens
-	usage  bool
+	// text is the raw JSON of prompt and messages, over which prefixes are hashed.
+	text         string
+	model        string
+	chat         bool
+	stream       bool
+	promptTokens peridotpath.Tokens
+	outputTokens peridotpath.Tokens
+	includeUsage bool
 }
 
 func parsePrompt(path string, body []byte) (*prompt, error) {
@@ -37,25 +37,25 @@
 	}
 	return &prompt{
 		text: text, model: fields[2].String(), chat: path == engine.PathChatCompletions, stream: fields[3].Bool(),
-		tokens: peridotpath.Tokens(len(text)/bytesPerToken + 1),
-		output: max(peridotpath.Tokens(max(fields[4].Int(), fields[5].Int())), 1),
-		usage:  fields[6].Bool(),
+		promptTokens: peridotpath.Tokens(len(text)/bytesPerToken + 1),
+		outputTokens: max(peridotpath.Tokens(max(fields[4].Int(), fields[5].Int())), 1),
+		includeUsage: fields[6].Bool(),
 	}, nil
 }
 
-// Seed returns the number that the answer to a request's body is made from.
+// Seed returns the seed from which the answer to a request body is generated.
 func Seed(body []byte) uint64 {
 	fields := gjson.GetManyBytes(body, "prompt", "messages")
 	return xxhash.Sum64String(fields[0].Raw + fields[1].Raw)
 }
 
-// Token returns one token of the answer to the prompt with that seed.
+// Token returns the token at index of the answer with the given seed.
 func Token(seed uint64, index int) string {
 	return fmt.Sprintf("%x-%d ", uint16(seed>>16)^uint16(seed)+uint16(index*40503), index)
 }
 
-// Answer returns the whole answer, so that a caller can check that the answer
-// it got is whole and its own.
+// Answer returns the whole answer, so that a client can verify that the answer it
+// received is complete and belongs to its prompt.
 func Answer(seed uint64, tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
@@ -93,36 +93,36 @@
 
 func (stream *stream) usage() *usage {
 	prompt := stream.prompt
-	return &usage{PromptTokens: prompt.tokens, CompletionTokens: prompt.output, TotalTokens: prompt.tokens + prompt.output}
+	return &usage{PromptTokens: prompt.promptTokens, CompletionTokens: prompt.outputTokens, TotalTokens: prompt.promptTokens + prompt.outputTokens}
 }
 
-// events returns how many events the whole stream has: for a chat one with the
-// role, one a token, one with the reason of the end, and the end mark.
-func (stream *stream) events() int64 {
-	return stream.opening() + int64(stream.prompt.output) + 2
+// eventCount returns the number of events of the whole stream: one with the role if it
+// is a chat, one per token, one with the finish reason, and the end mark.
+func (stream *stream) eventCount() int64 {
+	return stream.roleEventCount() + int64(stream.prompt.outputTokens) + 2
 }
 
-func (stream *stream) opening() int64 {
+func (stream *stream) roleEventCount() int64 {
 	if stream.prompt.chat {
 		return 1
 	}
 	return 0
 }
 
-// event returns the data of the event with that offset.
+// event returns the data of the event at offset.
 func (stream *stream) event(offset int64) []byte {
-	index := offset - stream.opening()
-	output := int64(stream.prompt.output)
+	index := offset - stream.roleEventCount()
+	output := int64(stream.prompt.outputTokens)
 	if index > output {
 		return []byte(engine.Done)
 	}
 	part := completion{ID: stream.id, Object: "text_completion", Model: stream.prompt.model}
 	text, reason := "", "length"
-	next := choice{}
+	onlyChoice := choice{}
 	switch {
 	case index == output:
-		next.FinishReason = &reason
-		if stream.prompt.usage {
+		onlyChoice.FinishReason = &reason
+		if stream.prompt.includeUsage {
 			part.Usage = stream.usage()
 		}
 	case index >= 0:
@@ -130,29 +130,29 @@
 	}
 	if stream.prompt.chat {
 		part.Object = "chat.completion.chunk"
-		next.Delta = &message{Content: text}
+		onlyChoice.Delta = &message{Content: text}
 		if index < 0 {
-			next.Delta.Role = "assistant"
+			onlyChoice.Delta.Role = "assistant"
 		}
 	} else {
-		next.Text = &text
+		onlyChoice.Text = &text
 	}
-	part.Choices = []choice{next}
+	part.Choices = []choice{onlyChoice}
 	return encode(part)
 }
 
-// whole returns the answer that is not a stream.
-func (stream *stream) whole() []byte {
-	text, reason := Answer(stream.seed, int(stream.prompt.output)), "length"
-	only := choice{FinishReason: &reason}
+// wholeBody returns the body of the answer if it is not streamed.
+func (stream *stream) wholeBody() []byte {
+	text, reason := Answer(stream.seed, int(stream.prompt.outputTokens)), "length"
+	onlyChoice := choice{FinishReason: &reason}
 	answer := completion{ID: stream.id, Object: "text_completion", Model: stream.prompt.model, Usage: stream.usage()}
 	if stream.prompt.chat {
 		answer.Object = "chat.completion"
-		only.Message = &message{Role: "assistant", Content: text}
+		onlyChoice.Message = &message{Role: "assistant", Content: text}
 	} else {
-		only.Text = &text
+		onlyChoice.Text = &text
 	}
-	answer.Choices = []choice{only}
+	answer.Choices = []choice{onlyChoice}
 	return encode(answer)
 }
 
--- a/peridotpath/engine/enginetest/cache.go
+++ b/peridotpath/engine/enginetest/cache.go
@@ -12,32 +12,34 @@
 )
 
 const (
-	// blockTokens is the unit of the prefix cache.
+	// blockTokens is the block size of the prefix cache.
 	blockTokens = 1024
 	blockBytes  = blockTokens * bytesPerToken
-	// maxCacheEvents bounds the events kept for readers.
+	// maxCacheEvents bounds the events stored for polling.
 	maxCacheEvents = 100_000
 )
 
-// cache keeps the blocks of prompts that were processed. Streams share and pin
-// the blocks of their prompts; the rest leaves, the least recently used first
-// and of one prompt the last block before the first, when memory is wanted.
+// cache is a prefix cache of prompt blocks. Streams share and pin the blocks of their
+// prompts. Unpinned blocks are evicted when memory is needed: the least recently used
+// first, and of one prompt the last block before the first.
 type cache struct {
 	blocks map[uint64]*block
-	// idle lists the blocks that no stream pins, most recently used first.
-	idle   *list.List
-	events []cacheEvent
-	last   uint64
-	random *rand.Rand
-	loss   float64
+	// unpinned lists the unpinned blocks, most recently used first.
+	unpinned *list.List
+	events   []cacheEvent
+	// lastSequence is the sequence of the last event.
+	lastSequence uint64
+	random       *rand.Rand
+	// lossRate is the share of the events that are lost.
+	lossRate float64
 }
 
-// block is one block of a prompt, named by the hash of the prompt up to its end.
+// block is one block of a prompt, identified by the hash of the prompt up to its end.
 type block struct {
-	sum  uint64
+	hash uint64
 	pins int
-	// place is the block's place in idle; nil while it is pinned.
-	place *list.Element
+	// element is the block's element in cache.unpinned; nil while it is pinned.
+	element *list.Element
 }
 
 type cacheEvent struct {
@@ -45,108 +47,109 @@
 	at time.Time
 }
 
-func (cache *cache) open(seed uint64, loss float64) {
+func (cache *cache) initialise(seed uint64, loss float64) {
 	cache.blocks = map[uint64]*block{}
-	cache.idle = list.New()
+	cache.unpinned = list.New()
 	cache.random = rand.New(rand.NewPCG(seed, seed))
-	cache.loss = loss
+	cache.lossRate = loss
 }
 
-// tokens returns the memory of all blocks, pinned that of those that can't leave.
+// tokens returns the memory of all blocks.
 func (cache *cache) tokens() peridotpath.Tokens {
 	return peridotpath.Tokens(len(cache.blocks) * blockTokens)
 }
 
+// pinned returns the memory of the pinned blocks, which cannot be evicted.
 func (cache *cache) pinned() peridotpath.Tokens {
-	return cache.tokens() - peridotpath.Tokens(cache.idle.Len()*blockTokens)
+	return cache.tokens() - peridotpath.Tokens(cache.unpinned.Len()*blockTokens)
 }
 
-// prefixes returns the hash of the text up to the end of each whole block.
-func prefixes(text string) []uint64 {
+// prefixHashes returns the hashes of the text up to the end of each complete block.
+func prefixHashes(text string) []uint64 {
 	hash := xxhash.New()
-	sums := make([]uint64, 0, len(text)/blockBytes)
+	hashes := make([]uint64, 0, len(text)/blockBytes)
 	for end := blockBytes; end <= len(text); end += blockBytes {
 		_, _ = hash.WriteString(text[end-blockBytes : end])
-		sums = append(sums, hash.Sum64())
+		hashes = append(hashes, hash.Sum64())
 	}
-	return sums
+	return hashes
 }
 
-// match returns how many blocks of the prompt's beginning are held.
-func (cache *cache) match(sums []uint64) int {
-	held := 0
-	for held < len(sums) && cache.blocks[sums[held]] != nil {
-		held++
+// cachedBlocks returns how many leading blocks of the prompt are cached.
+func (cache *cache) cachedBlocks(hashes []uint64) int {
+	count := 0
+	for count < len(hashes) && cache.blocks[hashes[count]] != nil {
+		count++
 	}
-	return held
+	return count
 }
 
-// pin keeps blocks, which are all held, from leaving.
-func (cache *cache) pin(sums []uint64) {
-	for _, sum := range sums {
-		block := cache.blocks[sum]
+// pin protects blocks, all of which must be cached, from eviction.
+func (cache *cache) pin(hashes []uint64) {
+	for _, hash := range hashes {
+		block := cache.blocks[hash]
 		block.pins++
-		if block.place != nil {
-			cache.idle.Remove(block.place)
-			block.place = nil
+		if block.element != nil {
+			cache.unpinned.Remove(block.element)
+			block.element = nil
 		}
 	}
 }
 
-// unpin gives up what pin kept.
-func (cache *cache) unpin(sums []uint64) {
-	for i := len(sums) - 1; i >= 0; i-- {
-		block := cache.blocks[sums[i]]
+// unpin reverts a pin.
+func (cache *cache) unpin(hashes []uint64) {
+	for i := len(hashes) - 1; i >= 0; i-- {
+		block := cache.blocks[hashes[i]]
 		block.pins--
 		if block.pins == 0 {
-			block.place = cache.idle.PushFront(block)
+			block.element = cache.unpinned.PushFront(block)
 		}
 	}
 }
 
-// add takes the blocks in that are not held, without a pin.
-func (cache *cache) add(sums []uint64, now time.Time) {
-	for i := len(sums) - 1; i >= 0; i-- {
-		if cache.blocks[sums[i]] != nil {
+// add adds the blocks that are not cached yet, unpinned.
+func (cache *cache) add(hashes []uint64, now time.Time) {
+	for i := len(hashes) - 1; i >= 0; i-- {
+		if cache.blocks[hashes[i]] != nil {
 			continue
 		}
-		added := &block{sum: sums[i]}
-		added.place = cache.idle.PushFront(added)
-		cache.blocks[added.sum] = added
-		cache.note(engine.CacheEvent{Prefix: added.sum, Tokens: peridotpath.Tokens((i + 1) * blockTokens)}, now)
+		added := &block{hash: hashes[i]}
+		added.element = cache.unpinned.PushFront(added)
+		cache.blocks[added.hash] = added
+		cache.publish(engine.CacheEvent{Prefix: added.hash, Tokens: peridotpath.Tokens((i + 1) * blockTokens)}, now)
 	}
 }
 
-// shrink evicts until the cache takes no more than room, or only what is pinned.
-func (cache *cache) shrink(room peridotpath.Tokens, now time.Time) {
-	for cache.idle.Len() > 0 && cache.tokens() > room {
-		oldest, _ := cache.idle.Remove(cache.idle.Back()).(*block)
-		delete(cache.blocks, oldest.sum)
-		cache.note(engine.CacheEvent{Prefix: oldest.sum, Evicted: true}, now)
+// evictTo evicts blocks until the cache uses no more than room or all are pinned.
+func (cache *cache) evictTo(room peridotpath.Tokens, now time.Time) {
+	for cache.unpinned.Len() > 0 && cache.tokens() > room {
+		oldest, _ := cache.unpinned.Remove(cache.unpinned.Back()).(*block)
+		delete(cache.blocks, oldest.hash)
+		cache.publish(engine.CacheEvent{Prefix: oldest.hash, Evicted: true}, now)
 	}
 }
 
-// note publishes an event, unless this one is to be lost.
-func (cache *cache) note(event engine.CacheEvent, now time.Time) {
-	cache.last++
-	if cache.random.Float64() < cache.loss {
+// publish publishes an event, or drops it with probability lossRate.
+func (cache *cache) publish(event engine.CacheEvent, now time.Time) {
+	cache.lastSequence++
+	if cache.random.Float64() < cache.lossRate {
 		return
 	}
-	event.Sequence = cache.last
+	event.Sequence = cache.lastSequence
 	cache.events = append(cache.events, cacheEvent{event, now})
 	if len(cache.events) > maxCacheEvents {
 		cache.events = cache.events[len(cache.events)-maxCacheEvents/2:]
 	}
 }
 
-// after returns the events with a higher sequence that happened by until.
-func (cache *cache) after(sequence uint64, until time.Time) engine.CacheEvents {
-	reading := engine.CacheEvents{Events: []engine.CacheEvent{}, Next: sequence}
+// eventsAfter returns the events with a higher sequence and a time not after until.
+func (cache *cache) eventsAfter(sequence uint64, until time.Time) engine.CacheEvents {
+	result := engine.CacheEvents{Events: []engine.CacheEvent{}, Next: sequence}
 	for _, event := range cache.events {
 		if event.Sequence > sequence && !event.at.After(until) {
-			reading.Events = append(reading.Events, event.CacheEvent)
-			reading.Next = event.Sequence
+			result.Events = append(result.Events, event.CacheEvent)
+			result.Next = event.Sequence
 		}
 	}
-	return reading
+	return result
 }
--- a/peridotpath/engine/enginetest/engine.go
+++ b/peridotpath/engine/enginetest/engine.go
@@ -1,8 +1,8 @@
-// Package enginetest is a small model of a model engine, for tests and trials:
-// continuous batching with limited KV memory, a prefix cache, priorities,
-// streams that detach, resume and cancel, orders, and faults. It advances in
-// coarse steps, on the real clock or on that of testing/synctest.
-// docs/STANDIN.md describes its HTTP form.
+// Package enginetest simulates a model engine for tests and measurements: continuous
+// batching with limited KV memory, a prefix cache, priorities, streams that can be
+// detached, resumed and cancelled, orders and injected faults. It advances in coarse
+// time steps, on the real clock or that of testing/synctest. docs/STANDIN.md
+// describes its HTTP API.
 package enginetest
 
 import (
@@ -19,70 +19,72 @@
 )
 
 const (
-	// step is how often a busy engine advances.
-	step = 5 * time.Millisecond
-	// finishedHold is how long a stream that was read to its end can be read again.
-	finishedHold = 30 * time.Second
-	// slowFactor is what Slow divides rates by, unless it says otherwise.
-	slowFactor = 10
+	// timeStep is the time step of a busy engine.
+	timeStep = 5 * time.Millisecond
+	// finishedRetention is how long a stream can be resumed after it was read to its end.
+	finishedRetention = 30 * time.Second
+	// defaultSlowFactor is the default factor by which faults.Slow divides the rates.
+	defaultSlowFactor = 10
 )
 
-// Engine is one engine. Set the exported fields before Run; those left zero get
-// the defaults that Defaults names.
+// Engine is a simulated engine. Set the exported fields before Run; zero fields get
+// their defaults.
 type Engine struct {
-	// Name is part of the stream ids.
+	// Name is the prefix of the stream ids.
 	Name string
-	// KVTokens is the KV memory.
+	// KVTokens is the size of the KV memory.
 	KVTokens peridotpath.Tokens
-	// PrefillPerS is shared by all prompts, in order of priority and arrival.
+	// PrefillPerS is the prefill rate of the engine, which serves the prompts in order
+	// of priority and arrival.
 	PrefillPerS peridotpath.Tokens
-	// DecodePerS is the rate of each stream while no more than Batch decode.
+	// DecodePerS is the decode rate of a stream while the batch is not exceeded.
 	DecodePerS peridotpath.Tokens
-	// Batch is how many streams decode at full rate; more share that rate.
+	// Batch is the number of streams that decode at the full rate; more share the total.
 	Batch int
-	// MaxWaiting bounds the prompts that wait for their prefill; more are refused.
+	// MaxWaiting bounds the prompts whose prefill is not complete; more are refused.
 	MaxWaiting int
-	// LoadLag is how old a load report is at least.
+	// LoadLag is the minimum age of a load report.
 	LoadLag time.Duration
-	// CacheEventLag and CacheEventLoss delay cache events and drop a part (0 to 1).
+	// CacheEventLag delays cache events; CacheEventLoss is the share that is lost (0 to 1).
 	CacheEventLag  time.Duration
 	CacheEventLoss float64
-	// ChecksFencing refuses orders with a lower fencing number than the highest seen.
+	// ChecksFencing refuses orders with a lower fencing token than the highest received.
 	ChecksFencing bool
-	// WeightLoad is how long an order that changes model, adapter or version takes.
+	// WeightLoad is the time to load weights after an order that changes model,
+	// adapter or version.
 	WeightLoad time.Duration
-	// DetachedHold is how long a stream without a reader is kept; zero is until
-	// it is cancelled, so that what the product forgets stays visible.
+	// DetachedHold is how long a stream without a reader is kept; zero keeps it until
+	// it is cancelled, so that streams that the system under test leaks stay visible.
 	DetachedHold time.Duration
-	// RandomSeed decides which cache events get lost.
+	// RandomSeed determines which cache events are lost.
 	RandomSeed uint64
 
-	// Faults can be switched while the engine runs.
+	// Faults can be changed while the engine runs.
 	Faults faults.Faults
 
-	once    sync.Once
-	mu      sync.Mutex
-	kick    chan struct{}
-	last    time.Time
-	nextID  uint64
-	streams map[string]*stream
-	// order lists the streams that hold memory, oldest first.
-	order []*stream
-	// done lists the streams that were read to their end, oldest first.
-	done []*stream
-	// used is the memory that streams have for themselves; the cache has the rest.
-	used   peridotpath.Tokens
-	cache  cache
-	orders orders
-	counts wire.Counts
+	once       sync.Once
+	mu         sync.Mutex
+	wakeup     chan struct{}
+	advancedAt time.Time
+	nextID     uint64
+	streams    map[string]*stream
+	// activeStreams lists the streams that hold memory, oldest first.
+	activeStreams []*stream
+	// readStreams lists the streams that were read to their end, in that order.
+	readStreams []*stream
+	// privateKV is the memory that streams do not share; the cache has the rest.
+	privateKV peridotpath.Tokens
+	cache     cache
+	orders    orders
+	counts    wire.Counts
 
 	reportRevision uint64
 	report         peridotpath.Load
-	pending        peridotpath.Load
+	nextReport     peridotpath.Load
 }
 
-// Defaults sets the fields that were left zero: 400,000 KV tokens, 100,000
-// prompt tokens a second, 50 answer tokens a second for each of 32 streams, 256 waiting.
+// Defaults sets zero fields: 400,000 KV tokens, prefill at 100,000 tokens a second,
+// decode at 50 tokens a second for each of 32 streams, 256 waiting prompts.
 func (engine *Engine) Defaults() {
 	setDefault(&engine.Name, "engine")
 	setDefault(&engine.KVTokens, 400_000)
@@ -99,38 +101,38 @@
 	}
 }
 
-// open prepares the engine, whichever of Run and the first call comes first.
-func (engine *Engine) open() {
+// initialise initialises the engine at the first call of any of its methods.
+func (engine *Engine) initialise() {
 	engine.once.Do(func() {
 		engine.Defaults()
-		engine.kick = make(chan struct{}, 1)
+		engine.wakeup = make(chan struct{}, 1)
 		engine.streams = map[string]*stream{}
 		engine.counts.Requests = map[string]count{}
-		engine.cache.open(engine.RandomSeed, engine.CacheEventLoss)
-		engine.orders.open()
+		engine.cache.initialise(engine.RandomSeed, engine.CacheEventLoss)
+		engine.orders.initialise()
 		engine.report = engine.snapshot(time.Now())
-		engine.pending = engine.report
+		engine.nextReport = engine.report
 	})
 }
 
 type count = wire.Count
 
-// Run advances the streams until ctx ends.
+// Run advances the streams until ctx is done.
 func (engine *Engine) Run(ctx context.Context) error {
-	engine.open()
+	engine.initialise()
 	for {
 		if engine.idle() {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-engine.kick:
+			case <-engine.wakeup:
 			}
 			continue
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(step):
+		case <-time.After(timeStep):
 		}
 		engine.advance(time.Now())
 	}
@@ -139,64 +141,65 @@
 func (engine *Engine) idle() bool {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	return len(engine.order) == 0
+	return len(engine.activeStreams) == 0
 }
 
-// admit takes a prompt on, or returns why not; then it certainly did not run.
-func (engine *Engine) admit(request *sender, prompt *prompt, seed uint64) (*stream, error) {
+// admit accepts a prompt, or returns an error if it refuses it without running it.
+func (engine *Engine) admit(sender *sender, prompt *prompt, seed uint64) (*stream, error) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	now := time.Now()
-	engine.forget(now)
-	sums := prefixes(prompt.text)
-	shared := engine.cache.match(sums)
-	need := prompt.tokens + prompt.output - peridotpath.Tokens(shared*blockTokens)
-	if err := engine.mayAdmit(need, sums[:shared], now); err != nil {
-		engine.count(request.id, func(count *count) { count.Refused++ })
+	engine.removeExpired(now)
+	blockHashes := prefixHashes(prompt.text)
+	sharedBlocks := engine.cache.cachedBlocks(blockHashes)
+	need := prompt.promptTokens + prompt.outputTokens - peridotpath.Tokens(sharedBlocks*blockTokens)
+	if err := engine.checkAdmission(need, blockHashes[:sharedBlocks], now); err != nil {
+		engine.updateCounts(sender.id, func(count *count) { count.Refused++ })
 		return nil, err
 	}
 	engine.nextID++
 	admitted := &stream{
-		engine: engine, id: engine.Name + "-" + strconv.FormatUint(engine.nextID, 10), sender: *request,
-		prompt: prompt, seed: seed, sums: sums, pins: shared, held: need, attached: 1, changed: make(chan struct{}),
+		engine: engine, id: engine.Name + "-" + strconv.FormatUint(engine.nextID, 10), sender: *sender,
+		prompt: prompt, seed: seed, blockHashes: blockHashes, pinnedBlocks: sharedBlocks, privateKV: need, readers: 1, changed: make(chan struct{}),
 	}
-	admitted.prefillLeft = float64(max(need-prompt.output, 1))
-	engine.cache.pin(sums[:shared])
-	engine.used += need
-	engine.cache.shrink(engine.capacity()-engine.used, now)
-	if len(engine.order) == 0 {
-		engine.last = now
+	admitted.prefillLeft = float64(max(need-prompt.outputTokens, 1))
+	engine.cache.pin(blockHashes[:sharedBlocks])
+	engine.privateKV += need
+	engine.cache.evictTo(engine.capacity()-engine.privateKV, now)
+	if len(engine.activeStreams) == 0 {
+		engine.advancedAt = now
 	}
 	engine.streams[admitted.id] = admitted
-	engine.order = append(engine.order, admitted)
-	engine.count(request.id, func(count *count) { count.Runs++ })
+	engine.activeStreams = append(engine.activeStreams, admitted)
+	engine.updateCounts(sender.id, func(count *count) { count.Runs++ })
 	engine.wake()
 	return admitted, nil
 }
 
-func (engine *Engine) mayAdmit(need peridotpath.Tokens, shared []uint64, now time.Time) error {
-	if err := engine.orders.mayServe(now); err != nil {
+func (engine *Engine) checkAdmission(need peridotpath.Tokens, shared []uint64, now time.Time) error {
+	if err := engine.orders.checkServing(now); err != nil {
 		return err
 	}
-	free := engine.capacity() - engine.used - engine.cache.pinned()
-	for _, sum := range shared {
-		if engine.cache.blocks[sum].pins == 0 {
+	free := engine.capacity() - engine.privateKV - engine.cache.pinned()
+	for _, hash := range shared {
+		if engine.cache.blocks[hash].pins == 0 {
 			free -= blockTokens
 		}
 	}
 	if need > free {
 		return errNoMemory.New("%d tokens wanted, %d of %d free", need, free, engine.capacity())
 	}
-	if waiting, _ := engine.waiting(); waiting >= engine.MaxWaiting {
+	if waiting, _ := engine.prefillQueue(); waiting >= engine.MaxWaiting {
 		return errBusy.New("%d prompts wait", waiting)
 	}
 	return nil
 }
 
-// waiting returns how many prompts wait for their prefill and its tokens.
-func (engine *Engine) waiting() (int, float64) {
+// prefillQueue returns the number of prompts whose prefill is not complete, and the tokens
+// left to prefill.
+func (engine *Engine) prefillQueue() (int, float64) {
 	waiting, tokens := 0, 0.0
-	for _, stream := range engine.order {
+	for _, stream := range engine.activeStreams {
 		if stream.prefillLeft > 0 {
 			waiting++
 			tokens += stream.prefillLeft
@@ -207,35 +210,35 @@
 
 func (engine *Engine) wake() {
 	select {
-	case engine.kick <- struct{}{}:
+	case engine.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// advance gives the streams what the time since the last step was good for.
+// advance prefills and decodes for the time since the last step.
 func (engine *Engine) advance(now time.Time) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	seconds := now.Sub(engine.last).Seconds()
-	engine.last = now
+	seconds := now.Sub(engine.advancedAt).Seconds()
+	engine.advancedAt = now
 	if fault, on := engine.Faults.On(faults.Slow); on {
 		if fault.Factor <= 0 {
-			fault.Factor = slowFactor
+			fault.Factor = defaultSlowFactor
 		}
 		seconds /= fault.Factor
 	}
 	engine.decode(seconds)
 	engine.prefill(seconds * float64(engine.prefillRate()))
-	for _, stream := range slices.Clone(engine.order) {
-		stream.settle(now)
+	for _, stream := range slices.Clone(engine.activeStreams) {
+		stream.freeUnneeded(now)
 	}
 }
 
-// prefill spends budget on the waiting prompts, highest priority first, then
-// the oldest: a long prompt is interrupted by a more urgent one but holds up
-// those of its own priority.
+// prefill spends a budget of tokens on the waiting prompts, by priority, then age: a
+// prompt of higher priority preempts a long one, which causes head-of-line blocking
+// for those of its own priority.
 func (engine *Engine) prefill(budget float64) {
-	queue := slices.Clone(engine.order)
+	queue := slices.Clone(engine.activeStreams)
 	slices.SortStableFunc(queue, func(a, b *stream) int { return b.sender.priority - a.sender.priority })
 	for _, stream := range queue {
 		if budget <= 0 {
@@ -248,7 +251,7 @@
 		stream.prefillLeft -= spent
 		budget -= spent
 		if stream.prefillLeft <= 0 {
-			stream.share(engine.last)
+			stream.shareBlocks(engine.advancedAt)
 			stream.produce(1)
 		}
 	}
@@ -256,8 +259,8 @@
 
 func (engine *Engine) decode(seconds float64) {
 	decoding := 0
-	for _, stream := range engine.order {
-		if stream.decoding() {
+	for _, stream := range engine.activeStreams {
+		if stream.isDecoding() {
 			decoding++
 		}
 	}
@@ -265,23 +268,23 @@
 		return
 	}
 	tokens := seconds * float64(engine.DecodePerS) * min(1, float64(engine.Batch)/float64(decoding))
-	for _, stream := range engine.order {
-		if stream.decoding() {
+	for _, stream := range engine.activeStreams {
+		if stream.isDecoding() {
 			stream.produce(tokens)
 		}
 	}
 }
 
-func (engine *Engine) count(request string, change func(*count)) {
+func (engine *Engine) updateCounts(request string, change func(*count)) {
 	change(&engine.counts.Total)
-	one := engine.counts.Requests[request]
-	change(&one)
-	engine.counts.Requests[request] = one
+	requestCount := engine.counts.Requests[request]
+	change(&requestCount)
+	engine.counts.Requests[request] = requestCount
 }
 
-// Counts returns what the engine ran so far.
+// Counts returns the counts since the engine's start.
 func (engine *Engine) Counts() wire.Counts {
-	engine.open()
+	engine.initialise()
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	counts := engine.counts
@@ -292,18 +295,18 @@
 	return counts
 }
 
-// Load returns the load report, late by LoadLag at least.
+// Load returns a load report that is at least LoadLag old.
 func (engine *Engine) Load() peridotpath.Load {
-	engine.open()
+	engine.initialise()
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	now := time.Now()
 	if engine.LoadLag == 0 {
 		return engine.snapshot(now)
 	}
-	if now.Sub(engine.pending.AsOf) >= engine.LoadLag {
-		engine.report = engine.pending
-		engine.pending = engine.snapshot(now)
+	if now.Sub(engine.nextReport.AsOf) >= engine.LoadLag {
+		engine.report = engine.nextReport
+		engine.nextReport = engine.snapshot(now)
 	}
 	return engine.report
 }
@@ -311,12 +314,12 @@
 func (engine *Engine) snapshot(now time.Time) peridotpath.Load {
 	engine.reportRevision++
 	_, leaving := engine.Faults.On(faults.Drain)
-	leaving = leaving || engine.orders.mayServe(now) != nil
-	waiting, ahead := engine.waiting()
+	leaving = leaving || engine.orders.checkServing(now) != nil
+	waiting, queuedTokens := engine.prefillQueue()
 	return peridotpath.Load{
-		AsOf: now, Running: len(engine.order) - waiting, Waiting: waiting,
-		PrefillTokens: peridotpath.Tokens(math.Ceil(ahead)),
-		KVUsed:        engine.used + engine.cache.pinned(), KVTokens: engine.capacity(),
+		AsOf: now, Running: len(engine.activeStreams) - waiting, Waiting: waiting,
+		PrefillTokens: peridotpath.Tokens(math.Ceil(queuedTokens)),
+		KVUsed:        engine.privateKV + engine.cache.pinned(), KVTokens: engine.capacity(),
 		PrefillPerS: engine.prefillRate(), DecodePerS: engine.DecodePerS,
 		Revision: engine.reportRevision, Leaving: leaving,
 	}
--- a/peridotpath/engine/enginetest/engine_test.go
+++ b/peridotpath/engine/enginetest/engine_test.go
@@ -22,15 +22,15 @@
 
 var address = netip.MustParseAddrPort("127.0.0.1:7100")
 
-// bench is one engine with a client that speaks to it.
+// bench is an engine with a client.
 type bench struct {
 	engine  *enginetest.Engine
 	client  *engine.Client
 	network *enginetest.Network
 }
 
-// with runs test beside a running engine, on a clock of its own.
-func with(t *testing.T, fake *enginetest.Engine, test func(is *is.I, bench *bench)) {
+// runWith runs test with a running engine in a synctest bubble.
+func runWith(t *testing.T, fake *enginetest.Engine, test func(is *is.I, bench *bench)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -52,8 +52,8 @@
 	return fmt.Appendf(nil, `{"model":"m","prompt":%q,"max_tokens":%d,"stream":%t}`, prompt, output, stream)
 }
 
-// promptOf returns a prompt of about that many tokens, its own for each name.
-func promptOf(name string, tokens int) string {
+// makePrompt returns a prompt of about the given number of tokens, unique to the name.
+func makePrompt(name string, tokens int) string {
 	return (strings.Repeat(name+" ", 4*tokens/(len(name)+1)+1))[:4*tokens]
 }
 
@@ -63,12 +63,13 @@
 	})
 }
 
-// read returns the answer's text from a stream and whether its end mark came.
-func read(answer *engine.Answer, most int) (string, int64, bool) {
+// readEvents reads up to maxEvents events and returns their text, the last offset and whether the
+// stream is complete.
+func readEvents(answer *engine.Answer, maxEvents int) (string, int64, bool) {
 	events := engine.Read(answer.Body)
 	var text strings.Builder
 	last := int64(-1)
-	for range most {
+	for range maxEvents {
 		event, err := events.Next()
 		if err != nil {
 			return text.String(), last, false
@@ -82,17 +83,17 @@
 	return text.String(), last, false
 }
 
-const everything = 1 << 30
+const allEvents = 1 << 30
 
-// A stream whose reader leaves goes on; another reader resumes it after the
-// last event that the first one had, and together they have the whole answer.
+// A stream continues when its reader disconnects. Another reader resumes it after the
+// last event that the first one received, and together they have the whole answer.
 func TestDetachedStreamResumes(t *testing.T) {
-	with(t, &enginetest.Engine{}, func(is *is.I, bench *bench) {
+	runWith(t, &enginetest.Engine{}, func(is *is.I, bench *bench) {
 		sent := body("hello", 20, true)
 		ctx, cancel := context.WithCancel(context.Background())
 		first, err := bench.send(ctx, "r1", sent, 0)
 		is.NoErr(err)
-		before, last, whole := read(first, 7)
+		before, last, whole := readEvents(first, 7)
 		is.True(!whole)
 		cancel()
 		_ = first.Body.Close()
@@ -100,10 +101,10 @@
 		streams, err := bench.client.Streams(context.Background(), address)
 		is.NoErr(err)
 		is.Equal(len(streams), 1)           // a detached stream keeps its memory
-		is.True(streams[0].DetachedMS >= 4) // and says for how long it has no reader
+		is.True(streams[0].DetachedMS >= 4) // and reports how long it has been detached
 		second, err := bench.client.Resume(context.Background(), address, first.StreamID, last)
 		is.NoErr(err)
-		after, _, whole := read(second, everything)
+		after, _, whole := readEvents(second, allEvents)
 		is.True(whole)
 		is.Equal(before+after, enginetest.Answer(enginetest.Seed(sent), 20))
 		synctest.Wait()
@@ -112,10 +113,10 @@
 	})
 }
 
-// Cancelling frees the memory; with only_detached a stream that has a reader
-// again is left alone.
+// Cancelling frees the memory; with only_detached a stream that has a reader is not
+// cancelled.
 func TestCancel(t *testing.T) {
-	with(t, &enginetest.Engine{}, func(is *is.I, bench *bench) {
+	runWith(t, &enginetest.Engine{}, func(is *is.I, bench *bench) {
 		ctx := context.Background()
 		answer, err := bench.send(ctx, "r1", body("hello", 100, true), 0)
 		is.NoErr(err)
@@ -123,7 +124,7 @@
 		is.True(bench.engine.Load().KVUsed > 0) // a stream with a reader was cancelled
 		is.NoErr(bench.client.Cancel(ctx, address, answer.StreamID, false))
 		is.Equal(bench.engine.Load().KVUsed, peridotpath.Tokens(0))
-		_, _, whole := read(answer, everything)
+		_, _, whole := readEvents(answer, allEvents)
 		is.True(!whole) // a cancelled stream has no end mark
 		is.Equal(bench.engine.Counts().Total, engine.Count{Runs: 1, Cancelled: 1})
 		_, err = bench.client.Resume(ctx, address, answer.StreamID, 0)
@@ -131,21 +132,22 @@
 	})
 }
 
-// What does not fit is refused before it runs, and fits once memory is free.
-func TestRefusesWhatDoesNotFit(t *testing.T) {
-	with(t, &enginetest.Engine{KVTokens: 10_000}, func(is *is.I, bench *bench) {
+// A prompt that does not fit the free memory is refused before it runs, and accepted
+// once memory is free.
+func TestRefusesPromptWithoutMemory(t *testing.T) {
+	runWith(t, &enginetest.Engine{KVTokens: 10_000}, func(is *is.I, bench *bench) {
 		ctx := context.Background()
-		big := body(promptOf("a", 6_000), 10, true)
+		big := body(makePrompt("a", 6_000), 10, true)
 		first, err := bench.send(ctx, "r1", big, 0)
 		is.NoErr(err)
 		_, err = bench.send(ctx, "r2", big, 0)
 		is.True(engine.ErrRefused.Has(err))
-		_, _, whole := read(first, everything)
+		_, _, whole := readEvents(first, allEvents)
 		is.True(whole)
 		synctest.Wait()
 		again, err := bench.send(ctx, "r2", big, 0)
 		is.NoErr(err)
-		_, _, whole = read(again, everything)
+		_, _, whole = readEvents(again, allEvents)
 		is.True(whole)
 		is.Equal(bench.engine.Counts().Requests["r2"], engine.Count{Runs: 1, Finished: 1, Refused: 1})
 	})
@@ -159,34 +161,35 @@
 		return -1
 	}
 	defer answer.Body.Close()
-	read(answer, 1)
+	readEvents(answer, 1)
 	return time.Since(sent)
 }
 
-// A prompt waits behind a long one of its own priority, but not with a higher one.
+// A prompt queues behind a long one of the same priority; one of a higher priority does
+// not.
 func TestPriority(t *testing.T) {
-	with(t, &enginetest.Engine{PrefillPerS: 100_000}, func(is *is.I, bench *bench) {
-		long, err := bench.send(context.Background(), "long", body(promptOf("long", 300_000), 10, true), 0)
+	runWith(t, &enginetest.Engine{PrefillPerS: 100_000}, func(is *is.I, bench *bench) {
+		long, err := bench.send(context.Background(), "long", body(makePrompt("long", 300_000), 10, true), 0)
 		is.NoErr(err)
 		defer long.Body.Close()
-		urgent := bench.firstToken("urgent", body(promptOf("u", 1_000), 10, true), 5)
-		is.True(urgent < 50*time.Millisecond) // a more urgent prompt waited
-		equal := bench.firstToken("equal", body(promptOf("e", 1_000), 10, true), 0)
+		urgent := bench.firstToken("urgent", body(makePrompt("u", 1_000), 10, true), 5)
+		is.True(urgent < 50*time.Millisecond) // a prompt of higher priority queued
+		equal := bench.firstToken("equal", body(makePrompt("e", 1_000), 10, true), 0)
 		is.True(equal > 2*time.Second) // a prompt overtook an older one of its priority
 	})
 }
 
-// A prompt that shares its beginning with an earlier one is processed faster,
-// readers learn of the cache late, and pressure on memory evicts.
+// A prompt that shares a prefix with an earlier one has a shorter prefill, cache events
+// are delayed, and memory pressure evicts blocks.
 func TestPrefixCache(t *testing.T) {
 	fake := &enginetest.Engine{KVTokens: 150_000, CacheEventLag: time.Second}
-	with(t, fake, func(is *is.I, bench *bench) {
-		dossier := promptOf("dossier", 100_000)
+	runWith(t, fake, func(is *is.I, bench *bench) {
+		dossier := makePrompt("dossier", 100_000)
 		ask := func(id, prompt string) time.Duration {
 			answer, err := bench.send(context.Background(), id, body(prompt, 2, true), 0)
 			is.NoErr(err)
 			sent := time.Now()
-			_, _, whole := read(answer, everything)
+			_, _, whole := readEvents(answer, allEvents)
 			is.True(whole)
 			return time.Since(sent)
 		}
@@ -200,15 +203,15 @@
 			is.NoErr(err)
 			return len(gjson.GetBytes(text, "events").Array())
 		}
-		is.Equal(events(), 0) // an event came before its time
+		is.Equal(events(), 0) // an event was published before CacheEventLag
 		time.Sleep(time.Second)
 		is.Equal(events(), 97)
-		is.True(ask("r3", promptOf("other", 140_000)) > time.Second)
-		is.True(ask("r4", dossier+"third question") > 900*time.Millisecond) // the cache outgrew the memory
+		is.True(ask("r3", makePrompt("other", 140_000)) > time.Second)
+		is.True(ask("r4", dossier+"third question") > 900*time.Millisecond) // the cache exceeded the memory
 	})
 }
 
-// Each fault shows itself to the client as the class that it stands for.
+// Each injected fault results in an error of its class.
 func TestFaults(t *testing.T) {
 	tests := []struct {
 		kind   faults.Kind
@@ -224,28 +227,28 @@
 	for _, test := range tests {
 		t.Run(string(test.kind), func(t *testing.T) {
 			fake := &enginetest.Engine{}
-			with(t, fake, func(is *is.I, bench *bench) {
+			runWith(t, fake, func(is *is.I, bench *bench) {
 				fake.Faults.Set(faults.Fault{Kind: test.kind, Count: 1})
 				_, err := bench.send(context.Background(), "r1", body("x", 10, test.stream), 0)
 				is.True(test.class(err))
 				is.Equal(fake.Counts().Total.Runs, test.runs)
 				_, err = bench.send(context.Background(), "r2", body("x", 10, false), 0)
-				is.NoErr(err) // a fault went on past its count
+				is.NoErr(err) // a fault was injected more often than its count
 				is.Equal(fake.Load().KVUsed, peridotpath.Tokens(0))
 			})
 		})
 	}
 }
 
-// A cut stream can be resumed; half a stream can't.
+// After faults.Cut a stream can be resumed, after faults.Half it cannot.
 func TestCutAndHalf(t *testing.T) {
 	fake := &enginetest.Engine{}
-	with(t, fake, func(is *is.I, bench *bench) {
+	runWith(t, fake, func(is *is.I, bench *bench) {
 		for _, kind := range []faults.Kind{faults.Cut, faults.Half} {
 			fake.Faults.Set(faults.Fault{Kind: kind, Count: 1})
 			answer, err := bench.send(context.Background(), string(kind), body("x", 10, true), 0)
 			is.NoErr(err)
-			_, last, whole := read(answer, everything)
+			_, last, whole := readEvents(answer, allEvents)
 			is.True(!whole)
 			_, err = bench.client.Resume(context.Background(), address, answer.StreamID, last)
 			is.Equal(err == nil, kind == faults.Cut)
@@ -253,13 +256,13 @@
 	})
 }
 
-// An engine that checks fencing numbers refuses an order of an earlier holder;
-// one that does not follows it. Neither takes work while its weights load.
+// An engine that checks fencing tokens refuses an order of an earlier lease holder; one
+// that does not follows it. Neither accepts requests while its weights load.
 func TestOrders(t *testing.T) {
-	for _, checks := range []bool{true, false} {
-		t.Run(fmt.Sprint("checks ", checks), func(t *testing.T) {
-			fake := &enginetest.Engine{ChecksFencing: checks, WeightLoad: time.Minute}
-			with(t, fake, func(is *is.I, bench *bench) {
+	for _, checksFencing := range []bool{true, false} {
+		t.Run(fmt.Sprint("checks ", checksFencing), func(t *testing.T) {
+			fake := &enginetest.Engine{ChecksFencing: checksFencing, WeightLoad: time.Minute}
+			runWith(t, fake, func(is *is.I, bench *bench) {
 				order := func(fencing int, model string) int {
 					text := fmt.Sprintf(`{"fencing":%d,"model":%q,"version":"1","role":"serve"}`, fencing, model)
 					reply, err := bench.network.Do(request("POST", engine.PathOrders, text))
@@ -269,12 +272,12 @@
 				}
 				is.Equal(order(7, "new"), 200)
 				_, err := bench.send(context.Background(), "r1", body("x", 1, false), 0)
-				is.True(engine.ErrRefused.Has(err)) // work was taken while the weights loaded
+				is.True(engine.ErrRefused.Has(err)) // a request was accepted while the weights loaded
 				time.Sleep(time.Minute)
 				_, err = bench.send(context.Background(), "r1", body("x", 1, false), 0)
 				is.NoErr(err)
 				want := 200
-				if checks {
+				if checksFencing {
 					want = 409
 				}
 				is.Equal(order(6, "old"), want)
--- a/peridotpath/engine/enginetest/network.go
+++ b/peridotpath/engine/enginetest/network.go
@@ -10,58 +10,59 @@
 	"peridotpath.example/peridotpath/outbound"
 )
 
-// Network carries HTTP calls to handlers in the same process, without sockets,
-// so that whole sessions run under testing/synctest. Its zero value has no hosts.
+// Network is an in-process HTTP transport without sockets, which works under
+// testing/synctest. The zero value has no hosts.
 type Network struct {
-	mu      sync.Mutex
-	hosts   map[string]*host
-	closed  bool
-	running sync.WaitGroup
+	mu            sync.Mutex
+	hosts         map[string]*host
+	closed        bool
+	callsInFlight sync.WaitGroup
 }
 
-// host is one address with the calls that it is answering.
+// host is the handler of an address with its calls in flight.
 type host struct {
 	handler http.Handler
 	calls   map[*networkExchange]context.CancelFunc
 }
 
-func (host *host) breakOff() {
+func (host *host) abortCalls() {
 	for exchange, cancel := range host.calls {
-		// First the error: the handler, told to stop, would end the answer as whole.
+		// The error is set before the cancellation, after which the handler may return
+		// and end the body as if it were complete.
 		_ = exchange.body.CloseWithError(io.ErrUnexpectedEOF)
 		cancel()
 	}
 }
 
-// Close refuses new calls, breaks the others off and waits until their handlers
-// have returned.
+// Close refuses new calls, aborts those in flight and waits until their handlers have
+// returned.
 func (network *Network) Close() {
 	network.mu.Lock()
 	network.closed = true
 	for _, host := range network.hosts {
-		host.breakOff()
+		host.abortCalls()
 	}
 	network.mu.Unlock()
-	network.running.Wait()
+	network.callsInFlight.Wait()
 }
 
-// Serve has handler answer calls to address; nil takes the host away: the calls
-// that it is answering break off, and later ones fail as a connection that is
-// never made. Errors are of outbound's classes.
+// Serve sets the handler of address and aborts the calls in flight to the previous one.
+// With a nil handler later calls fail like refused connections. Errors are of the
+// classes of package outbound.
 func (network *Network) Serve(address string, handler http.Handler) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if network.hosts == nil {
 		network.hosts = map[string]*host{}
 	}
-	if before := network.hosts[address]; before != nil {
-		before.breakOff()
+	if previous := network.hosts[address]; previous != nil {
+		previous.abortCalls()
 	}
 	network.hosts[address] = &host{handler: handler, calls: map[*networkExchange]context.CancelFunc{}}
 }
 
-// open notes a call and returns the host that answers it, nil for none.
-func (network *Network) open(address string, exchange *networkExchange, cancel context.CancelFunc) *host {
+// register registers a call and returns the host that handles it, or nil if there is none.
+func (network *Network) register(address string, exchange *networkExchange, cancel context.CancelFunc) *host {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	host := network.hosts[address]
@@ -69,65 +70,65 @@
 		return nil
 	}
 	host.calls[exchange] = cancel
-	network.running.Add(1)
+	network.callsInFlight.Add(1)
 	return host
 }
 
-// close forgets a call that is over.
-func (network *Network) close(host *host, exchange *networkExchange) {
+// unregister removes a call that has ended.
+func (network *Network) unregister(host *host, exchange *networkExchange) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	delete(host.calls, exchange)
-	network.running.Done()
+	network.callsInFlight.Done()
 }
 
-// Do makes one call and returns when its headers are in.
+// Do sends a request and returns when the response headers have been received.
 func (network *Network) Do(request *http.Request) (*http.Response, error) {
 	ctx, cancel := context.WithCancel(request.Context())
 	reader, writer := io.Pipe()
 	exchange := &networkExchange{
-		ctx: ctx, body: writer, begun: make(chan struct{}),
+		ctx: ctx, body: writer, headersSent: make(chan struct{}),
 		response: &http.Response{Header: http.Header{}, Request: request, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1},
 	}
 	exchange.response.Body = &networkBody{PipeReader: reader, cancel: cancel}
-	host := network.open(request.URL.Host, exchange, cancel)
+	host := network.register(request.URL.Host, exchange, cancel)
 	if host == nil {
 		cancel()
 		return nil, outbound.ErrNotSent.New("connection refused")
 	}
 	context.AfterFunc(ctx, func() { _ = reader.CloseWithError(ctx.Err()) })
-	inner := request.Clone(ctx)
-	inner.RequestURI = request.URL.RequestURI()
-	if inner.Body == nil {
-		inner.Body = http.NoBody
+	serverRequest := request.Clone(ctx)
+	serverRequest.RequestURI = request.URL.RequestURI()
+	if serverRequest.Body == nil {
+		serverRequest.Body = http.NoBody
 	}
 	go func() {
-		defer network.close(host, exchange)
-		exchange.serve(host.handler, inner)
+		defer network.unregister(host, exchange)
+		exchange.serve(host.handler, serverRequest)
 	}()
 	select {
-	case <-exchange.begun:
+	case <-exchange.headersSent:
 	case <-ctx.Done():
 		cancel()
 		return nil, outbound.ErrLost.Wrap(ctx.Err())
 	}
-	if exchange.broken != nil {
+	if exchange.err != nil {
 		cancel()
-		return nil, outbound.ErrLost.Wrap(exchange.broken)
+		return nil, outbound.ErrLost.Wrap(exchange.err)
 	}
 	return exchange.response, nil
 }
 
 var errConnectionClosed = errors.New("connection closed")
 
-// networkExchange is the handler's side of one call.
+// networkExchange is the http.ResponseWriter of one call.
 type networkExchange struct {
-	ctx      context.Context
-	body     *io.PipeWriter
-	response *http.Response
-	once     sync.Once
-	begun    chan struct{}
-	broken   error
+	ctx         context.Context
+	body        *io.PipeWriter
+	response    *http.Response
+	once        sync.Once
+	headersSent chan struct{}
+	err         error
 }
 
 // serve runs the handler. A handler that panics with http.ErrAbortHandler
@@ -136,8 +137,8 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			exchange.once.Do(func() {
-				exchange.broken = errConnectionClosed
-				close(exchange.begun)
+				exchange.err = errConnectionClosed
+				close(exchange.headersSent)
 			})
 			_ = exchange.body.CloseWithError(io.ErrUnexpectedEOF)
 			return
@@ -148,20 +149,20 @@
 	handler.ServeHTTP(exchange, request)
 }
 
-// Header returns the headers until they are sent.
+// Header returns the response headers.
 func (exchange *networkExchange) Header() http.Header { return exchange.response.Header }
 
-// WriteHeader sends the headers, once.
+// WriteHeader sends the headers; only the first call has an effect.
 func (exchange *networkExchange) WriteHeader(status int) {
 	exchange.once.Do(func() {
 		exchange.response.StatusCode = status
 		exchange.response.Status = http.StatusText(status)
 		exchange.response.Header = exchange.response.Header.Clone()
-		close(exchange.begun)
+		close(exchange.headersSent)
 	})
 }
 
-// Write waits until the reader took the data or left.
+// Write blocks until the reader has read the data or closed the body.
 func (exchange *networkExchange) Write(data []byte) (int, error) {
 	exchange.WriteHeader(http.StatusOK)
 	if err := exchange.ctx.Err(); err != nil {
@@ -170,16 +171,16 @@
 	return exchange.body.Write(data)
 }
 
-// Flush sends the headers; data is never held back.
+// Flush sends the headers; data is not buffered.
 func (exchange *networkExchange) Flush() { exchange.WriteHeader(http.StatusOK) }
 
-// networkBody is a response's body; closing it tells the handler.
+// networkBody is a response body; closing it cancels the request of the handler.
 type networkBody struct {
 	*io.PipeReader
 	cancel context.CancelFunc
 }
 
-// Close ends the reader's part.
+// Close closes the body and cancels the call.
 func (body *networkBody) Close() error {
 	body.cancel()
 	return body.PipeReader.Close()
--- a/peridotpath/engine/enginetest/orders.go
+++ b/peridotpath/engine/enginetest/orders.go
@@ -9,20 +9,19 @@
 	wire "peridotpath.example/peridotpath/engine"
 )
 
-// orders is what the engine was told to be.
+// orders holds the order that the engine follows.
 type orders struct {
 	mu    sync.Mutex
 	state wire.OrderState
-	// ready is when the weights are in.
-	ready time.Time
+	// loadedAt is the time at which the weights are loaded.
+	loadedAt time.Time
 }
 
-func (orders *orders) open() { orders.state.Role = wire.RoleServe }
+func (orders *orders) initialise() { orders.state.Role = wire.RoleServe }
 
-// follow takes an order and reports whether it did. With check it refuses one
-// with a lower fencing number than the highest seen: its sender has lost the
-// lease without knowing.
-func (orders *orders) follow(order wire.Order, check bool, load time.Duration, now time.Time) bool {
+// accept accepts an order and reports whether it did. With check it refuses one with a
+// lower fencing token than the highest received: its sender no longer holds the lease.
+func (orders *orders) accept(order wire.Order, check bool, load time.Duration, now time.Time) bool {
 	orders.mu.Lock()
 	defer orders.mu.Unlock()
 	if check && order.Fencing < orders.state.Highest {
@@ -30,7 +29,7 @@
 	}
 	current := orders.state.Order
 	if order.Model != current.Model || order.Adapter != current.Adapter || order.Version != current.Version {
-		orders.ready = now.Add(load)
+		orders.loadedAt = now.Add(load)
 	}
 	orders.state.Order = order
 	orders.state.Highest = max(orders.state.Highest, order.Fencing)
@@ -41,12 +40,12 @@
 	orders.mu.Lock()
 	defer orders.mu.Unlock()
 	state := orders.state
-	state.Loading = now.Before(orders.ready)
+	state.Loading = now.Before(orders.loadedAt)
 	return state
 }
 
-// mayServe refuses work while weights load and in a role without work of its own.
-func (orders *orders) mayServe(now time.Time) error {
+// checkServing returns an error while weights load and if the role accepts no requests.
+func (orders *orders) checkServing(now time.Time) error {
 	state := orders.current(now)
 	if state.Loading {
 		return errClosed.New("loading %s", state.Model)
@@ -57,8 +56,8 @@
 	return nil
 }
 
-// pooled returns how many engines' memory this one serves with.
-func (orders *orders) pooled() int {
+// groupSize returns the number of engines whose memory this one serves with.
+func (orders *orders) groupSize() int {
 	orders.mu.Lock()
 	defer orders.mu.Unlock()
 	first, members := orders.state.Role.Split()
@@ -68,31 +67,31 @@
 	return 1
 }
 
-// groupEfficiency is the part of its engines' prefill rates that a group keeps.
+// groupEfficiency is the ratio of a group's prefill rate to the sum of its engines'.
 const groupEfficiency = 0.85
 
 // capacity returns the KV memory that the engine serves with.
 func (engine *Engine) capacity() peridotpath.Tokens {
-	return engine.KVTokens * peridotpath.Tokens(engine.orders.pooled())
+	return engine.KVTokens * peridotpath.Tokens(engine.orders.groupSize())
 }
 
-// prefillRate returns the prompt tokens that the engine processes in a second.
+// prefillRate returns the prefill rate in tokens a second.
 func (engine *Engine) prefillRate() peridotpath.Tokens {
-	pooled := engine.orders.pooled()
+	pooled := engine.orders.groupSize()
 	if pooled == 1 {
 		return engine.PrefillPerS
 	}
 	return peridotpath.Tokens(groupEfficiency * float64(pooled) * float64(engine.PrefillPerS))
 }
 
-// shed drops all streams when an order took away the memory that they are in.
-func (engine *Engine) shed() {
+// cancelIfOverCapacity cancels all streams if they need more memory than is left after an order.
+func (engine *Engine) cancelIfOverCapacity() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	if engine.used+engine.cache.pinned() <= engine.capacity() {
+	if engine.privateKV+engine.cache.pinned() <= engine.capacity() {
 		return
 	}
-	for _, stream := range slices.Clone(engine.order) {
+	for _, stream := range slices.Clone(engine.activeStreams) {
 		stream.cancel()
 	}
 }
--- a/peridotpath/engine/enginetest/request_test.go
+++ b/peridotpath/engine/enginetest/request_test.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// request returns a call to the engine of the bench.
+// request returns a request to the engine of the bench.
 func request(method, path, body string) *http.Request {
 	made, err := http.NewRequest(method, "http://"+address.String()+path, strings.NewReader(body))
 	if err != nil {
--- a/peridotpath/engine/enginetest/serve.go
+++ b/peridotpath/engine/enginetest/serve.go
@@ -13,37 +13,37 @@
 	"peridotpath.example/peridotpath/faults"
 )
 
-// Handler returns the engine's HTTP form.
+// Handler returns the handler of the engine's HTTP API.
 func (engine *Engine) Handler() http.Handler {
-	engine.open()
+	engine.initialise()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+wire.PathCompletions, engine.complete)
-	mux.HandleFunc("POST "+wire.PathChatCompletions, engine.complete)
-	mux.HandleFunc("GET "+wire.PathStreams, func(writer http.ResponseWriter, _ *http.Request) { reply(writer, engine.list()) })
-	mux.HandleFunc("GET "+wire.PathStreams+"/{id}", engine.resume)
-	mux.HandleFunc("DELETE "+wire.PathStreams+"/{id}", engine.cancel)
-	mux.HandleFunc("GET "+wire.PathLoad, func(writer http.ResponseWriter, _ *http.Request) { reply(writer, engine.Load()) })
-	mux.HandleFunc("GET "+wire.PathCounts, func(writer http.ResponseWriter, _ *http.Request) { reply(writer, engine.Counts()) })
-	mux.HandleFunc("GET "+wire.PathCacheEvents, engine.cacheEvents)
-	mux.HandleFunc("GET "+wire.PathOrders, engine.showOrders)
-	mux.HandleFunc("POST "+wire.PathOrders, engine.takeOrder)
-	mux.HandleFunc("GET "+wire.PathKV, engine.exportKV)
-	mux.HandleFunc("POST "+wire.PathKV, engine.importKV)
+	mux.HandleFunc("POST "+wire.PathCompletions, engine.serveCompletion)
+	mux.HandleFunc("POST "+wire.PathChatCompletions, engine.serveCompletion)
+	mux.HandleFunc("GET "+wire.PathStreams, func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, engine.streamInfos()) })
+	mux.HandleFunc("GET "+wire.PathStreams+"/{id}", engine.serveResume)
+	mux.HandleFunc("DELETE "+wire.PathStreams+"/{id}", engine.serveCancel)
+	mux.HandleFunc("GET "+wire.PathLoad, func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, engine.Load()) })
+	mux.HandleFunc("GET "+wire.PathCounts, func(writer http.ResponseWriter, _ *http.Request) { writeJSON(writer, engine.Counts()) })
+	mux.HandleFunc("GET "+wire.PathCacheEvents, engine.serveCacheEvents)
+	mux.HandleFunc("GET "+wire.PathOrders, engine.serveOrderState)
+	mux.HandleFunc("POST "+wire.PathOrders, engine.serveOrder)
+	mux.HandleFunc("GET "+wire.PathKV, engine.serveExportKV)
+	mux.HandleFunc("POST "+wire.PathKV, engine.serveImportKV)
 	mux.Handle(faults.Path, &engine.Faults)
 	return mux
 }
 
-func reply(writer http.ResponseWriter, value any) {
+func writeJSON(writer http.ResponseWriter, value any) {
 	writer.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(writer).Encode(value)
 }
 
-func refuse(writer http.ResponseWriter, status int, reason string) {
+func writeRefusal(writer http.ResponseWriter, status int, reason string) {
 	writer.Header().Set(wire.HeaderNotRun, "true")
 	http.Error(writer, reason, status)
 }
 
-func senderOf(request *http.Request) *sender {
+func parseSender(request *http.Request) *sender {
 	priority, _ := strconv.Atoi(request.Header.Get(wire.HeaderPriority))
 	incarnation, _ := strconv.ParseUint(request.Header.Get(wire.HeaderIncarnation), 10, 64)
 	return &sender{
@@ -52,17 +52,17 @@
 	}
 }
 
-func (engine *Engine) complete(writer http.ResponseWriter, request *http.Request) {
-	sender := senderOf(request)
+func (engine *Engine) serveCompletion(writer http.ResponseWriter, request *http.Request) {
+	sender := parseSender(request)
 	switch kind := engine.Faults.First(faults.Refuse, faults.Drain, faults.Fail); kind {
 	case faults.Drain:
-		engine.noteRefused(sender)
+		engine.countRefusal(sender)
 		writer.Header().Set(wire.HeaderNotRun, wire.NotRunLeaving)
 		http.Error(writer, "leaving", http.StatusServiceUnavailable)
 		return
 	case faults.Refuse:
-		engine.noteRefused(sender)
-		refuse(writer, http.StatusServiceUnavailable, string(kind))
+		engine.countRefusal(sender)
+		writeRefusal(writer, http.StatusServiceUnavailable, string(kind))
 		return
 	case faults.Fail:
 		http.Error(writer, "failed", http.StatusInternalServerError)
@@ -80,71 +80,71 @@
 	stream, err := engine.admit(sender, prompt, Seed(body))
 	switch {
 	case errBusy.Has(err):
-		refuse(writer, http.StatusTooManyRequests, err.Error())
+		writeRefusal(writer, http.StatusTooManyRequests, err.Error())
 	case err != nil:
-		refuse(writer, http.StatusServiceUnavailable, err.Error())
+		writeRefusal(writer, http.StatusServiceUnavailable, err.Error())
 	default:
-		defer stream.detach()
-		stream.answer(writer, request)
+		defer stream.detachReader()
+		stream.writeAnswer(writer, request)
 	}
 }
 
-func (engine *Engine) noteRefused(sender *sender) {
+func (engine *Engine) countRefusal(sender *sender) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	engine.count(sender.id, func(count *count) { count.Refused++ })
+	engine.updateCounts(sender.id, func(count *count) { count.Refused++ })
 }
 
-// answer gives the answer in the form that was asked for, or in the form of a fault.
-func (stream *stream) answer(writer http.ResponseWriter, request *http.Request) {
+// writeAnswer sends the answer, streamed or whole as requested, or an injected fault.
+func (stream *stream) writeAnswer(writer http.ResponseWriter, request *http.Request) {
 	kind := stream.engine.Faults.First(faults.Hang, faults.Close, faults.Empty, faults.Garbage, faults.Half, faults.Cut)
 	writer.Header().Set(wire.HeaderStreamID, stream.id)
 	switch kind {
 	case faults.Hang:
 		<-request.Context().Done()
-		stream.engine.drop(stream.id, false)
+		stream.engine.cancelStream(stream.id, false)
 	case faults.Close:
-		stream.lose()
+		stream.cancelByFault()
 		panic(http.ErrAbortHandler)
 	case faults.Garbage:
-		stream.lose()
+		stream.cancelByFault()
 		_, _ = writer.Write([]byte("<html>502</html>\n\n"))
 	case faults.Empty:
-		stream.lose()
-		stream.answerEmpty(writer)
+		stream.cancelByFault()
+		stream.writeEmpty(writer)
 	default:
 		if !stream.prompt.stream {
-			stream.answerWhole(writer, request, kind)
+			stream.writeWhole(writer, request, kind)
 			return
 		}
-		stream.send(writer, request, 0, kind)
+		stream.writeEvents(writer, request, 0, kind)
 	}
 }
 
-// lose ends a stream that a fault took away.
-func (stream *stream) lose() { stream.engine.drop(stream.id, false) }
+// cancelByFault cancels a stream because of an injected fault.
+func (stream *stream) cancelByFault() { stream.engine.cancelStream(stream.id, false) }
 
-func (stream *stream) answerEmpty(writer http.ResponseWriter) {
+func (stream *stream) writeEmpty(writer http.ResponseWriter) {
 	if stream.prompt.stream {
 		writer.Header().Set("Content-Type", "text/event-stream")
 		_, _ = writer.Write([]byte("id: 0\ndata: " + wire.Done + "\n\n"))
 		return
 	}
-	reply(writer, completion{ID: stream.id, Object: "text_completion", Choices: []choice{}})
+	writeJSON(writer, completion{ID: stream.id, Object: "text_completion", Choices: []choice{}})
 }
 
-// answerWhole waits for the whole answer. When its reader leaves the work is
-// cancelled, since nobody can come back for it.
-func (stream *stream) answerWhole(writer http.ResponseWriter, request *http.Request, kind faults.Kind) {
+// writeWhole waits for the whole answer and sends it. If the client disconnects the
+// stream is cancelled, because the client has no stream id to resume it with.
+func (stream *stream) writeWhole(writer http.ResponseWriter, request *http.Request, kind faults.Kind) {
 	for {
-		_, over, changed := stream.ready()
+		_, over, changed := stream.available()
 		if over {
 			break
 		}
 		select {
 		case <-changed:
 		case <-request.Context().Done():
-			stream.engine.drop(stream.id, false)
+			stream.engine.cancelStream(stream.id, false)
 			return
 		}
 	}
@@ -152,8 +152,8 @@
 		http.Error(writer, "cancelled", http.StatusInternalServerError)
 		return
 	}
-	body := stream.whole()
-	stream.read()
+	body := stream.wholeBody()
+	stream.markRead()
 	writer.Header().Set("Content-Type", "application/json")
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if kind == faults.Half || kind == faults.Cut {
@@ -169,8 +169,8 @@
 	return stream.cancelled
 }
 
-// send writes the events from an offset on, as they come.
-func (stream *stream) send(writer http.ResponseWriter, request *http.Request, next int64, kind faults.Kind) {
+// writeEvents writes the events from the offset next on as they are produced.
+func (stream *stream) writeEvents(writer http.ResponseWriter, request *http.Request, next int64, kind faults.Kind) {
 	header := writer.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set(wire.HeaderStreamID, stream.id)
@@ -178,16 +178,16 @@
 	_ = controller.Flush()
 	var buffer []byte
 	for {
-		ready, over, changed := stream.ready()
+		ready, over, changed := stream.available()
 		for ; next < ready; next++ {
-			if (kind == faults.Half || kind == faults.Cut) && next >= stream.events()/2 {
+			if (kind == faults.Half || kind == faults.Cut) && next >= stream.eventCount()/2 {
 				if kind == faults.Half {
-					stream.lose()
+					stream.cancelByFault()
 				}
 				_ = controller.Flush()
 				panic(http.ErrAbortHandler)
 			}
-			buffer = stream.eventText(buffer, next)
+			buffer = stream.appendEvent(buffer, next)
 			if _, err := writer.Write(buffer); err != nil {
 				return
 			}
@@ -196,7 +196,7 @@
 			return
 		}
 		if over {
-			stream.close()
+			stream.endResponse()
 			return
 		}
 		select {
@@ -207,69 +207,69 @@
 	}
 }
 
-// close ends a reader's part. A stream that was cancelled under it breaks off
-// without an end mark.
-func (stream *stream) close() {
+// endResponse ends the response after the last event. If the stream was cancelled the
+// connection is aborted without an end mark.
+func (stream *stream) endResponse() {
 	if stream.wasCancelled() {
 		panic(http.ErrAbortHandler)
 	}
-	stream.read()
+	stream.markRead()
 }
 
-func (engine *Engine) resume(writer http.ResponseWriter, request *http.Request) {
+func (engine *Engine) serveResume(writer http.ResponseWriter, request *http.Request) {
 	after, err := strconv.ParseInt(request.URL.Query().Get("after"), 10, 64)
 	if err != nil || after < -1 {
 		http.Error(writer, "after is not an offset", http.StatusBadRequest)
 		return
 	}
-	stream := engine.attach(request.PathValue("id"))
+	stream := engine.attachReader(request.PathValue("id"))
 	if stream == nil {
 		http.Error(writer, "no such stream", http.StatusNotFound)
 		return
 	}
-	defer stream.detach()
-	stream.send(writer, request, after+1, "")
+	defer stream.detachReader()
+	stream.writeEvents(writer, request, after+1, "")
 }
 
-func (engine *Engine) cancel(writer http.ResponseWriter, request *http.Request) {
-	if !engine.drop(request.PathValue("id"), request.URL.Query().Get("only_detached") == "true") {
+func (engine *Engine) serveCancel(writer http.ResponseWriter, request *http.Request) {
+	if !engine.cancelStream(request.PathValue("id"), request.URL.Query().Get("only_detached") == "true") {
 		http.Error(writer, "no such stream", http.StatusNotFound)
 	}
 }
 
-func (engine *Engine) cacheEvents(writer http.ResponseWriter, request *http.Request) {
+func (engine *Engine) serveCacheEvents(writer http.ResponseWriter, request *http.Request) {
 	after, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	engine.mu.Lock()
-	reading := engine.cache.after(after, time.Now().Add(-engine.CacheEventLag))
+	events := engine.cache.eventsAfter(after, time.Now().Add(-engine.CacheEventLag))
 	engine.mu.Unlock()
-	reply(writer, reading)
+	writeJSON(writer, events)
 }
 
-func (engine *Engine) showOrders(writer http.ResponseWriter, _ *http.Request) {
-	reply(writer, engine.orders.current(time.Now()))
+func (engine *Engine) serveOrderState(writer http.ResponseWriter, _ *http.Request) {
+	writeJSON(writer, engine.orders.current(time.Now()))
 }
 
-func (engine *Engine) takeOrder(writer http.ResponseWriter, request *http.Request) {
+func (engine *Engine) serveOrder(writer http.ResponseWriter, request *http.Request) {
 	var order wire.Order
-	if err := json.NewDecoder(request.Body).Decode(&order); err != nil || !knownRole(order.Role) {
+	if err := json.NewDecoder(request.Body).Decode(&order); err != nil || !isKnownRole(order.Role) {
 		http.Error(writer, "not an order", http.StatusBadRequest)
 		return
 	}
-	if !engine.orders.follow(order, engine.ChecksFencing, engine.WeightLoad, time.Now()) {
+	if !engine.orders.accept(order, engine.ChecksFencing, engine.WeightLoad, time.Now()) {
 		http.Error(writer, "old fencing number", http.StatusConflict)
 		return
 	}
-	engine.shed()
-	engine.showOrders(writer, request)
+	engine.cancelIfOverCapacity()
+	engine.serveOrderState(writer, request)
 }
 
-func knownRole(role wire.Role) bool {
+func isKnownRole(role wire.Role) bool {
 	first, _ := role.Split()
 	return slices.Contains([]wire.Role{wire.RoleServe, wire.RoleDrain, wire.RoleMember, wire.RoleLead, wire.RoleClose}, first)
 }
 
-// exportKV gives the blocks of a stream's prompt.
-func (engine *Engine) exportKV(writer http.ResponseWriter, request *http.Request) {
+// serveExportKV returns the blocks of a stream's prompt.
+func (engine *Engine) serveExportKV(writer http.ResponseWriter, request *http.Request) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	found := engine.streams[request.URL.Query().Get("stream")]
@@ -277,11 +277,11 @@
 		http.Error(writer, "no such stream, or its prompt is not processed yet", http.StatusNotFound)
 		return
 	}
-	reply(writer, wire.KV{Prefixes: found.sums, Tokens: peridotpath.Tokens(len(found.sums) * blockTokens)})
+	writeJSON(writer, wire.KV{Prefixes: found.blockHashes, Tokens: peridotpath.Tokens(len(found.blockHashes) * blockTokens)})
 }
 
-// importKV puts a prefix into the cache, as far as there is room.
-func (engine *Engine) importKV(writer http.ResponseWriter, request *http.Request) {
+// serveImportKV adds a prefix to the cache, as far as there is room.
+func (engine *Engine) serveImportKV(writer http.ResponseWriter, request *http.Request) {
 	var kv wire.KV
 	if err := json.NewDecoder(request.Body).Decode(&kv); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
@@ -289,8 +289,8 @@
 	}
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	now, room := time.Now(), engine.capacity()-engine.used
+	now, room := time.Now(), engine.capacity()-engine.privateKV
 	engine.cache.add(kv.Prefixes[:min(len(kv.Prefixes), int(room/blockTokens))], now)
-	engine.cache.shrink(room, now)
-	reply(writer, wire.KV{Tokens: peridotpath.Tokens(engine.cache.match(kv.Prefixes) * blockTokens)})
+	engine.cache.evictTo(room, now)
+	writeJSON(writer, wire.KV{Tokens: peridotpath.Tokens(engine.cache.cachedBlocks(kv.Prefixes) * blockTokens)})
 }
--- a/peridotpath/engine/enginetest/stream.go
+++ b/peridotpath/engine/enginetest/stream.go
@@ -17,7 +17,7 @@
 	errClosed   = errs.Class("closed to work")
 )
 
-// sender is what the headers say of a request.
+// sender holds the request's headers that identify its sender and priority.
 type sender struct {
 	id          string
 	priority    int
@@ -25,61 +25,60 @@
 	incarnation peridotpath.Incarnation
 }
 
-// stream is one prompt from its admission until its memory is free. The
-// engine's lock covers it.
+// stream is a prompt with its answer, from admission until its memory is freed. It is
+// guarded by the engine's mutex.
 type stream struct {
-	engine *Engine
-	id     string
-	sender sender
-	prompt *prompt
-	seed   uint64
-	sums   []uint64
-	// pins is how many of the blocks in sums it shares with others, and held the
-	// KV memory that it has for itself.
-	pins        int
-	held        peridotpath.Tokens
-	prefillLeft float64
-	produced    float64
-	finished    bool
-	cancelled   bool
-	// lost says that the engine forgot the stream: it can't be resumed.
-	lost bool
-	// attached counts readers; detachedAt is when the last one left.
-	attached   int
+	engine      *Engine
+	id          string
+	sender      sender
+	prompt      *prompt
+	seed        uint64
+	blockHashes []uint64
+	// pinnedBlocks is the number of blockHashes that the stream pins in the cache;
+	// privateKV is the KV memory that it does not share.
+	pinnedBlocks int
+	privateKV    peridotpath.Tokens
+	prefillLeft  float64
+	produced     float64
+	finished     bool
+	cancelled    bool
+	notResumable bool
+	// readers counts the attached readers; detachedAt is the time at which the last one left.
+	readers    int
 	detachedAt time.Time
-	// readAt is when a reader had the whole answer.
+	// readAt is the time at which a reader received the whole answer.
 	readAt time.Time
-	// changed is closed when there is more to read.
+	// changed is closed when there is more to read or the stream ends.
 	changed chan struct{}
 }
 
-func (stream *stream) decoding() bool {
+func (stream *stream) isDecoding() bool {
 	return stream.prefillLeft <= 0 && !stream.finished
 }
 
 // produce adds tokens to the answer.
 func (stream *stream) produce(tokens float64) {
 	before := int(stream.produced)
-	stream.produced = min(stream.produced+tokens, float64(stream.prompt.output))
-	if stream.produced >= float64(stream.prompt.output) {
+	stream.produced = min(stream.produced+tokens, float64(stream.prompt.outputTokens))
+	if stream.produced >= float64(stream.prompt.outputTokens) {
 		stream.finished = true
-		stream.engine.count(stream.sender.id, func(count *count) { count.Finished++ })
+		stream.engine.updateCounts(stream.sender.id, func(count *count) { count.Finished++ })
 	}
 	if int(stream.produced) > before {
-		stream.wake()
+		stream.notifyReaders()
 	}
 }
 
-func (stream *stream) wake() {
+func (stream *stream) notifyReaders() {
 	close(stream.changed)
 	stream.changed = make(chan struct{})
 }
 
-// settle frees what is no longer needed. A finished stream keeps its memory
-// until its reader has the whole answer.
-func (stream *stream) settle(now time.Time) {
+// freeUnneeded frees memory that is no longer needed. A finished stream keeps its memory
+// until a reader has received the whole answer.
+func (stream *stream) freeUnneeded(now time.Time) {
 	hold := stream.engine.DetachedHold
-	if hold > 0 && stream.attached == 0 && now.Sub(stream.detachedAt) >= hold {
+	if hold > 0 && stream.readers == 0 && now.Sub(stream.detachedAt) >= hold {
 		stream.cancel()
 	}
 	if stream.finished && !stream.readAt.IsZero() {
@@ -87,45 +86,45 @@
 	}
 }
 
-// share puts the blocks of a prompt that is now processed into the cache, where
-// other prompts find them.
-func (stream *stream) share(now time.Time) {
-	engine, private := stream.engine, stream.sums[stream.pins:]
+// shareBlocks moves the blocks of a prompt whose prefill is complete to the cache, where
+// other prompts can use them.
+func (stream *stream) shareBlocks(now time.Time) {
+	engine, private := stream.engine, stream.blockHashes[stream.pinnedBlocks:]
 	moved := peridotpath.Tokens(len(private) * blockTokens)
-	stream.held -= moved
-	engine.used -= moved
+	stream.privateKV -= moved
+	engine.privateKV -= moved
 	engine.cache.add(private, now)
 	engine.cache.pin(private)
-	stream.pins = len(stream.sums)
+	stream.pinnedBlocks = len(stream.blockHashes)
 }
 
-// free gives the memory back; the prompt's blocks stay until others need it.
+// free releases the stream's memory; its prompt's blocks stay cached until evicted.
 func (stream *stream) free() {
 	engine := stream.engine
-	at := slices.Index(engine.order, stream)
-	if at < 0 {
+	index := slices.Index(engine.activeStreams, stream)
+	if index < 0 {
 		return
 	}
-	engine.order = slices.Delete(engine.order, at, at+1)
-	engine.used -= stream.held
-	engine.cache.unpin(stream.sums[:stream.pins])
-	stream.held, stream.pins = 0, 0
+	engine.activeStreams = slices.Delete(engine.activeStreams, index, index+1)
+	engine.privateKV -= stream.privateKV
+	engine.cache.unpin(stream.blockHashes[:stream.pinnedBlocks])
+	stream.privateKV, stream.pinnedBlocks = 0, 0
 }
 
-// cancel ends the stream; nothing of it can be read afterwards.
+// cancel ends and removes the stream; it cannot be read afterwards.
 func (stream *stream) cancel() {
 	if !stream.finished && !stream.cancelled {
-		stream.engine.count(stream.sender.id, func(count *count) { count.Cancelled++ })
+		stream.engine.updateCounts(stream.sender.id, func(count *count) { count.Cancelled++ })
 	}
 	stream.cancelled = true
 	stream.free()
 	delete(stream.engine.streams, stream.id)
-	stream.wake()
+	stream.notifyReaders()
 }
 
-// ready returns how many events can be read, whether no more will come, and a
-// channel that is closed when that changes.
-func (stream *stream) ready() (int64, bool, <-chan struct{}) {
+// available returns the number of events that can be read, whether that is final, and a
+// channel that is closed when it changes.
+func (stream *stream) available() (int64, bool, <-chan struct{}) {
 	engine := stream.engine
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -133,75 +132,75 @@
 		return 0, true, stream.changed
 	}
 	if stream.finished {
-		return stream.events(), true, stream.changed
+		return stream.eventCount(), true, stream.changed
 	}
 	if stream.produced < 1 {
 		return 0, false, stream.changed
 	}
-	return stream.opening() + int64(stream.produced), false, stream.changed
+	return stream.roleEventCount() + int64(stream.produced), false, stream.changed
 }
 
-// read notes that a reader has the whole answer, which frees the memory.
-func (stream *stream) read() {
+// markRead records that a reader has received the whole answer, and frees the memory.
+func (stream *stream) markRead() {
 	stream.engine.mu.Lock()
 	defer stream.engine.mu.Unlock()
 	now := time.Now()
 	if stream.readAt.IsZero() {
-		stream.engine.done = append(stream.engine.done, stream)
+		stream.engine.readStreams = append(stream.engine.readStreams, stream)
 	}
 	stream.readAt = now
 	stream.free()
 }
 
-// detach notes that a reader left.
-func (stream *stream) detach() {
+// detachReader removes a reader.
+func (stream *stream) detachReader() {
 	stream.engine.mu.Lock()
 	defer stream.engine.mu.Unlock()
-	stream.attached--
-	if stream.attached == 0 {
+	stream.readers--
+	if stream.readers == 0 {
 		stream.detachedAt = time.Now()
 	}
 }
 
-// attach finds a stream that is to be resumed, and adds a reader.
-func (engine *Engine) attach(id string) *stream {
+// attachReader returns the stream with a reader added, or nil if it cannot be resumed.
+func (engine *Engine) attachReader(id string) *stream {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	stream := engine.streams[id]
-	if stream == nil || stream.lost {
+	if stream == nil || stream.notResumable {
 		return nil
 	}
-	stream.attached++
+	stream.readers++
 	return stream
 }
 
-// drop cancels a stream by its id and reports whether it was there. With
-// onlyDetached a stream that has a reader is left alone.
-func (engine *Engine) drop(id string, onlyDetached bool) bool {
+// cancelStream cancels a stream by its id and reports whether it existed. With onlyDetached
+// it does not cancel a stream that has a reader.
+func (engine *Engine) cancelStream(id string, onlyDetached bool) bool {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	stream := engine.streams[id]
 	if stream == nil {
 		return false
 	}
-	if !onlyDetached || stream.attached == 0 {
+	if !onlyDetached || stream.readers == 0 {
 		stream.cancel()
 	}
 	return true
 }
 
-// list returns the streams that hold memory.
-func (engine *Engine) list() []wire.StreamInfo {
+// streamInfos returns the streams that hold memory.
+func (engine *Engine) streamInfos() []wire.StreamInfo {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	now := time.Now()
 	infos := []wire.StreamInfo{}
-	for _, stream := range engine.order {
+	for _, stream := range engine.activeStreams {
 		info := wire.StreamInfo{
 			ID: stream.id, RequestID: peridotpath.RequestID(stream.sender.id), Instance: stream.sender.instance,
-			Incarnation: stream.sender.incarnation, KVTokens: stream.held + peridotpath.Tokens(stream.pins*blockTokens),
+			Incarnation: stream.sender.incarnation, KVTokens: stream.privateKV + peridotpath.Tokens(stream.pinnedBlocks*blockTokens),
 		}
-		if stream.attached == 0 {
+		if stream.readers == 0 {
 			info.DetachedMS = peridotpath.Millis(max(now.Sub(stream.detachedAt).Milliseconds(), 1))
 		}
 		infos = append(infos, info)
@@ -209,8 +208,8 @@
 	return infos
 }
 
-// eventText returns an event in the form of server-sent events.
-func (stream *stream) eventText(buffer []byte, offset int64) []byte {
+// appendEvent returns an event in the server-sent events format.
+func (stream *stream) appendEvent(buffer []byte, offset int64) []byte {
 	buffer = append(buffer[:0], "id: "...)
 	buffer = strconv.AppendInt(buffer, offset, 10)
 	buffer = append(buffer, "\ndata: "...)
@@ -218,10 +217,10 @@
 	return append(buffer, "\n\n"...)
 }
 
-// forget drops streams whose reader had the whole answer long ago.
-func (engine *Engine) forget(now time.Time) {
-	for len(engine.done) > 0 && now.Sub(engine.done[0].readAt) >= finishedHold {
-		delete(engine.streams, engine.done[0].id)
-		engine.done = engine.done[1:]
+// removeExpired removes streams that were read to their end at least finishedRetention ago.
+func (engine *Engine) removeExpired(now time.Time) {
+	for len(engine.readStreams) > 0 && now.Sub(engine.readStreams[0].readAt) >= finishedRetention {
+		delete(engine.streams, engine.readStreams[0].id)
+		engine.readStreams = engine.readStreams[1:]
 	}
 }
--- a/peridotpath/engine/events.go
+++ b/peridotpath/engine/events.go
@@ -9,46 +9,47 @@
 )
 
 const (
-	// eventBuffer holds several ordinary events; there is one for each stream.
-	eventBuffer = 4 << 10
-	// maxEvent bounds one event, so that an endpoint that never ends a line
-	// costs bounded memory.
-	maxEvent = 1 << 20
+	// eventBufferBytes is the read buffer of each stream; it holds several typical events.
+	eventBufferBytes = 4 << 10
+	// maxEventBytes bounds the size of an event, and so the memory that an endpoint can
+	// take up by never ending a line.
+	maxEventBytes = 1 << 20
 )
 
 // Event is one server-sent event. Data is valid until the next call of Next.
 type Event struct {
-	// Offset is the event's number in its stream, from the id field; -1 without.
+	// Offset is the event's number in its stream, from the id field, or -1 if there
+	// is none.
 	Offset int64
-	// Data is the event's data, several data lines joined by line feeds.
+	// Data is the event's data; several data lines are joined by line feeds.
 	Data []byte
 }
 
-// Events reads server-sent events from a stream.
+// Events is a reader of server-sent events.
 type Events struct {
 	reader *bufio.Reader
 	line   []byte
 	data   []byte
 }
 
-// Read returns a reader of the events in stream.
+// Read returns a reader of the server-sent events in stream.
 func Read(stream io.Reader) *Events {
-	return &Events{reader: bufio.NewReaderSize(stream, eventBuffer)}
+	return &Events{reader: bufio.NewReaderSize(stream, eventBufferBytes)}
 }
 
-// Next returns the next event that has data. It returns io.EOF at the end of
-// the stream; an event cut off by the end is dropped, since it may be partial.
+// Next returns the next event that has data, or io.EOF at the end of the stream. An
+// event that is not terminated by an empty line is dropped, as it may be incomplete.
 func (events *Events) Next() (Event, error) {
 	event := Event{Offset: -1}
 	events.data = events.data[:0]
-	seen := false
+	hasData := false
 	for {
 		line, err := events.readLine()
 		if err != nil {
 			return Event{}, err
 		}
 		if len(line) == 0 {
-			if seen {
+			if hasData {
 				event.Data = events.data
 				return event, nil
 			}
@@ -58,44 +59,44 @@
 		value = bytes.TrimPrefix(value, []byte(" "))
 		switch string(field) {
 		case "data":
-			if seen {
+			if hasData {
 				events.data = append(events.data, '\n')
 			}
 			events.data = append(events.data, value...)
-			seen = true
+			hasData = true
 		case "id":
 			if offset, err := strconv.ParseInt(string(value), 10, 64); err == nil && offset >= 0 {
 				event.Offset = offset
 			}
 		}
-		if len(events.data) > maxEvent {
-			return Event{}, ErrFailed.New("event larger than %d bytes", maxEvent)
+		if len(events.data) > maxEventBytes {
+			return Event{}, ErrFailed.New("event larger than %d bytes", maxEventBytes)
 		}
 	}
 }
 
-// readLine returns one line without its end. The line is valid until the next call.
+// readLine returns one line without its line ending. It is valid until the next call.
 func (events *Events) readLine() ([]byte, error) {
 	events.line = events.line[:0]
 	for {
 		part, err := events.reader.ReadSlice('\n')
 		if err == nil && len(events.line) == 0 {
-			return trimEnd(part), nil
+			return trimLineEnding(part), nil
 		}
 		events.line = append(events.line, part...)
 		if err == nil {
-			return trimEnd(events.line), nil
+			return trimLineEnding(events.line), nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
 		}
-		if len(events.line) > maxEvent {
-			return nil, ErrFailed.New("line larger than %d bytes", maxEvent)
+		if len(events.line) > maxEventBytes {
+			return nil, ErrFailed.New("line larger than %d bytes", maxEventBytes)
 		}
 	}
 }
 
-func trimEnd(line []byte) []byte {
+func trimLineEnding(line []byte) []byte {
 	line = bytes.TrimSuffix(line, []byte("\n"))
 	return bytes.TrimSuffix(line, []byte("\r"))
 }
--- a/peridotpath/engine/events_test.go
+++ b/peridotpath/engine/events_test.go
@@ -13,9 +13,8 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-// FuzzEvents holds the reader of streams to what it promises, whatever an
-// endpoint sends: it ends, it gives no event larger than its bound, and an event
-// that is cut off by the end of the stream is never given.
+// FuzzEvents checks that the reader terminates on any input, and that the events it
+// returns have valid offsets and no more data than it read.
 func FuzzEvents(f *testing.F) {
 	for _, seed := range []string{
 		"id: 0\ndata: {}\n\n", "data: a\ndata: b\n\n", "data: cut off", ":\n\n\r\n", "id: -1\ndata:x\n\n",
@@ -37,7 +36,7 @@
 			}
 		}
 		if total > len(text) {
-			t.Fatalf("want no more than the %d bytes that came, have %d", len(text), total)
+			t.Fatalf("want no more than the %d bytes of input, have %d", len(text), total)
 		}
 	})
 }
@@ -53,10 +52,10 @@
 		{"several data lines", "data: a\ndata: b\n\n", "-1:a\nb", io.EOF},
 		{"cut off", "id: 3\ndata: a\n\nid: 4\ndata: b\n", "3:a", io.EOF},
 		{"carriage returns", "id: 3\r\ndata: a\r\n\r\n", "3:a", io.EOF},
-		{"an id that is no number", "id: x\ndata: a\n\n", "-1:a", io.EOF},
+		{"id is not a number", "id: x\ndata: a\n\n", "-1:a", io.EOF},
 		{"comments", ": alive\n\ndata: a\n\n", "-1:a", io.EOF},
-		{"a line without an end", "data: " + strings.Repeat("a", 2<<20), "", nil},
-		{"an event without an end", strings.Repeat("data: "+strings.Repeat("a", 1000)+"\n", 2000), "", nil},
+		{"endless line", "data: " + strings.Repeat("a", 2<<20), "", nil},
+		{"endless event", strings.Repeat("data: "+strings.Repeat("a", 1000)+"\n", 2000), "", nil},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/peridotpath/engine/wire.go
+++ b/peridotpath/engine/wire.go
@@ -1,5 +1,7 @@
-// Package engine speaks to model engines: it sends prompts, reads streams of
-// server-sent events, resumes and cancels streams, and reads load reports.
+// Package engine is the HTTP client of model engines: it sends prompts, reads,
+// resumes and cancels streams of server-sent events, reads load reports and sends
+// orders. It classifies failed attempts by whether the request may have run, on which
+// safe retries depend.
 package engine
 
 import (
@@ -8,8 +10,8 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Paths of an engine's HTTP form. The completion paths are those that LLM
-// servers already have; the others are named in this file alone.
+// Paths of an engine's HTTP API. The completion paths are those of common LLM
+// servers; the others are specific to this system.
 const (
 	PathCompletions     = "/v1/completions"
 	PathChatCompletions = "/v1/chat/completions"
@@ -17,53 +19,55 @@
 	PathLoad            = "/load"
 )
 
-// Headers of an engine's HTTP form.
+// Headers of an engine's HTTP API.
 const (
-	// HeaderRequestID carries the request id through every process.
+	// HeaderRequestID holds the request id, which all processes forward.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderPriority carries the priority; higher goes first.
+	// HeaderPriority holds the priority; higher values are served first.
 	HeaderPriority = "X-Priority"
-	// HeaderDeadlineMS carries the milliseconds that are left.
+	// HeaderDeadlineMS holds the milliseconds until the deadline.
 	HeaderDeadlineMS = "X-Deadline-Ms"
-	// HeaderInstance and HeaderIncarnation name the sender, so that what it
-	// leaves behind can be told from what a living process holds.
+	// HeaderInstance and HeaderIncarnation identify the sending process, so that
+	// streams of a dead process can be distinguished from those of a live one.
 	HeaderInstance    = "X-Instance"
 	HeaderIncarnation = "X-Incarnation"
-	// HeaderStreamID names a stream in an answer.
+	// HeaderStreamID holds the stream id in a response.
 	HeaderStreamID = "X-Stream-Id"
-	// HeaderNotRun on a refusal says that the engine did not begin the work.
+	// HeaderNotRun on a refusal states that the engine did not start the request.
 	HeaderNotRun = "X-Not-Run"
-	// NotRunLeaving is the value of HeaderNotRun where the engine takes no new
-	// work because it is leaving the fleet.
+	// NotRunLeaving is the value of HeaderNotRun if the engine accepts no new
+	// requests because it is leaving the fleet.
 	NotRunLeaving = "leaving"
 )
 
-// Done is the data of the event that ends a whole stream.
+// Done is the data of the last event of a complete stream.
 const Done = "[DONE]"
 
-// StreamInfo is what an engine says of one stream that it holds.
+// StreamInfo is an engine's report on a stream that it holds.
 type StreamInfo struct {
 	ID          string                  `json:"id"`
 	RequestID   peridotpath.RequestID   `json:"request_id"`
 	Instance    peridotpath.InstanceID  `json:"instance"`
 	Incarnation peridotpath.Incarnation `json:"incarnation"`
 	KVTokens    peridotpath.Tokens      `json:"kv_tokens"`
-	// DetachedMS is how long no reader has been attached; zero while one is.
+	// DetachedMS is the time since the last reader detached; zero while one is attached.
 	DetachedMS peridotpath.Millis `json:"detached_ms"`
 }
 
-// The classes of failure of an attempt.
+// Classes of failed attempts.
 var (
-	// ErrUnreached says that no connection was made: certainly not run.
+	// ErrUnreached is the class of attempts without a connection; the request did
+	// not run.
 	ErrUnreached = errs.Class("engine: unreached")
-	// ErrRefused says that the engine refused before it began: certainly not run.
+	// ErrRefused is the class of requests that the engine refused before starting
+	// them; they did not run.
 	ErrRefused = errs.Class("engine: refused")
-	// ErrLeaving says, within ErrRefused, that the engine is leaving the fleet.
+	// ErrLeaving is wrapped by ErrRefused if the engine is leaving the fleet.
 	ErrLeaving = errs.Class("engine: leaving")
-	// ErrBadRequest says that the engine found fault with the request itself.
+	// ErrBadRequest is the class of requests that the engine rejected as invalid.
 	ErrBadRequest = errs.Class("engine: bad request")
-	// ErrFailed says that the attempt failed and may have run.
+	// ErrFailed is the class of failed attempts whose request may have run.
 	ErrFailed = errs.Class("engine: failed")
-	// ErrGone says that the stream to be resumed is no longer there.
+	// ErrGone is the class of attempts to resume a stream that no longer exists.
 	ErrGone = errs.Class("engine: stream gone")
 )
