--- a/peridotd/daemon.go
+++ b/peridotd/daemon.go
@@ -90,7 +90,7 @@
 		Log: daemon.log, Config: daemon.currentConfig, Ready: daemon.ready,
 		Do: daemon.dispatcher.Do, Continue: daemon.dispatcher.Continue, DoPlain: daemon.dispatcher.DoPlain,
 		Endpoint: daemon.fleet.follower.Endpoint, EngineHolds: daemon.fleet.largestEngineKV, IsPlain: daemon.fleet.hasOnlyPlainEndpoints,
-		Oversize: daemon.groups.counter.Note, Signer: daemon.signer, Claims: daemon.claims,
+		Oversize: daemon.groups.counter.RecordPrompt, Signer: daemon.signer, Claims: daemon.claims,
 		MaxActive: limits.MaxConnections, MaxHeaderBytes: limits.MaxHeaderBytes,
 		Bodies: caller.NewBodies(limits.MaxBodyBytes, limits.BodyMemoryBytes, bodyTimeout),
 	}
--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -71,10 +71,10 @@
 
 func (tracker *fleetTracker) initLoadReports(daemon *daemon) {
 	tracker.digests = &digest.Book{Epoch: uint64(daemon.incarnation)}
-	tracker.poller = &fleet.Poller{View: tracker.view, Book: tracker.digests, Load: daemon.engines.Load, Owns: tracker.ownsEndpoint}
+	tracker.poller = &fleet.Poller{View: tracker.view, Book: tracker.digests, Load: daemon.engines.FetchLoad, Owns: tracker.ownsEndpoint}
 	tracker.sweeper = &sweep.Sweeper{
 		Log: daemon.log, Engines: tracker.view.Engines, IsOwner: tracker.ownsEndpoint,
-		ListStreams: daemon.engines.Streams, CancelStream: daemon.engines.Cancel, ResumeWindow: resumeWindow,
+		ListStreams: daemon.engines.ListStreams, CancelStream: daemon.engines.Cancel, ResumeWindow: resumeWindow,
 	}
 }
 
--- a/peridotd/shift.go
+++ b/peridotd/shift.go
@@ -40,7 +40,7 @@
 // instance is a candidate. The holder of a site's lease sends orders to its engines.
 type groupController struct {
 	daemon  *daemon
-	counter *shift.Counter
+	counter *shift.DemandCounter
 	running map[site]*siteTask
 }
 
@@ -59,7 +59,7 @@
 func newGroupController(daemon *daemon) *groupController {
 	return &groupController{
 		daemon:  daemon,
-		counter: &shift.Counter{Store: daemon.keyValue, Interval: demandInterval},
+		counter: &shift.DemandCounter{Store: daemon.keyValue, Interval: demandInterval},
 		running: map[site]*siteTask{},
 	}
 }
@@ -149,7 +149,7 @@
 	daemon := controller.daemon
 	dataCentre, service := site.dataCentre, site.service
 	ctx, cancel := context.WithCancel(ctx)
-	book := &order.Book{Store: daemon.keyValue, Key: order.Key(dataCentre, service)}
+	book := &order.DesiredStore{Store: daemon.keyValue, Key: order.Key(dataCentre, service)}
 	holder := &lease.Holder{
 		Store: daemon.keyValue, Key: lease.Key(dataCentre, service),
 		Instance: daemon.settings.InstanceID, Incarnation: daemon.incarnation,
@@ -161,21 +161,21 @@
 			return desired.Revision == 0, err
 		},
 	}
-	engines := &shift.Engines{
+	engines := &shift.EngineClient{
 		Client: daemon.engines, Endpoints: func() []peridotpath.Endpoint { return controller.enginesOf(site) },
 	}
 	reconciler := &order.Reconciler{
 		Desired: book.Get, Held: holder.Held, Logger: daemon.log,
 		Endpoints: engines.Endpoints,
-		Read:      engines.State, Send: engines.Order,
+		ReadState: engines.ReadState, SendOrder: engines.SendOrder,
 		Settings: order.Settings{LongestOrderMS: maxOrderMS},
 	}
-	keeper := &shift.Keeper{
+	keeper := &shift.Controller{
 		Log: daemon.log, Store: daemon.keyValue, DataCentre: dataCentre, Service: service,
-		Book: book, Held: holder.Held, Interval: shiftInterval, Limits: shift.Limits{Hold: groupIdleTime},
-		Engines: engines.Look,
-		Sites:   func() []shift.Site { return controller.countEngines(service) },
-		Longest: func() peridotpath.Tokens { return controller.maxRequestTokens(service) },
+		DesiredStore: book, Held: holder.Held, Interval: shiftInterval, Limits: shift.Limits{GroupIdleTimeout: groupIdleTime},
+		ReadEngines:     engines.ReadEngines,
+		Sites:           func() []shift.Site { return controller.countEngines(service) },
+		MaxPromptTokens: func() peridotpath.Tokens { return controller.maxRequestTokens(service) },
 	}
 	task := &siteTask{cancel: cancel, ended: make(chan struct{})}
 	go func() {
@@ -187,7 +187,7 @@
 
 // runSite runs the control of one site until ctx ends. The lease is released only after
 // the last order has ended.
-func runSite(ctx context.Context, holder *lease.Holder, reconciler *order.Reconciler, keeper *shift.Keeper) {
+func runSite(ctx context.Context, holder *lease.Holder, reconciler *order.Reconciler, keeper *shift.Controller) {
 	var holding, ordering errgroup.Group
 	holding.Go(func() error { return holder.Run(context.WithoutCancel(ctx)) })
 	ordering.Go(func() error { return reconciler.Run(ctx) })
--- a/peridotpath/caller/resume_test.go
+++ b/peridotpath/caller/resume_test.go
@@ -40,7 +40,7 @@
 func TestResumeElsewhereAtEveryToken(t *testing.T) {
 	const tokens = 20
 	body := lineBody("leaf 12, line 4", tokens, true)
-	want := enginetest.Answer(enginetest.Seed([]byte(body)), tokens)
+	want := enginetest.Answer(enginetest.AnswerSeed([]byte(body)), tokens)
 	for boundary := 1; ; boundary++ {
 		var first, rest *stream
 		synctest.Test(t, func(t *testing.T) {
@@ -155,7 +155,7 @@
 			<-done
 		}
 		for i, key := range keys {
-			want := enginetest.Answer(enginetest.Seed([]byte(lineBody("claim of "+key, 20, true))), 20)
+			want := enginetest.Answer(enginetest.AnswerSeed([]byte(lineBody("claim of "+key, 20, true))), 20)
 			is.Equal(answers[i].line, want)
 			is.True(strings.Contains(answers[i].claim, `"service":"desk-app"`))
 			is.True(!strings.HasSuffix(answers[i].claim, "true")) // not the other's answer played back
@@ -199,6 +199,6 @@
 		time.Sleep(3 * time.Second)
 		answer := stack.readAll(t.Context(), t, "http://"+there+engine.PathCompletions, apiKey, body, header)
 		rest := readStream(strings.NewReader(answer.text), 0)
-		is.Equal(begun.text+rest.text, enginetest.Answer(enginetest.Seed([]byte(body)), 400))
+		is.Equal(begun.text+rest.text, enginetest.Answer(enginetest.AnswerSeed([]byte(body)), 400))
 	})
 }
--- a/peridotpath/caller/stack_test.go
+++ b/peridotpath/caller/stack_test.go
@@ -179,7 +179,7 @@
 		switch {
 		case !found:
 			continue
-		case data == engine.Done:
+		case data == engine.EndMark:
 			stream.done = true
 		case strings.Contains(data, `"error":`):
 			stream.failure = codeOf(data)
--- a/peridotpath/dispatch/attempt.go
+++ b/peridotpath/dispatch/attempt.go
@@ -45,7 +45,7 @@
 // plain service.
 func (dispatcher *Dispatcher) sendFailed(ctx context.Context, work *decide.Work, endpoint peridotpath.EndpointID, err error) attempt {
 	dispatcher.noteLeaving(endpoint, err)
-	unreached := engine.ErrUnreached.Has(err) || service.ErrUnreached.Has(err)
+	unreached := engine.ErrNotConnected.Has(err) || service.ErrUnreached.Has(err)
 	refused := engine.ErrRefused.Has(err) || service.ErrRefused.Has(err)
 	detail := err.Error()
 	switch {
--- a/peridotpath/dispatch/dispatch_test.go
+++ b/peridotpath/dispatch/dispatch_test.go
@@ -31,7 +31,7 @@
 		idempotent, other bool
 		code              peridotpath.Code
 	}{
-		"connection never made":  {"", engine.ErrUnreached.Wrap(errReset), true, true, 0},
+		"connection never made":  {"", engine.ErrNotConnected.Wrap(errReset), true, true, 0},
 		"refused as not run":     {"", engine.ErrRefused.New("full"), true, true, 0},
 		"failed after sending":   {"", engine.ErrFailed.Wrap(errReset), true, false, peridotpath.CodeOutcomeUnknown},
 		"empty success":          {"data: [DONE]\n\n", nil, true, false, peridotpath.CodeOutcomeUnknown},
@@ -112,7 +112,7 @@
 		fixture.send = func(int, context.Context) (*engine.Answer, error) {
 			return answered(events(0, 1, false)+events(3, 4, true), nil), nil
 		}
-		fixture.resume = func(int, int64) (*engine.Answer, error) { return nil, engine.ErrGone.New("s1") }
+		fixture.resume = func(int, int64) (*engine.Answer, error) { return nil, engine.ErrStreamGone.New("s1") }
 		defer fixture.run(t)()
 		received := &received{}
 		result := fixture.Do(t.Context(), request(true), received.sink())
--- a/peridotpath/dispatch/prompt.go
+++ b/peridotpath/dispatch/prompt.go
@@ -57,7 +57,7 @@
 
 // dropBody gives the body's memory back.
 func (request *Request) dropBody() {
-	request.Body.Drop()
+	request.Body.Release()
 	if request.Free != nil {
 		request.Free()
 	}
--- a/peridotpath/dispatch/relay.go
+++ b/peridotpath/dispatch/relay.go
@@ -81,7 +81,7 @@
 	fruitless := 0
 	for {
 		before := stream.next
-		whole, err := stream.pass(ctx, engine.Read(answer.Body))
+		whole, err := stream.pass(ctx, engine.NewEventReader(answer.Body))
 		answer.Body.Close()
 		if whole {
 			return stream.finish()
@@ -108,7 +108,7 @@
 var errSink = errs.Class("dispatch: write to the caller")
 
 // pass relays events until the end mark (true) or a failure.
-func (stream *stream) pass(ctx context.Context, events *engine.Events) (bool, error) {
+func (stream *stream) pass(ctx context.Context, events *engine.EventReader) (bool, error) {
 	for {
 		event, err := events.Next()
 		if err != nil {
@@ -126,7 +126,7 @@
 		if event.Offset > stream.next {
 			return false, engine.ErrFailed.New("event %d came, %d was due", event.Offset, stream.next)
 		}
-		if string(event.Data) == engine.Done {
+		if string(event.Data) == engine.EndMark {
 			return true, nil
 		}
 		if !strictjson.Valid(event.Data) {
@@ -181,7 +181,7 @@
 	if !stream.started {
 		return failed(stream.work, telemetry.RetryBadAnswer, peridotpath.CodeBadAnswer, "stream without content")
 	}
-	return delivered(stream.tokens, stream.sink.Event(stream.next, []byte(engine.Done)))
+	return delivered(stream.tokens, stream.sink.Event(stream.next, []byte(engine.EndMark)))
 }
 
 // stopped returns how the attempt ends if the caller left or the time ran out,
@@ -204,14 +204,14 @@
 // event of a whole stream, as browsers do by themselves, would else have the
 // endpoint asked without pause until its deadline.
 func (stream *stream) resume(ctx context.Context, delays []time.Duration) (*engine.Answer, error) {
-	err := engine.ErrGone.New("the endpoint named no stream")
+	err := engine.ErrStreamGone.New("the endpoint named no stream")
 	for _, delay := range delays {
 		if stream.id == "" || !clock.SleepContext(ctx, delay) {
 			return nil, err
 		}
 		var answer *engine.Answer
 		answer, err = stream.dispatcher.Resume(ctx, stream.endpoint.Address, stream.id, stream.next-1)
-		if err == nil || engine.ErrGone.Has(err) {
+		if err == nil || engine.ErrStreamGone.Has(err) {
 			return answer, err
 		}
 	}
--- a/peridotpath/dispatch/resume_test.go
+++ b/peridotpath/dispatch/resume_test.go
@@ -29,7 +29,7 @@
 		const enough = 100
 		fixture.resume = func(call int, _ int64) (*engine.Answer, error) {
 			if call > enough {
-				return nil, engine.ErrGone.New("asked %d times", call)
+				return nil, engine.ErrStreamGone.New("asked %d times", call)
 			}
 			return &engine.Answer{Status: 200, Body: io.NopCloser(strings.NewReader(""))}, nil
 		}
--- a/peridotpath/engine/body.go
+++ b/peridotpath/engine/body.go
@@ -23,8 +23,8 @@
 	return body
 }
 
-// Drop releases the bytes. Later reads fail.
-func (body *Body) Drop() { body.bytes.Store(nil) }
+// Release releases the bytes. Later reads fail.
+func (body *Body) Release() { body.bytes.Store(nil) }
 
 // Len returns the number of bytes, zero once they are released.
 func (body *Body) Len() int {
--- a/peridotpath/engine/body_test.go
+++ b/peridotpath/engine/body_test.go
@@ -28,7 +28,7 @@
 	piece := make([]byte, 3)
 	_, err := request.Body.Read(piece)
 	is.NoErr(err)
-	body.Drop()
+	body.Release()
 	_, err = io.ReadAll(request.Body)
 	is.True(errors.Is(err, io.ErrUnexpectedEOF))
 	is.Equal(body.Len(), 0)
--- a/peridotpath/engine/client.go
+++ b/peridotpath/engine/client.go
@@ -58,7 +58,7 @@
 func (client *Client) Send(ctx context.Context, address netip.AddrPort, prompt *Request) (*Answer, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+prompt.Path, nil)
 	if err != nil {
-		return nil, ErrUnreached.Wrap(err)
+		return nil, ErrNotConnected.Wrap(err)
 	}
 	if prompt.Body != nil {
 		prompt.Body.attach(request)
@@ -81,7 +81,7 @@
 // classify returns an Answer for a successful response, otherwise a classified error.
 func classify(response *http.Response, err error) (*Answer, error) {
 	if outbound.ErrNotSent.Has(err) {
-		return nil, ErrUnreached.Wrap(err)
+		return nil, ErrNotConnected.Wrap(err)
 	}
 	if err != nil {
 		return nil, ErrFailed.Wrap(err)
@@ -108,7 +108,7 @@
 	case response.Header.Get(HeaderNotRun) != "":
 		class = &ErrRefused
 	case response.StatusCode == http.StatusGone || response.StatusCode == http.StatusNotFound:
-		class = &ErrGone
+		class = &ErrStreamGone
 	case response.StatusCode == http.StatusBadRequest || response.StatusCode == http.StatusUnprocessableEntity:
 		class = &ErrBadRequest
 	}
@@ -121,7 +121,7 @@
 	target := "http://" + address.String() + PathStreams + "/" + url.PathEscape(stream) + "?after=" + strconv.FormatInt(after, 10)
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return nil, ErrGone.Wrap(err)
+		return nil, ErrStreamGone.Wrap(err)
 	}
 	client.setSender(request)
 	return classify(client.do(request))
@@ -136,21 +136,21 @@
 		target += "?only_detached=true"
 	}
 	err := client.control(ctx, http.MethodDelete, target, nil)
-	if ErrGone.Has(err) {
+	if ErrStreamGone.Has(err) {
 		return nil
 	}
 	return err
 }
 
-// Load returns the engine's load report.
-func (client *Client) Load(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error) {
+// FetchLoad returns the engine's load report.
+func (client *Client) FetchLoad(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error) {
 	var load peridotpath.Load
 	err := client.control(ctx, http.MethodGet, "http://"+address.String()+PathLoad, &load)
 	return load, err
 }
 
-// Streams lists the streams that the engine holds.
-func (client *Client) Streams(ctx context.Context, address netip.AddrPort) ([]StreamInfo, error) {
+// ListStreams lists the streams that the engine holds.
+func (client *Client) ListStreams(ctx context.Context, address netip.AddrPort) ([]StreamInfo, error) {
 	var streams []StreamInfo
 	err := client.control(ctx, http.MethodGet, "http://"+address.String()+PathStreams, &streams)
 	return streams, err
@@ -163,7 +163,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, target, nil)
 	if err != nil {
-		return ErrUnreached.Wrap(err)
+		return ErrNotConnected.Wrap(err)
 	}
 	client.setSender(request)
 	response, err := classify(client.do(request))
--- a/peridotpath/engine/client_test.go
+++ b/peridotpath/engine/client_test.go
@@ -34,10 +34,10 @@
 		{"500", 500, "", nil, &engine.ErrFailed},
 		{"bad request", 400, "", nil, &engine.ErrBadRequest},
 		{"unprocessable request", 422, "", nil, &engine.ErrBadRequest},
-		{"gone", 410, "", nil, &engine.ErrGone},
-		{"not found", 404, "", nil, &engine.ErrGone},
+		{"gone", 410, "", nil, &engine.ErrStreamGone},
+		{"not found", 404, "", nil, &engine.ErrStreamGone},
 		{"redirect", 302, "", nil, &engine.ErrFailed},
-		{"no connection", 0, "", refused, &engine.ErrUnreached},
+		{"no connection", 0, "", refused, &engine.ErrNotConnected},
 		{"connection lost", 0, "", io.ErrUnexpectedEOF, &engine.ErrFailed},
 	}
 	for _, test := range tests {
@@ -50,7 +50,7 @@
 			}}
 			work := &engine.Request{ID: "r1", Path: engine.PathCompletions, Deadline: time.Now()}
 			_, err := client.Send(context.Background(), netip.MustParseAddrPort("127.0.0.1:1"), work)
-			classes := []*errs.Class{&engine.ErrUnreached, &engine.ErrRefused, &engine.ErrBadRequest, &engine.ErrFailed, &engine.ErrGone}
+			classes := []*errs.Class{&engine.ErrNotConnected, &engine.ErrRefused, &engine.ErrBadRequest, &engine.ErrFailed, &engine.ErrStreamGone}
 			for _, class := range classes {
 				is.Equal(class.Has(err), class == test.want) // the class of the failure
 			}
--- a/peridotpath/engine/control.go
+++ b/peridotpath/engine/control.go
@@ -15,9 +15,9 @@
 	"peridotpath.example/peridotpath/clock"
 )
 
-// ErrStale is the class of orders that an engine refused for an outdated fencing
+// ErrStaleOrder is the class of orders that an engine refused for an outdated fencing
 // token.
-var ErrStale = errs.Class("engine: stale order")
+var ErrStaleOrder = errs.Class("engine: stale order")
 
 // Paths of an engine's API besides prompts and streams.
 const (
@@ -69,8 +69,8 @@
 	LimitMS peridotpath.Millis `json:"limit_ms,omitempty"`
 }
 
-// Orders returns the order that the engine follows.
-func (client *Client) Orders(ctx context.Context, address netip.AddrPort) (OrderState, error) {
+// FetchOrderState returns the order that the engine follows.
+func (client *Client) FetchOrderState(ctx context.Context, address netip.AddrPort) (OrderState, error) {
 	var state OrderState
 	err := client.control(ctx, http.MethodGet, "http://"+address.String()+PathOrders, &state)
 	return state, err
@@ -79,16 +79,16 @@
 // weightLoadPollInterval is the interval of polling an engine that loads weights.
 const weightLoadPollInterval = 500 * time.Millisecond
 
-// Order sends an order and returns once the engine has executed it, including the
+// SendOrder sends an order and returns once the engine has executed it, including the
 // load of its weights.
-func (client *Client) Order(ctx context.Context, address netip.AddrPort, order Order) error {
+func (client *Client) SendOrder(ctx context.Context, address netip.AddrPort, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
 		return ErrBadRequest.Wrap(err)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+PathOrders, bytes.NewReader(body))
 	if err != nil {
-		return ErrUnreached.Wrap(err)
+		return ErrNotConnected.Wrap(err)
 	}
 	client.setSender(request)
 	response, err := client.do(request)
@@ -100,7 +100,7 @@
 	case http.StatusOK:
 		return client.awaitWeights(ctx, address)
 	case http.StatusConflict:
-		return ErrStale.New("fencing number %d", order.Fencing)
+		return ErrStaleOrder.New("fencing number %d", order.Fencing)
 	default:
 		return ErrFailed.New("order: status %d", response.StatusCode)
 	}
@@ -108,7 +108,7 @@
 
 func (client *Client) awaitWeights(ctx context.Context, address netip.AddrPort) error {
 	for {
-		state, err := client.Orders(ctx, address)
+		state, err := client.FetchOrderState(ctx, address)
 		if err != nil || !state.Loading {
 			return err
 		}
@@ -124,8 +124,8 @@
 	Order
 	// Loading is set while the engine loads weights and accepts no requests.
 	Loading bool `json:"loading"`
-	// Highest is the highest fencing token received.
-	Highest peridotpath.FencingNumber `json:"highest_fencing"`
+	// HighestFencing is the highest fencing token received.
+	HighestFencing peridotpath.FencingNumber `json:"highest_fencing"`
 }
 
 // CacheEvent reports that a prompt prefix was added to or evicted from an engine's
--- a/peridotpath/engine/enginetest/answer.go
+++ b/peridotpath/engine/enginetest/answer.go
@@ -43,14 +43,14 @@
 	}, nil
 }
 
-// Seed returns the seed from which the answer to a request body is generated.
-func Seed(body []byte) uint64 {
+// AnswerSeed returns the seed from which the answer to a request body is generated.
+func AnswerSeed(body []byte) uint64 {
 	fields := gjson.GetManyBytes(body, "prompt", "messages")
 	return xxhash.Sum64String(fields[0].Raw + fields[1].Raw)
 }
 
-// Token returns the token at index of the answer with the given seed.
-func Token(seed uint64, index int) string {
+// AnswerToken returns the token at index of the answer with the given seed.
+func AnswerToken(seed uint64, index int) string {
 	return fmt.Sprintf("%x-%d ", uint16(seed>>16)^uint16(seed)+uint16(index*40503), index)
 }
 
@@ -59,7 +59,7 @@
 func Answer(seed uint64, tokens int) string {
 	var text strings.Builder
 	for i := range tokens {
-		text.WriteString(Token(seed, i))
+		text.WriteString(AnswerToken(seed, i))
 	}
 	return text.String()
 }
@@ -114,7 +114,7 @@
 	index := offset - stream.roleEventCount()
 	output := int64(stream.prompt.outputTokens)
 	if index > output {
-		return []byte(engine.Done)
+		return []byte(engine.EndMark)
 	}
 	part := completion{ID: stream.id, Object: "text_completion", Model: stream.prompt.model}
 	text, reason := "", "length"
@@ -126,7 +126,7 @@
 			part.Usage = stream.usage()
 		}
 	case index >= 0:
-		text = Token(stream.seed, int(index))
+		text = AnswerToken(stream.seed, int(index))
 	}
 	if stream.prompt.chat {
 		part.Object = "chat.completion.chunk"
--- a/peridotpath/engine/enginetest/engine.go
+++ b/peridotpath/engine/enginetest/engine.go
@@ -39,23 +39,23 @@
 	PrefillPerS peridotpath.Tokens
 	// DecodePerS is the decode rate of a stream while the batch is not exceeded.
 	DecodePerS peridotpath.Tokens
-	// Batch is the number of streams that decode at the full rate; more share the total.
-	Batch int
+	// FullRateStreams is the number of streams that decode at the full rate; more share the total.
+	FullRateStreams int
 	// MaxWaiting bounds the prompts whose prefill is not complete; more are refused.
 	MaxWaiting int
-	// LoadLag is the minimum age of a load report.
-	LoadLag time.Duration
-	// CacheEventLag delays cache events; CacheEventLoss is the share that is lost (0 to 1).
-	CacheEventLag  time.Duration
-	CacheEventLoss float64
+	// MinLoadReportAge is the minimum age of a load report.
+	MinLoadReportAge time.Duration
+	// CacheEventDelay delays cache events; CacheEventLossRate is the share that is lost (0 to 1).
+	CacheEventDelay    time.Duration
+	CacheEventLossRate float64
 	// ChecksFencing refuses orders with a lower fencing token than the highest received.
 	ChecksFencing bool
-	// WeightLoad is the time to load weights after an order that changes model,
+	// WeightLoadTime is the time to load weights after an order that changes model,
 	// adapter or version.
-	WeightLoad time.Duration
-	// DetachedHold is how long a stream without a reader is kept; zero keeps it until
+	WeightLoadTime time.Duration
+	// DetachedRetention is how long a stream without a reader is kept; zero keeps it until
 	// it is cancelled, so that streams that the system under test leaks stay visible.
-	DetachedHold time.Duration
+	DetachedRetention time.Duration
 	// RandomSeed determines which cache events are lost.
 	RandomSeed uint64
 
@@ -90,7 +90,7 @@
 	setDefault(&engine.KVTokens, 400_000)
 	setDefault(&engine.PrefillPerS, 100_000)
 	setDefault(&engine.DecodePerS, 50)
-	setDefault(&engine.Batch, 32)
+	setDefault(&engine.FullRateStreams, 32)
 	setDefault(&engine.MaxWaiting, 256)
 }
 
@@ -108,7 +108,7 @@
 		engine.wakeup = make(chan struct{}, 1)
 		engine.streams = map[string]*stream{}
 		engine.counts.Requests = map[string]count{}
-		engine.cache.initialise(engine.RandomSeed, engine.CacheEventLoss)
+		engine.cache.initialise(engine.RandomSeed, engine.CacheEventLossRate)
 		engine.orders.initialise()
 		engine.report = engine.snapshot(time.Now())
 		engine.nextReport = engine.report
@@ -267,7 +267,7 @@
 	if decoding == 0 {
 		return
 	}
-	tokens := seconds * float64(engine.DecodePerS) * min(1, float64(engine.Batch)/float64(decoding))
+	tokens := seconds * float64(engine.DecodePerS) * min(1, float64(engine.FullRateStreams)/float64(decoding))
 	for _, stream := range engine.activeStreams {
 		if stream.isDecoding() {
 			stream.produce(tokens)
@@ -295,16 +295,16 @@
 	return counts
 }
 
-// Load returns a load report that is at least LoadLag old.
+// Load returns a load report that is at least MinLoadReportAge old.
 func (engine *Engine) Load() peridotpath.Load {
 	engine.initialise()
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	now := time.Now()
-	if engine.LoadLag == 0 {
+	if engine.MinLoadReportAge == 0 {
 		return engine.snapshot(now)
 	}
-	if now.Sub(engine.nextReport.AsOf) >= engine.LoadLag {
+	if now.Sub(engine.nextReport.AsOf) >= engine.MinLoadReportAge {
 		engine.report = engine.nextReport
 		engine.nextReport = engine.snapshot(now)
 	}
--- a/peridotpath/engine/enginetest/engine_test.go
+++ b/peridotpath/engine/enginetest/engine_test.go
@@ -66,7 +66,7 @@
 // readEvents reads up to maxEvents events and returns their text, the last offset and whether the
 // stream is complete.
 func readEvents(answer *engine.Answer, maxEvents int) (string, int64, bool) {
-	events := engine.Read(answer.Body)
+	events := engine.NewEventReader(answer.Body)
 	var text strings.Builder
 	last := int64(-1)
 	for range maxEvents {
@@ -75,7 +75,7 @@
 			return text.String(), last, false
 		}
 		last = event.Offset
-		if string(event.Data) == engine.Done {
+		if string(event.Data) == engine.EndMark {
 			return text.String(), last, true
 		}
 		text.WriteString(gjson.GetBytes(event.Data, "choices.0.text").String())
@@ -98,7 +98,7 @@
 		cancel()
 		_ = first.Body.Close()
 		time.Sleep(5 * time.Second)
-		streams, err := bench.client.Streams(context.Background(), address)
+		streams, err := bench.client.ListStreams(context.Background(), address)
 		is.NoErr(err)
 		is.Equal(len(streams), 1)           // a detached stream keeps its memory
 		is.True(streams[0].DetachedMS >= 4) // and reports how long it has been detached
@@ -106,7 +106,7 @@
 		is.NoErr(err)
 		after, _, whole := readEvents(second, allEvents)
 		is.True(whole)
-		is.Equal(before+after, enginetest.Answer(enginetest.Seed(sent), 20))
+		is.Equal(before+after, enginetest.Answer(enginetest.AnswerSeed(sent), 20))
 		synctest.Wait()
 		is.Equal(bench.engine.Load().KVUsed, peridotpath.Tokens(0))
 		is.Equal(bench.engine.Counts().Requests["r1"], engine.Count{Runs: 1, Finished: 1})
@@ -128,7 +128,7 @@
 		is.True(!whole) // a cancelled stream has no end mark
 		is.Equal(bench.engine.Counts().Total, engine.Count{Runs: 1, Cancelled: 1})
 		_, err = bench.client.Resume(ctx, address, answer.StreamID, 0)
-		is.True(engine.ErrGone.Has(err))
+		is.True(engine.ErrStreamGone.Has(err))
 	})
 }
 
@@ -182,7 +182,7 @@
 // A prompt that shares a prefix with an earlier one has a shorter prefill, cache events
 // are delayed, and memory pressure evicts blocks.
 func TestPrefixCache(t *testing.T) {
-	fake := &enginetest.Engine{KVTokens: 150_000, CacheEventLag: time.Second}
+	fake := &enginetest.Engine{KVTokens: 150_000, CacheEventDelay: time.Second}
 	runWith(t, fake, func(is *is.I, bench *bench) {
 		dossier := makePrompt("dossier", 100_000)
 		ask := func(id, prompt string) time.Duration {
@@ -203,7 +203,7 @@
 			is.NoErr(err)
 			return len(gjson.GetBytes(text, "events").Array())
 		}
-		is.Equal(events(), 0) // an event was published before CacheEventLag
+		is.Equal(events(), 0) // an event was published before CacheEventDelay
 		time.Sleep(time.Second)
 		is.Equal(events(), 97)
 		is.True(ask("r3", makePrompt("other", 140_000)) > time.Second)
@@ -261,7 +261,7 @@
 func TestOrders(t *testing.T) {
 	for _, checksFencing := range []bool{true, false} {
 		t.Run(fmt.Sprint("checks ", checksFencing), func(t *testing.T) {
-			fake := &enginetest.Engine{ChecksFencing: checksFencing, WeightLoad: time.Minute}
+			fake := &enginetest.Engine{ChecksFencing: checksFencing, WeightLoadTime: time.Minute}
 			runWith(t, fake, func(is *is.I, bench *bench) {
 				order := func(fencing int, model string) int {
 					text := fmt.Sprintf(`{"fencing":%d,"model":%q,"version":"1","role":"serve"}`, fencing, model)
--- a/peridotpath/engine/enginetest/orders.go
+++ b/peridotpath/engine/enginetest/orders.go
@@ -24,7 +24,7 @@
 func (orders *orders) accept(order wire.Order, check bool, load time.Duration, now time.Time) bool {
 	orders.mu.Lock()
 	defer orders.mu.Unlock()
-	if check && order.Fencing < orders.state.Highest {
+	if check && order.Fencing < orders.state.HighestFencing {
 		return false
 	}
 	current := orders.state.Order
@@ -32,7 +32,7 @@
 		orders.loadedAt = now.Add(load)
 	}
 	orders.state.Order = order
-	orders.state.Highest = max(orders.state.Highest, order.Fencing)
+	orders.state.HighestFencing = max(orders.state.HighestFencing, order.Fencing)
 	return true
 }
 
--- a/peridotpath/engine/enginetest/serve.go
+++ b/peridotpath/engine/enginetest/serve.go
@@ -77,7 +77,7 @@
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	stream, err := engine.admit(sender, prompt, Seed(body))
+	stream, err := engine.admit(sender, prompt, AnswerSeed(body))
 	switch {
 	case errBusy.Has(err):
 		writeRefusal(writer, http.StatusTooManyRequests, err.Error())
@@ -127,7 +127,7 @@
 func (stream *stream) writeEmpty(writer http.ResponseWriter) {
 	if stream.prompt.stream {
 		writer.Header().Set("Content-Type", "text/event-stream")
-		_, _ = writer.Write([]byte("id: 0\ndata: " + wire.Done + "\n\n"))
+		_, _ = writer.Write([]byte("id: 0\ndata: " + wire.EndMark + "\n\n"))
 		return
 	}
 	writeJSON(writer, completion{ID: stream.id, Object: "text_completion", Choices: []choice{}})
@@ -240,7 +240,7 @@
 func (engine *Engine) serveCacheEvents(writer http.ResponseWriter, request *http.Request) {
 	after, _ := strconv.ParseUint(request.URL.Query().Get("after"), 10, 64)
 	engine.mu.Lock()
-	events := engine.cache.eventsAfter(after, time.Now().Add(-engine.CacheEventLag))
+	events := engine.cache.eventsAfter(after, time.Now().Add(-engine.CacheEventDelay))
 	engine.mu.Unlock()
 	writeJSON(writer, events)
 }
@@ -255,7 +255,7 @@
 		http.Error(writer, "not an order", http.StatusBadRequest)
 		return
 	}
-	if !engine.orders.accept(order, engine.ChecksFencing, engine.WeightLoad, time.Now()) {
+	if !engine.orders.accept(order, engine.ChecksFencing, engine.WeightLoadTime, time.Now()) {
 		http.Error(writer, "old fencing number", http.StatusConflict)
 		return
 	}
--- a/peridotpath/engine/enginetest/stream.go
+++ b/peridotpath/engine/enginetest/stream.go
@@ -77,7 +77,7 @@
 // freeUnneeded frees memory that is no longer needed. A finished stream keeps its memory
 // until a reader has received the whole answer.
 func (stream *stream) freeUnneeded(now time.Time) {
-	hold := stream.engine.DetachedHold
+	hold := stream.engine.DetachedRetention
 	if hold > 0 && stream.readers == 0 && now.Sub(stream.detachedAt) >= hold {
 		stream.cancel()
 	}
--- a/peridotpath/engine/events.go
+++ b/peridotpath/engine/events.go
@@ -25,32 +25,32 @@
 	Data []byte
 }
 
-// Events is a reader of server-sent events.
-type Events struct {
+// EventReader is a reader of server-sent events.
+type EventReader struct {
 	reader *bufio.Reader
 	line   []byte
 	data   []byte
 }
 
-// Read returns a reader of the server-sent events in stream.
-func Read(stream io.Reader) *Events {
-	return &Events{reader: bufio.NewReaderSize(stream, eventBufferBytes)}
+// NewEventReader returns a reader of the server-sent events in stream.
+func NewEventReader(stream io.Reader) *EventReader {
+	return &EventReader{reader: bufio.NewReaderSize(stream, eventBufferBytes)}
 }
 
 // Next returns the next event that has data, or io.EOF at the end of the stream. An
 // event that is not terminated by an empty line is dropped, as it may be incomplete.
-func (events *Events) Next() (Event, error) {
+func (eventReader *EventReader) Next() (Event, error) {
 	event := Event{Offset: -1}
-	events.data = events.data[:0]
+	eventReader.data = eventReader.data[:0]
 	hasData := false
 	for {
-		line, err := events.readLine()
+		line, err := eventReader.readLine()
 		if err != nil {
 			return Event{}, err
 		}
 		if len(line) == 0 {
 			if hasData {
-				event.Data = events.data
+				event.Data = eventReader.data
 				return event, nil
 			}
 			continue
@@ -60,37 +60,37 @@
 		switch string(field) {
 		case "data":
 			if hasData {
-				events.data = append(events.data, '\n')
+				eventReader.data = append(eventReader.data, '\n')
 			}
-			events.data = append(events.data, value...)
+			eventReader.data = append(eventReader.data, value...)
 			hasData = true
 		case "id":
 			if offset, err := strconv.ParseInt(string(value), 10, 64); err == nil && offset >= 0 {
 				event.Offset = offset
 			}
 		}
-		if len(events.data) > maxEventBytes {
+		if len(eventReader.data) > maxEventBytes {
 			return Event{}, ErrFailed.New("event larger than %d bytes", maxEventBytes)
 		}
 	}
 }
 
 // readLine returns one line without its line ending. It is valid until the next call.
-func (events *Events) readLine() ([]byte, error) {
-	events.line = events.line[:0]
+func (eventReader *EventReader) readLine() ([]byte, error) {
+	eventReader.line = eventReader.line[:0]
 	for {
-		part, err := events.reader.ReadSlice('\n')
-		if err == nil && len(events.line) == 0 {
+		part, err := eventReader.reader.ReadSlice('\n')
+		if err == nil && len(eventReader.line) == 0 {
 			return trimLineEnding(part), nil
 		}
-		events.line = append(events.line, part...)
+		eventReader.line = append(eventReader.line, part...)
 		if err == nil {
-			return trimLineEnding(events.line), nil
+			return trimLineEnding(eventReader.line), nil
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
 			return nil, err
 		}
-		if len(events.line) > maxEventBytes {
+		if len(eventReader.line) > maxEventBytes {
 			return nil, ErrFailed.New("line larger than %d bytes", maxEventBytes)
 		}
 	}
--- a/peridotpath/engine/events_test.go
+++ b/peridotpath/engine/events_test.go
@@ -23,7 +23,7 @@
 		f.Add([]byte(seed))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		events := engine.Read(bytes.NewReader(text))
+		events := engine.NewEventReader(bytes.NewReader(text))
 		total := 0
 		for {
 			event, err := events.Next()
@@ -60,7 +60,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			events := engine.Read(strings.NewReader(test.text))
+			events := engine.NewEventReader(strings.NewReader(test.text))
 			var have []string
 			var err error
 			for {
--- a/peridotpath/engine/wire.go
+++ b/peridotpath/engine/wire.go
@@ -40,8 +40,8 @@
 	NotRunLeaving = "leaving"
 )
 
-// Done is the data of the last event of a complete stream.
-const Done = "[DONE]"
+// EndMark is the data of the last event of a complete stream.
+const EndMark = "[DONE]"
 
 // StreamInfo is an engine's report on a stream that it holds.
 type StreamInfo struct {
@@ -56,9 +56,9 @@
 
 // Classes of failed attempts.
 var (
-	// ErrUnreached is the class of attempts without a connection; the request did
+	// ErrNotConnected is the class of attempts without a connection; the request did
 	// not run.
-	ErrUnreached = errs.Class("engine: unreached")
+	ErrNotConnected = errs.Class("engine: unreached")
 	// ErrRefused is the class of requests that the engine refused before starting
 	// them; they did not run.
 	ErrRefused = errs.Class("engine: refused")
@@ -68,6 +68,6 @@
 	ErrBadRequest = errs.Class("engine: bad request")
 	// ErrFailed is the class of failed attempts whose request may have run.
 	ErrFailed = errs.Class("engine: failed")
-	// ErrGone is the class of attempts to resume a stream that no longer exists.
-	ErrGone = errs.Class("engine: stream gone")
+	// ErrStreamGone is the class of attempts to resume a stream that no longer exists.
+	ErrStreamGone = errs.Class("engine: stream gone")
 )
--- a/peridotpath/order/book.go
+++ b/peridotpath/order/book.go
@@ -32,28 +32,28 @@
 // Change is an operator's change to the desired state.
 type Change struct {
 	ID ChangeID
-	// From is the revision that the change is based on.
-	From peridotpath.Revision
+	// BaseRevision is the revision that the change is based on.
+	BaseRevision peridotpath.Revision
 	// Set holds the new desired states by endpoint.
 	Set map[peridotpath.EndpointID]State
-	// Forget lists endpoints whose desired state is removed; they get no more orders.
-	Forget []peridotpath.EndpointID
+	// Remove lists endpoints whose desired state is removed; they get no more orders.
+	Remove []peridotpath.EndpointID
 }
 
 // ConflictError is returned for a change whose base revision is outdated because
 // another change was accepted first.
 type ConflictError struct {
-	From    peridotpath.Revision
-	Current Desired
+	BaseRevision peridotpath.Revision
+	Current      Desired
 }
 
 // Error returns a message with both revisions.
 func (conflict *ConflictError) Error() string {
-	return fmt.Sprintf("order: change is based on revision %d, the current revision is %d", conflict.From, conflict.Current.Revision)
+	return fmt.Sprintf("order: change is based on revision %d, the current revision is %d", conflict.BaseRevision, conflict.Current.Revision)
 }
 
-// Book stores the Desired of one data centre and service in the key-value store.
-type Book struct {
+// DesiredStore stores the Desired of one data centre and service in the key-value store.
+type DesiredStore struct {
 	Store *keyvalue.Store
 	Key   string
 }
@@ -64,13 +64,13 @@
 }
 
 // Get returns the current desired state.
-func (book *Book) Get(ctx context.Context) (Desired, error) {
-	desired, _, err := book.read(ctx)
+func (desiredStore *DesiredStore) Get(ctx context.Context) (Desired, error) {
+	desired, _, err := desiredStore.read(ctx)
 	return desired, err
 }
 
-func (book *Book) read(ctx context.Context) (Desired, keyvalue.Version, error) {
-	entry, err := book.Store.Get(ctx, book.Key)
+func (desiredStore *DesiredStore) read(ctx context.Context) (Desired, keyvalue.Version, error) {
+	entry, err := desiredStore.Store.Get(ctx, desiredStore.Key)
 	if err != nil {
 		return Desired{}, 0, Error.New("read: %w", err)
 	}
@@ -79,7 +79,7 @@
 		return desired, 0, nil
 	}
 	if err := json.Unmarshal(entry.Value, &desired); err != nil {
-		return Desired{}, 0, Error.New("read %s: %w", book.Key, err)
+		return Desired{}, 0, Error.New("read %s: %w", desiredStore.Key, err)
 	}
 	return desired, entry.Version, nil
 }
@@ -91,24 +91,24 @@
 // A change that was written but whose reply was lost must not be reported as
 // failed, because the operator would revert it by hand, nor as a conflict. The
 // ids stored in the value show whether it took effect.
-func (book *Book) Change(ctx context.Context, change Change) (Desired, error) {
+func (desiredStore *DesiredStore) Change(ctx context.Context, change Change) (Desired, error) {
 	var lastErr error
 	for range maxChangeAttempts {
-		current, version, err := book.read(ctx)
+		current, version, err := desiredStore.read(ctx)
 		switch {
 		case err != nil:
 			return Desired{}, err
 		case slices.Contains(current.Changes, change.ID):
 			return current, nil
-		case current.Revision != change.From:
-			return Desired{}, &ConflictError{From: change.From, Current: current}
+		case current.Revision != change.BaseRevision:
+			return Desired{}, &ConflictError{BaseRevision: change.BaseRevision, Current: current}
 		}
 		next := current.withChange(change)
 		value, err := json.Marshal(next)
 		if err != nil {
 			return Desired{}, Error.Wrap(err)
 		}
-		if _, err = book.Store.Swap(ctx, book.Key, version, value, keyvalue.LeaseID{}); err == nil {
+		if _, err = desiredStore.Store.Swap(ctx, desiredStore.Key, version, value, keyvalue.LeaseID{}); err == nil {
 			return next, nil
 		}
 		lastErr = err
@@ -121,7 +121,7 @@
 	next := Desired{Revision: desired.Revision + 1, Endpoints: map[peridotpath.EndpointID]State{}}
 	maps.Copy(next.Endpoints, desired.Endpoints)
 	maps.Copy(next.Endpoints, change.Set)
-	for _, id := range change.Forget {
+	for _, id := range change.Remove {
 		delete(next.Endpoints, id)
 	}
 	recentIDs := desired.Changes[max(0, len(desired.Changes)-maxStoredChangeIDs+1):]
--- a/peridotpath/order/fixture_test.go
+++ b/peridotpath/order/fixture_test.go
@@ -41,7 +41,7 @@
 		return fmt.Errorf("old fencing number %d", given.Fencing)
 	}
 	engine.highestFencing = max(engine.highestFencing, given.Fencing)
-	engine.state = given.Want
+	engine.state = given.Desired
 	return nil
 }
 
@@ -67,7 +67,7 @@
 
 func (store *weightStore) read(ctx context.Context) error {
 	if !store.acquire() {
-		return order.ErrBusy.New("limit")
+		return order.ErrWeightStoreBusy.New("limit")
 	}
 	defer func() {
 		store.mu.Lock()
@@ -90,7 +90,7 @@
 // site is the engines of one data centre and service, with a key-value store.
 type site struct {
 	keyValue  memory.Memory
-	book      *order.Book
+	book      *order.DesiredStore
 	engines   map[peridotpath.EndpointID]*engine
 	endpoints []peridotpath.Endpoint
 	weights   weightStore
@@ -100,7 +100,7 @@
 
 func newSite(engines int, checksFencing bool) *site {
 	site := &site{engines: map[peridotpath.EndpointID]*engine{}, weights: weightStore{limit: 2, loadTime: 5 * time.Second}}
-	site.book = &order.Book{Store: site.keyValue.Store(), Key: order.Key("colombo-a", "claims-llm")}
+	site.book = &order.DesiredStore{Store: site.keyValue.Store(), Key: order.Key("colombo-a", "claims-llm")}
 	for i := range engines {
 		id := peridotpath.EndpointID(fmt.Sprintf("e%02d", i))
 		site.engines[id] = &engine{state: oldState, checksFencing: checksFencing}
@@ -115,7 +115,7 @@
 	for _, endpoint := range site.endpoints {
 		set[endpoint.ID] = state
 	}
-	_, err := site.book.Change(background, order.Change{ID: id, From: from, Set: set})
+	_, err := site.book.Change(background, order.Change{ID: id, BaseRevision: from, Set: set})
 	is.NoErr(err)
 }
 
@@ -165,7 +165,7 @@
 	reconciler := &order.Reconciler{
 		Desired: site.book.Get, Held: process.holder.Held,
 		Endpoints: func() []peridotpath.Endpoint { return site.endpoints },
-		Read: func(ctx context.Context, endpoint peridotpath.Endpoint) (order.State, error) {
+		ReadState: func(ctx context.Context, endpoint peridotpath.Endpoint) (order.State, error) {
 			clock.SleepContext(background, time.Until(time.Unix(0, process.readsBlockedUntil.Load())))
 			if site.hanging[endpoint.ID] {
 				<-ctx.Done()
@@ -173,11 +173,11 @@
 			}
 			return site.engines[endpoint.ID].read(), nil
 		},
-		Send: func(ctx context.Context, endpoint peridotpath.Endpoint, given order.Order) error {
-			if term, held := process.holder.Held(); !held || term.Remaining < given.Limit {
+		SendOrder: func(ctx context.Context, endpoint peridotpath.Endpoint, given order.Order) error {
+			if term, held := process.holder.Held(); !held || term.Remaining < given.Timeout {
 				process.ordersPastLease.Add(1)
 			}
-			weights := site.engines[endpoint.ID].read().NeedsWeights(given.Want)
+			weights := site.engines[endpoint.ID].read().NeedsWeights(given.Desired)
 			time.Sleep(time.Until(time.Unix(0, process.ordersBlockedUntil.Load())))
 			if weights {
 				if err := site.weights.read(ctx); err != nil {
--- a/peridotpath/order/order_test.go
+++ b/peridotpath/order/order_test.go
@@ -129,9 +129,9 @@
 		time.Sleep(2 * time.Minute)
 		otherRole := oldState
 		otherRole.Role = "group-1/0"
-		is.NoErr(site.engines["e07"].apply(order.Order{Want: otherRole}))
+		is.NoErr(site.engines["e07"].apply(order.Order{Desired: otherRole}))
 		t.Logf("wrong role repaired after %v", site.awaitState(is, oldState))
-		is.NoErr(site.engines["e07"].apply(order.Order{Want: newState}))
+		is.NoErr(site.engines["e07"].apply(order.Order{Desired: newState}))
 		t.Logf("wrong version repaired after %v, of which 5 s load", site.awaitState(is, oldState))
 		holder.stop(is)
 	})
@@ -144,9 +144,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		site := newSite(2, true)
-		other := &order.Book{Store: (&memory.Link{}).Store(&site.keyValue), Key: site.book.Key}
+		other := &order.DesiredStore{Store: (&memory.Link{}).Store(&site.keyValue), Key: site.book.Key}
 		errs := make(chan error, 2)
-		for i, book := range []*order.Book{site.book, other} {
+		for i, book := range []*order.DesiredStore{site.book, other} {
 			change := order.Change{
 				ID:  order.ChangeID(fmt.Sprint(i)),
 				Set: map[peridotpath.EndpointID]order.State{"e00": {Version: fmt.Sprint(i)}},
@@ -160,7 +160,7 @@
 		is.True((first == nil) != (second == nil))
 		var conflict *order.ConflictError
 		is.True(errors.As(errors.Join(first, second), &conflict))
-		is.Equal(conflict.From, peridotpath.Revision(0))
+		is.Equal(conflict.BaseRevision, peridotpath.Revision(0))
 		is.Equal(conflict.Current.Revision, peridotpath.Revision(1))
 		current, err := site.book.Get(background)
 		is.NoErr(err)
@@ -173,7 +173,7 @@
 func TestChangeWithLostReply(t *testing.T) {
 	is := is.New(t)
 	platform, link := &memory.Memory{}, &memory.Link{}
-	book := &order.Book{Store: link.Store(platform), Key: "orders/x"}
+	book := &order.DesiredStore{Store: link.Store(platform), Key: "orders/x"}
 	link.SetFaults(func(call string) memory.Fault { return memory.Fault{ReplyLost: call == "swap"} })
 	desired, err := book.Change(background, order.Change{ID: "1", Set: map[peridotpath.EndpointID]order.State{"e": newState}})
 	is.NoErr(err)
@@ -201,7 +201,7 @@
 		otherRole := oldState
 		otherRole.Role = "group-1/0"
 		_, err := site.book.Change(background, order.Change{
-			ID: "3", From: 2, Set: map[peridotpath.EndpointID]order.State{"e19": otherRole},
+			ID: "3", BaseRevision: 2, Set: map[peridotpath.EndpointID]order.State{"e19": otherRole},
 		})
 		is.NoErr(err)
 		begin := time.Now()
@@ -210,7 +210,7 @@
 		}
 		t.Logf("role changed after %v while 20 loads are queued", time.Since(begin))
 		is.True(time.Since(begin) <= 5*time.Second)
-		_, err = site.book.Change(background, order.Change{ID: "4", From: 3, Set: map[peridotpath.EndpointID]order.State{"e19": newState}})
+		_, err = site.book.Change(background, order.Change{ID: "4", BaseRevision: 3, Set: map[peridotpath.EndpointID]order.State{"e19": newState}})
 		is.NoErr(err)
 		took := site.awaitState(is, newState)
 		t.Logf("20 loads in %v, at most %d concurrently, %d refused", took+10*time.Second, site.weights.peak, site.weights.setLimit(2))
@@ -256,6 +256,6 @@
 	settings := order.Settings{}
 	settings.Defaults()
 	is.NoErr(settings.Validate("orders").OrNil())
-	settings.MaxLoads, settings.IntervalMS = -1, 1
+	settings.MaxConcurrentLoads, settings.IntervalMS = -1, 1
 	is.Equal(len(settings.Validate("orders")), 2)
 }
--- a/peridotpath/order/plan.go
+++ b/peridotpath/order/plan.go
@@ -48,8 +48,8 @@
 func newPlanner(settings Settings) *planner {
 	loadInterval := time.Minute / time.Duration(settings.LoadsPerMinute)
 	return &planner{
-		limiter:            rate.NewLimiter(rate.Every(loadInterval), settings.MaxLoads),
-		maxConcurrentLoads: settings.MaxLoads,
+		limiter:            rate.NewLimiter(rate.Every(loadInterval), settings.MaxConcurrentLoads),
+		maxConcurrentLoads: settings.MaxConcurrentLoads,
 		queuedSince:        map[peridotpath.EndpointID]time.Time{},
 	}
 }
@@ -110,7 +110,7 @@
 	case err == nil:
 		planner.loadBackoff = 0
 		return
-	case ErrBusy.Has(err):
+	case ErrWeightStoreBusy.Has(err):
 		planner.loadBackoff = min(max(2*planner.loadBackoff, minLoadBackoff), maxLoadBackoff)
 		planner.loadsPausedUntil = now.Add(planner.loadBackoff)
 	}
--- a/peridotpath/order/reconciler.go
+++ b/peridotpath/order/reconciler.go
@@ -25,10 +25,10 @@
 	Held func() (lease.Term, bool)
 	// Endpoints returns the engines that accept orders now.
 	Endpoints func() []peridotpath.Endpoint
-	// Read returns the state that the engine reports.
-	Read func(ctx context.Context, endpoint peridotpath.Endpoint) (State, error)
-	// Send sends an order and returns when the engine has executed it.
-	Send func(ctx context.Context, endpoint peridotpath.Endpoint, order Order) error
+	// ReadState returns the state that the engine reports.
+	ReadState func(ctx context.Context, endpoint peridotpath.Endpoint) (State, error)
+	// SendOrder sends an order and returns when the engine has executed it.
+	SendOrder func(ctx context.Context, endpoint peridotpath.Endpoint, order Order) error
 
 	Settings Settings
 	Logger   zerolog.Logger
@@ -113,7 +113,7 @@
 	group.SetLimit(maxConcurrentReads)
 	for id, endpoint := range endpoints {
 		group.Go(func() error {
-			state, err := reconciler.Read(ctx, endpoint)
+			state, err := reconciler.ReadState(ctx, endpoint)
 			if err != nil {
 				reconciler.incrementCounter("order_states_unread_total")
 				return nil //nolint:nilerr // engines that cannot be read are left out
@@ -141,7 +141,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	return reconciler.Send(ctx, endpoint, Order{Want: due.desired, Fencing: term.Fencing, Limit: limit})
+	return reconciler.SendOrder(ctx, endpoint, Order{Desired: due.desired, Fencing: term.Fencing, Timeout: limit})
 }
 
 // recordResult records the outcome of an order. Its effect is read at the next interval.
@@ -151,7 +151,7 @@
 	event := reconciler.Logger.Info()
 	outcome := "order_sent"
 	switch {
-	case ErrBusy.Has(result.err):
+	case ErrWeightStoreBusy.Has(result.err):
 		outcome = "order_weights_busy"
 	case result.err != nil:
 		outcome = "order_failed"
--- a/peridotpath/order/settings.go
+++ b/peridotpath/order/settings.go
@@ -17,9 +17,9 @@
 	// of the same name of the lease.
 	LongestOrderMS peridotpath.Millis `json:"longest_order_ms"`
 	// LoadsPerMinute bounds the rate at which orders that read from the weight
-	// store start, MaxLoads how many of them run concurrently.
-	LoadsPerMinute int `json:"loads_per_minute"`
-	MaxLoads       int `json:"max_loads"`
+	// store start, MaxConcurrentLoads how many of them run concurrently.
+	LoadsPerMinute     int `json:"loads_per_minute"`
+	MaxConcurrentLoads int `json:"max_loads"`
 }
 
 // Defaults sets the fields that are zero.
@@ -28,7 +28,7 @@
 	peridotpath.SetDefault(&settings.ReadTimeoutMS, 1_000)
 	peridotpath.SetDefault(&settings.LongestOrderMS, 30_000)
 	peridotpath.SetDefault(&settings.LoadsPerMinute, 12)
-	peridotpath.SetDefault(&settings.MaxLoads, 2)
+	peridotpath.SetDefault(&settings.MaxConcurrentLoads, 2)
 }
 
 // Validate returns all invalid fields.
@@ -38,6 +38,6 @@
 	faults.Range(prefix+".read_timeout_ms", int64(settings.ReadTimeoutMS), 10, time.Minute.Milliseconds())
 	faults.Range(prefix+".longest_order_ms", int64(settings.LongestOrderMS), 1_000, time.Hour.Milliseconds())
 	faults.Range(prefix+".loads_per_minute", int64(settings.LoadsPerMinute), 1, 10_000)
-	faults.Range(prefix+".max_loads", int64(settings.MaxLoads), 1, 1_000)
+	faults.Range(prefix+".max_loads", int64(settings.MaxConcurrentLoads), 1, 1_000)
 	return faults
 }
--- a/peridotpath/order/state.go
+++ b/peridotpath/order/state.go
@@ -21,9 +21,9 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("order")
 
-// ErrBusy is the class of errors of orders that failed because the weight store
+// ErrWeightStoreBusy is the class of errors of orders that failed because the weight store
 // refused the load at its rate limit.
-var ErrBusy = errs.Class("order: weight store busy")
+var ErrWeightStoreBusy = errs.Class("order: weight store busy")
 
 // Role has the form of engine.Role; this package only compares roles.
 type Role string
@@ -55,11 +55,11 @@
 
 // Order instructs one engine to reach a state.
 type Order struct {
-	Want State `json:"want"`
+	Desired State `json:"want"`
 	// Fencing is the fencing token of the holder's lease. Engines that check it
 	// refuse an order with a lower token than the highest they have received.
 	Fencing peridotpath.FencingNumber `json:"fencing"`
-	// Limit is the time after which the engine abandons the order. It is no
+	// Timeout is the time after which the engine abandons the order. It is no
 	// longer than the rest of the holder's lease.
-	Limit time.Duration `json:"limit"`
+	Timeout time.Duration `json:"limit"`
 }
--- a/peridotpath/session/bad_input_test.go
+++ b/peridotpath/session/bad_input_test.go
@@ -154,7 +154,7 @@
 					bad := fleet.call(t, http.MethodPost, engine.PathChatCompletions, strings.NewReader(body), nil)
 					is.True(bad.code() != 0) // a bad answer passed for a good one
 					is.True(!bad.code().NotRun() || kind == faults.Fail)
-					is.True(!strings.Contains(bad.body, engine.Done))
+					is.True(!strings.Contains(bad.body, engine.EndMark))
 					is.True(time.Since(began) <= 11*time.Second)
 					time.Sleep(time.Minute)
 					load := fleet.engine.Load()
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -152,7 +152,7 @@
 	view := &endpoints.View{Log: logger, Publish: scheduler.SetEndpoints, Load: scheduler.Report}
 	view.SetMembers(time.Now(), fleet.endpoints)
 	poller := &endpoints.Poller{
-		View: view, Book: &digest.Book{Epoch: 1}, Load: engines.Load, Random: func() float64 { return 0.5 },
+		View: view, Book: &digest.Book{Epoch: 1}, Load: engines.FetchLoad, Random: func() float64 { return 0.5 },
 		Owns: func(peridotpath.EndpointID) bool { return true },
 	}
 	dispatcher := &dispatch.Dispatcher{
--- a/peridotpath/shift/demand.go
+++ b/peridotpath/shift/demand.go
@@ -15,18 +15,18 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("shift")
 
-// Total counts the prompts of a service that are too long for one engine, at all
+// DemandTotal counts the prompts of a service that are too long for one engine, at all
 // data centres of the region. It is cumulative, so a reader computes the rate with
 // its own clock alone.
-type Total struct {
+type DemandTotal struct {
 	Prompts uint64             `json:"prompts"`
 	Tokens  peridotpath.Tokens `json:"tokens"`
 }
 
 func demandKey(service peridotpath.Service) string { return "demand/" + string(service) }
 
-func readTotal(ctx context.Context, store *keyvalue.Store, key string) (Total, keyvalue.Version, error) {
-	var total Total
+func readTotal(ctx context.Context, store *keyvalue.Store, key string) (DemandTotal, keyvalue.Version, error) {
+	var total DemandTotal
 	entry, err := store.Get(ctx, key)
 	if err != nil {
 		return total, 0, Error.Wrap(err)
@@ -40,38 +40,38 @@
 	return total, entry.Version, nil
 }
 
-// Counter adds the prompts of this instance that are too long for one engine to the
+// DemandCounter adds the prompts of this instance that are too long for one engine to the
 // totals in the key-value store. Set the exported fields before Run.
-type Counter struct {
+type DemandCounter struct {
 	Store *keyvalue.Store
 	// Interval is the time between two writes of the totals. Each takes a read and
 	// a write per service; without new prompts there is neither.
 	Interval time.Duration
 
 	mu        sync.Mutex
-	unwritten map[peridotpath.Service]Total
+	unwritten map[peridotpath.Service]DemandTotal
 }
 
-// Note counts one prompt of the given size, in memory only.
-func (counter *Counter) Note(service peridotpath.Service, tokens peridotpath.Tokens) {
-	counter.addUnwritten(service, Total{Prompts: 1, Tokens: tokens})
+// RecordPrompt counts one prompt of the given size, in memory only.
+func (demandCounter *DemandCounter) RecordPrompt(service peridotpath.Service, tokens peridotpath.Tokens) {
+	demandCounter.addUnwritten(service, DemandTotal{Prompts: 1, Tokens: tokens})
 }
 
-func (counter *Counter) addUnwritten(service peridotpath.Service, added Total) {
-	counter.mu.Lock()
-	defer counter.mu.Unlock()
-	if counter.unwritten == nil {
-		counter.unwritten = map[peridotpath.Service]Total{}
+func (demandCounter *DemandCounter) addUnwritten(service peridotpath.Service, added DemandTotal) {
+	demandCounter.mu.Lock()
+	defer demandCounter.mu.Unlock()
+	if demandCounter.unwritten == nil {
+		demandCounter.unwritten = map[peridotpath.Service]DemandTotal{}
 	}
-	sum := counter.unwritten[service]
+	sum := demandCounter.unwritten[service]
 	sum.Prompts += added.Prompts
 	sum.Tokens += added.Tokens
-	counter.unwritten[service] = sum
+	demandCounter.unwritten[service] = sum
 }
 
 // Run writes the counted prompts to the store at each interval until ctx is done.
-func (counter *Counter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(counter.Interval)
+func (demandCounter *DemandCounter) Run(ctx context.Context) error {
+	ticker := time.NewTicker(demandCounter.Interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -79,13 +79,13 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		counter.mu.Lock()
-		unwritten := counter.unwritten
-		counter.unwritten = nil
-		counter.mu.Unlock()
+		demandCounter.mu.Lock()
+		unwritten := demandCounter.unwritten
+		demandCounter.unwritten = nil
+		demandCounter.mu.Unlock()
 		for service, added := range unwritten {
-			if err := counter.write(ctx, service, added); err != nil {
-				counter.addUnwritten(service, added)
+			if err := demandCounter.write(ctx, service, added); err != nil {
+				demandCounter.addUnwritten(service, added)
 			}
 		}
 	}
@@ -93,9 +93,9 @@
 
 // write adds to the total in the store. A swap whose reply is lost may be counted
 // twice, which costs one group too many at most.
-func (counter *Counter) write(ctx context.Context, service peridotpath.Service, added Total) error {
+func (demandCounter *DemandCounter) write(ctx context.Context, service peridotpath.Service, added DemandTotal) error {
 	key := demandKey(service)
-	total, version, err := readTotal(ctx, counter.Store, key)
+	total, version, err := readTotal(ctx, demandCounter.Store, key)
 	if err != nil {
 		return err
 	}
@@ -105,6 +105,6 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	_, err = counter.Store.Swap(ctx, key, version, value, keyvalue.LeaseID{})
+	_, err = demandCounter.Store.Swap(ctx, key, version, value, keyvalue.LeaseID{})
 	return err
 }
--- a/peridotpath/shift/fixture_test.go
+++ b/peridotpath/shift/fixture_test.go
@@ -54,7 +54,7 @@
 // instance is one process with the components that long prompts need.
 type instance struct {
 	dispatcher *dispatch.Dispatcher
-	counter    *shift.Counter
+	counter    *shift.DemandCounter
 	holder     *lease.Holder
 	link       memory.Link
 	cancel     context.CancelFunc
@@ -103,32 +103,32 @@
 	scheduler.SetInstances(2)
 	view := &fleet.View{Log: zerolog.Nop(), Publish: scheduler.SetEndpoints, Load: scheduler.Report}
 	poller := &fleet.Poller{
-		View: view, Book: &digest.Book{Epoch: 1}, Load: client.Load,
+		View: view, Book: &digest.Book{Epoch: 1}, Load: client.FetchLoad,
 		Owns: func(peridotpath.EndpointID) bool { return true },
 	}
 	started.dispatcher = &dispatch.Dispatcher{
 		Scheduler: scheduler, Log: zerolog.Nop(), ResumeWindow: 10 * time.Second,
 		Send: client.Send, Resume: client.Resume, Cancel: client.Cancel, Draining: view.Refused,
 	}
-	started.counter = &shift.Counter{Store: store, Interval: 2 * time.Second}
+	started.counter = &shift.DemandCounter{Store: store, Interval: 2 * time.Second}
 	started.holder = &lease.Holder{
 		Store: store, Key: lease.Key(dataCentre, service), Instance: peridotpath.InstanceID(name),
 		Settings: lease.Settings{TTLMS: 30_000, MarginMS: 3_000, LongestOrderMS: 12_000},
 		Logger:   zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
-	engines := &shift.Engines{Client: client, Endpoints: func() []peridotpath.Endpoint { return cell.endpoints }}
-	book := &order.Book{Store: store, Key: order.Key(dataCentre, service)}
+	engines := &shift.EngineClient{Client: client, Endpoints: func() []peridotpath.Endpoint { return cell.endpoints }}
+	book := &order.DesiredStore{Store: store, Key: order.Key(dataCentre, service)}
 	reconciler := &order.Reconciler{
 		Desired: book.Get, Held: started.holder.Held, Endpoints: engines.Endpoints,
-		Read: engines.State, Send: engines.Order, Settings: order.Settings{LongestOrderMS: 12_000},
+		ReadState: engines.ReadState, SendOrder: engines.SendOrder, Settings: order.Settings{LongestOrderMS: 12_000},
 		Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
-	keeper := &shift.Keeper{
-		Log: zerolog.Nop(), Store: store, DataCentre: dataCentre, Service: service, Book: book,
-		Held: started.holder.Held, Engines: cell.countReads(engines.Look), Interval: 2 * time.Second,
-		Limits:  shift.Limits{Hold: cell.groupIdleTimeout},
-		Longest: func() peridotpath.Tokens { return 1_100_000 },
-		Sites:   func() []shift.Site { return []shift.Site{{DataCentre: dataCentre, Engines: len(cell.endpoints)}} },
+	keeper := &shift.Controller{
+		Log: zerolog.Nop(), Store: store, DataCentre: dataCentre, Service: service, DesiredStore: book,
+		Held: started.holder.Held, ReadEngines: cell.countReads(engines.ReadEngines), Interval: 2 * time.Second,
+		Limits:          shift.Limits{GroupIdleTimeout: cell.groupIdleTimeout},
+		MaxPromptTokens: func() peridotpath.Tokens { return 1_100_000 },
+		Sites:           func() []shift.Site { return []shift.Site{{DataCentre: dataCentre, Engines: len(cell.endpoints)}} },
 	}
 	view.SetMembers(time.Now(), cell.endpoints)
 	for _, task := range []func(context.Context) error{
@@ -176,7 +176,7 @@
 			Prompt: tokens, Output: output, Arrived: now, Deadline: begin.Add(deadline),
 		}
 		if class == peridotpath.Oversize {
-			instance.counter.Note(service, tokens)
+			instance.counter.RecordPrompt(service, tokens)
 		}
 		sink := &dispatch.Sink{
 			Start: func(http.Header, peridotpath.EndpointID, string) { answer.timeToFirstToken = time.Since(begin) },
@@ -215,7 +215,7 @@
 // duty returns the duty of an engine, or "gone" if it is unreachable.
 func (cell *cell) duty(index int) string {
 	client := &engine.Client{Do: cell.network.Do}
-	state, err := client.Orders(context.Background(), cell.endpoints[index].Address)
+	state, err := client.FetchOrderState(context.Background(), cell.endpoints[index].Address)
 	if err != nil {
 		return "gone"
 	}
--- a/peridotpath/shift/keeper.go
+++ b/peridotpath/shift/keeper.go
@@ -22,23 +22,23 @@
 	readTimeout = 2 * time.Second
 )
 
-// Keeper changes the roles of the engines of one data centre and service by the
+// Controller changes the roles of the engines of one data centre and service by the
 // demand, while its process holds the lease. Set the exported fields before Run.
-type Keeper struct {
-	Log        zerolog.Logger
-	Store      *keyvalue.Store
-	DataCentre peridotpath.DataCentre
-	Service    peridotpath.Service
-	Book       *order.Book
-	Held       func() (lease.Term, bool)
-	// Engines reads the service's engines, with Engine.Alive set for those that are
+type Controller struct {
+	Log          zerolog.Logger
+	Store        *keyvalue.Store
+	DataCentre   peridotpath.DataCentre
+	Service      peridotpath.Service
+	DesiredStore *order.DesiredStore
+	Held         func() (lease.Term, bool)
+	// ReadEngines reads the service's engines, with Engine.Alive set for those that are
 	// live on the membership list and without their desired roles.
-	Engines func(ctx context.Context) ([]Engine, error)
+	ReadEngines func(ctx context.Context) ([]Engine, error)
 	// Sites returns the region's data centres with their live engines of the service.
 	Sites func() []Site
-	// Longest returns the maximum size of a prompt of the service.
-	Longest func() peridotpath.Tokens
-	Limits  Limits
+	// MaxPromptTokens returns the maximum size of a prompt of the service.
+	MaxPromptTokens func() peridotpath.Tokens
+	Limits          Limits
 	// Interval is the time between two plans.
 	Interval time.Duration
 
@@ -56,14 +56,14 @@
 // holder's clock.
 type demandEstimator struct {
 	initialised     bool
-	lastTotal       Total
+	lastTotal       DemandTotal
 	lastPromptAt    time.Time
 	tokensPerSecond float64
 	sampledAt       time.Time
 }
 
 // addSample updates the rate with a new value of the total.
-func (estimator *demandEstimator) addSample(now time.Time, total Total) {
+func (estimator *demandEstimator) addSample(now time.Time, total DemandTotal) {
 	if !estimator.initialised {
 		// A new holder has no rate yet. It must neither count earlier prompts as
 		// new nor dissolve groups that the last holder formed.
@@ -88,13 +88,13 @@
 	estimator.lastTotal, estimator.sampledAt = total, now
 }
 
-func newDemandEstimator(now time.Time, total Total) demandEstimator {
+func newDemandEstimator(now time.Time, total DemandTotal) demandEstimator {
 	return demandEstimator{initialised: true, lastTotal: total, lastPromptAt: now, sampledAt: now}
 }
 
 // Run plans at each interval until ctx is done.
-func (keeper *Keeper) Run(ctx context.Context) error {
-	ticker := time.NewTicker(keeper.Interval)
+func (controller *Controller) Run(ctx context.Context) error {
+	ticker := time.NewTicker(controller.Interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -102,12 +102,12 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if _, held := keeper.Held(); !held {
-			keeper.demandRate, keeper.missedReads = demandEstimator{}, nil
+		if _, held := controller.Held(); !held {
+			controller.demandRate, controller.missedReads = demandEstimator{}, nil
 			continue
 		}
-		if err := keeper.replan(ctx); err != nil {
-			keeper.Log.Warn().Str("service", string(keeper.Service)).Err(err).Msg("shift_failed")
+		if err := controller.replan(ctx); err != nil {
+			controller.Log.Warn().Str("service", string(controller.Service)).Err(err).Msg("shift_failed")
 		}
 	}
 }
@@ -115,35 +115,35 @@
 // replan makes one plan and applies it with one compare-and-swap. The desired roles
 // are read together with their revision, so a plan based on roles that have changed
 // since is refused and recomputed at the next interval.
-func (keeper *Keeper) replan(ctx context.Context) error {
+func (controller *Controller) replan(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*readTimeout)
 	defer cancel()
-	total, _, err := readTotal(ctx, keeper.Store, demandKey(keeper.Service))
+	total, _, err := readTotal(ctx, controller.Store, demandKey(controller.Service))
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	keeper.demandRate.addSample(now, total)
-	desired, err := keeper.Book.Get(ctx)
+	controller.demandRate.addSample(now, total)
+	desired, err := controller.DesiredStore.Get(ctx)
 	if err != nil {
 		return err
 	}
-	need := Need{
-		Longest: keeper.Longest(), PerS: keeper.demandRate.tokensPerSecond, Idle: now.Sub(keeper.demandRate.lastPromptAt),
-		Sites: keeper.Sites(), Here: keeper.DataCentre,
+	demand := Demand{
+		MaxPromptTokens: controller.MaxPromptTokens(), TokensPerSecond: controller.demandRate.tokensPerSecond, IdleTime: now.Sub(controller.demandRate.lastPromptAt),
+		Sites: controller.Sites(), DataCentre: controller.DataCentre,
 	}
-	if !need.mayRequireGroup(keeper.Limits) && !hasGroup(desired) {
+	if !demand.mayRequireGroup(controller.Limits) && !hasGroup(desired) {
 		return nil
 	}
-	engines, err := keeper.Engines(ctx)
+	engines, err := controller.ReadEngines(ctx)
 	if err != nil {
 		return err
 	}
 	for i := range engines {
-		engines[i].Wanted = desired.Endpoints[engines[i].ID].Role
-		engines[i].Alive = engines[i].Alive && keeper.isResponsive(engines[i])
+		engines[i].DesiredRole = desired.Endpoints[engines[i].ID].Role
+		engines[i].Alive = engines[i].Alive && controller.isResponsive(engines[i])
 	}
-	return keeper.applyMoves(ctx, desired, engines, Plan(engines, need, keeper.Limits))
+	return controller.applyMoves(ctx, desired, engines, Plan(engines, demand, controller.Limits))
 }
 
 // hasGroup reports whether the desired state has a group. Without groups and
@@ -159,28 +159,28 @@
 }
 
 // isResponsive reports whether the engine responded to one of the last reads.
-func (keeper *Keeper) isResponsive(engine Engine) bool {
-	if keeper.missedReads == nil {
-		keeper.missedReads = map[peridotpath.EndpointID]int{}
+func (controller *Controller) isResponsive(engine Engine) bool {
+	if controller.missedReads == nil {
+		controller.missedReads = map[peridotpath.EndpointID]int{}
 	}
-	if engine.Answered {
-		delete(keeper.missedReads, engine.ID)
+	if engine.Responded {
+		delete(controller.missedReads, engine.ID)
 		return true
 	}
-	keeper.missedReads[engine.ID]++
-	return keeper.missedReads[engine.ID] < maxMissedReads
+	controller.missedReads[engine.ID]++
+	return controller.missedReads[engine.ID] < maxMissedReads
 }
 
 // applyMoves writes the moves to the desired state. Only roles change: model, version
 // and adapters stay as desired, or as the engine has them if it has no desired state.
-func (keeper *Keeper) applyMoves(ctx context.Context, desired order.Desired, engines []Engine, moves []Move) error {
+func (controller *Controller) applyMoves(ctx context.Context, desired order.Desired, engines []Engine, moves []RoleChange) error {
 	if len(moves) == 0 {
 		return nil
 	}
-	change := order.Change{ID: order.ChangeID(uuid.NewString()), From: desired.Revision, Set: map[peridotpath.EndpointID]order.State{}}
+	change := order.Change{ID: order.ChangeID(uuid.NewString()), BaseRevision: desired.Revision, Set: map[peridotpath.EndpointID]order.State{}}
 	actual := map[peridotpath.EndpointID]order.State{}
 	for _, engine := range engines {
-		actual[engine.ID] = engine.Actual
+		actual[engine.ID] = engine.ActualState
 	}
 	for _, move := range moves {
 		state := actual[move.Endpoint]
@@ -190,12 +190,12 @@
 		state.Role = move.Role
 		change.Set[move.Endpoint] = state
 	}
-	if _, err := keeper.Book.Change(ctx, change); err != nil {
+	if _, err := controller.DesiredStore.Change(ctx, change); err != nil {
 		return err
 	}
 	for _, move := range moves {
 		metrics.GetOrCreateCounter("peridotpath_shift_moves_total").Inc()
-		keeper.Log.Info().Str("service", string(keeper.Service)).Str("endpoint", string(move.Endpoint)).
+		controller.Log.Info().Str("service", string(controller.Service)).Str("endpoint", string(move.Endpoint)).
 			Str("role", string(move.Role)).Str("reason", move.Reason).Msg("shift")
 	}
 	return nil
--- a/peridotpath/shift/plan.go
+++ b/peridotpath/shift/plan.go
@@ -13,38 +13,38 @@
 // Engine is the state of one engine as input of a plan.
 type Engine struct {
 	ID peridotpath.EndpointID
-	// Wanted is the desired role; empty means serve.
-	Wanted order.Role
-	// Actual is the state that the engine reports; its role is empty while the
+	// DesiredRole is the desired role; empty means serve.
+	DesiredRole order.Role
+	// ActualState is the state that the engine reports; its role is empty while the
 	// engine does not respond.
-	Actual order.State
-	// Answered reports whether the engine responded to the last read, Alive
+	ActualState order.State
+	// Responded reports whether the engine responded to the last read, Alive
 	// whether it is live on the membership list and responded to a recent read.
-	Answered, Alive bool
-	// Held is the KV memory that the engine's streams use, of KVTokens.
-	Held, KVTokens peridotpath.Tokens
+	Responded, Alive bool
+	// UsedKV is the KV memory that the engine's streams use, of KVTokens.
+	UsedKV, KVTokens peridotpath.Tokens
 	// PrefillPerS is the prefill rate in tokens a second.
 	PrefillPerS peridotpath.Tokens
 }
 
-// Need is the demand of prompts that are too long for one engine.
-type Need struct {
-	// Longest is the maximum size of a prompt with its answer, by the profiles of
+// Demand is the demand of prompts that are too long for one engine.
+type Demand struct {
+	// MaxPromptTokens is the maximum size of a prompt with its answer, by the profiles of
 	// the service.
-	Longest peridotpath.Tokens
-	// PerS is the demand in tokens a second.
-	PerS float64
-	// Idle is the time since the last such prompt.
-	Idle time.Duration
+	MaxPromptTokens peridotpath.Tokens
+	// TokensPerSecond is the demand in tokens a second.
+	TokensPerSecond float64
+	// IdleTime is the time since the last such prompt.
+	IdleTime time.Duration
 	// Sites are the data centres that have engines of the service.
 	Sites []Site
-	// Here is the data centre that the plan is for.
-	Here peridotpath.DataCentre
+	// DataCentre is the data centre that the plan is for.
+	DataCentre peridotpath.DataCentre
 }
 
 // mayRequireGroup reports whether there is demand that may require a group.
-func (need *Need) mayRequireGroup(limits Limits) bool {
-	return need.Idle < limits.Hold && need.PerS > 0
+func (demand *Demand) mayRequireGroup(limits Limits) bool {
+	return demand.IdleTime < limits.GroupIdleTimeout && demand.TokensPerSecond > 0
 }
 
 // Site is a data centre with its number of live engines of a service.
@@ -55,14 +55,14 @@
 
 // Limits are the limits of a plan.
 type Limits struct {
-	// Hold is the time without demand after which a group is dissolved. Forming
+	// GroupIdleTimeout is the time without demand after which a group is dissolved. Forming
 	// one drains its members, which takes them out of service for tens of seconds;
 	// a group for each single prompt would cost more capacity than it provides.
-	Hold time.Duration
+	GroupIdleTimeout time.Duration
 }
 
-// Move is a change of one engine's role, with its reason for the log.
-type Move struct {
+// RoleChange is a change of one engine's role, with its reason for the log.
+type RoleChange struct {
 	Endpoint peridotpath.EndpointID
 	Role     order.Role
 	Reason   string
@@ -77,8 +77,8 @@
 // serve. All memory of a group is therefore reserved before it serves, and two
 // groups cannot deadlock with half of it each. Only one group forms or dissolves
 // at a time, which bounds the number of engines out of service.
-func Plan(engines []Engine, need Need, limits Limits) []Move {
-	planner := &planner{engines: map[peridotpath.EndpointID]*Engine{}, demand: need, limits: limits}
+func Plan(engines []Engine, demand Demand, limits Limits) []RoleChange {
+	planner := &planner{engines: map[peridotpath.EndpointID]*Engine{}, demand: demand, limits: limits}
 	for i := range engines {
 		planner.engines[engines[i].ID] = &engines[i]
 		planner.ids = append(planner.ids, engines[i].ID)
@@ -96,7 +96,7 @@
 type planner struct {
 	engines map[peridotpath.EndpointID]*Engine
 	ids     []peridotpath.EndpointID
-	demand  Need
+	demand  Demand
 	limits  Limits
 }
 
@@ -111,7 +111,7 @@
 func (planner *planner) groups() []group {
 	byLeader := map[peridotpath.EndpointID][]peridotpath.EndpointID{}
 	for _, id := range planner.ids {
-		desired := parseRole(planner.engines[id].Wanted)
+		desired := parseRole(planner.engines[id].DesiredRole)
 		switch desired.duty {
 		case dutyLead, dutyClose:
 			byLeader[id] = append([]peridotpath.EndpointID{id}, byLeader[id]...)
@@ -140,8 +140,8 @@
 
 // dissolveBroken dissolves every group that has lost an engine: its pooled memory is
 // incomplete and its requests are lost. The remaining engines serve again at once.
-func (planner *planner) dissolveBroken() []Move {
-	var moves []Move
+func (planner *planner) dissolveBroken() []RoleChange {
+	var moves []RoleChange
 	for _, group := range planner.groups() {
 		if lost := planner.lostEngine(group); lost != "" {
 			moves = append(moves, planner.assignDuty(group, dutyServe, "lost engine "+string(lost))...)
@@ -162,9 +162,9 @@
 			return id
 		}
 	}
-	desired := parseRole(leader.Wanted)
+	desired := parseRole(leader.DesiredRole)
 	for _, id := range desired.engines {
-		if desired.duty != dutyDrain && (planner.engines[id] == nil || parseRole(planner.engines[id].Wanted).leader() != group.leader) {
+		if desired.duty != dutyDrain && (planner.engines[id] == nil || parseRole(planner.engines[id].DesiredRole).leader() != group.leader) {
 			return id
 		}
 	}
@@ -172,11 +172,11 @@
 }
 
 // assignDuty returns moves that give the same duty to all engines of a group.
-func (planner *planner) assignDuty(group group, duty duty, reason string) []Move {
-	var moves []Move
+func (planner *planner) assignDuty(group group, duty duty, reason string) []RoleChange {
+	var moves []RoleChange
 	for _, id := range group.engines {
 		if planner.engines[id] != nil {
-			moves = append(moves, Move{Endpoint: id, Role: formatRole(duty), Reason: reason})
+			moves = append(moves, RoleChange{Endpoint: id, Role: formatRole(duty), Reason: reason})
 		}
 	}
 	return moves
@@ -184,15 +184,15 @@
 
 // advance returns the next step of the group that is forming or dissolving, and
 // whether there is such a group, even if its next step is not due yet.
-func (planner *planner) advance() ([]Move, bool) {
+func (planner *planner) advance() ([]RoleChange, bool) {
 	for _, group := range planner.groups() {
-		switch parseRole(planner.engines[group.leader].Wanted).duty {
+		switch parseRole(planner.engines[group.leader].DesiredRole).duty {
 		case dutyDrain:
 			return planner.advanceForming(group), true
 		case dutyClose:
 			return planner.advanceClosing(group), true
 		case dutyLead:
-			if planner.engines[group.leader].Actual.Role != planner.engines[group.leader].Wanted {
+			if planner.engines[group.leader].ActualState.Role != planner.engines[group.leader].DesiredRole {
 				return nil, true
 			}
 		}
@@ -201,27 +201,27 @@
 }
 
 // advanceForming returns the next step of a group that is forming.
-func (planner *planner) advanceForming(group group) []Move {
+func (planner *planner) advanceForming(group group) []RoleChange {
 	members := group.engines[1:]
 	for _, id := range group.engines {
 		engine := planner.engines[id]
-		if engine.Actual.Role != engine.Wanted || engine.Held > 0 {
+		if engine.ActualState.Role != engine.DesiredRole || engine.UsedKV > 0 {
 			return nil
 		}
 	}
 	if haveDuty(planner, members, dutyMember) {
-		return []Move{{Endpoint: group.leader, Role: formatRole(dutyLead, members...), Reason: "members are ready"}}
+		return []RoleChange{{Endpoint: group.leader, Role: formatRole(dutyLead, members...), Reason: "members are ready"}}
 	}
-	var moves []Move
+	var moves []RoleChange
 	for _, id := range members {
-		moves = append(moves, Move{Endpoint: id, Role: formatRole(dutyMember, group.leader), Reason: "engine is drained"})
+		moves = append(moves, RoleChange{Endpoint: id, Role: formatRole(dutyMember, group.leader), Reason: "engine is drained"})
 	}
 	return moves
 }
 
 func haveDuty(planner *planner, ids []peridotpath.EndpointID, duty duty) bool {
 	for _, id := range ids {
-		if parseRole(planner.engines[id].Wanted).duty != duty {
+		if parseRole(planner.engines[id].DesiredRole).duty != duty {
 			return false
 		}
 	}
@@ -230,9 +230,9 @@
 
 // advanceClosing returns the engines of a closing group to service once no request runs
 // in it.
-func (planner *planner) advanceClosing(group group) []Move {
+func (planner *planner) advanceClosing(group group) []RoleChange {
 	leader := planner.engines[group.leader]
-	if leader.Actual.Role != leader.Wanted || leader.Held > 0 {
+	if leader.ActualState.Role != leader.DesiredRole || leader.UsedKV > 0 {
 		return nil
 	}
 	return planner.assignDuty(group, dutyServe, "group is drained")
@@ -240,7 +240,7 @@
 
 // resize starts to form a group when there are too few, or to dissolve one when
 // there are too many.
-func (planner *planner) resize() []Move {
+func (planner *planner) resize() []RoleChange {
 	groups := planner.groups()
 	needed := planner.desiredGroupCount()
 	switch {
@@ -249,8 +249,8 @@
 	case len(groups) > needed:
 		surplus := groups[len(groups)-1]
 		reason := fmt.Sprintf("%d groups, %d needed", len(groups), needed)
-		members := parseRole(planner.engines[surplus.leader].Wanted).engines
-		return []Move{{Endpoint: surplus.leader, Role: formatRole(dutyClose, members...), Reason: reason}}
+		members := parseRole(planner.engines[surplus.leader].DesiredRole).engines
+		return []RoleChange{{Endpoint: surplus.leader, Role: formatRole(dutyClose, members...), Reason: reason}}
 	default:
 		return nil
 	}
@@ -258,12 +258,12 @@
 
 // startForming starts to form a group of the engines with the least memory in use, which
 // drain soonest.
-func (planner *planner) startForming(existing, needed int) []Move {
+func (planner *planner) startForming(existing, needed int) []RoleChange {
 	var candidates []*Engine
 	for _, id := range planner.ids {
 		engine := planner.engines[id]
-		serving := parseRole(engine.Wanted).duty == dutyServe && parseRole(engine.Actual.Role).duty == dutyServe
-		if engine.Alive && engine.Answered && serving {
+		serving := parseRole(engine.DesiredRole).duty == dutyServe && parseRole(engine.ActualState.Role).duty == dutyServe
+		if engine.Alive && engine.Responded && serving {
 			candidates = append(candidates, engine)
 		}
 	}
@@ -271,12 +271,12 @@
 	if len(candidates) < size {
 		return nil
 	}
-	slices.SortStableFunc(candidates, func(a, b *Engine) int { return cmp.Compare(a.Held, b.Held) })
+	slices.SortStableFunc(candidates, func(a, b *Engine) int { return cmp.Compare(a.UsedKV, b.UsedKV) })
 	leader := candidates[0].ID
 	reason := fmt.Sprintf("%d groups of %d engines, %d needed", existing, size, needed)
-	var moves []Move
+	var moves []RoleChange
 	for _, engine := range candidates[:size] {
-		moves = append(moves, Move{Endpoint: engine.ID, Role: formatRole(dutyDrain, leader), Reason: reason})
+		moves = append(moves, RoleChange{Endpoint: engine.ID, Role: formatRole(dutyDrain, leader), Reason: reason})
 	}
 	return moves
 }
--- a/peridotpath/shift/plan_test.go
+++ b/peridotpath/shift/plan_test.go
@@ -25,40 +25,40 @@
 // fleet is a set of engines that take their desired roles one step later.
 type fleet struct {
 	engines   []Engine
-	demand    Need
+	demand    Demand
 	moveCount int
 	// groupsBegun counts the groups that started to form.
 	groupsBegun int
 }
 
 func newFleet(count int) *fleet {
-	fleet := &fleet{demand: Need{
-		Longest: maxPromptTokens, Here: "colombo-a",
+	fleet := &fleet{demand: Demand{
+		MaxPromptTokens: maxPromptTokens, DataCentre: "colombo-a",
 		Sites: []Site{{DataCentre: "colombo-a", Engines: count}},
 	}}
 	for i := range count {
 		fleet.engines = append(fleet.engines, Engine{
-			ID: peridotpath.EndpointID(fmt.Sprintf("e%d", i)), Actual: order.State{Role: "serve"},
-			Answered: true, Alive: true, KVTokens: kvTokensPerEngine, PrefillPerS: prefillPerS,
+			ID: peridotpath.EndpointID(fmt.Sprintf("e%d", i)), ActualState: order.State{Role: "serve"},
+			Responded: true, Alive: true, KVTokens: kvTokensPerEngine, PrefillPerS: prefillPerS,
 		})
 	}
 	return fleet
 }
 
 // step lets the engines take their desired roles, then applies the next plan.
-func (fleet *fleet) step() []Move {
+func (fleet *fleet) step() []RoleChange {
 	for i := range fleet.engines {
 		engine := &fleet.engines[i]
-		if engine.Wanted != "" && engine.Answered {
-			engine.Actual.Role = engine.Wanted
+		if engine.DesiredRole != "" && engine.Responded {
+			engine.ActualState.Role = engine.DesiredRole
 		}
-		if duty := parseRole(engine.Actual.Role).duty; duty != dutyServe && duty != dutyLead {
-			engine.Held = max(engine.Held-kvTokensPerEngine/10, 0)
+		if duty := parseRole(engine.ActualState.Role).duty; duty != dutyServe && duty != dutyLead {
+			engine.UsedKV = max(engine.UsedKV-kvTokensPerEngine/10, 0)
 		}
 	}
-	moves := Plan(fleet.engines, fleet.demand, Limits{Hold: idleTimeout})
+	moves := Plan(fleet.engines, fleet.demand, Limits{GroupIdleTimeout: idleTimeout})
 	for _, move := range moves {
-		fleet.engine(move.Endpoint).Wanted = move.Role
+		fleet.engine(move.Endpoint).DesiredRole = move.Role
 		if parseRole(move.Role).duty == dutyDrain && parseRole(move.Role).leader() == move.Endpoint {
 			fleet.groupsBegun++
 		}
@@ -70,7 +70,7 @@
 func (fleet *fleet) run(span time.Duration) {
 	for range span / planInterval {
 		fleet.step()
-		fleet.demand.Idle += planInterval
+		fleet.demand.IdleTime += planInterval
 	}
 }
 
@@ -82,7 +82,7 @@
 func (fleet *fleet) countDuty(duty duty) int {
 	count := 0
 	for _, engine := range fleet.engines {
-		if parseRole(engine.Wanted).duty == duty {
+		if parseRole(engine.DesiredRole).duty == duty {
 			count++
 		}
 	}
@@ -90,7 +90,9 @@
 }
 
 // setDemand sets the demand in tokens a second.
-func (fleet *fleet) setDemand(perS float64) { fleet.demand.PerS, fleet.demand.Idle = perS, 0 }
+func (fleet *fleet) setDemand(perS float64) {
+	fleet.demand.TokensPerSecond, fleet.demand.IdleTime = perS, 0
+}
 
 // TestGroupFormsAfterMembersDrain checks that a group forms while all
 // engines are busy: its engines must finish their running requests first, and the
@@ -99,22 +101,22 @@
 	is := is.New(t)
 	fleet := newFleet(5)
 	for i := range fleet.engines {
-		fleet.engines[i].Held = peridotpath.Tokens(kvTokensPerEngine * (i + 1) / 6)
+		fleet.engines[i].UsedKV = peridotpath.Tokens(kvTokensPerEngine * (i + 1) / 6)
 	}
 	fleet.setDemand(1000)
 	fleet.step()
 	is.Equal(fleet.countDuty(dutyDrain), 3)
-	is.Equal(parseRole(fleet.engine("e0").Wanted).duty, dutyDrain) // the emptiest
-	is.Equal(parseRole(fleet.engine("e4").Wanted).duty, dutyServe) // the fullest
+	is.Equal(parseRole(fleet.engine("e0").DesiredRole).duty, dutyDrain) // the emptiest
+	is.Equal(parseRole(fleet.engine("e4").DesiredRole).duty, dutyServe) // the fullest
 	for range 100 {
 		for _, move := range fleet.step() {
 			if parseRole(move.Role).duty != dutyLead {
-				is.Equal(fleet.engine(move.Endpoint).Held, peridotpath.Tokens(0))
+				is.Equal(fleet.engine(move.Endpoint).UsedKV, peridotpath.Tokens(0))
 				continue
 			}
 			is.Equal(move.Role, order.Role("lead/e1,e2"))
 			for _, id := range []peridotpath.EndpointID{"e1", "e2"} {
-				is.Equal(fleet.engine(id).Actual.Role, order.Role("member/e0"))
+				is.Equal(fleet.engine(id).ActualState.Role, order.Role("member/e0"))
 			}
 		}
 	}
@@ -136,7 +138,7 @@
 	}
 	is.Equal(fleet.groupsBegun, 2)
 	is.Equal(fleet.countDuty(dutyLead), 2)
-	fleet.demand.PerS = 0
+	fleet.demand.TokensPerSecond = 0
 	fleet.run(idleTimeout - time.Minute)
 	is.Equal(fleet.countDuty(dutyLead), 2)
 	fleet.run(5 * time.Minute)
@@ -157,9 +159,9 @@
 	}
 	is.Equal(fleet.countDuty(dutyLead), 1)
 	leader := fleet.engine("e0")
-	leader.Held = 3 * kvTokensPerEngine
-	fleet.demand.PerS, fleet.demand.Idle = 0, idleTimeout
-	for fleet.step(); leader.Held > 0; fleet.step() {
+	leader.UsedKV = 3 * kvTokensPerEngine
+	fleet.demand.TokensPerSecond, fleet.demand.IdleTime = 0, idleTimeout
+	for fleet.step(); leader.UsedKV > 0; fleet.step() {
 		is.Equal(fleet.countDuty(dutyMember), 2)
 	}
 	is.Equal(fleet.countDuty(dutyServe), 4)
@@ -178,9 +180,9 @@
 				for range steps {
 					fleet.step()
 				}
-				fleet.demand.PerS, fleet.demand.Idle = 0, idleTimeout
+				fleet.demand.TokensPerSecond, fleet.demand.IdleTime = 0, idleTimeout
 				lost := fleet.engine(dies)
-				lost.Alive, lost.Answered = false, false
+				lost.Alive, lost.Responded = false, false
 				for range 4 {
 					fleet.step()
 				}
@@ -228,19 +230,19 @@
 			engine := &fleet.engines[rapid.IntRange(0, len(fleet.engines)-1).Draw(t, "engine")]
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				engine.Alive, engine.Answered = false, false
-				engine.Actual.Role, engine.Held = "serve", 0
+				engine.Alive, engine.Responded = false, false
+				engine.ActualState.Role, engine.UsedKV = "serve", 0
 			case 1:
-				engine.Alive, engine.Answered = true, true
+				engine.Alive, engine.Responded = true, true
 			case 2:
-				engine.Answered = !engine.Answered && engine.Alive
+				engine.Responded = !engine.Responded && engine.Alive
 			case 3:
 				fleet.setDemand(float64(rapid.IntRange(0, 3).Draw(t, "groups")) * prefillPerS)
 			case 4:
-				fleet.demand.PerS, fleet.demand.Idle = 0, idleTimeout
+				fleet.demand.TokensPerSecond, fleet.demand.IdleTime = 0, idleTimeout
 			case 5:
-				if duty := parseRole(engine.Actual.Role).duty; duty == dutyServe || duty == dutyLead {
-					engine.Held = kvTokensPerEngine
+				if duty := parseRole(engine.ActualState.Role).duty; duty == dutyServe || duty == dutyLead {
+					engine.UsedKV = kvTokensPerEngine
 				}
 			}
 			checkMoves(t, fleet, fleet.step())
@@ -249,19 +251,19 @@
 	})
 }
 
-func checkMoves(t *rapid.T, fleet *fleet, moves []Move) {
+func checkMoves(t *rapid.T, fleet *fleet, moves []RoleChange) {
 	for _, move := range moves {
 		if role := parseRole(move.Role); role.duty == dutyLead {
 			for _, id := range role.engines {
-				if got := parseRole(fleet.engine(id).Actual.Role); got.duty != dutyMember || got.leader() != move.Endpoint {
-					t.Fatalf("%s leads while %s is %s", move.Endpoint, id, fleet.engine(id).Actual.Role)
+				if got := parseRole(fleet.engine(id).ActualState.Role); got.duty != dutyMember || got.leader() != move.Endpoint {
+					t.Fatalf("%s leads while %s is %s", move.Endpoint, id, fleet.engine(id).ActualState.Role)
 				}
 			}
 		}
 	}
 	in := map[peridotpath.EndpointID]peridotpath.EndpointID{}
 	for _, engine := range fleet.engines {
-		if desired := parseRole(engine.Wanted); desired.duty == dutyLead || desired.duty == dutyClose {
+		if desired := parseRole(engine.DesiredRole); desired.duty == dutyLead || desired.duty == dutyClose {
 			for _, id := range desired.engines {
 				if other, taken := in[id]; taken {
 					t.Fatalf("%s is in the groups of %s and %s", id, other, engine.ID)
@@ -276,9 +278,9 @@
 // moves stop with all engines serving.
 func checkSettles(t *rapid.T, fleet *fleet) {
 	for i := range fleet.engines {
-		fleet.engines[i].Alive, fleet.engines[i].Answered, fleet.engines[i].Held = true, true, 0
+		fleet.engines[i].Alive, fleet.engines[i].Responded, fleet.engines[i].UsedKV = true, true, 0
 	}
-	fleet.demand.PerS, fleet.demand.Idle = 0, idleTimeout
+	fleet.demand.TokensPerSecond, fleet.demand.IdleTime = 0, idleTimeout
 	for range 30 {
 		fleet.step()
 	}
--- a/peridotpath/shift/size.go
+++ b/peridotpath/shift/size.go
@@ -27,16 +27,16 @@
 // this hysteresis, demand near a boundary does not form and dissolve groups in turn.
 func (planner *planner) desiredGroupCount() int {
 	existing := len(planner.groups())
-	if planner.demand.Idle >= planner.limits.Hold {
+	if planner.demand.IdleTime >= planner.limits.GroupIdleTimeout {
 		return 0
 	}
 	size := planner.groupSize()
 	groupRate := targetUtilisation * float64(size) * float64(planner.referenceEngine().PrefillPerS)
-	if planner.demand.PerS <= 0 || groupRate <= 0 {
+	if planner.demand.TokensPerSecond <= 0 || groupRate <= 0 {
 		return existing
 	}
-	count := int(math.Ceil(planner.demand.PerS / groupRate))
-	return max(existing, allotGroups(count, size, planner.demand.Sites)[planner.demand.Here])
+	count := int(math.Ceil(planner.demand.TokensPerSecond / groupRate))
+	return max(existing, allotGroups(count, size, planner.demand.Sites)[planner.demand.DataCentre])
 }
 
 // allotGroups assigns groups to data centres, each to the one with the most engines
@@ -84,5 +84,5 @@
 	if memory <= 0 {
 		return 0
 	}
-	return int(math.Ceil(groupMemoryMargin * float64(planner.demand.Longest) / float64(memory)))
+	return int(math.Ceil(groupMemoryMargin * float64(planner.demand.MaxPromptTokens) / float64(memory)))
 }
--- a/standin/load/call.go
+++ b/standin/load/call.go
@@ -286,7 +286,7 @@
 		if event.kind == "error" {
 			return call.failureOf(event.data)
 		}
-		if string(event.data) == engine.Done {
+		if string(event.data) == engine.EndMark {
 			return call.check(call.text.String())
 		}
 		part := gjson.GetBytes(event.data, "choices.0.text").String() + gjson.GetBytes(event.data, "choices.0.delta.content").String()
--- a/standin/load/request.go
+++ b/standin/load/request.go
@@ -136,5 +136,5 @@
 	if request.work.Plain {
 		return servicetest.BodySum(body)
 	}
-	return enginetest.Answer(enginetest.Seed(body), int(request.work.OutputTokens))
+	return enginetest.Answer(enginetest.AnswerSeed(body), int(request.work.OutputTokens))
 }
