--- a/peridotpath/digest/book.go
+++ b/peridotpath/digest/book.go
@@ -1,9 +1,15 @@
-// Package digest holds what one instance publishes to the others and what it
-// holds of theirs: for each endpoint that it owns the quantised load, and for
-// each customer near its limit the demand. A Digest carries only what changed
-// since the receiver's last one.
+// Package digest holds the state that instances exchange about load: for each
+// endpoint that an instance owns the quantised load report, and for each customer
+// near its rate limit the demand. It keeps the traffic low when a large fleet
+// exchanges reports several times a second.
 //
-// The package does no input or output and reads no clock.
+// Each instance has its published state, and a Mirror of that of each other
+// instance. Synchronisation is by anti-entropy with deltas: each
+// change has a sequence number, a Digest contains the entries that changed
+// since the sequence that its receiver holds, and a lost or reordered Digest is
+// made up for by the next one.
+//
+// The package does no I/O and reads no clock.
 package digest
 
 import (
@@ -18,27 +24,28 @@
 )
 
 const (
-	// Protocol is the protocol that this code speaks.
+	// Protocol is the version of the protocol that this code implements.
 	Protocol = 1
-	// Oldest is the oldest protocol whose speakers can read our messages.
+	// Oldest is the oldest protocol version whose implementations can read the
+	// messages of this one.
 	Oldest = 1
-	// MaxEntries bounds one Digest to about 3 kB; what does not fit comes with
+	// MaxEntries limits one Digest to about 3 kB. Further entries are sent with
 	// the next one.
 	MaxEntries = 128
 )
 
-// Version returns the version that goes with each message.
+// Version returns the version that is sent with each message.
 func Version() *wire.Version {
 	return &wire.Version{Protocol: Protocol, ReadableBy: Oldest}
 }
 
-// Readable reports whether this code can make use of a message. One without a
-// version is not of this protocol.
+// Readable reports whether this code can read a message of the version. A message
+// without a version is not of this protocol.
 func Readable(version *wire.Version) bool {
 	return version.GetProtocol() > 0 && version.GetReadableBy() <= Protocol
 }
 
-// value is what is published of an endpoint or customer, in codes.
+// value is the published state of an endpoint or customer, quantised.
 type value struct {
 	state                             wire.State
 	running, waiting, prefill, kvUsed uint32
@@ -46,8 +53,9 @@
 	demand                            uint32
 }
 
-// described returns the part of the value that rarely changes.
-func (value value) described() [3]uint32 {
+// rareFields returns the part of the value that rarely changes, and is sent only
+// with the name.
+func (value value) rareFields() [3]uint32 {
 	return [3]uint32{value.kvTokens, value.prefillPerS, value.decodePerS}
 }
 
@@ -58,22 +66,25 @@
 	value    value
 	revision uint64
 	asOf     time.Time
-	// changed is the sequence of the last change, named that of the last
-	// change of what is sent with the name.
-	changed, named uint64
+	// changedSequence is the sequence of the last change, and namedSequence
+	// that of the last change to the name or to the figures that are sent with
+	// it.
+	changedSequence, namedSequence uint64
 }
 
-// Book is what this instance publishes. The zero Book with an Epoch is empty.
+// Book is the state that this instance publishes. The zero value with an Epoch is
+// empty.
 type Book struct {
-	// Epoch tells this Book from any other, those of earlier runs included.
+	// Epoch identifies this state. It differs between instances and between the
+	// runs of one instance.
 	Epoch uint64
 
-	mu        sync.Mutex
-	sequence  uint64
-	endpoints map[peridotpath.EndpointID]*entry
-	customers map[peridotpath.CustomerID]*entry
-	count     uint32
-	urgent    uint64
+	mu             sync.Mutex
+	sequence       uint64
+	endpoints      map[peridotpath.EndpointID]*entry
+	customers      map[peridotpath.CustomerID]*entry
+	lastIndex      uint32
+	urgentSequence uint64
 }
 
 // PutEndpoint publishes an endpoint's report.
@@ -89,25 +100,27 @@
 	if load.Leaving {
 		next.state = wire.State_STATE_LEAVING
 	}
-	found := book.endpoint(id)
+	found := book.endpointEntry(id)
 	found.revision, found.asOf = load.Revision, load.AsOf
-	book.put(found, next)
+	book.setValue(found, next)
 }
 
-// Unread publishes that the endpoint's report cannot be read at present, so
-// that the others do not take its last one for confirmed. They may then read it
-// themselves: the fault can lie between this instance and the endpoint.
+// Unread publishes that this instance cannot read the endpoint's report at
+// present, so that the other instances do not treat the last one as confirmed.
+// They may then poll the endpoint themselves, since the failure can lie between
+// this instance and the endpoint.
 func (book *Book) Unread(id peridotpath.EndpointID) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	if found := book.endpoints[id]; found != nil && found.value.state == wire.State_STATE_UNSPECIFIED {
 		next := found.value
 		next.state = wire.State_STATE_UNREAD
-		book.put(found, next)
+		book.setValue(found, next)
 	}
 }
 
-// PutCustomer publishes a customer's demand at this instance, in requests per second.
+// PutCustomer publishes a customer's demand at this instance, in requests per
+// second.
 func (book *Book) PutCustomer(id peridotpath.CustomerID, demand float64) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
@@ -116,162 +129,165 @@
 	}
 	found := book.customers[id]
 	if found == nil {
-		found = book.add()
+		found = book.newEntry()
 		found.customer = id
 		book.customers[id] = found
 	}
-	book.put(found, value{demand: Quantise(int64(demand * demandScale))})
+	book.setValue(found, value{demand: Quantise(int64(demand * demandScale))})
 }
 
-// demandScale turns requests per second into the unit of the wire form.
+// demandScale is the number of units on the wire per request per second.
 const demandScale = 1000
 
-// Rounded returns a demand as the other instances see it.
+// Rounded returns a demand as the other instances receive it, after quantisation.
 func Rounded(perSecond float64) float64 {
 	return float64(Figure(Quantise(int64(perSecond*demandScale)))) / demandScale
 }
 
-// KeepEndpoints withdraws the endpoints for which keep says no.
+// KeepEndpoints withdraws the endpoints for which keep is false.
 func (book *Book) KeepEndpoints(keep func(peridotpath.EndpointID) bool) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	for id, found := range book.endpoints {
 		if !keep(id) {
-			book.drop(found)
+			book.setDropped(found)
 		}
 	}
 }
 
-// KeepCustomers withdraws the customers for which keep says no.
+// KeepCustomers withdraws the customers for which keep is false.
 func (book *Book) KeepCustomers(keep func(peridotpath.CustomerID) bool) {
 	book.mu.Lock()
 	defer book.mu.Unlock()
 	for id, found := range book.customers {
 		if !keep(id) {
-			book.drop(found)
+			book.setDropped(found)
 		}
 	}
 }
 
-// drop keeps the entry, so that receivers hear of it and its index stays its own.
-func (book *Book) drop(found *entry) {
+// setDropped replaces the value by a tombstone. The entry is kept, so that
+// receivers are sent the removal and its index is not reused.
+func (book *Book) setDropped(found *entry) {
 	if found.value.state != wire.State_STATE_DROPPED {
-		book.put(found, value{state: wire.State_STATE_DROPPED})
+		book.setValue(found, value{state: wire.State_STATE_DROPPED})
 	}
 }
 
-func (book *Book) endpoint(id peridotpath.EndpointID) *entry {
+func (book *Book) endpointEntry(id peridotpath.EndpointID) *entry {
 	if book.endpoints == nil {
 		book.endpoints = map[peridotpath.EndpointID]*entry{}
 	}
 	found := book.endpoints[id]
 	if found == nil {
-		found = book.add()
+		found = book.newEntry()
 		found.endpoint = id
 		book.endpoints[id] = found
 	}
 	return found
 }
 
-func (book *Book) add() *entry {
-	book.count++
-	return &entry{index: book.count}
+func (book *Book) newEntry() *entry {
+	book.lastIndex++
+	return &entry{index: book.lastIndex}
 }
 
-func (book *Book) put(found *entry, next value) {
-	if found.changed > 0 && found.value == next {
+func (book *Book) setValue(found *entry, next value) {
+	if found.changedSequence > 0 && found.value == next {
 		return
 	}
 	book.sequence++
-	// A receiver forgets a dropped entry with its name, so the name is sent again.
-	forgotten := found.changed == 0 || found.value.state == wire.State_STATE_DROPPED
-	if forgotten || found.value.described() != next.described() {
-		found.named = book.sequence
+	// A receiver deletes a dropped entry with its name, so the name is sent
+	// again.
+	needsName := found.changedSequence == 0 || found.value.state == wire.State_STATE_DROPPED
+	if needsName || found.value.rareFields() != next.rareFields() {
+		found.namedSequence = book.sequence
 	}
-	// That an endpoint leaves may not wait for the next round: in that time
-	// every other instance would go on sending it work.
+	// A leaving endpoint is published without waiting for the next exchange, in
+	// which time every other instance would continue to send it work.
 	if next.state == wire.State_STATE_LEAVING && found.value.state != next.state {
-		book.urgent = book.sequence
+		book.urgentSequence = book.sequence
 	}
-	found.value, found.changed = next, book.sequence
+	found.value, found.changedSequence = next, book.sequence
 }
 
-// Urgent returns the sequence that every receiver should have without waiting
-// for the next round.
+// Urgent returns the sequence that is to be sent to every receiver without
+// waiting for the next exchange.
 func (book *Book) Urgent() uint64 {
 	book.mu.Lock()
 	defer book.mu.Unlock()
-	return book.urgent
+	return book.urgentSequence
 }
 
-// Digest returns what changed for a receiver that holds seen of the epoch. It
-// leaves empty who sends it and what that holds of the receiver.
+// Digest returns the changes for a receiver that holds the epoch up to the
+// sequence seen. The caller sets the sender and the position that it holds of
+// the receiver's published state.
 func (book *Book) Digest(now time.Time, epoch, seen uint64) *wire.Digest {
 	book.mu.Lock()
 	defer book.mu.Unlock()
-	// A receiver that holds an earlier run's table, or claims more than there
-	// is, gets everything.
+	// A receiver that holds the state of an earlier run, or reports a sequence
+	// that does not exist, is sent everything.
 	if epoch != book.Epoch || seen > book.sequence {
 		seen = 0
 	}
-	changed := book.changed(seen)
+	changed := book.changedSince(seen)
 	digest := &wire.Digest{Version: Version(), Epoch: book.Epoch, Base: seen, Sequence: book.sequence}
 	if len(changed) > MaxEntries {
 		changed = changed[:MaxEntries]
-		digest.Sequence = changed[MaxEntries-1].changed
+		digest.Sequence = changed[MaxEntries-1].changedSequence
 	}
 	for _, found := range changed {
-		book.write(digest, now, found)
+		book.appendEntry(digest, now, found)
 	}
-	digest.AgeMs = book.age(now)
+	digest.AgeMs = book.oldestAge(now)
 	return digest
 }
 
-// changed returns the entries that changed after seen, oldest change first, so
-// that a Digest that is cut short has all changes up to its last one.
-func (book *Book) changed(seen uint64) []*entry {
+// changedSince returns the entries that changed after seen, oldest change
+// first, so that a truncated Digest contains all changes up to its last one.
+func (book *Book) changedSince(seen uint64) []*entry {
 	var changed []*entry
 	if seen == book.sequence {
 		return nil
 	}
 	for _, found := range book.endpoints {
-		if found.changed > seen {
+		if found.changedSequence > seen {
 			changed = append(changed, found)
 		}
 	}
 	for _, found := range book.customers {
-		if found.changed > seen {
+		if found.changedSequence > seen {
 			changed = append(changed, found)
 		}
 	}
-	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.changed, b.changed) })
+	slices.SortFunc(changed, func(a, b *entry) int { return cmp.Compare(a.changedSequence, b.changedSequence) })
 	return changed
 }
 
-func (book *Book) write(digest *wire.Digest, now time.Time, found *entry) {
-	named := found.named > digest.Base
+func (book *Book) appendEntry(digest *wire.Digest, now time.Time, found *entry) {
+	includeName := found.namedSequence > digest.Base
 	if found.endpoint == "" {
-		written := &wire.CustomerEntry{Index: found.index, Demand: found.value.demand, State: found.value.state}
-		if named {
-			written.Customer = string(found.customer)
+		encoded := &wire.CustomerEntry{Index: found.index, Demand: found.value.demand, State: found.value.state}
+		if includeName {
+			encoded.Customer = string(found.customer)
 		}
-		digest.Customers = append(digest.Customers, written)
+		digest.Customers = append(digest.Customers, encoded)
 		return
 	}
-	written := &wire.EndpointEntry{
+	encoded := &wire.EndpointEntry{
 		Index: found.index, Running: found.value.running, Waiting: found.value.waiting,
 		PrefillTokens: found.value.prefill, KvUsed: found.value.kvUsed, State: found.value.state,
-		Revision: found.revision, AgeMs: millis(now.Sub(found.asOf)),
+		Revision: found.revision, AgeMs: toMillis(now.Sub(found.asOf)),
 	}
-	if named {
-		written.Endpoint = string(found.endpoint)
-		written.KvTokens, written.PrefillPerS, written.DecodePerS = found.value.kvTokens, found.value.prefillPerS, found.value.decodePerS
+	if includeName {
+		encoded.Endpoint = string(found.endpoint)
+		encoded.KvTokens, encoded.PrefillPerS, encoded.DecodePerS = found.value.kvTokens, found.value.prefillPerS, found.value.decodePerS
 	}
-	digest.Endpoints = append(digest.Endpoints, written)
+	digest.Endpoints = append(digest.Endpoints, encoded)
 }
 
-// age returns the age of the oldest report that is being kept up.
-func (book *Book) age(now time.Time) uint32 {
+// oldestAge returns the age of the oldest report that is still being updated.
+func (book *Book) oldestAge(now time.Time) uint32 {
 	oldest := now
 	for _, found := range book.endpoints {
 		state := found.value.state
@@ -279,9 +295,9 @@
 			oldest = found.asOf
 		}
 	}
-	return millis(now.Sub(oldest))
+	return toMillis(now.Sub(oldest))
 }
 
-func millis(span time.Duration) uint32 {
+func toMillis(span time.Duration) uint32 {
 	return uint32(min(max(span.Milliseconds(), 0), math.MaxInt32))
 }
--- a/peridotpath/digest/digest_test.go
+++ b/peridotpath/digest/digest_test.go
@@ -16,34 +16,36 @@
 	"peridotpath.example/peridotpath/peer/wire"
 )
 
-// seeds that CI tries each random property with, 100 cases each.
-const seeds = 2
+// seedCount is the number of seeds with which CI runs each property, 100 cases
+// each.
+const seedCount = 2
 
-func TestQuantiseKeepsWithinASixteenth(t *testing.T) {
-	soak.Check(t, seeds, func(t *rapid.T) {
+func TestQuantisationErrorIsAtMostASixteenth(t *testing.T) {
+	soak.Check(t, seedCount, func(t *rapid.T) {
 		figure := rapid.Int64Range(0, 1<<50).Draw(t, "figure")
 		code := digest.Quantise(figure)
-		back := digest.Figure(code)
-		if off := max(back-figure, figure-back); off*16 > figure {
-			t.Fatalf("%d came back as %d", figure, back)
+		decoded := digest.Figure(code)
+		if difference := max(decoded-figure, figure-decoded); difference*16 > figure {
+			t.Fatalf("%d is decoded as %d", figure, decoded)
 		}
-		if digest.Quantise(back) != code || digest.Quantise(figure+1) < code {
+		if digest.Quantise(decoded) != code || digest.Quantise(figure+1) < code {
 			t.Fatalf("code %d of %d is not stable", code, figure)
 		}
 	})
 }
 
-// Two instances lose, repeat and delay messages, and each may start anew. If
-// the receiver then holds an entry that the sender withdrew, or lacks one, it
-// routes by a load that nobody reported, for as long as nothing changes there.
-func TestMirrorComesToHoldTheBook(t *testing.T) {
-	soak.Check(t, seeds, func(t *rapid.T) {
+// A Mirror converges to the published state when messages are lost, repeated
+// and delayed and either side restarts. A receiver that keeps a withdrawn
+// entry, or lacks one, would route by a wrong load until the entry changes
+// again.
+func TestMirrorConvergesToPublishedState(t *testing.T) {
+	soak.Check(t, seedCount, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
 		epoch := uint64(1)
 		book, mirror := &digest.Book{Epoch: epoch}, &digest.Mirror{}
 		want := map[peridotpath.EndpointID]int{}
 		var delayed []*wire.Digest
-		send := func() *wire.Digest { return book.Digest(now, seen1(mirror), seen2(mirror)) }
+		send := func() *wire.Digest { return book.Digest(now, seenEpoch(mirror), seenSequence(mirror)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				id := peridotpath.EndpointID(fmt.Sprint("engine-", rapid.IntRange(0, 5).Draw(t, "id")))
@@ -51,9 +53,9 @@
 				book.PutEndpoint(id, peridotpath.Load{Running: want[id], AsOf: now})
 			},
 			"withdraw": func(t *rapid.T) {
-				gone := peridotpath.EndpointID(fmt.Sprint("engine-", rapid.IntRange(0, 5).Draw(t, "id")))
-				book.KeepEndpoints(func(id peridotpath.EndpointID) bool { return id != gone })
-				delete(want, gone)
+				withdrawn := peridotpath.EndpointID(fmt.Sprint("engine-", rapid.IntRange(0, 5).Draw(t, "id")))
+				book.KeepEndpoints(func(id peridotpath.EndpointID) bool { return id != withdrawn })
+				delete(want, withdrawn)
 			},
 			"deliver": func(*rapid.T) { mirror.Apply(now, send()) },
 			"delay":   func(*rapid.T) { delayed = append(delayed, send()) },
@@ -68,7 +70,8 @@
 			},
 			"receiver starts anew": func(*rapid.T) { mirror = &digest.Mirror{} },
 			"settle": func(t *rapid.T) {
-				// One exchange may be spent on finding out what is missing.
+				// The first exchange may only establish the position to send
+				// from.
 				mirror.Apply(now, send())
 				have := map[peridotpath.EndpointID]int{}
 				for _, report := range mirror.Apply(now, send()) {
@@ -82,8 +85,8 @@
 	})
 }
 
-// A message of a second ago arrives after a newer one. Taken in, it would show an
-// endpoint that fills up as idle, and as read just now.
+// A Digest that arrives after a newer one is dropped. Applied, it would report a
+// loaded endpoint as idle, with a current AsOf.
 func TestLateDigestIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -97,9 +100,9 @@
 	is.Equal(reports[0].Load.Running, 9)
 }
 
-// A receiver starts anew while a message that builds on its earlier run is under
-// way. Taken in, it would leave the receiver without every endpoint that did
-// not change since, and saying that it holds them.
+// A Digest that is based on the state of the receiver before its restart is
+// dropped. Applied, it would leave the receiver without the endpoints that have
+// not changed since, while it reports to hold them.
 func TestDigestForAnEarlierRunIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -107,13 +110,13 @@
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 1, AsOf: now})
 	exchange(now, book, mirror, now)
 	book.PutEndpoint("engine-2", peridotpath.Load{Running: 2, AsOf: now})
-	underWay := book.Digest(now, seen1(mirror), seen2(mirror))
+	inTransit := book.Digest(now, seenEpoch(mirror), seenSequence(mirror))
 	mirror = &digest.Mirror{}
-	is.Equal(len(mirror.Apply(now, underWay)), 0)
+	is.Equal(len(mirror.Apply(now, inTransit)), 0)
 	_, reports := exchange(now, book, mirror, now)
 	is.Equal(len(reports), 2)
 
-	// The sender starts anew: one message is enough to hold its new table.
+	// After a restart of the sender, one Digest transfers its whole new state.
 	book = &digest.Book{Epoch: 2}
 	for i := range 5 {
 		book.PutEndpoint(peridotpath.EndpointID(fmt.Sprint("engine-", i)), peridotpath.Load{AsOf: now})
@@ -122,18 +125,18 @@
 	is.Equal(len(reports), 5)
 }
 
-func seen1(mirror *digest.Mirror) uint64 { epoch, _ := mirror.Seen(); return epoch }
-func seen2(mirror *digest.Mirror) uint64 { _, sequence := mirror.Seen(); return sequence }
+func seenEpoch(mirror *digest.Mirror) uint64    { epoch, _ := mirror.Seen(); return epoch }
+func seenSequence(mirror *digest.Mirror) uint64 { _, sequence := mirror.Seen(); return sequence }
 
 func exchange(now time.Time, book *digest.Book, mirror *digest.Mirror, at time.Time) (*wire.Digest, []digest.Report) {
-	sent := book.Digest(now, seen1(mirror), seen2(mirror))
+	sent := book.Digest(now, seenEpoch(mirror), seenSequence(mirror))
 	return sent, mirror.Apply(at, sent)
 }
 
-// The clocks of two instances differ by a minute. Were reports stamped with
-// the sender's time, the receiver would take a load for a minute old, or for one
-// of the future that outlasts every later report.
-func TestAgesNotTimes(t *testing.T) {
+// The age of a report is independent of the clock difference between instances.
+// With the sender's timestamps, a clock that differs by a minute would make a
+// report stale, or place it in the future where it supersedes all later reports.
+func TestReportAgeIsIndependentOfClocks(t *testing.T) {
 	is := is.New(t)
 	sender := time.Unix(1_000_000, 0)
 	receiver := sender.Add(-time.Minute)
@@ -142,14 +145,14 @@
 	_, reports := exchange(sender, book, mirror, receiver)
 	is.Equal(receiver.Sub(reports[0].Load.AsOf), 200*time.Millisecond)
 
-	// Nothing changed, and the endpoint was read again: the report is confirmed.
+	// A report that was read again without a change is confirmed.
 	later := sender.Add(time.Second)
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: later.Add(-50 * time.Millisecond)})
 	sent, reports := exchange(later, book, mirror, receiver.Add(time.Second))
 	is.Equal(len(sent.Endpoints), 0)
 	is.Equal(receiver.Add(time.Second).Sub(reports[0].Load.AsOf), 50*time.Millisecond)
 
-	// It could not be read: what the others hold ages, and is not confirmed.
+	// A report that could not be read is not confirmed, and ages.
 	book.Unread("engine-1")
 	exchange(later, book, mirror, receiver.Add(2*time.Second))
 	_, reports = exchange(later.Add(time.Minute), book, mirror, receiver.Add(time.Minute))
@@ -167,16 +170,16 @@
 	}
 	var reports []digest.Report
 	for rounds := 0; len(reports) < 1000; rounds++ {
-		is.True(rounds < 8) // eight messages carry a thousand entries
+		is.True(rounds < 8) // eight messages contain a thousand entries
 		var sent *wire.Digest
 		sent, reports = exchange(now, book, mirror, now)
 		is.True(proto.Size(sent) <= 10_000)
 	}
 }
 
-// A new version adds fields during a roll. Instances of the old one must still
-// read what they know, and turn away only what says that they can't.
-func TestVersions(t *testing.T) {
+// During a rolling upgrade, a message with unknown fields is still read, and
+// only a message whose version declares that it is unreadable is rejected.
+func TestVersionCompatibility(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
 	book, mirror := &digest.Book{Epoch: 1}, &digest.Mirror{}
--- a/peridotpath/digest/mirror.go
+++ b/peridotpath/digest/mirror.go
@@ -8,78 +8,81 @@
 	"peridotpath.example/peridotpath/peer/wire"
 )
 
-// Mirror is what this instance holds of another one's Book. The zero Mirror
-// holds nothing.
+// Mirror is the copy of another instance's published state. The zero Mirror is
+// empty.
 type Mirror struct {
-	mu        sync.Mutex
-	epoch     uint64
-	sequence  uint64
-	endpoints map[uint32]*Report
-	customers map[uint32]*demand
-	heard     time.Time
+	mu            sync.Mutex
+	epoch         uint64
+	sequence      uint64
+	endpoints     map[uint32]*Report
+	customers     map[uint32]*customerDemand
+	lastAppliedAt time.Time
 }
 
-// Report is an endpoint's report as its owner handed it on.
+// Report is an endpoint's load report as forwarded by the owner of the endpoint.
 type Report struct {
 	Endpoint peridotpath.EndpointID
 	Load     peridotpath.Load
-	// Unread says that the owner cannot read the endpoint at present.
+	// Unread is set while the owner cannot read the endpoint's report.
 	Unread bool
 }
 
-// demand is what one customer asks of another instance.
-type demand struct {
+// customerDemand is the demand of one customer at another instance.
+type customerDemand struct {
 	customer peridotpath.CustomerID
-	// perSecond counts requests, refused ones included.
+	// perSecond is in requests, including refused ones.
 	perSecond float64
 }
 
-// Seen returns the epoch and sequence that the other instance may build on.
+// Seen returns the epoch and sequence that this Mirror holds, for the other
+// instance to base its next Digest on.
 func (mirror *Mirror) Seen() (epoch, sequence uint64) {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	return mirror.epoch, mirror.sequence
 }
 
-// Heard returns when the other instance was last heard; zero for never.
+// Heard returns when the last Digest of the other instance was applied; zero for
+// never.
 func (mirror *Mirror) Heard() time.Time {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
-	return mirror.heard
+	return mirror.lastAppliedAt
 }
 
-// Apply takes in a Digest that arrived at now, and returns every report that it
-// confirms, changed or not. It returns none when the Digest is late or builds
-// on something that is not held; the next one then brings what is missing,
-// because Seen says what is.
+// Apply applies a Digest that was received at now, and returns all reports held,
+// changed or not. It returns none if the Digest is older than the state held or
+// based on a later sequence; the next Digest then starts from the position that
+// Mirror.Seen returns.
 //
-// AsOf of the reports is reckoned from now and the ages in the Digest, so that
-// the two instances' clocks may differ by any amount.
+// AsOf of the reports is computed from now and the ages in the Digest, which
+// makes it independent of the clock difference between the instances.
 func (mirror *Mirror) Apply(now time.Time, digest *wire.Digest) []Report {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	if digest.Epoch != mirror.epoch {
-		// The other instance was started anew. What it said before is void; a
-		// late Digest of the earlier run is put right by the next exchange.
+		// The other instance was restarted, which invalidates its earlier
+		// state. A late Digest of the earlier run is corrected by the next
+		// exchange.
 		mirror.epoch, mirror.sequence = digest.Epoch, 0
-		mirror.endpoints, mirror.customers = map[uint32]*Report{}, map[uint32]*demand{}
+		mirror.endpoints, mirror.customers = map[uint32]*Report{}, map[uint32]*customerDemand{}
 	}
 	if digest.Base > mirror.sequence || digest.Sequence < mirror.sequence {
 		return nil
 	}
-	mirror.heard = now
+	mirror.lastAppliedAt = now
 	mirror.sequence = digest.Sequence
-	confirmed := now.Add(-age(digest.AgeMs))
+	confirmed := now.Add(-fromMillis(digest.AgeMs))
 	for _, report := range mirror.endpoints {
 		if !report.Unread && confirmed.After(report.Load.AsOf) {
 			report.Load.AsOf = confirmed
 		}
 	}
-	for _, written := range digest.Endpoints {
-		mirror.applyEndpoint(now, written)
+	for _, encoded := range digest.Endpoints {
+		mirror.applyEndpoint(now, encoded)
 	}
-	for _, written := range digest.Customers {
-		mirror.applyCustomer(written)
+	for _, encoded := range digest.Customers {
+		mirror.applyCustomer(encoded)
 	}
 	reports := make([]Report, 0, len(mirror.endpoints))
 	for _, report := range mirror.endpoints {
@@ -88,52 +91,52 @@
 	return reports
 }
 
-func age(millis uint32) time.Duration { return time.Duration(millis) * time.Millisecond }
+func fromMillis(millis uint32) time.Duration { return time.Duration(millis) * time.Millisecond }
 
-func (mirror *Mirror) applyEndpoint(now time.Time, written *wire.EndpointEntry) {
-	if written.State == wire.State_STATE_DROPPED {
-		delete(mirror.endpoints, written.Index)
+func (mirror *Mirror) applyEndpoint(now time.Time, encoded *wire.EndpointEntry) {
+	if encoded.State == wire.State_STATE_DROPPED {
+		delete(mirror.endpoints, encoded.Index)
 		return
 	}
-	report := mirror.endpoints[written.Index]
+	report := mirror.endpoints[encoded.Index]
 	if report == nil {
 		report = &Report{}
-		mirror.endpoints[written.Index] = report
+		mirror.endpoints[encoded.Index] = report
 	}
 	load := &report.Load
-	if written.Endpoint != "" {
-		report.Endpoint = peridotpath.EndpointID(written.Endpoint)
-		load.KVTokens = peridotpath.Tokens(Figure(written.KvTokens))
-		load.PrefillPerS = peridotpath.Tokens(Figure(written.PrefillPerS))
-		load.DecodePerS = peridotpath.Tokens(Figure(written.DecodePerS))
+	if encoded.Endpoint != "" {
+		report.Endpoint = peridotpath.EndpointID(encoded.Endpoint)
+		load.KVTokens = peridotpath.Tokens(Figure(encoded.KvTokens))
+		load.PrefillPerS = peridotpath.Tokens(Figure(encoded.PrefillPerS))
+		load.DecodePerS = peridotpath.Tokens(Figure(encoded.DecodePerS))
 	}
-	load.Running, load.Waiting = int(Figure(written.Running)), int(Figure(written.Waiting))
-	load.PrefillTokens = peridotpath.Tokens(Figure(written.PrefillTokens))
-	load.KVUsed = peridotpath.Tokens(Figure(written.KvUsed))
-	load.Revision = written.Revision
-	load.AsOf = now.Add(-age(written.AgeMs))
-	load.Leaving = written.State == wire.State_STATE_LEAVING
-	report.Unread = written.State == wire.State_STATE_UNREAD
+	load.Running, load.Waiting = int(Figure(encoded.Running)), int(Figure(encoded.Waiting))
+	load.PrefillTokens = peridotpath.Tokens(Figure(encoded.PrefillTokens))
+	load.KVUsed = peridotpath.Tokens(Figure(encoded.KvUsed))
+	load.Revision = encoded.Revision
+	load.AsOf = now.Add(-fromMillis(encoded.AgeMs))
+	load.Leaving = encoded.State == wire.State_STATE_LEAVING
+	report.Unread = encoded.State == wire.State_STATE_UNREAD
 }
 
-func (mirror *Mirror) applyCustomer(written *wire.CustomerEntry) {
-	if written.State == wire.State_STATE_DROPPED {
-		delete(mirror.customers, written.Index)
+func (mirror *Mirror) applyCustomer(encoded *wire.CustomerEntry) {
+	if encoded.State == wire.State_STATE_DROPPED {
+		delete(mirror.customers, encoded.Index)
 		return
 	}
-	found := mirror.customers[written.Index]
+	found := mirror.customers[encoded.Index]
 	if found == nil {
-		found = &demand{}
-		mirror.customers[written.Index] = found
+		found = &customerDemand{}
+		mirror.customers[encoded.Index] = found
 	}
-	if written.Customer != "" {
-		found.customer = peridotpath.CustomerID(written.Customer)
+	if encoded.Customer != "" {
+		found.customer = peridotpath.CustomerID(encoded.Customer)
 	}
-	found.perSecond = float64(Figure(written.Demand)) / demandScale
+	found.perSecond = float64(Figure(encoded.Demand)) / demandScale
 }
 
-// Demand returns what each customer asks of the other instance, in requests per
-// second, refused ones included.
+// Demand returns each customer's demand at the other instance, in requests per
+// second, including refused ones.
 func (mirror *Mirror) Demand() map[peridotpath.CustomerID]float64 {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
