--- a/peridotpath/share/example_test.go
+++ b/peridotpath/share/example_test.go
@@ -8,8 +8,8 @@
 	"peridotpath.example/peridotpath/share"
 )
 
-// A customer may have ten requests a second over two instances. The other one
-// is silent, so this one lets through half of them, and says when to come back.
+// A customer is limited to ten requests per second over two instances. The other
+// one is silent, so this one admits half of them and returns a retry delay.
 func Example() {
 	limiter := &share.Limiter{
 		Peers:   func() []share.Peer { return []share.Peer{{}} },
--- a/peridotpath/share/share.go
+++ b/peridotpath/share/share.go
@@ -1,17 +1,21 @@
-// Package share holds customers' request rates over all instances without a
-// call on the path of a request. Each instance tells the others what each
-// customer asks of it, and takes the part of the customer's limit that its part
-// of the demand gives it.
+// Package share is a distributed rate limiter: it enforces the customers'
+// request rates over all instances without a remote call on the request path.
+// It matters when a load balancer sends most of a customer's requests to few
+// instances, where equal parts of the limit would refuse requests within it.
+// Each instance gossips its demand per customer and takes the share of the
+// limit that corresponds to its share of the total demand.
 //
-// Over all instances a customer gets at most:
+// Over all instances a customer is granted at most:
 //
-//   - its limit and one second's worth at once, while the instances hear one
-//     another; those with little demand get a least part that adds a twentieth;
-//   - the limit times the number of sides, for SilentAfter after a split in
-//     which the demand moves to both sides, since neither can see the other's;
-//   - its limit again after that, because each side gives every silent instance
-//     an equal part, for as long as the membership list still names all. When
-//     the lists differ, the limit times the number of lists.
+//   - its limit and a burst of one second, while the instances receive one
+//     another's demand; the minimum shares of instances with little demand add a
+//     twentieth;
+//   - the limit times the number of sides, for SilentAfter after a network
+//     partition in which the demand moves to both sides, since neither side
+//     receives the demand of the other;
+//   - its limit again after that, because each side reserves an equal part for
+//     every silent instance, as long as the membership list still contains all.
+//     When the lists differ, the limit times the number of lists.
 package share
 
 import (
@@ -26,125 +30,133 @@
 )
 
 const (
-	// Interval between two computations of the shares: below the time that a
-	// peer's figures take to arrive, so that it adds little to it.
+	// Interval is the time between two computations of the shares. It is shorter
+	// than the delay with which the demand of peers arrives, and so adds little
+	// to it.
 	Interval = 250 * time.Millisecond
-	// SilentAfter is how long a peer's last figures count. Longer than an
-	// exchange takes at its slowest, which is some seven seconds when 33
-	// instances share a budget, so that no peer is silent in ordinary times.
+	// SilentAfter is the time after which the last demand of a peer expires. It
+	// is longer than the interval between exchanges at its longest, which is
+	// about seven seconds when 33 instances share a budget, so that no peer is
+	// silent in normal operation.
 	SilentAfter = 10 * time.Second
-	// burst is the time's worth of requests that may come at once. Arrivals
-	// are random, and a shallower bucket refuses a customer that keeps to its
-	// rate; a deeper one lets through more at the start of a flood.
-	burst = time.Second
-	// smoothing is the time over which demand is averaged: short, since shares
-	// follow demand with this lag, and no shorter than what makes the figure
-	// of ten requests a second steady.
-	smoothing = time.Second
-	// publishPart is the part of an equal share below which an instance does
-	// not publish a customer's demand. 34,000 customers would cost more than the
-	// exchange may; those far below their limit need no division. All that
-	// goes unpublished is at most a tenth of the limit.
-	publishPart = 0.1
-	// leastPart is the part of an equal share that an instance always has, so
-	// that the first request of a customer finds room wherever it arrives.
-	leastPart = 0.05
-	// retryLimit bounds the advice when to come back: a share that is small now
-	// has followed the demand by then.
-	retryLimit = 2 * time.Second
-	// historyLength is how many computations back the demand is remembered.
+	// burstTime is the bucket depth, in time at the full rate. Arrivals are
+	// random, and a shallower bucket would refuse a customer that is within its
+	// limit; a deeper one admits more at the start of a flood.
+	burstTime = time.Second
+	// demandTimeConstant is the time constant of the moving average of demand.
+	// Shares follow demand with this delay; a shorter one would make the figure
+	// for ten requests per second unstable.
+	demandTimeConstant = time.Second
+	// publishThreshold is the part of an equal share below which an instance
+	// does not publish a customer's demand. The demand of 34,000 customers
+	// would exceed the budget of the exchange, and those far below their limit
+	// need no division. The unpublished demand is at most a tenth of the limit.
+	publishThreshold = 0.1
+	// minSharePart is the minimum share of an instance, as a part of an equal
+	// share, so that the first request of a customer is admitted at any
+	// instance.
+	minSharePart = 0.05
+	// maxRetryDelay is the maximum retry delay. Within it a small share has
+	// adapted to the demand.
+	maxRetryDelay = 2 * time.Second
+	// historyLength is the number of computations for which the demand is kept.
 	historyLength = int(SilentAfter/Interval) + 1
-	// idleAfter is when a customer without requests is forgotten.
-	idleAfter = time.Minute
+	// removeIdleAfter is the time after which a customer without requests is
+	// removed.
+	removeIdleAfter = time.Minute
 )
 
-// Peer is what is known of another instance.
+// Peer is the last received state of another instance.
 type Peer struct {
-	// Heard is when it was last heard; zero for never.
+	// Heard is when it was last received; zero for never.
 	Heard time.Time
-	// Demand is what each customer asks of it, in requests per second.
+	// Demand is the demand of each customer at it, in requests per second.
 	Demand map[peridotpath.CustomerID]float64
 }
 
-// Limiter divides the customers' limits. Set the exported fields before Run.
+// Limiter divides the customers' rate limits between instances. The exported
+// fields must be set before Run.
 type Limiter struct {
-	// Peers returns every other instance that is listed or was heard of late.
+	// Peers returns every other instance that is listed or has recently sent its
+	// demand.
 	Peers func() []Peer
-	// Publish is told the demand of each customer near its limit, and Keep
-	// withdraws those for which it says no.
+	// Publish publishes the demand of a customer near its limit.
 	Publish func(customer peridotpath.CustomerID, perSecond float64)
-	Keep    func(keep func(customer peridotpath.CustomerID) bool)
+	// Keep withdraws the demand of the customers for which keep is false.
+	Keep func(keep func(customer peridotpath.CustomerID) bool)
 
-	customers sync.Map // peridotpath.CustomerID to *customer
-	instances atomic.Int64
-	round     int // of Divide
+	customers     sync.Map // peridotpath.CustomerID to *customer
+	instanceCount atomic.Int64
+	roundCount    int // number of computations
 }
 
-// customer is what one instance knows of one customer. The path of a request
-// uses the atomics only.
+// customer is this instance's state of one customer. The request path uses the
+// atomics only.
 type customer struct {
-	limit   atomic.Int64 // requests per second over all instances
-	gap     atomic.Int64 // nanoseconds between two requests of this instance
-	next    atomic.Int64 // when the next request is due at an even pace, Unix nanoseconds
-	offered atomic.Int64 // requests since the last computation
-	last    atomic.Int64 // when the last request came, Unix nanoseconds
+	limit         atomic.Int64 // requests per second over all instances
+	interval      atomic.Int64 // nanoseconds between two requests of this instance
+	nextRequestAt atomic.Int64 // when the next request is due at an even rate, Unix nanoseconds
+	offeredCount  atomic.Int64 // requests since the last computation
+	lastRequestAt atomic.Int64 // when the last request arrived, Unix nanoseconds
 
-	// Run only.
-	demand    float64                // requests per second
-	history   [historyLength]float64 // demand by computation, a ring
-	published bool
+	// The fields below are used by Limiter.Divide only.
+	demand      float64                // requests per second
+	history     [historyLength]float64 // demand by computation, a ring
+	isPublished bool
 }
 
-// Allow takes one request out of the customer's share, or says when to come
-// back. Limits are in requests; the prompt's tokens do not count at present.
-// It may be called from any goroutine and takes no lock.
-func (limiter *Limiter) Allow(now time.Time, who *peridotpath.Customer, _ peridotpath.Tokens) (ok bool, retryAfter time.Duration) {
-	if who.MaxRequestsPerS <= 0 {
+// Allow takes one request out of the customer's share, or returns the delay
+// after which to retry. Limits are in requests; the prompt's tokens are not
+// counted. It is safe for concurrent use and takes no lock.
+func (limiter *Limiter) Allow(now time.Time, configured *peridotpath.Customer, _ peridotpath.Tokens) (ok bool, retryAfter time.Duration) {
+	if configured.MaxRequestsPerS <= 0 {
 		return true, 0
 	}
-	customer := limiter.of(who)
+	customer := limiter.customerFor(configured)
 	at := now.UnixNano()
-	customer.offered.Add(1)
-	customer.last.Store(at)
-	if limit := int64(who.MaxRequestsPerS); customer.limit.Load() != limit {
+	customer.offeredCount.Add(1)
+	customer.lastRequestAt.Store(at)
+	if limit := int64(configured.MaxRequestsPerS); customer.limit.Load() != limit {
 		customer.limit.Store(limit)
-		customer.gap.Store(gapOf(limiter.equal(limit)))
+		customer.interval.Store(intervalFor(limiter.equalPart(limit)))
 	}
-	gap := customer.gap.Load()
+	interval := customer.interval.Load()
 	for {
-		old := customer.next.Load()
-		next := max(old, at) + gap
-		if wait := next - at - tolerance(gap); wait > 0 {
-			return false, min(time.Duration(wait), retryLimit)
+		old := customer.nextRequestAt.Load()
+		next := max(old, at) + interval
+		if wait := next - at - burstTolerance(interval); wait > 0 {
+			return false, min(time.Duration(wait), maxRetryDelay)
 		}
-		if customer.next.CompareAndSwap(old, next) {
+		if customer.nextRequestAt.CompareAndSwap(old, next) {
 			return true, 0
 		}
 	}
 }
 
-// tolerance is how far ahead of an even pace requests may run, one at least.
-func tolerance(gap int64) int64 { return max(int64(burst), gap) }
+// burstTolerance is how far ahead of an even rate requests may be, at least by
+// one.
+func burstTolerance(interval int64) int64 { return max(int64(burstTime), interval) }
 
-func gapOf(perSecond float64) int64 { return int64(float64(time.Second) / perSecond) }
+func intervalFor(perSecond float64) int64 { return int64(float64(time.Second) / perSecond) }
 
-// equal returns an instance's part of a limit when nothing is known of demand.
-func (limiter *Limiter) equal(limit int64) float64 {
-	return float64(limit) / float64(max(limiter.instances.Load(), 1))
+// equalPart returns an equal part of a limit, which applies while the demand is
+// unknown.
+func (limiter *Limiter) equalPart(limit int64) float64 {
+	return float64(limit) / float64(max(limiter.instanceCount.Load(), 1))
 }
 
-func (limiter *Limiter) of(who *peridotpath.Customer) *customer {
-	if found, ok := limiter.customers.Load(who.ID); ok {
+func (limiter *Limiter) customerFor(configured *peridotpath.Customer) *customer {
+	if found, ok := limiter.customers.Load(configured.ID); ok {
 		return found.(*customer)
 	}
 	fresh := &customer{}
-	fresh.limit.Store(int64(who.MaxRequestsPerS))
-	fresh.gap.Store(gapOf(limiter.equal(int64(who.MaxRequestsPerS))))
-	found, _ := limiter.customers.LoadOrStore(who.ID, fresh)
+	fresh.limit.Store(int64(configured.MaxRequestsPerS))
+	fresh.interval.Store(intervalFor(limiter.equalPart(int64(configured.MaxRequestsPerS))))
+	found, _ := limiter.customers.LoadOrStore(configured.ID, fresh)
 	return found.(*customer)
 }
 
-// Run keeps the shares up to date until ctx ends.
+// Run updates the shares until ctx ends.
 func (limiter *Limiter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(Interval)
 	defer ticker.Stop()
@@ -160,50 +172,51 @@
 	}
 }
 
-// Divide computes the shares, elapsed after it did so last.
+// Divide computes the shares. elapsed is the time since the last call.
 func (limiter *Limiter) Divide(now time.Time, elapsed time.Duration) {
-	others := sumOf(limiter.Peers(), now)
-	limiter.instances.Store(int64(others.heard + others.silent + 1))
-	limiter.round++
-	back := min(int((now.Sub(others.oldest)+Interval-1)/Interval), historyLength-1)
+	others := aggregate(limiter.Peers(), now)
+	limiter.instanceCount.Store(int64(others.currentCount + others.silentCount + 1))
+	limiter.roundCount++
+	roundsBack := min(int((now.Sub(others.oldestReceivedAt)+Interval-1)/Interval), historyLength-1)
 	published := map[peridotpath.CustomerID]bool{}
 	limiter.customers.Range(func(key, value any) bool {
 		id, customer := key.(peridotpath.CustomerID), value.(*customer)
-		if now.UnixNano()-customer.last.Load() > int64(idleAfter) {
+		if now.UnixNano()-customer.lastRequestAt.Load() > int64(removeIdleAfter) {
 			limiter.customers.Delete(id)
 			return true
 		}
-		customer.measure(elapsed)
-		customer.history[limiter.round%historyLength] = customer.demand
-		known := customer.history[(limiter.round+historyLength-back)%historyLength]
-		equal := limiter.equal(customer.limit.Load())
+		customer.updateDemand(elapsed)
+		customer.history[limiter.roundCount%historyLength] = customer.demand
+		ownDemand := customer.history[(limiter.roundCount+historyLength-roundsBack)%historyLength]
+		equal := limiter.equalPart(customer.limit.Load())
 		published[id] = limiter.publish(id, customer, equal)
-		customer.setShare(now, shareOf(known, others.demand[id], equal, others.heard))
+		customer.setShare(now, computeShare(ownDemand, others.demand[id], equal, others.currentCount))
 		return true
 	})
 	limiter.Keep(func(id peridotpath.CustomerID) bool { return published[id] })
 }
 
-// others is what the other instances say together.
-type others struct {
-	// heard and silent count the instances.
-	heard, silent int
-	// oldest is when the one was heard that was heard longest ago.
-	oldest time.Time
-	// demand is in requests per second, over all that were heard.
+// peerTotals is the aggregate of the other instances.
+type peerTotals struct {
+	// currentCount and silentCount are the numbers of instances with current
+	// and with expired demand.
+	currentCount, silentCount int
+	// oldestReceivedAt is the earliest receive time among the current ones.
+	oldestReceivedAt time.Time
+	// demand is the sum over the current ones, in requests per second.
 	demand map[peridotpath.CustomerID]float64
 }
 
-func sumOf(peers []Peer, now time.Time) others {
-	others := others{oldest: now, demand: map[peridotpath.CustomerID]float64{}}
+func aggregate(peers []Peer, now time.Time) peerTotals {
+	others := peerTotals{oldestReceivedAt: now, demand: map[peridotpath.CustomerID]float64{}}
 	for _, peer := range peers {
 		if now.Sub(peer.Heard) > SilentAfter {
-			others.silent++
+			others.silentCount++
 			continue
 		}
-		others.heard++
-		if peer.Heard.Before(others.oldest) {
-			others.oldest = peer.Heard
+		others.currentCount++
+		if peer.Heard.Before(others.oldestReceivedAt) {
+			others.oldestReceivedAt = peer.Heard
 		}
 		for id, perSecond := range peer.Demand {
 			others.demand[id] += perSecond
@@ -212,67 +225,66 @@
 	return others
 }
 
-// measure updates the demand, refused requests included: a share that followed
-// only what was admitted could never grow.
-func (customer *customer) measure(elapsed time.Duration) {
+// updateDemand updates the demand, including refused requests: a share that
+// followed admitted requests only could never grow.
+func (customer *customer) updateDemand(elapsed time.Duration) {
 	if elapsed <= 0 {
 		return
 	}
-	rate := float64(customer.offered.Swap(0)) / elapsed.Seconds()
-	weight := 1 - math.Exp(-float64(elapsed)/float64(smoothing))
+	rate := float64(customer.offeredCount.Swap(0)) / elapsed.Seconds()
+	weight := 1 - math.Exp(-float64(elapsed)/float64(demandTimeConstant))
 	customer.demand += weight * (rate - customer.demand)
 }
 
-// publish tells the others of the demand while it is near the limit. It stops
-// at half of where it begins, so that a steady demand is not told and withdrawn
-// in turn.
+// publish publishes the demand while it is near the limit. It stops at half of
+// the threshold at which it starts (hysteresis), so that a steady demand is not
+// published and withdrawn repeatedly.
 func (limiter *Limiter) publish(id peridotpath.CustomerID, customer *customer, equal float64) bool {
-	floor := publishPart * equal
-	if customer.published {
+	floor := publishThreshold * equal
+	if customer.isPublished {
 		floor /= 2
 	}
-	customer.published = customer.demand > floor
-	if customer.published {
+	customer.isPublished = customer.demand > floor
+	if customer.isPublished {
 		limiter.Publish(id, customer.demand)
 	}
-	return customer.published
+	return customer.isPublished
 }
 
-// shareOf returns this instance's part of a limit.
+// computeShare returns this instance's share of a limit.
 //
-// The load it is made for is a balancer that sends most of a customer's
-// requests to few instances: equal parts would refuse there what lies idle
-// elsewhere. While demand is below the limit each instance has what it needs
-// and an equal part of what is left over. Above it each gets the part that its
-// part of the demand is, so that all parts make up the limit. Silent instances
-// are given equal parts, which is what they take when they hear nobody.
+// While the total demand is below the limit, each instance gets its own demand
+// and an equal part of the rest. Above the limit, shares are proportional to
+// demand, so that they add up to the limit. Each silent instance is reserved an
+// equal part, which is also what an instance takes that receives from no peer.
 //
-// known is this instance's demand as the others know it, not as it is: when a
-// flood begins everywhere at once, each instance sees its own part first, and
-// would take for itself everything that the others do not seem to need.
-func shareOf(known, others, equal float64, heard int) float64 {
-	// The others see the quantised figure. Reckoning with the same one, the
-	// parts that the instances compute add up.
-	known = digest.Rounded(known)
-	available := equal * float64(heard+1)
-	total := known + others
-	share := known + (available-total)/float64(heard+1)
+// ownDemand is this instance's demand as last received by the others, which is
+// older than its current one: when a flood begins at all instances at once,
+// each sees its own demand first, and would otherwise take the entire unused
+// limit.
+func computeShare(ownDemand, peerDemand, equal float64, peers int) float64 {
+	// The other instances receive the quantised figure. With the same figure
+	// here, the shares that the instances compute add up to the limit.
+	ownDemand = digest.Rounded(ownDemand)
+	available := equal * float64(peers+1)
+	total := ownDemand + peerDemand
+	share := ownDemand + (available-total)/float64(peers+1)
 	if total > available {
-		share = available * known / total
+		share = available * ownDemand / total
 	}
-	return max(share, leastPart*equal)
+	return max(share, minSharePart*equal)
 }
 
-// setShare sets the pace. A pace that was slow has put the next request far
-// ahead; without the cut the customer would wait out a share that it no longer
-// has.
+// setShare sets the rate. With a low rate, the next request can be due far in the
+// future; its time is capped, so that the customer does not wait according to a
+// share that has since grown.
 func (customer *customer) setShare(now time.Time, perSecond float64) {
-	gap := gapOf(perSecond)
-	customer.gap.Store(gap)
-	limit := now.UnixNano() + tolerance(gap)
+	interval := intervalFor(perSecond)
+	customer.interval.Store(interval)
+	limit := now.UnixNano() + burstTolerance(interval)
 	for {
-		old := customer.next.Load()
-		if old <= limit || customer.next.CompareAndSwap(old, limit) {
+		old := customer.nextRequestAt.Load()
+		if old <= limit || customer.nextRequestAt.CompareAndSwap(old, limit) {
 			return
 		}
 	}
