--- a/measure/bench/cluster.go
+++ b/measure/bench/cluster.go
@@ -208,14 +208,14 @@
 	now := cluster.clock.now
 	request := &request{arrival: arrival, begun: now, instance: live[pick%uint64(len(live))], returned: first != nil}
 	request.work = &decide.Work{
-		Customer: cluster.customers[arrival.customer],
-		Profile:  profile,
-		Class:    peridotpath.ClassOf(peridotpath.Tokens(arrival.estimate), 0),
-		Prompt:   peridotpath.Tokens(arrival.estimate),
-		Output:   peridotpath.Tokens(arrival.bound),
-		Prefixes: arrival.prefixes,
-		Arrived:  now,
-		Deadline: now.Add(profile.DeadlineMS.Duration()),
+		Customer:        cluster.customers[arrival.customer],
+		Profile:         profile,
+		Class:           peridotpath.ClassOf(peridotpath.Tokens(arrival.estimate), 0),
+		PromptTokens:    peridotpath.Tokens(arrival.estimate),
+		MaxOutputTokens: peridotpath.Tokens(arrival.bound),
+		Prefixes:        arrival.prefixes,
+		ArrivedAt:       now,
+		Deadline:        now.Add(profile.DeadlineMS.Duration()),
 	}
 	if first != nil {
 		first.again = request
@@ -334,9 +334,9 @@
 
 // attemptCodes are the results of failed attempts.
 var attemptCodes = map[decide.Outcome]peridotpath.Code{
-	decide.Rejected:  peridotpath.CodeEndpointRefused,
-	decide.Unreached: peridotpath.CodeEndpointFailed,
-	decide.Failed:    peridotpath.CodeEndpointFailed,
+	decide.Rejected:     peridotpath.CodeEndpointRefused,
+	decide.NotConnected: peridotpath.CodeEndpointFailed,
+	decide.Failed:       peridotpath.CodeEndpointFailed,
 }
 
 func (instance *instance) ended(request *request, job *job, outcome decide.Outcome) {
--- a/measure/bench/engine.go
+++ b/measure/bench/engine.go
@@ -74,7 +74,7 @@
 func (engine *engine) submit(job *job) {
 	switch {
 	case engine.dead:
-		job.ended(decide.Unreached)
+		job.ended(decide.NotConnected)
 		return
 	case engine.failFast:
 		job.ended(decide.Failed)
--- a/measure/bench/policy.go
+++ b/measure/bench/policy.go
@@ -36,13 +36,13 @@
 			scheduler.SetInstances(deployment.Instances)
 			return &decider{
 				setEndpoints: scheduler.SetEndpoints,
-				report:       scheduler.Report,
+				report:       scheduler.ApplyReport,
 				submit:       scheduler.Submit,
-				advance:      scheduler.Advance,
-				next:         scheduler.Next,
+				advance:      scheduler.DispatchQueued,
+				next:         scheduler.NextDispatch,
 				cancel:       scheduler.Cancel,
-				firstToken:   scheduler.FirstToken,
-				done:         scheduler.Done,
+				firstToken:   scheduler.RecordFirstToken,
+				done:         scheduler.EndAttempt,
 				retry:        scheduler.Retry,
 			}
 		}
--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -34,7 +34,7 @@
 	owners    *ownership.Owners
 	view      *fleet.View
 	poller    *fleet.Poller
-	digests   *digest.Book
+	digests   *digest.PublishedState
 	exchanger *peer.Exchanger
 	relay     *peer.Relay
 	service   *peer.Service
@@ -64,13 +64,13 @@
 		Interval: membershipInterval, Log: daemon.log, Changed: tracker.onMembersChanged,
 	}
 	tracker.view = &fleet.View{
-		Log: daemon.log, Publish: daemon.scheduler.SetEndpoints, Load: daemon.scheduler.Report,
+		Log: daemon.log, Publish: daemon.scheduler.SetEndpoints, Load: daemon.scheduler.ApplyReport,
 		Drained: daemon.isDrained,
 	}
 }
 
 func (tracker *fleetTracker) initLoadReports(daemon *daemon) {
-	tracker.digests = &digest.Book{Epoch: uint64(daemon.incarnation)}
+	tracker.digests = &digest.PublishedState{Epoch: uint64(daemon.incarnation)}
 	tracker.poller = &fleet.Poller{View: tracker.view, Book: tracker.digests, Load: daemon.engines.FetchLoad, Owns: tracker.ownsEndpoint}
 	tracker.sweeper = &sweep.Sweeper{
 		Log: daemon.log, Engines: tracker.view.Engines, IsOwner: tracker.ownsEndpoint,
@@ -90,7 +90,7 @@
 	daemon.config.IsReader = tracker.isReader
 	daemon.config.OnSnapshot = func(*config.Snapshot) { tracker.view.Refresh(time.Now()) }
 	tracker.limiter = &share.Limiter{
-		Peers: tracker.exchanger.Remotes, Publish: tracker.digests.PutCustomer, Keep: tracker.digests.KeepCustomers,
+		Peers: tracker.exchanger.Remotes, Publish: tracker.digests.PutCustomer, RetainPublished: tracker.digests.RetainCustomers,
 	}
 	daemon.scheduler.Allow = tracker.limiter.Allow
 }
--- a/peridotd/operate.go
+++ b/peridotd/operate.go
@@ -143,7 +143,7 @@
 		Instance: string(daemon.settings.InstanceID), DataCentre: string(daemon.settings.DataCentre),
 		Ready: daemon.callers.IsReady(), Stopping: daemon.callers.Stopping(),
 		ConfigAgeMs: time.Since(daemon.config.LastContact()).Milliseconds(),
-		Running:     int32(daemon.callers.Active()), Waiting: int32(daemon.scheduler.Waiting()),
+		Running:     int32(daemon.callers.Active()), Waiting: int32(daemon.scheduler.QueuedCount()),
 	}
 	for _, state := range daemon.scheduler.Endpoints(time.Now()) {
 		switch {
@@ -185,7 +185,7 @@
 	work := &decide.Work{
 		ID: "explain", Customer: &peridotpath.Customer{ID: peridotpath.CustomerID(request.Customer), Weight: 1},
 		Profile: profile, Class: peridotpath.ClassOf(need, daemon.fleet.largestEngineKV(profile.Service)),
-		Prompt: prompt, Output: profile.MaxOutputTokens, Arrived: now, Deadline: now.Add(profile.DeadlineMS.Duration()),
+		PromptTokens: prompt, MaxOutputTokens: profile.MaxOutputTokens, ArrivedAt: now, Deadline: now.Add(profile.DeadlineMS.Duration()),
 	}
 	explanation := daemon.scheduler.Explain(now, work)
 	response := &pb.ExplainResponse{
@@ -198,7 +198,7 @@
 	}
 	for _, candidate := range explanation.Candidates {
 		response.Candidates = append(response.Candidates, &pb.Candidate{
-			Endpoint: string(candidate.Endpoint), PredictedTtftMs: candidate.FirstToken.Milliseconds(), Excluded: candidate.Excluded,
+			Endpoint: string(candidate.Endpoint), PredictedTtftMs: candidate.PredictedTTFT.Milliseconds(), Excluded: candidate.ExclusionReason,
 		})
 	}
 	return response, nil
--- a/peridotpath/caller/complete.go
+++ b/peridotpath/caller/complete.go
@@ -41,7 +41,7 @@
 	}
 	exchange.serve(request.Work)
 	if request.Work.Class == peridotpath.Oversize && server.Oversize != nil {
-		server.Oversize(request.Work.Profile.Service, request.Work.Prompt+request.Work.Output)
+		server.Oversize(request.Work.Profile.Service, request.Work.PromptTokens+request.Work.MaxOutputTokens)
 	}
 	request.Free = free
 	return server.once(exchange, body, func(ctx context.Context, maySend func() error) *peridotpath.Result {
@@ -131,9 +131,9 @@
 	}
 	work := &decide.Work{
 		ID: exchange.id, Customer: exchange.customer, Profile: profile,
-		Class:  peridotpath.ClassOf(prompt+output, server.EngineHolds(profile.Service)),
-		Prompt: prompt, Output: output, Prefixes: prefixes(fields.prompt),
-		Arrived: exchange.arrived, Deadline: deadline,
+		Class:        peridotpath.ClassOf(prompt+output, server.EngineHolds(profile.Service)),
+		PromptTokens: prompt, MaxOutputTokens: output, Prefixes: prefixes(fields.prompt),
+		ArrivedAt: exchange.arrived, Deadline: deadline,
 	}
 	return &dispatch.Request{
 		Work: work, Path: exchange.request.URL.Path, Body: engine.NewBody(body), Stream: fields.stream,
@@ -232,7 +232,7 @@
 	free()
 	work := &decide.Work{
 		ID: exchange.id, Customer: exchange.customer, Profile: profile,
-		Arrived: exchange.arrived, Deadline: stream.Deadline(), Attempts: 1,
+		ArrivedAt: exchange.arrived, Deadline: stream.Deadline(), Attempts: 1,
 	}
 	exchange.serve(work)
 	return server.Continue(exchange.request.Context(), work, endpoint, stream.ID, after, server.sink(exchange, work))
--- a/peridotpath/caller/path_bench_test.go
+++ b/peridotpath/caller/path_bench_test.go
@@ -57,7 +57,7 @@
 	}
 	scheduler := &decide.Scheduler{}
 	scheduler.SetEndpoints(time.Now(), []peridotpath.Endpoint{endpoint})
-	scheduler.Report(time.Now(), endpoint.ID, peridotpath.Load{
+	scheduler.ApplyReport(time.Now(), endpoint.ID, peridotpath.Load{
 		AsOf: time.Now(), KVTokens: endpoint.KVTokens, PrefillPerS: 1_000_000_000, DecodePerS: 1_000_000,
 	})
 	client := &engine.Client{Instance: "i1", Incarnation: 1}
--- a/peridotpath/caller/plain.go
+++ b/peridotpath/caller/plain.go
@@ -39,7 +39,7 @@
 	}
 	exchange.serve(&decide.Work{
 		ID: exchange.id, Customer: exchange.customer, Profile: profile,
-		Arrived: exchange.arrived, Deadline: deadline,
+		ArrivedAt: exchange.arrived, Deadline: deadline,
 	})
 	call := &service.Request{
 		ID: exchange.id, Method: exchange.request.Method, Target: target,
--- a/peridotpath/decide/admit.go
+++ b/peridotpath/decide/admit.go
@@ -65,7 +65,7 @@
 	if scheduler.Allow == nil {
 		return work.customer.takeRate(at, work.Customer.MaxRequestsPerS, instances)
 	}
-	ok, wait := scheduler.Allow(time.Unix(0, at), work.Customer, work.Prompt+work.Output)
+	ok, wait := scheduler.Allow(time.Unix(0, at), work.Customer, work.PromptTokens+work.MaxOutputTokens)
 	if ok {
 		return 0
 	}
@@ -98,8 +98,8 @@
 		group.backlogSince[work.queueClass()] = at
 	}
 	scheduler.waitingCount.Add(1)
-	if scheduler.nextAdvance == 0 {
-		scheduler.nextAdvance = at + int64(placementRetryInterval)
+	if scheduler.nextDispatch == 0 {
+		scheduler.nextDispatch = at + int64(placementRetryInterval)
 	}
 	return Decision{Work: work, Verdict: Wait}
 }
@@ -150,7 +150,7 @@
 	}
 	meanPrefillRate := totalPrefillRate(pool) / float64(len(pool))
 	decodeRate /= float64(len(pool))
-	return seconds(serviceTimeMargin * (float64(work.Prompt)/meanPrefillRate + float64(work.Output)/decodeRate))
+	return seconds(serviceTimeMargin * (float64(work.PromptTokens)/meanPrefillRate + float64(work.MaxOutputTokens)/decodeRate))
 }
 
 // drainRate is the rate in tokens per second at which this Instance's queue of
@@ -181,7 +181,7 @@
 		return refuse(work, code, 0)
 	}
 	chance := scheduler.random.Float64()
-	if !scheduler.isEnabled(MechanismPromise) {
+	if !scheduler.isEnabled(MechanismRetrySchedule) {
 		return refuse(work, code, minRetryDelay)
 	}
 	class := work.queueClass()
--- a/peridotpath/decide/admit_test.go
+++ b/peridotpath/decide/admit_test.go
@@ -34,7 +34,7 @@
 		decision := scheduler.Submit(now, work)
 		if decision.Verdict == Place {
 			admitted++
-			scheduler.Done(now, work, Finished, 1)
+			scheduler.EndAttempt(now, work, Finished, 1)
 			continue
 		}
 		is.Equal(refusalCode(decision), peridotpath.CodeRateLimited)
@@ -61,7 +61,7 @@
 	extra := newWork(1_000)
 	extra.Customer = customer
 	is.Equal(refusalCode(scheduler.Submit(epoch, extra)), peridotpath.CodeTooManyRequests)
-	scheduler.Done(epoch, works[0], Abandoned, 0)
+	scheduler.EndAttempt(epoch, works[0], Abandoned, 0)
 	is.Equal(scheduler.Submit(epoch, extra).Verdict, Place)
 }
 
@@ -72,7 +72,7 @@
 		load.KVUsed = engineKV
 		load.PrefillTokens = 200_000
 		load.Revision = 1
-		scheduler.Report(asOf, endpoint.ID, load)
+		scheduler.ApplyReport(asOf, endpoint.ID, load)
 	}
 }
 
@@ -104,7 +104,7 @@
 }
 
 // Queued work is refused when its profile's queue timeout expires.
-// Scheduler.Next returns a time for as long as work is queued.
+// Scheduler.NextDispatch returns a time for as long as work is queued.
 func TestQueuedWorkIsRefusedAtItsTimeout(t *testing.T) {
 	is := is.New(t)
 	scheduler := newScheduler(1)
@@ -113,11 +113,11 @@
 	work.Profile = newProfile("page", func(profile *peridotpath.Profile) { profile.MaxQueueMS = 2_000 })
 	is.Equal(scheduler.Submit(epoch, work).Verdict, Wait)
 	for {
-		next := scheduler.Next()
+		next := scheduler.NextDispatch()
 		is.True(!next.IsZero())
 		is.True(next.Before(sinceEpoch(3 * time.Second)))
 		reportFull(scheduler, 1, next)
-		decisions := scheduler.Advance(next)
+		decisions := scheduler.DispatchQueued(next)
 		if len(decisions) == 0 {
 			continue
 		}
@@ -125,7 +125,7 @@
 		is.True(decisions[0].Result.RetryAfter > 0)
 		break
 	}
-	is.True(scheduler.Next().IsZero())
+	is.True(scheduler.NextDispatch().IsZero())
 }
 
 // Work whose caller has disconnected is removed from the queue and from all
@@ -138,7 +138,7 @@
 	is.Equal(scheduler.Submit(epoch, work).Verdict, Wait)
 	scheduler.Cancel(epoch, work)
 	scheduler.Cancel(epoch, work)
-	is.Equal(len(scheduler.Advance(sinceEpoch(time.Hour))), 0)
+	is.Equal(len(scheduler.DispatchQueued(sinceEpoch(time.Hour))), 0)
 	is.Equal(work.customer.activeCount.Load(), int64(0))
 	is.Equal(scheduler.waitingCount.Load(), int64(0))
 }
--- a/peridotpath/decide/affinity.go
+++ b/peridotpath/decide/affinity.go
@@ -48,7 +48,7 @@
 		if member == nil {
 			continue
 		}
-		length := min(PrefixBlock<<i, work.Prompt)
+		length := min(PrefixBlock<<i, work.PromptTokens)
 		return member, int64(float64(length) * weight)
 	}
 	return nil, 0
--- a/peridotpath/decide/bench_test.go
+++ b/peridotpath/decide/bench_test.go
@@ -10,7 +10,7 @@
 )
 
 // BenchmarkDecision measures all decisions for one request, from
-// Scheduler.Submit to Scheduler.Done, with parallel callers.
+// Scheduler.Submit to Scheduler.EndAttempt, with parallel callers.
 func BenchmarkDecision(b *testing.B) {
 	for _, count := range []int{40, 750} {
 		b.Run(fmt.Sprintf("endpoints=%d", count), func(b *testing.B) {
@@ -24,19 +24,19 @@
 			var ticks atomic.Int64
 			b.ReportAllocs()
 			b.RunParallel(func(parallel *testing.PB) {
-				work := Work{Profile: profile, Prompt: 2_000, Output: 100, Prefixes: []uint64{1, 2}}
+				work := Work{Profile: profile, PromptTokens: 2_000, MaxOutputTokens: 100, Prefixes: []uint64{1, 2}}
 				for parallel.Next() {
 					tick := ticks.Add(1)
 					now := epoch.Add(time.Duration(tick) * 10 * time.Microsecond)
 					work.Customer = customers[tick%2]
 					work.Prefixes[1] = uint64(tick % 10_000)
-					work.Arrived, work.Deadline, work.Attempts = now, now.Add(time.Minute), 0
+					work.ArrivedAt, work.Deadline, work.Attempts = now, now.Add(time.Minute), 0
 					if scheduler.Submit(now, &work).Verdict != Place {
 						b.Error("not placed")
 						return
 					}
-					scheduler.FirstToken(now, &work)
-					scheduler.Done(now, &work, Finished, 100)
+					scheduler.RecordFirstToken(now, &work)
+					scheduler.EndAttempt(now, &work, Finished, 100)
 				}
 			})
 		})
--- a/peridotpath/decide/ejection_test.go
+++ b/peridotpath/decide/ejection_test.go
@@ -26,18 +26,18 @@
 	unreached, recovered := 0, 0
 	for i := range 600 {
 		now := sinceEpoch(time.Duration(i) * 200 * time.Millisecond)
-		work := &Work{Customer: newCustomer("desk"), Profile: profile, Arrived: now, Deadline: now.Add(10 * time.Second)}
+		work := &Work{Customer: newCustomer("desk"), Profile: profile, ArrivedAt: now, Deadline: now.Add(10 * time.Second)}
 		decision := scheduler.Submit(now, work)
 		is.Equal(decision.Verdict, Place)
 		outcome := Finished
 		if decision.Endpoint.ID == "endpoint-000" && now.Before(sinceEpoch(restarted)) {
-			outcome = Unreached
+			outcome = NotConnected
 			unreached++
 		}
 		if decision.Endpoint.ID == "endpoint-000" && outcome == Finished {
 			recovered++
 		}
-		scheduler.Done(now.Add(100*time.Millisecond), work, outcome, 0)
+		scheduler.EndAttempt(now.Add(100*time.Millisecond), work, outcome, 0)
 	}
 	is.Equal(unreached, ejectAfterFailures)
 	is.True(recovered > 0) // the ejection ends
--- a/peridotpath/decide/helper_test.go
+++ b/peridotpath/decide/helper_test.go
@@ -44,13 +44,13 @@
 // newWork returns work that arrives at epoch with a deadline one minute later.
 func newWork(prompt peridotpath.Tokens) *Work {
 	return &Work{
-		Customer: newCustomer("desk"),
-		Profile:  newProfile("line", nil),
-		Class:    peridotpath.ClassOf(prompt, 0),
-		Prompt:   prompt,
-		Output:   100,
-		Arrived:  epoch,
-		Deadline: sinceEpoch(time.Minute),
+		Customer:        newCustomer("desk"),
+		Profile:         newProfile("line", nil),
+		Class:           peridotpath.ClassOf(prompt, 0),
+		PromptTokens:    prompt,
+		MaxOutputTokens: 100,
+		ArrivedAt:       epoch,
+		Deadline:        sinceEpoch(time.Minute),
 	}
 }
 
@@ -80,7 +80,7 @@
 	scheduler := &Scheduler{Seed: 1}
 	scheduler.SetEndpoints(epoch, newEndpoints(count))
 	for _, endpoint := range newEndpoints(count) {
-		scheduler.Report(epoch, endpoint.ID, idleLoad(epoch))
+		scheduler.ApplyReport(epoch, endpoint.ID, idleLoad(epoch))
 	}
 	return scheduler
 }
--- a/peridotpath/decide/mechanism.go
+++ b/peridotpath/decide/mechanism.go
@@ -6,8 +6,8 @@
 
 // The mechanisms that can be disabled.
 const (
-	// MechanismSent adds the work sent since an endpoint's report to that report.
-	MechanismSent Mechanism = 1 << iota
+	// MechanismSentCorrection adds the work sent since an endpoint's report to that report.
+	MechanismSentCorrection Mechanism = 1 << iota
 	// MechanismAffinity discounts tokens that an endpoint's prefix cache may
 	// hold.
 	MechanismAffinity
@@ -37,15 +37,15 @@
 	MechanismRetryBudget
 	// MechanismAgeing raises the priority of work that has long been queued.
 	MechanismAgeing
-	// MechanismPromise schedules the retries of refused callers at the drain
+	// MechanismRetrySchedule schedules the retries of refused callers at the drain
 	// rate.
-	MechanismPromise
+	MechanismRetrySchedule
 )
 
 // Mechanisms returns every mechanism by the name that benchmarks use.
 func Mechanisms() map[string]Mechanism {
 	return map[string]Mechanism{
-		"sent":         MechanismSent,
+		"sent":         MechanismSentCorrection,
 		"affinity":     MechanismAffinity,
 		"subset":       MechanismSubset,
 		"sampling":     MechanismSampling,
@@ -59,6 +59,6 @@
 		"slowness":     MechanismSlowness,
 		"retry_budget": MechanismRetryBudget,
 		"ageing":       MechanismAgeing,
-		"promise":      MechanismPromise,
+		"promise":      MechanismRetrySchedule,
 	}
 }
--- a/peridotpath/decide/place.go
+++ b/peridotpath/decide/place.go
@@ -122,7 +122,7 @@
 // consider replaces best if member is a better candidate, or adds the reason why
 // member cannot take the work.
 func (scheduler *Scheduler) consider(at int64, work *Work, member *member, cached int64, best *candidate, reasons *obstacle) {
-	next := candidate{member: member, uncachedTokens: max(int64(work.Prompt)-cached, 0)}
+	next := candidate{member: member, uncachedTokens: max(int64(work.PromptTokens)-cached, 0)}
 	if scheduler.isEnabled(MechanismEjection) {
 		usable, probe := member.health.canTake(at, work)
 		if !usable {
@@ -154,7 +154,7 @@
 // number of in-flight requests (least connections): the cost of a single call is
 // unknown.
 func (scheduler *Scheduler) considerPlain(member *member, next *candidate) obstacle {
-	inFlight := member.inFlightCount(scheduler.isEnabled(MechanismSent))
+	inFlight := member.inFlightCount(scheduler.isEnabled(MechanismSentCorrection))
 	if inFlight >= maxPlainInFlight {
 		return obstacleBacklog
 	}
@@ -174,18 +174,18 @@
 		needed = min(needed, totalKV)
 	}
 	rate := member.prefillRate()
-	backlog := member.prefillBacklog(at, scheduler.isEnabled(MechanismSent))
+	backlog := member.prefillBacklog(at, scheduler.isEnabled(MechanismSentCorrection))
 	ownPending := float64(member.pendingUpTo(work.placement.band))
 	next.ttft = (float64(next.uncachedTokens) + scheduler.delayingBacklog(work, ownPending, backlog, member.reportAge(at))) / rate
 	next.cost = next.ttft
-	finish := next.ttft + float64(work.Output)/member.decodeRate()
+	finish := next.ttft + float64(work.MaxOutputTokens)/member.decodeRate()
 	timeLeft := time.Duration(work.Deadline.UnixNano() - at).Seconds()
 	// Before an endpoint's first report its rates are low defaults, by which an
 	// instance that has just started would refuse work that the fleet can finish.
 	if scheduler.isEnabled(MechanismPrediction) && member.load.Load() != nil && finish > timeLeft {
 		return obstacleDeadline
 	}
-	usedKV := member.usedKV(work.queueClass(), scheduler.isEnabled(MechanismSent))
+	usedKV := member.usedKV(work.queueClass(), scheduler.isEnabled(MechanismSentCorrection))
 	if totalKV > 0 && scheduler.isEnabled(MechanismMemory) {
 		if usedKV > 0 && float64(usedKV+needed) > scheduler.maxFill(at, work)*float64(totalKV) {
 			return obstacleNoFreeKV
@@ -293,7 +293,7 @@
 	if work.placement.band%2 == 0 {
 		priority++
 	}
-	halfTime := work.Arrived.UnixNano()/2 + work.Deadline.UnixNano()/2
+	halfTime := work.ArrivedAt.UnixNano()/2 + work.Deadline.UnixNano()/2
 	if scheduler.isEnabled(MechanismAgeing) && at > halfTime {
 		priority += 2
 	}
--- a/peridotpath/decide/place_test.go
+++ b/peridotpath/decide/place_test.go
@@ -20,7 +20,7 @@
 		if endpoint.ID == "endpoint-001" {
 			load.PrefillTokens = 3_000
 		}
-		scheduler.Report(epoch, endpoint.ID, load)
+		scheduler.ApplyReport(epoch, endpoint.ID, load)
 	}
 	placed := map[peridotpath.EndpointID]int{}
 	for i := range 20 {
@@ -39,19 +39,19 @@
 	scheduler := newScheduler(1)
 	work := newWork(7_000)
 	is.Equal(scheduler.Submit(sinceEpoch(0), work).Verdict, Place)
-	scheduler.FirstToken(sinceEpoch(300*time.Millisecond), work)
+	scheduler.RecordFirstToken(sinceEpoch(300*time.Millisecond), work)
 	member := (*scheduler.members.Load())["endpoint-000"]
 	load := idleLoad(sinceEpoch(400 * time.Millisecond))
 	load.KVUsed = 7_100
 	load.Revision = 1
-	scheduler.Report(sinceEpoch(5*time.Second), "endpoint-000", load)
+	scheduler.ApplyReport(sinceEpoch(5*time.Second), "endpoint-000", load)
 	at := sinceEpoch(5 * time.Second).UnixNano()
 	is.Equal(member.prefillBacklog(at, true), 0.0)
 	is.Equal(member.usedKV(peridotpath.Short, true), int64(7_100))
 
 	stale := idleLoad(sinceEpoch(-time.Second))
 	stale.PrefillTokens = 900_000
-	scheduler.Report(sinceEpoch(6*time.Second), "endpoint-000", stale)
+	scheduler.ApplyReport(sinceEpoch(6*time.Second), "endpoint-000", stale)
 	is.Equal(member.prefillBacklog(at, true), 0.0) // a report with a lower revision is dropped
 }
 
@@ -77,7 +77,7 @@
 			scheduler := newScheduler(1)
 			load := idleLoad(epoch)
 			load.KVUsed = test.used
-			scheduler.Report(epoch, "endpoint-000", load)
+			scheduler.ApplyReport(epoch, "endpoint-000", load)
 			is.Equal(scheduler.Submit(epoch, newWork(test.prompt)).Verdict, test.want)
 		})
 	}
@@ -98,15 +98,15 @@
 
 	tried := newWork(500_000)
 	is.Equal(scheduler.Submit(epoch, tried).Verdict, Place)
-	scheduler.Done(epoch, tried, Rejected, 0)
+	scheduler.EndAttempt(epoch, tried, Rejected, 0)
 	is.Equal(scheduler.Retry(epoch, tried, failedResult).Verdict, Refuse) // the other engines are no larger
 
 	for _, leader := range []peridotpath.EndpointID{"endpoint-000", "endpoint-001", "endpoint-002"} {
 		scheduler := newScheduler(3)
 		pooled := idleLoad(epoch)
 		pooled.KVTokens *= 3
-		scheduler.Report(epoch, leader, pooled)
-		scheduler.Advance(epoch.Add(time.Second))
+		scheduler.ApplyReport(epoch, leader, pooled)
+		scheduler.DispatchQueued(epoch.Add(time.Second))
 		retried := newWork(900_000)
 		retried.Class = peridotpath.Oversize
 		placed := scheduler.Submit(epoch.Add(time.Second), retried)
@@ -155,8 +155,8 @@
 		work.Deadline = now.Add(time.Minute)
 		decision := scheduler.Submit(now, work)
 		is.Equal(decision.Verdict, Place)
-		scheduler.FirstToken(now, work)
-		scheduler.Done(now, work, Finished, 10)
+		scheduler.RecordFirstToken(now, work)
+		scheduler.EndAttempt(now, work, Finished, 10)
 		return decision.Endpoint.ID
 	}
 	first := send(epoch)
@@ -218,13 +218,13 @@
 	scheduler.SetEndpoints(epoch, newEndpoints(1))
 	newLine := func() *Work {
 		work := newWork(1_000)
-		work.Output = 10_000
+		work.MaxOutputTokens = 10_000
 		work.Deadline = epoch.Add(time.Minute)
 		return work
 	}
 	is.Equal(scheduler.Submit(epoch, newLine()).Verdict, Place)
 	slow := idleLoad(epoch)
 	slow.DecodePerS = 20
-	scheduler.Report(epoch, "endpoint-000", slow)
+	scheduler.ApplyReport(epoch, "endpoint-000", slow)
 	is.Equal(refusalCode(scheduler.Submit(epoch, newLine())), peridotpath.CodeCannotFinish)
 }
--- a/peridotpath/decide/queue.go
+++ b/peridotpath/decide/queue.go
@@ -40,7 +40,7 @@
 }
 
 // cost is the number of tokens by which work reduces its customer's deficit.
-func (work *Work) cost() int64 { return max(int64(work.Prompt), 1) }
+func (work *Work) cost() int64 { return max(int64(work.PromptTokens), 1) }
 
 func (queue *queue) flowKey(work *Work) *customer {
 	if queue.fifo {
--- a/peridotpath/decide/queue_test.go
+++ b/peridotpath/decide/queue_test.go
@@ -28,15 +28,15 @@
 			total += weight
 			for range 400 {
 				prompt := rapid.Int64Range(8_000, 99_999).Draw(t, "prompt")
-				queue.push(&Work{customer: customer, Prompt: peridotpath.Tokens(prompt)})
+				queue.push(&Work{customer: customer, PromptTokens: peridotpath.Tokens(prompt)})
 			}
 		}
 		var sum float64
 		for range 40 * int(total) / int(min(total, 8)) {
 			work := queue.head()
 			queue.dequeue(work)
-			served[customers[work.customer]] += float64(work.Prompt)
-			sum += float64(work.Prompt)
+			served[customers[work.customer]] += float64(work.PromptTokens)
+			sum += float64(work.PromptTokens)
 		}
 		for i, weight := range weights {
 			share := sum * float64(weight) / float64(total)
@@ -59,7 +59,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				work := &Work{customer: only, Prompt: peridotpath.Tokens(rapid.Int64Range(1, 7_999).Draw(t, "prompt"))}
+				work := &Work{customer: only, PromptTokens: peridotpath.Tokens(rapid.Int64Range(1, 7_999).Draw(t, "prompt"))}
 				work.Deadline = sinceEpoch(time.Duration(rapid.IntRange(1, 100).Draw(t, "deadline")) * time.Second)
 				queue.push(work)
 				held = append(held, work)
--- a/peridotpath/decide/retry.go
+++ b/peridotpath/decide/retry.go
@@ -17,9 +17,9 @@
 	case Finished:
 		health.recordSuccess()
 		return
-	case Abandoned, Unsent:
+	case Abandoned, NeverSent:
 		return
-	case Rejected, Unreached, Failed:
+	case Rejected, NotConnected, Failed:
 	}
 	if !health.recordFailure() {
 		return
@@ -82,7 +82,7 @@
 	switch {
 	case work.customer == nil || work.Attempts >= work.Profile.MaxAttempts:
 		return false
-	case work.outcome == Finished || work.outcome == Abandoned || work.outcome == Unsent:
+	case work.outcome == Finished || work.outcome == Abandoned || work.outcome == NeverSent:
 		return false
 	case work.outcome == Failed && !work.Profile.Idempotent:
 		return false
--- a/peridotpath/decide/retry_test.go
+++ b/peridotpath/decide/retry_test.go
@@ -22,9 +22,9 @@
 		want       Verdict
 	}{
 		{"idempotent, failed", Failed, true, Place},
-		{"idempotent, not connected", Unreached, true, Place},
+		{"idempotent, not connected", NotConnected, true, Place},
 		{"not idempotent, failed", Failed, false, Refuse},
-		{"not idempotent, not connected", Unreached, false, Place},
+		{"not idempotent, not connected", NotConnected, false, Place},
 		{"not idempotent, not run", Rejected, false, Place},
 		{"caller disconnected", Abandoned, true, Refuse},
 	}
@@ -35,7 +35,7 @@
 			work := newWork(1_000)
 			work.Profile = newProfile("save", func(profile *peridotpath.Profile) { profile.Idempotent = test.idempotent })
 			first := scheduler.Submit(epoch, work)
-			scheduler.Done(epoch, work, test.outcome, 0)
+			scheduler.EndAttempt(epoch, work, test.outcome, 0)
 			decision := scheduler.Retry(epoch, work, failedResult)
 			is.Equal(decision.Verdict, test.want)
 			if test.want == Refuse {
@@ -58,15 +58,15 @@
 	for i := range requests {
 		now := sinceEpoch(time.Duration(i) * 50 * time.Millisecond)
 		work := newWork(1_000)
-		work.Customer, work.Arrived, work.Deadline = customer, now, now.Add(time.Minute)
+		work.Customer, work.ArrivedAt, work.Deadline = customer, now, now.Add(time.Minute)
 		decision := scheduler.Submit(now, work)
 		for decision.Verdict == Place {
 			attempts++
 			if decision.Endpoint.ID >= "endpoint-004" {
-				scheduler.Done(now, work, Finished, 100)
+				scheduler.EndAttempt(now, work, Finished, 100)
 				break
 			}
-			scheduler.Done(now, work, Failed, 0)
+			scheduler.EndAttempt(now, work, Failed, 0)
 			decision = scheduler.Retry(now, work, failedResult)
 		}
 	}
@@ -84,14 +84,14 @@
 	for i := range 200 {
 		now := sinceEpoch(time.Duration(i) * 10 * time.Millisecond)
 		work := newWork(1_000)
-		work.Arrived = now
+		work.ArrivedAt = now
 		decision := scheduler.Submit(now, work)
 		if decision.Endpoint.ID == "endpoint-000" {
 			failed++
-			scheduler.Done(now, work, Failed, 0)
+			scheduler.EndAttempt(now, work, Failed, 0)
 			continue
 		}
-		scheduler.Done(now, work, Finished, 100)
+		scheduler.EndAttempt(now, work, Finished, 100)
 	}
 	is.Equal(failed, ejectAfterFailures)
 
@@ -105,7 +105,7 @@
 			continue
 		}
 		probes++
-		defer scheduler.Done(now, work, Finished, 100)
+		defer scheduler.EndAttempt(now, work, Finished, 100)
 	}
 	is.Equal(probes, 1)
 }
@@ -120,7 +120,7 @@
 		now := sinceEpoch(time.Duration(i) * 5 * time.Millisecond)
 		work := newWork(1_000)
 		if scheduler.Submit(now, work).Verdict == Place {
-			scheduler.Done(now, work, Unreached, 0)
+			scheduler.EndAttempt(now, work, NotConnected, 0)
 		}
 	}
 	is.Equal((*scheduler.groups.Load())["model"].pools.Load().ejectedCount(), 5)
@@ -135,15 +135,15 @@
 	for i := range 400 {
 		now := sinceEpoch(time.Duration(i) * time.Second)
 		work := newWork(7_000)
-		work.Arrived, work.Deadline = now, now.Add(time.Minute)
+		work.ArrivedAt, work.Deadline = now, now.Add(time.Minute)
 		decision := scheduler.Submit(now, work)
 		elapsed := 250 * time.Millisecond
 		if decision.Endpoint.ID == "endpoint-000" {
 			elapsed *= 5
 			slowPlaced++
 		}
-		scheduler.FirstToken(now.Add(elapsed), work)
-		scheduler.Done(now.Add(2*elapsed), work, Finished, 100)
+		scheduler.RecordFirstToken(now.Add(elapsed), work)
+		scheduler.EndAttempt(now.Add(2*elapsed), work, Finished, 100)
 	}
 	is.True(slowPlaced < 60) // an equal share is 100
 	is.True(slowPlaced > 3)  // the engine is still tried occasionally
@@ -162,7 +162,7 @@
 	}{
 		{"callers time out", 15 * time.Second, Abandoned, true},
 		{"callers disconnect early", 2 * time.Second, Abandoned, false},
-		{"never sent", 15 * time.Second, Unsent, false},
+		{"never sent", 15 * time.Second, NeverSent, false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -171,7 +171,7 @@
 			now := epoch
 			for range 3 {
 				for _, endpoint := range []peridotpath.EndpointID{"endpoint-000", "endpoint-001", "endpoint-002", "endpoint-003"} {
-					scheduler.Report(now, endpoint, idleLoad(now))
+					scheduler.ApplyReport(now, endpoint, idleLoad(now))
 				}
 				var held []*Work
 				for range 40 {
@@ -181,11 +181,11 @@
 						held = append(held, work)
 						continue
 					}
-					scheduler.Done(now, work, Finished, 0)
+					scheduler.EndAttempt(now, work, Finished, 0)
 				}
 				now = now.Add(test.waited)
 				for _, work := range held {
-					scheduler.Done(now, work, test.outcome, 0)
+					scheduler.EndAttempt(now, work, test.outcome, 0)
 				}
 			}
 			is.Equal((*scheduler.members.Load())["endpoint-000"].health.isEjected(), test.ejected)
--- a/peridotpath/decide/scheduler.go
+++ b/peridotpath/decide/scheduler.go
@@ -46,7 +46,7 @@
 	mu           sync.Mutex // guards the queues and the replacement of the fleet
 	sortedGroups []*group   // sorted by name, so that iteration is deterministic
 	maintainedAt int64      // when the last maintenance ran, in Unix nanoseconds
-	nextAdvance  int64      // when Scheduler.Advance is due, in Unix nanoseconds; zero for never
+	nextDispatch int64      // when Scheduler.DispatchQueued is due, in Unix nanoseconds; zero for never
 }
 
 func (scheduler *Scheduler) initialise() {
@@ -133,8 +133,8 @@
 	scheduler.groups.Store(&groups)
 }
 
-// Report applies the load report of an endpoint.
-func (scheduler *Scheduler) Report(now time.Time, id peridotpath.EndpointID, load peridotpath.Load) {
+// ApplyReport applies the load report of an endpoint.
+func (scheduler *Scheduler) ApplyReport(now time.Time, id peridotpath.EndpointID, load peridotpath.Load) {
 	scheduler.once.Do(scheduler.initialise)
 	if member := (*scheduler.members.Load())[id]; member != nil {
 		member.report(now, load)
@@ -182,9 +182,9 @@
 	return scheduler.enqueueOrRefuse(at, group, work, reasons)
 }
 
-// Advance dispatches or refuses queued work. Call it after every event and at
-// the time that Scheduler.Next returns.
-func (scheduler *Scheduler) Advance(now time.Time) []Decision {
+// DispatchQueued dispatches or refuses queued work. Call it after every event and at
+// the time that Scheduler.NextDispatch returns.
+func (scheduler *Scheduler) DispatchQueued(now time.Time) []Decision {
 	scheduler.once.Do(scheduler.initialise)
 	at := now.UnixNano()
 	scheduler.mu.Lock()
@@ -198,9 +198,9 @@
 			decisions = scheduler.dispatchClass(at, group, peridotpath.LengthClass(class), decisions)
 		}
 	}
-	scheduler.nextAdvance = 0
+	scheduler.nextDispatch = 0
 	if scheduler.waitingCount.Load() > 0 {
-		scheduler.nextAdvance = at + int64(placementRetryInterval)
+		scheduler.nextDispatch = at + int64(placementRetryInterval)
 	}
 	return decisions
 }
@@ -281,18 +281,18 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// Next returns when Scheduler.Advance is due if no event arrives earlier; the
+// NextDispatch returns when Scheduler.DispatchQueued is due if no event arrives earlier; the
 // zero time means never.
-func (scheduler *Scheduler) Next() time.Time {
+func (scheduler *Scheduler) NextDispatch() time.Time {
 	if scheduler.waitingCount.Load() == 0 {
 		return time.Time{}
 	}
 	scheduler.mu.Lock()
 	defer scheduler.mu.Unlock()
-	if scheduler.nextAdvance == 0 {
+	if scheduler.nextDispatch == 0 {
 		return time.Time{}
 	}
-	return time.Unix(0, scheduler.nextAdvance)
+	return time.Unix(0, scheduler.nextDispatch)
 }
 
 // Cancel removes queued work whose caller has disconnected.
@@ -307,8 +307,8 @@
 	work.customer.activeCount.Add(-1)
 }
 
-// FirstToken records that placed work has produced its first token.
-func (scheduler *Scheduler) FirstToken(now time.Time, work *Work) {
+// RecordFirstToken records that placed work has produced its first token.
+func (scheduler *Scheduler) RecordFirstToken(now time.Time, work *Work) {
 	placed := &work.placement
 	if placed.member == nil || placed.hasFirstToken {
 		return
@@ -330,9 +330,9 @@
 	}
 }
 
-// Done ends the current attempt. It must be called exactly once for each Place
+// EndAttempt ends the current attempt. It must be called exactly once for each Place
 // verdict. tokens is the number of answer tokens produced.
-func (scheduler *Scheduler) Done(now time.Time, work *Work, outcome Outcome, tokens peridotpath.Tokens) {
+func (scheduler *Scheduler) EndAttempt(now time.Time, work *Work, outcome Outcome, tokens peridotpath.Tokens) {
 	placed := &work.placement
 	if placed.member == nil {
 		return
@@ -355,7 +355,7 @@
 	scheduler.recordOutcome(at, work.Profile.Service, placed, charged)
 	work.customer.activeCount.Add(-1)
 	work.outcome = outcome
-	if outcome != Finished && outcome != Abandoned && outcome != Unsent {
+	if outcome != Finished && outcome != Abandoned && outcome != NeverSent {
 		work.failedEndpoints = append(work.failedEndpoints, work.Endpoint)
 	}
 	work.Endpoint = ""
--- a/peridotpath/decide/scheduler_test.go
+++ b/peridotpath/decide/scheduler_test.go
@@ -63,14 +63,14 @@
 func (machine *machine) submit(t *rapid.T) {
 	prompt := rapid.SampledFrom([]peridotpath.Tokens{0, 1_000, 6_000, 30_000, 90_000, 200_000, 470_000}).Draw(t, "prompt")
 	work := &Work{
-		Customer: rapid.SampledFrom(machine.customers).Draw(t, "customer"),
-		Profile:  rapid.SampledFrom(machine.profiles).Draw(t, "profile"),
-		Class:    peridotpath.ClassOf(prompt, 0),
-		Prompt:   prompt,
-		Output:   100,
-		Prefixes: []uint64{uint64(prompt)},
-		Arrived:  machine.now,
-		Deadline: machine.now.Add(time.Minute),
+		Customer:        rapid.SampledFrom(machine.customers).Draw(t, "customer"),
+		Profile:         rapid.SampledFrom(machine.profiles).Draw(t, "profile"),
+		Class:           peridotpath.ClassOf(prompt, 0),
+		PromptTokens:    prompt,
+		MaxOutputTokens: 100,
+		Prefixes:        []uint64{uint64(prompt)},
+		ArrivedAt:       machine.now,
+		Deadline:        machine.now.Add(time.Minute),
 	}
 	machine.recordDecision(t, machine.scheduler.Submit(machine.now, work))
 }
@@ -99,7 +99,7 @@
 
 func (machine *machine) advance(t *rapid.T) {
 	machine.now = machine.now.Add(time.Duration(rapid.IntRange(1, 3_000).Draw(t, "ms")) * time.Millisecond)
-	for _, decision := range machine.scheduler.Advance(machine.now) {
+	for _, decision := range machine.scheduler.DispatchQueued(machine.now) {
 		machine.recordDecision(t, decision)
 	}
 }
@@ -118,10 +118,10 @@
 		return
 	}
 	if rapid.Bool().Draw(t, "first token") {
-		machine.scheduler.FirstToken(machine.now, work)
+		machine.scheduler.RecordFirstToken(machine.now, work)
 	}
-	outcome := rapid.SampledFrom([]Outcome{Finished, Finished, Rejected, Unreached, Failed, Abandoned}).Draw(t, "outcome")
-	machine.scheduler.Done(machine.now, work, outcome, 10)
+	outcome := rapid.SampledFrom([]Outcome{Finished, Finished, Rejected, NotConnected, Failed, Abandoned}).Draw(t, "outcome")
+	machine.scheduler.EndAttempt(machine.now, work, outcome, 10)
 	machine.placed = without(machine.placed, work)
 	machine.ended = append(machine.ended, work)
 }
@@ -153,7 +153,7 @@
 	load.KVUsed = peridotpath.Tokens(rapid.Int64Range(0, int64(engineKV)).Draw(t, "used"))
 	load.PrefillTokens = peridotpath.Tokens(rapid.Int64Range(0, 300_000).Draw(t, "ahead"))
 	load.Revision = machine.revision
-	machine.scheduler.Report(machine.now, rapid.SampledFrom(newEndpoints(5)).Draw(t, "endpoint").ID, load)
+	machine.scheduler.ApplyReport(machine.now, rapid.SampledFrom(newEndpoints(5)).Draw(t, "endpoint").ID, load)
 }
 
 func (machine *machine) endpoints(t *rapid.T) {
@@ -178,7 +178,7 @@
 	if want, have := len(machine.waiting), int(machine.scheduler.waitingCount.Load()); want != have {
 		t.Fatalf("%d requests are queued, counter is %d", want, have)
 	}
-	if len(machine.waiting) > 0 && machine.scheduler.Next().IsZero() {
+	if len(machine.waiting) > 0 && machine.scheduler.NextDispatch().IsZero() {
 		t.Fatalf("work is queued and nothing is due")
 	}
 	var active int64
@@ -206,7 +206,7 @@
 // endAll ends all work and checks that all counters are zero.
 func (machine *machine) endAll(t *rapid.T) {
 	for _, work := range machine.placed {
-		machine.scheduler.Done(machine.now, work, Finished, 10)
+		machine.scheduler.EndAttempt(machine.now, work, Finished, 10)
 	}
 	for _, work := range machine.waiting {
 		machine.scheduler.Cancel(machine.now, work)
@@ -217,7 +217,7 @@
 			t.Fatalf("%s has remaining totals %+v", member.ID, left)
 		}
 	}
-	if machine.scheduler.waitingCount.Load() != 0 || !machine.scheduler.Next().IsZero() {
+	if machine.scheduler.waitingCount.Load() != 0 || !machine.scheduler.NextDispatch().IsZero() {
 		t.Fatalf("work is still queued or due")
 	}
 }
--- a/peridotpath/decide/view.go
+++ b/peridotpath/decide/view.go
@@ -33,8 +33,8 @@
 	return states
 }
 
-// Waiting returns the number of queued requests.
-func (scheduler *Scheduler) Waiting() int { return int(scheduler.waitingCount.Load()) }
+// QueuedCount returns the number of queued requests.
+func (scheduler *Scheduler) QueuedCount() int { return int(scheduler.waitingCount.Load()) }
 
 // Explanation is the decision that work would get now, with its reasons.
 type Explanation struct {
@@ -50,11 +50,11 @@
 
 // Candidate is one endpoint that was considered.
 type Candidate struct {
-	Endpoint   peridotpath.EndpointID
-	FirstToken time.Duration
-	// Excluded is the reason why the endpoint cannot take the work; empty if it
+	Endpoint      peridotpath.EndpointID
+	PredictedTTFT time.Duration
+	// ExclusionReason is the reason why the endpoint cannot take the work; empty if it
 	// can.
-	Excluded string
+	ExclusionReason string
 }
 
 // String returns the name of the verdict that operators see.
@@ -89,14 +89,14 @@
 		scheduler.consider(at, work, member, 0, &best, &reasons)
 		obstacles |= reasons
 		explanation.Candidates = append(explanation.Candidates, Candidate{
-			Endpoint: member.ID, FirstToken: time.Duration(best.ttft * float64(time.Second)), Excluded: obstacleNames[reasons],
+			Endpoint: member.ID, PredictedTTFT: time.Duration(best.ttft * float64(time.Second)), ExclusionReason: obstacleNames[reasons],
 		})
 	}
 	slices.SortStableFunc(explanation.Candidates, func(a, b Candidate) int {
-		return cmp.Or(cmp.Compare(a.Excluded, b.Excluded), cmp.Compare(a.FirstToken, b.FirstToken))
+		return cmp.Or(cmp.Compare(a.ExclusionReason, b.ExclusionReason), cmp.Compare(a.PredictedTTFT, b.PredictedTTFT))
 	})
 	switch {
-	case len(explanation.Candidates) > 0 && explanation.Candidates[0].Excluded == "":
+	case len(explanation.Candidates) > 0 && explanation.Candidates[0].ExclusionReason == "":
 		explanation.Verdict, explanation.Endpoint = Place, explanation.Candidates[0].Endpoint
 	case obstacles&(obstacleBacklog|obstacleNoFreeKV|obstacleEjected) != 0:
 		explanation.Verdict = Wait
--- a/peridotpath/decide/work.go
+++ b/peridotpath/decide/work.go
@@ -29,16 +29,16 @@
 	Customer *peridotpath.Customer
 	Profile  *peridotpath.Profile
 	Class    peridotpath.LengthClass
-	// Prompt is the estimated length of the prompt; zero for a plain service.
-	Prompt peridotpath.Tokens
-	// Output is the maximum length of the answer.
-	Output peridotpath.Tokens
+	// PromptTokens is the estimated length of the prompt; zero for a plain service.
+	PromptTokens peridotpath.Tokens
+	// MaxOutputTokens is the maximum length of the answer.
+	MaxOutputTokens peridotpath.Tokens
 	// Prefixes are hashes of the prompt's leading tokens, shortest first:
 	// Prefixes[i] covers the first PrefixBlock<<i tokens, so that ten hashes
 	// reach half a million tokens. It is empty if the text is unknown.
 	Prefixes []uint64
-	// Arrived is when the request was received.
-	Arrived time.Time
+	// ArrivedAt is when the request was received.
+	ArrivedAt time.Time
 	// Deadline is when the request must have ended.
 	Deadline time.Time
 
@@ -80,7 +80,7 @@
 const (
 	// Place means that the work is to run on Decision.Endpoint now.
 	Place Verdict = iota
-	// Wait means that the work is queued until a later Scheduler.Advance.
+	// Wait means that the work is queued until a later Scheduler.DispatchQueued.
 	Wait
 	// Refuse means that the caller receives Decision.Result at once.
 	Refuse
@@ -106,16 +106,16 @@
 	Finished Outcome = iota
 	// Rejected means that the endpoint reported that it did not run the work.
 	Rejected
-	// Unreached means that no connection was established.
-	Unreached
+	// NotConnected means that no connection was established.
+	NotConnected
 	// Failed means that the attempt failed after the endpoint may have started.
 	Failed
 	// Abandoned means that the caller disconnected or the deadline passed. It
 	// counts against the endpoint only if the time far exceeded the prediction.
 	Abandoned
-	// Unsent means that the work was never sent; it does not count against the
+	// NeverSent means that the work was never sent; it does not count against the
 	// endpoint.
-	Unsent
+	NeverSent
 )
 
 func (work *Work) hasFailedOn(id peridotpath.EndpointID) bool {
@@ -128,7 +128,7 @@
 }
 
 // requiredKV is the KV memory, in tokens, that the work holds at its end.
-func (work *Work) requiredKV() int64 { return int64(work.Prompt + work.Output) }
+func (work *Work) requiredKV() int64 { return int64(work.PromptTokens + work.MaxOutputTokens) }
 
 // isPlain reports whether the work is for a plain service, which has no tokens.
-func (work *Work) isPlain() bool { return work.Prompt == 0 }
+func (work *Work) isPlain() bool { return work.PromptTokens == 0 }
--- a/peridotpath/digest/book.go
+++ b/peridotpath/digest/book.go
@@ -26,9 +26,9 @@
 const (
 	// Protocol is the version of the protocol that this code implements.
 	Protocol = 1
-	// Oldest is the oldest protocol version whose implementations can read the
+	// OldestReader is the oldest protocol version whose implementations can read the
 	// messages of this one.
-	Oldest = 1
+	OldestReader = 1
 	// MaxEntries limits one Digest to about 3 kB. Further entries are sent with
 	// the next one.
 	MaxEntries = 128
@@ -36,12 +36,12 @@
 
 // Version returns the version that is sent with each message.
 func Version() *wire.Version {
-	return &wire.Version{Protocol: Protocol, ReadableBy: Oldest}
+	return &wire.Version{Protocol: Protocol, ReadableBy: OldestReader}
 }
 
-// Readable reports whether this code can read a message of the version. A message
+// IsReadable reports whether this code can read a message of the version. A message
 // without a version is not of this protocol.
-func Readable(version *wire.Version) bool {
+func IsReadable(version *wire.Version) bool {
 	return version.GetProtocol() > 0 && version.GetReadableBy() <= Protocol
 }
 
@@ -72,9 +72,9 @@
 	changedSequence, namedSequence uint64
 }
 
-// Book is the state that this instance publishes. The zero value with an Epoch is
+// PublishedState is the state that this instance publishes. The zero value with an Epoch is
 // empty.
-type Book struct {
+type PublishedState struct {
 	// Epoch identifies this state. It differs between instances and between the
 	// runs of one instance.
 	Epoch uint64
@@ -88,9 +88,9 @@
 }
 
 // PutEndpoint publishes an endpoint's report.
-func (book *Book) PutEndpoint(id peridotpath.EndpointID, load peridotpath.Load) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
+func (publishedState *PublishedState) PutEndpoint(id peridotpath.EndpointID, load peridotpath.Load) {
+	publishedState.mu.Lock()
+	defer publishedState.mu.Unlock()
 	next := value{
 		running: Quantise(int64(load.Running)), waiting: Quantise(int64(load.Waiting)),
 		prefill: Quantise(int64(load.PrefillTokens)), kvUsed: Quantise(int64(load.KVUsed)),
@@ -100,162 +100,162 @@
 	if load.Leaving {
 		next.state = wire.State_STATE_LEAVING
 	}
-	found := book.endpointEntry(id)
+	found := publishedState.endpointEntry(id)
 	found.revision, found.asOf = load.Revision, load.AsOf
-	book.setValue(found, next)
+	publishedState.setValue(found, next)
 }
 
-// Unread publishes that this instance cannot read the endpoint's report at
+// MarkUnreadable publishes that this instance cannot read the endpoint's report at
 // present, so that the other instances do not treat the last one as confirmed.
 // They may then poll the endpoint themselves, since the failure can lie between
 // this instance and the endpoint.
-func (book *Book) Unread(id peridotpath.EndpointID) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	if found := book.endpoints[id]; found != nil && found.value.state == wire.State_STATE_UNSPECIFIED {
+func (publishedState *PublishedState) MarkUnreadable(id peridotpath.EndpointID) {
+	publishedState.mu.Lock()
+	defer publishedState.mu.Unlock()
+	if found := publishedState.endpoints[id]; found != nil && found.value.state == wire.State_STATE_UNSPECIFIED {
 		next := found.value
 		next.state = wire.State_STATE_UNREAD
-		book.setValue(found, next)
+		publishedState.setValue(found, next)
 	}
 }
 
 // PutCustomer publishes a customer's demand at this instance, in requests per
 // second.
-func (book *Book) PutCustomer(id peridotpath.CustomerID, demand float64) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	if book.customers == nil {
-		book.customers = map[peridotpath.CustomerID]*entry{}
+func (publishedState *PublishedState) PutCustomer(id peridotpath.CustomerID, demand float64) {
+	publishedState.mu.Lock()
+	defer publishedState.mu.Unlock()
+	if publishedState.customers == nil {
+		publishedState.customers = map[peridotpath.CustomerID]*entry{}
 	}
-	found := book.customers[id]
+	found := publishedState.customers[id]
 	if found == nil {
-		found = book.newEntry()
+		found = publishedState.newEntry()
 		found.customer = id
-		book.customers[id] = found
+		publishedState.customers[id] = found
 	}
-	book.setValue(found, value{demand: Quantise(int64(demand * demandScale))})
+	publishedState.setValue(found, value{demand: Quantise(int64(demand * demandScale))})
 }
 
 // demandScale is the number of units on the wire per request per second.
 const demandScale = 1000
 
-// Rounded returns a demand as the other instances receive it, after quantisation.
-func Rounded(perSecond float64) float64 {
-	return float64(Figure(Quantise(int64(perSecond*demandScale)))) / demandScale
+// QuantisedDemand returns a demand as the other instances receive it, after quantisation.
+func QuantisedDemand(perSecond float64) float64 {
+	return float64(Dequantise(Quantise(int64(perSecond*demandScale)))) / demandScale
 }
 
-// KeepEndpoints withdraws the endpoints for which keep is false.
-func (book *Book) KeepEndpoints(keep func(peridotpath.EndpointID) bool) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	for id, found := range book.endpoints {
+// RetainEndpoints withdraws the endpoints for which keep is false.
+func (publishedState *PublishedState) RetainEndpoints(keep func(peridotpath.EndpointID) bool) {
+	publishedState.mu.Lock()
+	defer publishedState.mu.Unlock()
+	for id, found := range publishedState.endpoints {
 		if !keep(id) {
-			book.setDropped(found)
+			publishedState.setDropped(found)
 		}
 	}
 }
 
-// KeepCustomers withdraws the customers for which keep is false.
-func (book *Book) KeepCustomers(keep func(peridotpath.CustomerID) bool) {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	for id, found := range book.customers {
+// RetainCustomers withdraws the customers for which keep is false.
+func (publishedState *PublishedState) RetainCustomers(keep func(peridotpath.CustomerID) bool) {
+	publishedState.mu.Lock()
+	defer publishedState.mu.Unlock()
+	for id, found := range publishedState.customers {
 		if !keep(id) {
-			book.setDropped(found)
+			publishedState.setDropped(found)
 		}
 	}
 }
 
 // setDropped replaces the value by a tombstone. The entry is kept, so that
 // receivers are sent the removal and its index is not reused.
-func (book *Book) setDropped(found *entry) {
+func (publishedState *PublishedState) setDropped(found *entry) {
 	if found.value.state != wire.State_STATE_DROPPED {
-		book.setValue(found, value{state: wire.State_STATE_DROPPED})
+		publishedState.setValue(found, value{state: wire.State_STATE_DROPPED})
 	}
 }
 
-func (book *Book) endpointEntry(id peridotpath.EndpointID) *entry {
-	if book.endpoints == nil {
-		book.endpoints = map[peridotpath.EndpointID]*entry{}
+func (publishedState *PublishedState) endpointEntry(id peridotpath.EndpointID) *entry {
+	if publishedState.endpoints == nil {
+		publishedState.endpoints = map[peridotpath.EndpointID]*entry{}
 	}
-	found := book.endpoints[id]
+	found := publishedState.endpoints[id]
 	if found == nil {
-		found = book.newEntry()
+		found = publishedState.newEntry()
 		found.endpoint = id
-		book.endpoints[id] = found
+		publishedState.endpoints[id] = found
 	}
 	return found
 }
 
-func (book *Book) newEntry() *entry {
-	book.lastIndex++
-	return &entry{index: book.lastIndex}
+func (publishedState *PublishedState) newEntry() *entry {
+	publishedState.lastIndex++
+	return &entry{index: publishedState.lastIndex}
 }
 
-func (book *Book) setValue(found *entry, next value) {
+func (publishedState *PublishedState) setValue(found *entry, next value) {
 	if found.changedSequence > 0 && found.value == next {
 		return
 	}
-	book.sequence++
+	publishedState.sequence++
 	// A receiver deletes a dropped entry with its name, so the name is sent
 	// again.
 	needsName := found.changedSequence == 0 || found.value.state == wire.State_STATE_DROPPED
 	if needsName || found.value.rareFields() != next.rareFields() {
-		found.namedSequence = book.sequence
+		found.namedSequence = publishedState.sequence
 	}
 	// A leaving endpoint is published without waiting for the next exchange, in
 	// which time every other instance would continue to send it work.
 	if next.state == wire.State_STATE_LEAVING && found.value.state != next.state {
-		book.urgentSequence = book.sequence
+		publishedState.urgentSequence = publishedState.sequence
 	}
-	found.value, found.changedSequence = next, book.sequence
+	found.value, found.changedSequence = next, publishedState.sequence
 }
 
-// Urgent returns the sequence that is to be sent to every receiver without
+// UrgentSequence returns the sequence that is to be sent to every receiver without
 // waiting for the next exchange.
-func (book *Book) Urgent() uint64 {
-	book.mu.Lock()
-	defer book.mu.Unlock()
-	return book.urgentSequence
+func (publishedState *PublishedState) UrgentSequence() uint64 {
+	publishedState.mu.Lock()
+	defer publishedState.mu.Unlock()
+	return publishedState.urgentSequence
 }
 
-// Digest returns the changes for a receiver that holds the epoch up to the
+// BuildDigest returns the changes for a receiver that holds the epoch up to the
 // sequence seen. The caller sets the sender and the position that it holds of
 // the receiver's published state.
-func (book *Book) Digest(now time.Time, epoch, seen uint64) *wire.Digest {
-	book.mu.Lock()
-	defer book.mu.Unlock()
+func (publishedState *PublishedState) BuildDigest(now time.Time, epoch, seen uint64) *wire.Digest {
+	publishedState.mu.Lock()
+	defer publishedState.mu.Unlock()
 	// A receiver that holds the state of an earlier run, or reports a sequence
 	// that does not exist, is sent everything.
-	if epoch != book.Epoch || seen > book.sequence {
+	if epoch != publishedState.Epoch || seen > publishedState.sequence {
 		seen = 0
 	}
-	changed := book.changedSince(seen)
-	digest := &wire.Digest{Version: Version(), Epoch: book.Epoch, Base: seen, Sequence: book.sequence}
+	changed := publishedState.changedSince(seen)
+	digest := &wire.Digest{Version: Version(), Epoch: publishedState.Epoch, Base: seen, Sequence: publishedState.sequence}
 	if len(changed) > MaxEntries {
 		changed = changed[:MaxEntries]
 		digest.Sequence = changed[MaxEntries-1].changedSequence
 	}
 	for _, found := range changed {
-		book.appendEntry(digest, now, found)
+		publishedState.appendEntry(digest, now, found)
 	}
-	digest.AgeMs = book.oldestAge(now)
+	digest.AgeMs = publishedState.oldestAge(now)
 	return digest
 }
 
 // changedSince returns the entries that changed after seen, oldest change
 // first, so that a truncated Digest contains all changes up to its last one.
-func (book *Book) changedSince(seen uint64) []*entry {
+func (publishedState *PublishedState) changedSince(seen uint64) []*entry {
 	var changed []*entry
-	if seen == book.sequence {
+	if seen == publishedState.sequence {
 		return nil
 	}
-	for _, found := range book.endpoints {
+	for _, found := range publishedState.endpoints {
 		if found.changedSequence > seen {
 			changed = append(changed, found)
 		}
 	}
-	for _, found := range book.customers {
+	for _, found := range publishedState.customers {
 		if found.changedSequence > seen {
 			changed = append(changed, found)
 		}
@@ -264,7 +264,7 @@
 	return changed
 }
 
-func (book *Book) appendEntry(digest *wire.Digest, now time.Time, found *entry) {
+func (publishedState *PublishedState) appendEntry(digest *wire.Digest, now time.Time, found *entry) {
 	includeName := found.namedSequence > digest.Base
 	if found.endpoint == "" {
 		encoded := &wire.CustomerEntry{Index: found.index, Demand: found.value.demand, State: found.value.state}
@@ -287,9 +287,9 @@
 }
 
 // oldestAge returns the age of the oldest report that is still being updated.
-func (book *Book) oldestAge(now time.Time) uint32 {
+func (publishedState *PublishedState) oldestAge(now time.Time) uint32 {
 	oldest := now
-	for _, found := range book.endpoints {
+	for _, found := range publishedState.endpoints {
 		state := found.value.state
 		if state != wire.State_STATE_DROPPED && state != wire.State_STATE_UNREAD && found.asOf.Before(oldest) {
 			oldest = found.asOf
--- a/peridotpath/digest/digest_test.go
+++ b/peridotpath/digest/digest_test.go
@@ -24,7 +24,7 @@
 	soak.Check(t, seedCount, func(t *rapid.T) {
 		figure := rapid.Int64Range(0, 1<<50).Draw(t, "figure")
 		code := digest.Quantise(figure)
-		decoded := digest.Figure(code)
+		decoded := digest.Dequantise(code)
 		if difference := max(decoded-figure, figure-decoded); difference*16 > figure {
 			t.Fatalf("%d is decoded as %d", figure, decoded)
 		}
@@ -42,10 +42,10 @@
 	soak.Check(t, seedCount, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
 		epoch := uint64(1)
-		book, mirror := &digest.Book{Epoch: epoch}, &digest.Mirror{}
+		book, mirror := &digest.PublishedState{Epoch: epoch}, &digest.Mirror{}
 		want := map[peridotpath.EndpointID]int{}
 		var delayed []*wire.Digest
-		send := func() *wire.Digest { return book.Digest(now, seenEpoch(mirror), seenSequence(mirror)) }
+		send := func() *wire.Digest { return book.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				id := peridotpath.EndpointID(fmt.Sprint("engine-", rapid.IntRange(0, 5).Draw(t, "id")))
@@ -54,7 +54,7 @@
 			},
 			"withdraw": func(t *rapid.T) {
 				withdrawn := peridotpath.EndpointID(fmt.Sprint("engine-", rapid.IntRange(0, 5).Draw(t, "id")))
-				book.KeepEndpoints(func(id peridotpath.EndpointID) bool { return id != withdrawn })
+				book.RetainEndpoints(func(id peridotpath.EndpointID) bool { return id != withdrawn })
 				delete(want, withdrawn)
 			},
 			"deliver": func(*rapid.T) { mirror.Apply(now, send()) },
@@ -66,7 +66,7 @@
 			},
 			"sender starts anew": func(*rapid.T) {
 				epoch++
-				book, want = &digest.Book{Epoch: epoch}, map[peridotpath.EndpointID]int{}
+				book, want = &digest.PublishedState{Epoch: epoch}, map[peridotpath.EndpointID]int{}
 			},
 			"receiver starts anew": func(*rapid.T) { mirror = &digest.Mirror{} },
 			"settle": func(t *rapid.T) {
@@ -90,9 +90,9 @@
 func TestLateDigestIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
-	book, mirror := &digest.Book{Epoch: 1}, &digest.Mirror{}
+	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 1, AsOf: now})
-	late := book.Digest(now, 0, 0)
+	late := book.BuildDigest(now, 0, 0)
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 9, AsOf: now})
 	exchange(now, book, mirror, now)
 	is.Equal(len(mirror.Apply(now, late)), 0)
@@ -106,18 +106,18 @@
 func TestDigestForAnEarlierRunIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
-	book, mirror := &digest.Book{Epoch: 1}, &digest.Mirror{}
+	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 1, AsOf: now})
 	exchange(now, book, mirror, now)
 	book.PutEndpoint("engine-2", peridotpath.Load{Running: 2, AsOf: now})
-	inTransit := book.Digest(now, seenEpoch(mirror), seenSequence(mirror))
+	inTransit := book.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror))
 	mirror = &digest.Mirror{}
 	is.Equal(len(mirror.Apply(now, inTransit)), 0)
 	_, reports := exchange(now, book, mirror, now)
 	is.Equal(len(reports), 2)
 
 	// After a restart of the sender, one Digest transfers its whole new state.
-	book = &digest.Book{Epoch: 2}
+	book = &digest.PublishedState{Epoch: 2}
 	for i := range 5 {
 		book.PutEndpoint(peridotpath.EndpointID(fmt.Sprint("engine-", i)), peridotpath.Load{AsOf: now})
 	}
@@ -125,11 +125,11 @@
 	is.Equal(len(reports), 5)
 }
 
-func seenEpoch(mirror *digest.Mirror) uint64    { epoch, _ := mirror.Seen(); return epoch }
-func seenSequence(mirror *digest.Mirror) uint64 { _, sequence := mirror.Seen(); return sequence }
+func seenEpoch(mirror *digest.Mirror) uint64    { epoch, _ := mirror.Position(); return epoch }
+func seenSequence(mirror *digest.Mirror) uint64 { _, sequence := mirror.Position(); return sequence }
 
-func exchange(now time.Time, book *digest.Book, mirror *digest.Mirror, at time.Time) (*wire.Digest, []digest.Report) {
-	sent := book.Digest(now, seenEpoch(mirror), seenSequence(mirror))
+func exchange(now time.Time, book *digest.PublishedState, mirror *digest.Mirror, at time.Time) (*wire.Digest, []digest.Report) {
+	sent := book.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror))
 	return sent, mirror.Apply(at, sent)
 }
 
@@ -140,7 +140,7 @@
 	is := is.New(t)
 	sender := time.Unix(1_000_000, 0)
 	receiver := sender.Add(-time.Minute)
-	book, mirror := &digest.Book{Epoch: 1}, &digest.Mirror{}
+	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: sender.Add(-200 * time.Millisecond)})
 	_, reports := exchange(sender, book, mirror, receiver)
 	is.Equal(receiver.Sub(reports[0].Load.AsOf), 200*time.Millisecond)
@@ -153,17 +153,17 @@
 	is.Equal(receiver.Add(time.Second).Sub(reports[0].Load.AsOf), 50*time.Millisecond)
 
 	// A report that could not be read is not confirmed, and ages.
-	book.Unread("engine-1")
+	book.MarkUnreadable("engine-1")
 	exchange(later, book, mirror, receiver.Add(2*time.Second))
 	_, reports = exchange(later.Add(time.Minute), book, mirror, receiver.Add(time.Minute))
-	is.True(reports[0].Unread)
+	is.True(reports[0].IsUnreadable)
 	is.Equal(receiver.Add(2*time.Second).Sub(reports[0].Load.AsOf), 50*time.Millisecond)
 }
 
 func TestDigestIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
-	book, mirror := &digest.Book{Epoch: 1}, &digest.Mirror{}
+	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
 	for i := range 1000 {
 		id := peridotpath.EndpointID(fmt.Sprintf("endpoint-with-a-long-name-%04d", i))
 		book.PutEndpoint(id, peridotpath.Load{Running: 900, PrefillTokens: 1e9, KVUsed: 1e9, KVTokens: 1e9, AsOf: now, Revision: 1 << 40})
@@ -182,9 +182,9 @@
 func TestVersionCompatibility(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
-	book, mirror := &digest.Book{Epoch: 1}, &digest.Mirror{}
+	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: now, Leaving: true})
-	text, err := proto.Marshal(book.Digest(now, 0, 0))
+	text, err := proto.Marshal(book.BuildDigest(now, 0, 0))
 	is.NoErr(err)
 	text = protowire.AppendTag(text, 900, protowire.BytesType)
 	text = protowire.AppendString(text, "from a later version")
@@ -204,6 +204,6 @@
 		{"none", nil, false},
 	}
 	for _, test := range cases {
-		t.Run(test.name, func(t *testing.T) { is.New(t).Equal(digest.Readable(test.version), test.want) })
+		t.Run(test.name, func(t *testing.T) { is.New(t).Equal(digest.IsReadable(test.version), test.want) })
 	}
 }
--- a/peridotpath/digest/mirror.go
+++ b/peridotpath/digest/mirror.go
@@ -23,8 +23,8 @@
 type Report struct {
 	Endpoint peridotpath.EndpointID
 	Load     peridotpath.Load
-	// Unread is set while the owner cannot read the endpoint's report.
-	Unread bool
+	// IsUnreadable is set while the owner cannot read the endpoint's report.
+	IsUnreadable bool
 }
 
 // customerDemand is the demand of one customer at another instance.
@@ -34,17 +34,17 @@
 	perSecond float64
 }
 
-// Seen returns the epoch and sequence that this Mirror holds, for the other
+// Position returns the epoch and sequence that this Mirror holds, for the other
 // instance to base its next Digest on.
-func (mirror *Mirror) Seen() (epoch, sequence uint64) {
+func (mirror *Mirror) Position() (epoch, sequence uint64) {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	return mirror.epoch, mirror.sequence
 }
 
-// Heard returns when the last Digest of the other instance was applied; zero for
+// LastAppliedAt returns when the last Digest of the other instance was applied; zero for
 // never.
-func (mirror *Mirror) Heard() time.Time {
+func (mirror *Mirror) LastAppliedAt() time.Time {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	return mirror.lastAppliedAt
@@ -53,7 +53,7 @@
 // Apply applies a Digest that was received at now, and returns all reports held,
 // changed or not. It returns none if the Digest is older than the state held or
 // based on a later sequence; the next Digest then starts from the position that
-// Mirror.Seen returns.
+// Mirror.Position returns.
 //
 // AsOf of the reports is computed from now and the ages in the Digest, which
 // makes it independent of the clock difference between the instances.
@@ -74,7 +74,7 @@
 	mirror.sequence = digest.Sequence
 	confirmed := now.Add(-fromMillis(digest.AgeMs))
 	for _, report := range mirror.endpoints {
-		if !report.Unread && confirmed.After(report.Load.AsOf) {
+		if !report.IsUnreadable && confirmed.After(report.Load.AsOf) {
 			report.Load.AsOf = confirmed
 		}
 	}
@@ -106,17 +106,17 @@
 	load := &report.Load
 	if encoded.Endpoint != "" {
 		report.Endpoint = peridotpath.EndpointID(encoded.Endpoint)
-		load.KVTokens = peridotpath.Tokens(Figure(encoded.KvTokens))
-		load.PrefillPerS = peridotpath.Tokens(Figure(encoded.PrefillPerS))
-		load.DecodePerS = peridotpath.Tokens(Figure(encoded.DecodePerS))
+		load.KVTokens = peridotpath.Tokens(Dequantise(encoded.KvTokens))
+		load.PrefillPerS = peridotpath.Tokens(Dequantise(encoded.PrefillPerS))
+		load.DecodePerS = peridotpath.Tokens(Dequantise(encoded.DecodePerS))
 	}
-	load.Running, load.Waiting = int(Figure(encoded.Running)), int(Figure(encoded.Waiting))
-	load.PrefillTokens = peridotpath.Tokens(Figure(encoded.PrefillTokens))
-	load.KVUsed = peridotpath.Tokens(Figure(encoded.KvUsed))
+	load.Running, load.Waiting = int(Dequantise(encoded.Running)), int(Dequantise(encoded.Waiting))
+	load.PrefillTokens = peridotpath.Tokens(Dequantise(encoded.PrefillTokens))
+	load.KVUsed = peridotpath.Tokens(Dequantise(encoded.KvUsed))
 	load.Revision = encoded.Revision
 	load.AsOf = now.Add(-fromMillis(encoded.AgeMs))
 	load.Leaving = encoded.State == wire.State_STATE_LEAVING
-	report.Unread = encoded.State == wire.State_STATE_UNREAD
+	report.IsUnreadable = encoded.State == wire.State_STATE_UNREAD
 }
 
 func (mirror *Mirror) applyCustomer(encoded *wire.CustomerEntry) {
@@ -132,12 +132,12 @@
 	if encoded.Customer != "" {
 		found.customer = peridotpath.CustomerID(encoded.Customer)
 	}
-	found.perSecond = float64(Figure(encoded.Demand)) / demandScale
+	found.perSecond = float64(Dequantise(encoded.Demand)) / demandScale
 }
 
-// Demand returns each customer's demand at the other instance, in requests per
+// DemandByCustomer returns each customer's demand at the other instance, in requests per
 // second, including refused ones.
-func (mirror *Mirror) Demand() map[peridotpath.CustomerID]float64 {
+func (mirror *Mirror) DemandByCustomer() map[peridotpath.CustomerID]float64 {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
 	byCustomer := make(map[peridotpath.CustomerID]float64, len(mirror.customers))
--- a/peridotpath/digest/quantise.go
+++ b/peridotpath/digest/quantise.go
@@ -22,8 +22,8 @@
 	return uint32(codesPerDoubling*shift) + uint32(figure>>shift)
 }
 
-// Figure returns the midpoint of the figures that have the code.
-func Figure(code uint32) int64 {
+// Dequantise returns the midpoint of the figures that have the code.
+func Dequantise(code uint32) int64 {
 	if code < minInexact {
 		return int64(code)
 	}
--- a/peridotpath/dispatch/attempt.go
+++ b/peridotpath/dispatch/attempt.go
@@ -50,7 +50,7 @@
 	detail := err.Error()
 	switch {
 	case unreached && ctx.Err() == nil:
-		return attempt{outcome: decide.Unreached, reason: telemetry.RetryUnreached, result: failure(peridotpath.CodeNoEndpoint, detail)}
+		return attempt{outcome: decide.NotConnected, reason: telemetry.RetryUnreached, result: failure(peridotpath.CodeNoEndpoint, detail)}
 	case refused:
 		return attempt{outcome: decide.Rejected, reason: telemetry.RetryRefused, result: failure(peridotpath.CodeEndpointRefused, detail)}
 	case engine.ErrBadRequest.Has(err):
--- a/peridotpath/dispatch/dispatch.go
+++ b/peridotpath/dispatch/dispatch.go
@@ -103,7 +103,7 @@
 }
 
 func (dispatcher *Dispatcher) untilNext() time.Duration {
-	next := dispatcher.Scheduler.Next()
+	next := dispatcher.Scheduler.NextDispatch()
 	if next.IsZero() {
 		return idleAdvance
 	}
@@ -111,9 +111,9 @@
 }
 
 func (dispatcher *Dispatcher) advance() {
-	for _, decision := range dispatcher.Scheduler.Advance(time.Now()) {
+	for _, decision := range dispatcher.Scheduler.DispatchQueued(time.Now()) {
 		if !dispatcher.waiters.deliver(decision) && decision.Verdict == decide.Place {
-			dispatcher.Scheduler.Done(time.Now(), decision.Work, decide.Abandoned, 0)
+			dispatcher.Scheduler.EndAttempt(time.Now(), decision.Work, decide.Abandoned, 0)
 		}
 	}
 }
@@ -128,6 +128,6 @@
 
 // done ends a placement and wakes the queue.
 func (dispatcher *Dispatcher) done(work *decide.Work, outcome decide.Outcome, tokens peridotpath.Tokens) {
-	dispatcher.Scheduler.Done(time.Now(), work, outcome, tokens)
+	dispatcher.Scheduler.EndAttempt(time.Now(), work, outcome, tokens)
 	dispatcher.wake()
 }
--- a/peridotpath/dispatch/fixture_test.go
+++ b/peridotpath/dispatch/fixture_test.go
@@ -98,8 +98,8 @@
 	return &dispatch.Request{
 		Stream: true, Path: engine.PathCompletions, Body: engine.NewBody([]byte(`{"prompt":"x"}`)),
 		Work: &decide.Work{
-			ID: "r1", Customer: customer, Profile: profile, Prompt: 1000, Output: 10,
-			Arrived: now, Deadline: now.Add(deadline),
+			ID: "r1", Customer: customer, Profile: profile, PromptTokens: 1000, MaxOutputTokens: 10,
+			ArrivedAt: now, Deadline: now.Add(deadline),
 		},
 	}
 }
--- a/peridotpath/dispatch/prompt.go
+++ b/peridotpath/dispatch/prompt.go
@@ -94,6 +94,6 @@
 
 func (dispatcher *Dispatcher) firstToken(work *decide.Work) {
 	now := time.Now()
-	dispatcher.Scheduler.FirstToken(now, work)
-	telemetry.RecordTimeToFirstToken(work.Class, now.Sub(work.Arrived))
+	dispatcher.Scheduler.RecordFirstToken(now, work)
+	telemetry.RecordTimeToFirstToken(work.Class, now.Sub(work.ArrivedAt))
 }
--- a/peridotpath/dispatch/run.go
+++ b/peridotpath/dispatch/run.go
@@ -68,7 +68,7 @@
 	if !errors.As(err, &result) {
 		result = failure(peridotpath.CodePlatformDown, err.Error())
 	}
-	return attempt{outcome: decide.Unsent, result: result}
+	return attempt{outcome: decide.NeverSent, result: result}
 }
 
 // mayRepeat guards against running work twice. Work that certainly did not run
@@ -79,7 +79,7 @@
 		return false
 	}
 	switch attempt.outcome {
-	case decide.Unreached, decide.Rejected:
+	case decide.NotConnected, decide.Rejected:
 		return true
 	case decide.Failed:
 		return work.Profile.Idempotent
--- a/peridotpath/fleet/poller.go
+++ b/peridotpath/fleet/poller.go
@@ -43,7 +43,7 @@
 // before Run.
 type Poller struct {
 	View *View
-	Book *digest.Book
+	Book *digest.PublishedState
 	// Load reads an endpoint's report.
 	Load func(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error)
 	// Owns reports whether this instance owns the endpoint.
@@ -111,7 +111,7 @@
 			silent = append(silent, endpoint)
 		}
 	}
-	poller.Book.KeepEndpoints(poller.Owns)
+	poller.Book.RetainEndpoints(poller.Owns)
 	silent = poller.few(silent)
 	metrics.GetOrCreateCounter(`peridotpath_fallback_polls_total`).Add(len(silent))
 	for _, endpoint := range append(owned, silent...) {
@@ -170,7 +170,7 @@
 	load, err := poller.Load(ctx, endpoint.Address)
 	if err != nil {
 		metrics.GetOrCreateCounter(`peridotpath_reports_unread_total`).Inc()
-		poller.Book.Unread(endpoint.ID)
+		poller.Book.MarkUnreadable(endpoint.ID)
 		return
 	}
 	// From before the call: what was dispatched while it ran may not be in it.
--- a/peridotpath/peer/exchange.go
+++ b/peridotpath/peer/exchange.go
@@ -63,7 +63,7 @@
 // Exchanger keeps up the exchange of digests. Set the exported fields before Run.
 type Exchanger struct {
 	Self peridotpath.InstanceID
-	Book *digest.Book
+	Book *digest.PublishedState
 	Log  zerolog.Logger
 	// Peers returns the other instances to exchange with.
 	Peers func() []peridotpath.Instance
@@ -136,7 +136,7 @@
 // round begins the exchanges that are due.
 func (exchanger *Exchanger) round(ctx context.Context, group *errgroup.Group) {
 	now := time.Now()
-	urgent := exchanger.Book.Urgent()
+	urgent := exchanger.Book.UrgentSequence()
 	listed := exchanger.Peers()
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
@@ -186,7 +186,7 @@
 	if begins(exchanger.Self, id) {
 		return true
 	}
-	heard := remote.mirror.Heard()
+	heard := remote.mirror.LastAppliedAt()
 	if heard.IsZero() {
 		heard = remote.since
 	}
@@ -209,7 +209,7 @@
 		present[peer.ID] = true
 	}
 	for id, remote := range exchanger.remotes {
-		last := remote.mirror.Heard()
+		last := remote.mirror.LastAppliedAt()
 		if !present[id] && !remote.calling && now.Sub(last) > forgetAfter && now.Sub(remote.since) > forgetAfter {
 			delete(exchanger.remotes, id)
 		}
@@ -234,19 +234,19 @@
 	exchanger.mu.Lock()
 	epoch, acked := remote.epoch, remote.acked
 	exchanger.mu.Unlock()
-	digest := exchanger.Book.Digest(now, epoch, acked)
+	digest := exchanger.Book.BuildDigest(now, epoch, acked)
 	digest.Instance = string(exchanger.Self)
-	digest.SeenEpoch, digest.Seen = remote.mirror.Seen()
+	digest.SeenEpoch, digest.Seen = remote.mirror.Position()
 	return digest
 }
 
 // take takes in a peer's digest.
 func (exchanger *Exchanger) take(now time.Time, remote *remote, got *wire.Digest) error {
-	if !digest.Readable(got.GetVersion()) {
+	if !digest.IsReadable(got.GetVersion()) {
 		return ErrVersion.New("protocol %d, readable by %d", got.GetVersion().GetProtocol(), got.GetVersion().GetReadableBy())
 	}
 	for _, report := range remote.mirror.Apply(now, got) {
-		if !report.Unread {
+		if !report.IsUnreadable {
 			exchanger.Report(now, report.Endpoint, report.Load)
 		}
 	}
@@ -306,7 +306,7 @@
 	defer exchanger.mu.Unlock()
 	peers := make([]share.Peer, 0, len(exchanger.remotes))
 	for _, remote := range exchanger.remotes {
-		peers = append(peers, share.Peer{Heard: remote.mirror.Heard(), Demand: remote.mirror.Demand()})
+		peers = append(peers, share.Peer{ReceivedAt: remote.mirror.LastAppliedAt(), Demand: remote.mirror.DemandByCustomer()})
 	}
 	return peers
 }
@@ -335,6 +335,6 @@
 	if remote == nil {
 		return 0
 	}
-	epoch, _ := remote.mirror.Seen()
+	epoch, _ := remote.mirror.Position()
 	return epoch
 }
--- a/peridotpath/peer/exchange_test.go
+++ b/peridotpath/peer/exchange_test.go
@@ -213,7 +213,7 @@
 		defer network.run(t)()
 		time.Sleep(4 * time.Second)
 		for _, remote := range fresh.exchanger.Remotes() {
-			is.True(time.Since(remote.Heard) < 2*time.Second)
+			is.True(time.Since(remote.ReceivedAt) < 2*time.Second)
 		}
 		for _, engine := range network.engines {
 			is.True(time.Since(fresh.load(engine.ID).AsOf) < 3*time.Second)
--- a/peridotpath/peer/network_test.go
+++ b/peridotpath/peer/network_test.go
@@ -48,7 +48,7 @@
 	exchanger *peer.Exchanger
 	poller    *fleet.Poller
 	view      *fleet.View
-	book      *digest.Book
+	book      *digest.PublishedState
 
 	mu     sync.Mutex
 	random rand.PCG
@@ -87,7 +87,7 @@
 		network:  network, loads: map[peridotpath.EndpointID]peridotpath.Load{},
 	}
 	made.owners.Scope = ownership.Scope{Self: made.ID, DataCentre: "colombo-a", Buckets: 16, Readers: 2}
-	made.book = &digest.Book{Epoch: uint64(time.Now().UnixNano()) + uint64(len(network.nodes))}
+	made.book = &digest.PublishedState{Epoch: uint64(time.Now().UnixNano()) + uint64(len(network.nodes))}
 	made.view = &fleet.View{Publish: made.publish, Load: made.report}
 	made.random.Seed(uint64(len(network.nodes)), 7)
 	made.exchanger = &peer.Exchanger{
--- a/peridotpath/peer/relay.go
+++ b/peridotpath/peer/relay.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return config.Update{}, err
 	}
-	if !digest.Readable(reply.GetVersion()) {
+	if !digest.IsReadable(reply.GetVersion()) {
 		return config.Update{}, ErrVersion.New("changes: protocol %d", reply.GetVersion().GetProtocol())
 	}
 	return unpackUpdate(reply)
--- a/peridotpath/peer/relay_test.go
+++ b/peridotpath/peer/relay_test.go
@@ -70,7 +70,7 @@
 func TestConfigurationOverTheWire(t *testing.T) {
 	is := is.New(t)
 	source, _ := reader(t, (&memory.Memory{}).Store())
-	book := &digest.Book{Epoch: 5}
+	book := &digest.PublishedState{Epoch: 5}
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 4, AsOf: time.Now()})
 	service := &peer.Service{
 		Changes:   source.WaitForUpdate,
@@ -86,7 +86,7 @@
 	is.NoErr(err)
 	is.Equal(snapshot.Config.Profile("counter").Service, peridotpath.Service("claims-llm"))
 
-	answer, err := client.Exchange(t.Context(), instance, (&digest.Book{Epoch: 6}).Digest(time.Now(), 0, 0))
+	answer, err := client.Exchange(t.Context(), instance, (&digest.PublishedState{Epoch: 6}).BuildDigest(time.Now(), 0, 0))
 	is.NoErr(err)
 	is.Equal(answer.Endpoints[0].Endpoint, "engine-1")
 	_, err = client.Exchange(t.Context(), instance, &wire.Digest{Version: &wire.Version{Protocol: 9, ReadableBy: 9}})
--- a/peridotpath/peer/service.go
+++ b/peridotpath/peer/service.go
@@ -63,7 +63,7 @@
 
 // Answer answers another instance's question for documents.
 func (service *Service) Answer(ctx context.Context, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
-	if !digest.Readable(request.GetVersion()) {
+	if !digest.IsReadable(request.GetVersion()) {
 		return nil, ErrVersion.New("changes: protocol %d", request.GetVersion().GetProtocol())
 	}
 	have, known := service.known.resolve(request)
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -149,10 +149,10 @@
 	scheduler := &decide.Scheduler{Seed: uint64(len(fleet.instances))}
 	engines := &engine.Client{Instance: id, Incarnation: 1, Do: fleet.network.Do}
 	services := &service.Client{Do: fleet.network.Do}
-	view := &endpoints.View{Log: logger, Publish: scheduler.SetEndpoints, Load: scheduler.Report}
+	view := &endpoints.View{Log: logger, Publish: scheduler.SetEndpoints, Load: scheduler.ApplyReport}
 	view.SetMembers(time.Now(), fleet.endpoints)
 	poller := &endpoints.Poller{
-		View: view, Book: &digest.Book{Epoch: 1}, Load: engines.FetchLoad, Random: func() float64 { return 0.5 },
+		View: view, Book: &digest.PublishedState{Epoch: 1}, Load: engines.FetchLoad, Random: func() float64 { return 0.5 },
 		Owns: func(peridotpath.EndpointID) bool { return true },
 	}
 	dispatcher := &dispatch.Dispatcher{
--- a/peridotpath/session/fuzz_test.go
+++ b/peridotpath/session/fuzz_test.go
@@ -60,8 +60,8 @@
 			return
 		}
 		work := ran.Work
-		if work.Prompt < 1 || work.Prompt > work.Profile.MaxPromptTokens || work.Output < 1 || work.Output > work.Profile.MaxOutputTokens {
-			t.Fatalf("want an estimate in bounds, have prompt %d and output %d", work.Prompt, work.Output)
+		if work.PromptTokens < 1 || work.PromptTokens > work.Profile.MaxPromptTokens || work.MaxOutputTokens < 1 || work.MaxOutputTokens > work.Profile.MaxOutputTokens {
+			t.Fatalf("want an estimate in bounds, have prompt %d and output %d", work.PromptTokens, work.MaxOutputTokens)
 		}
 	})
 }
--- a/peridotpath/share/example_test.go
+++ b/peridotpath/share/example_test.go
@@ -12,13 +12,13 @@
 // one is silent, so this one admits half of them and returns a retry delay.
 func Example() {
 	limiter := &share.Limiter{
-		Peers:   func() []share.Peer { return []share.Peer{{}} },
-		Publish: func(peridotpath.CustomerID, float64) {},
-		Keep:    func(func(peridotpath.CustomerID) bool) {},
+		Peers:           func() []share.Peer { return []share.Peer{{}} },
+		Publish:         func(peridotpath.CustomerID, float64) {},
+		RetainPublished: func(func(peridotpath.CustomerID) bool) {},
 	}
 	customer := &peridotpath.Customer{ID: "airline", MaxRequestsPerS: 10}
 	now := time.Unix(1_000_000, 0)
-	limiter.Divide(now, share.Interval)
+	limiter.UpdateShares(now, share.UpdateInterval)
 	admitted := 0
 	for {
 		ok, retryAfter := limiter.Allow(now, customer, 0)
--- a/peridotpath/share/share.go
+++ b/peridotpath/share/share.go
@@ -10,7 +10,7 @@
 //   - its limit and a burst of one second, while the instances receive one
 //     another's demand; the minimum shares of instances with little demand add a
 //     twentieth;
-//   - the limit times the number of sides, for SilentAfter after a network
+//   - the limit times the number of sides, for PeerDemandTTL after a network
 //     partition in which the demand moves to both sides, since neither side
 //     receives the demand of the other;
 //   - its limit again after that, because each side reserves an equal part for
@@ -30,15 +30,15 @@
 )
 
 const (
-	// Interval is the time between two computations of the shares. It is shorter
+	// UpdateInterval is the time between two computations of the shares. It is shorter
 	// than the delay with which the demand of peers arrives, and so adds little
 	// to it.
-	Interval = 250 * time.Millisecond
-	// SilentAfter is the time after which the last demand of a peer expires. It
+	UpdateInterval = 250 * time.Millisecond
+	// PeerDemandTTL is the time after which the last demand of a peer expires. It
 	// is longer than the interval between exchanges at its longest, which is
 	// about seven seconds when 33 instances share a budget, so that no peer is
 	// silent in normal operation.
-	SilentAfter = 10 * time.Second
+	PeerDemandTTL = 10 * time.Second
 	// burstTime is the bucket depth, in time at the full rate. Arrivals are
 	// random, and a shallower bucket would refuse a customer that is within its
 	// limit; a deeper one admits more at the start of a flood.
@@ -60,7 +60,7 @@
 	// adapted to the demand.
 	maxRetryDelay = 2 * time.Second
 	// historyLength is the number of computations for which the demand is kept.
-	historyLength = int(SilentAfter/Interval) + 1
+	historyLength = int(PeerDemandTTL/UpdateInterval) + 1
 	// removeIdleAfter is the time after which a customer without requests is
 	// removed.
 	removeIdleAfter = time.Minute
@@ -68,8 +68,8 @@
 
 // Peer is the last received state of another instance.
 type Peer struct {
-	// Heard is when it was last received; zero for never.
-	Heard time.Time
+	// ReceivedAt is when it was last received; zero for never.
+	ReceivedAt time.Time
 	// Demand is the demand of each customer at it, in requests per second.
 	Demand map[peridotpath.CustomerID]float64
 }
@@ -82,8 +82,8 @@
 	Peers func() []Peer
 	// Publish publishes the demand of a customer near its limit.
 	Publish func(customer peridotpath.CustomerID, perSecond float64)
-	// Keep withdraws the demand of the customers for which keep is false.
-	Keep func(keep func(customer peridotpath.CustomerID) bool)
+	// RetainPublished withdraws the demand of the customers for which keep is false.
+	RetainPublished func(keep func(customer peridotpath.CustomerID) bool)
 
 	customers     sync.Map // peridotpath.CustomerID to *customer
 	instanceCount atomic.Int64
@@ -99,7 +99,7 @@
 	offeredCount  atomic.Int64 // requests since the last computation
 	lastRequestAt atomic.Int64 // when the last request arrived, Unix nanoseconds
 
-	// The fields below are used by Limiter.Divide only.
+	// The fields below are used by Limiter.UpdateShares only.
 	demand      float64                // requests per second
 	history     [historyLength]float64 // demand by computation, a ring
 	isPublished bool
@@ -158,7 +158,7 @@
 
 // Run updates the shares until ctx ends.
 func (limiter *Limiter) Run(ctx context.Context) error {
-	ticker := time.NewTicker(Interval)
+	ticker := time.NewTicker(UpdateInterval)
 	defer ticker.Stop()
 	last := time.Now()
 	for {
@@ -166,18 +166,18 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			limiter.Divide(now, now.Sub(last))
+			limiter.UpdateShares(now, now.Sub(last))
 			last = now
 		}
 	}
 }
 
-// Divide computes the shares. elapsed is the time since the last call.
-func (limiter *Limiter) Divide(now time.Time, elapsed time.Duration) {
+// UpdateShares computes the shares. elapsed is the time since the last call.
+func (limiter *Limiter) UpdateShares(now time.Time, elapsed time.Duration) {
 	others := aggregate(limiter.Peers(), now)
 	limiter.instanceCount.Store(int64(others.currentCount + others.silentCount + 1))
 	limiter.roundCount++
-	roundsBack := min(int((now.Sub(others.oldestReceivedAt)+Interval-1)/Interval), historyLength-1)
+	roundsBack := min(int((now.Sub(others.oldestReceivedAt)+UpdateInterval-1)/UpdateInterval), historyLength-1)
 	published := map[peridotpath.CustomerID]bool{}
 	limiter.customers.Range(func(key, value any) bool {
 		id, customer := key.(peridotpath.CustomerID), value.(*customer)
@@ -193,7 +193,7 @@
 		customer.setShare(now, computeShare(ownDemand, others.demand[id], equal, others.currentCount))
 		return true
 	})
-	limiter.Keep(func(id peridotpath.CustomerID) bool { return published[id] })
+	limiter.RetainPublished(func(id peridotpath.CustomerID) bool { return published[id] })
 }
 
 // peerTotals is the aggregate of the other instances.
@@ -210,13 +210,13 @@
 func aggregate(peers []Peer, now time.Time) peerTotals {
 	others := peerTotals{oldestReceivedAt: now, demand: map[peridotpath.CustomerID]float64{}}
 	for _, peer := range peers {
-		if now.Sub(peer.Heard) > SilentAfter {
+		if now.Sub(peer.ReceivedAt) > PeerDemandTTL {
 			others.silentCount++
 			continue
 		}
 		others.currentCount++
-		if peer.Heard.Before(others.oldestReceivedAt) {
-			others.oldestReceivedAt = peer.Heard
+		if peer.ReceivedAt.Before(others.oldestReceivedAt) {
+			others.oldestReceivedAt = peer.ReceivedAt
 		}
 		for id, perSecond := range peer.Demand {
 			others.demand[id] += perSecond
@@ -265,7 +265,7 @@
 func computeShare(ownDemand, peerDemand, equal float64, peers int) float64 {
 	// The other instances receive the quantised figure. With the same figure
 	// here, the shares that the instances compute add up to the limit.
-	ownDemand = digest.Rounded(ownDemand)
+	ownDemand = digest.QuantisedDemand(ownDemand)
 	available := equal * float64(peers+1)
 	total := ownDemand + peerDemand
 	share := ownDemand + (available-total)/float64(peers+1)
--- a/peridotpath/share/share_test.go
+++ b/peridotpath/share/share_test.go
@@ -56,9 +56,9 @@
 	simulation.limiters[at] = &share.Limiter{
 		Peers: func() []share.Peer { return simulation.peers(at) },
 		Publish: func(id peridotpath.CustomerID, perSecond float64) {
-			simulation.published[at][id] = digest.Rounded(perSecond)
+			simulation.published[at][id] = digest.QuantisedDemand(perSecond)
 		},
-		Keep: func(keep func(peridotpath.CustomerID) bool) {
+		RetainPublished: func(keep func(peridotpath.CustomerID) bool) {
 			for id := range simulation.published[at] {
 				if !keep(id) {
 					delete(simulation.published[at], id)
@@ -66,7 +66,7 @@
 			}
 		},
 	}
-	simulation.limiters[at].Divide(time.Now(), 0)
+	simulation.limiters[at].UpdateShares(time.Now(), 0)
 }
 
 func (simulation *simulation) peers(at int) []share.Peer {
@@ -84,7 +84,7 @@
 	for sender := range instances {
 		for receiver := range instances {
 			if !simulation.isCut(receiver, sender) {
-				simulation.received[receiver][sender] = share.Peer{Heard: time.Now(), Demand: maps.Clone(simulation.published[sender])}
+				simulation.received[receiver][sender] = share.Peer{ReceivedAt: time.Now(), Demand: maps.Clone(simulation.published[sender])}
 			}
 		}
 	}
@@ -105,8 +105,8 @@
 			simulation.exchange()
 		}
 		for i, limiter := range simulation.limiters {
-			if at%share.Interval == 0 {
-				limiter.Divide(time.Now(), share.Interval)
+			if at%share.UpdateInterval == 0 {
+				limiter.UpdateShares(time.Now(), share.UpdateInterval)
 			}
 			simulation.offer(i, rate*parts[i]*step.Seconds())
 		}
@@ -204,19 +204,19 @@
 	elsewhere := 5.0
 	limiter := &share.Limiter{
 		Peers: func() []share.Peer {
-			return []share.Peer{{Heard: now, Demand: map[peridotpath.CustomerID]float64{"small": elsewhere}}, {Heard: now}}
+			return []share.Peer{{ReceivedAt: now, Demand: map[peridotpath.CustomerID]float64{"small": elsewhere}}, {ReceivedAt: now}}
 		},
-		Publish: func(peridotpath.CustomerID, float64) {},
-		Keep:    func(func(peridotpath.CustomerID) bool) {},
+		Publish:         func(peridotpath.CustomerID, float64) {},
+		RetainPublished: func(func(peridotpath.CustomerID) bool) {},
 	}
 	limiter.Allow(now, small, 0)
-	limiter.Divide(now, share.Interval)
+	limiter.UpdateShares(now, share.UpdateInterval)
 	limiter.Allow(now.Add(2*time.Second), small, 0)
 	ok, retryAfter := limiter.Allow(now, small, 0)
 	is.True(!ok)
 	is.True(retryAfter > 0 && retryAfter <= 2*time.Second)
 	elsewhere = 0
-	limiter.Divide(now, share.Interval)
+	limiter.UpdateShares(now, share.UpdateInterval)
 	ok, _ = limiter.Allow(now.Add(4*time.Second), small, 0)
 	is.True(ok)
 }
@@ -242,8 +242,8 @@
 		simulation := newSimulation()
 		simulation.run(20*time.Second, 3*limit, single)
 		simulation.isCut = func(receiver, sender int) bool { return receiver < 4 != (sender < 4) }
-		simulation.run(share.SilentAfter+2*time.Second, 3*limit, even)
-		before := float64(sum(simulation.admitted)) / (share.SilentAfter + 2*time.Second).Seconds() / limit
+		simulation.run(share.PeerDemandTTL+2*time.Second, 3*limit, even)
+		before := float64(sum(simulation.admitted)) / (share.PeerDemandTTL + 2*time.Second).Seconds() / limit
 		simulation.run(30*time.Second, 3*limit, even)
 		after := float64(sum(simulation.admitted)) / 30 / limit
 		t.Logf("both sides admit %.3f of the limit until silent peers expire, %.3f after", before, after)
--- a/peridotpath/shift/fixture_test.go
+++ b/peridotpath/shift/fixture_test.go
@@ -101,9 +101,9 @@
 	store := started.link.Store(&cell.keyValue)
 	scheduler := &decide.Scheduler{Seed: uint64(len(cell.instances) + 1)}
 	scheduler.SetInstances(2)
-	view := &fleet.View{Log: zerolog.Nop(), Publish: scheduler.SetEndpoints, Load: scheduler.Report}
+	view := &fleet.View{Log: zerolog.Nop(), Publish: scheduler.SetEndpoints, Load: scheduler.ApplyReport}
 	poller := &fleet.Poller{
-		View: view, Book: &digest.Book{Epoch: 1}, Load: client.FetchLoad,
+		View: view, Book: &digest.PublishedState{Epoch: 1}, Load: client.FetchLoad,
 		Owns: func(peridotpath.EndpointID) bool { return true },
 	}
 	started.dispatcher = &dispatch.Dispatcher{
@@ -173,7 +173,7 @@
 		now := time.Now()
 		work := &decide.Work{
 			ID: peridotpath.RequestID(id), Customer: customer, Profile: profile, Class: class,
-			Prompt: tokens, Output: output, Arrived: now, Deadline: begin.Add(deadline),
+			PromptTokens: tokens, MaxOutputTokens: output, ArrivedAt: now, Deadline: begin.Add(deadline),
 		}
 		if class == peridotpath.Oversize {
 			instance.counter.RecordPrompt(service, tokens)
