--- a/peridotpath/dispatch/cancel.go
+++ b/peridotpath/dispatch/cancel.go
@@ -7,67 +7,67 @@
 )
 
 const (
-	// cancelQueue bounds the streams that wait to be cancelled. What does not
-	// fit is freed by the sweep of detached streams.
-	cancelQueue = 1024
-	// cancelTick is how often due cancellations go out.
-	cancelTick = 100 * time.Millisecond
+	// maxPendingCancellations bounds the streams whose cancellation is pending. The sweep of
+	// detached streams frees those beyond it.
+	maxPendingCancellations = 1024
+	// cancelInterval is the time between two checks for due cancellations.
+	cancelInterval = 100 * time.Millisecond
 )
 
-// cancellation is a stream whose reader has left.
+// cancellation is a pending cancellation of an abandoned stream.
 type cancellation struct {
 	address netip.AddrPort
 	stream  string
-	due     time.Time
-	// onlyDetached spares a stream that was resumed meanwhile, here or at
-	// another Instance.
+	dueAt   time.Time
+	// onlyDetached leaves a stream running that was resumed in the meantime, at
+	// this Instance or another.
 	onlyDetached bool
 }
 
-// abandon has a stream cancelled: at once, or after the resume window when its
-// caller may come back for it.
-func (dispatcher *Dispatcher) abandon(address netip.AddrPort, stream string, mayReturn bool) {
+// queueCancellation queues the cancellation of a stream, due at once, or after the resume
+// window if its caller may still resume it.
+func (dispatcher *Dispatcher) queueCancellation(address netip.AddrPort, stream string, mayResume bool) {
 	if stream == "" {
 		return
 	}
 	due := time.Now()
-	if mayReturn {
+	if mayResume {
 		due = due.Add(dispatcher.ResumeWindow)
 	}
 	select {
-	case dispatcher.cancels <- cancellation{address, stream, due, mayReturn}:
+	case dispatcher.cancellations <- cancellation{address, stream, due, mayResume}:
 	default:
 	}
 }
 
-// cancelAbandoned sends cancellations when they are due, until ctx ends.
-func (dispatcher *Dispatcher) cancelAbandoned(ctx context.Context) {
-	ticker := time.NewTicker(cancelTick)
+// runCancellations sends each cancellation when it is due, until ctx ends.
+func (dispatcher *Dispatcher) runCancellations(ctx context.Context) {
+	ticker := time.NewTicker(cancelInterval)
 	defer ticker.Stop()
-	var waiting []cancellation
+	var pending []cancellation
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case next := <-dispatcher.cancels:
-			waiting = append(waiting, next)
+		case next := <-dispatcher.cancellations:
+			pending = append(pending, next)
 		case <-ticker.C:
 		}
-		waiting = dispatcher.cancelDue(ctx, waiting)
+		pending = dispatcher.sendDueCancellations(ctx, pending)
 	}
 }
 
-func (dispatcher *Dispatcher) cancelDue(ctx context.Context, waiting []cancellation) []cancellation {
+func (dispatcher *Dispatcher) sendDueCancellations(ctx context.Context, pending []cancellation) []cancellation {
 	now := time.Now()
-	kept := waiting[:0]
-	for _, next := range waiting {
-		if next.due.After(now) && len(waiting) < cancelQueue {
-			kept = append(kept, next)
+	remaining := pending[:0]
+	for _, next := range pending {
+		if next.dueAt.After(now) && len(pending) < maxPendingCancellations {
+			remaining = append(remaining, next)
 			continue
 		}
 		if err := dispatcher.Cancel(ctx, next.address, next.stream, next.onlyDetached); err != nil {
 			dispatcher.Log.Info().Str("stream", next.stream).Err(err).Msg("cancel_failed")
 		}
 	}
-	return kept
+	return remaining
 }
--- a/peridotpath/dispatch/dispatch.go
+++ b/peridotpath/dispatch/dispatch.go
@@ -1,6 +1,12 @@
-// Package dispatch carries a request from its admission to its last byte: it
-// asks package decide where the work may run, sends it there, relays the
-// answer, resumes a stream that broke off, and tries again where that is safe.
+// Package dispatch runs a request from its admission to the last byte of its
+// answer. Package decide places the work; dispatch sends it to the endpoint, relays
+// the answer, resumes an interrupted stream after its last event, and retries at
+// another endpoint only where the work cannot run twice or is idempotent.
+//
+// It matters when endpoints refuse, fail or hang under load: content is held back
+// until the first token, so that a failed attempt can still be replaced, and each
+// request ends by its deadline. The streams of disconnected callers are cancelled
+// after the resume window, so that their KV cache is freed.
 package dispatch
 
 import (
@@ -18,30 +24,30 @@
 	"peridotpath.example/peridotpath/service"
 )
 
-// Request is one admitted-or-not-yet request of a caller.
+// Request is one request of a caller, before or after its admission.
 type Request struct {
 	Work *decide.Work
-	// Path is the engine's path that the caller asked for.
+	// Path is the engine's path that the caller requested.
 	Path string
-	// Body is let go of once content has come: nothing is sent again after that.
+	// Body is released at the first content: the request is not sent again after it.
 	Body *engine.Body
-	// Free, when set, is called when Body has been let go of.
+	// Free, when set, is called after Body was released.
 	Free func()
-	// Stream says that the caller wants the answer as events.
+	// Stream is set if the caller requests the answer as server-sent events.
 	Stream bool
-	// Usage, when set, is told the length of the prompt as the engine counted it.
+	// Usage, when set, is called with the prompt's length as the engine counted it.
 	Usage func(prompt peridotpath.Tokens)
-	// MaySend, when set, is asked right before each sending; an error, best a
-	// *peridotpath.Result, forbids it.
+	// MaySend, when set, is called right before each attempt is sent. An error,
+	// preferably a *peridotpath.Result, prevents the attempt.
 	MaySend func() error
 }
 
-// Sink is where the answer goes. Its functions are called from one goroutine.
+// Sink writes the answer to the caller. Its functions are called from one goroutine.
 type Sink struct {
-	// Start is called once, when the first content is there. A failure before
-	// it is returned by Do and can still become an ordinary error answer.
+	// Start is called once, at the first content. An earlier failure is returned
+	// by Do and can still become an ordinary error response.
 	Start func(header http.Header, endpoint peridotpath.EndpointID, stream string)
-	// Event writes one event of a stream. An error means the caller is gone.
+	// Event writes one event of a stream. An error means that the caller disconnected.
 	Event func(offset int64, data []byte) error
 	// Whole writes an answer that is not a stream.
 	Whole func(body []byte) error
@@ -51,83 +57,83 @@
 type Dispatcher struct {
 	Scheduler *decide.Scheduler
 	Log       zerolog.Logger
-	// Send, Resume and Cancel speak to an engine.
+	// Send, Resume and Cancel make a request to an engine.
 	Send   func(ctx context.Context, address netip.AddrPort, request *engine.Request) (*engine.Answer, error)
 	Resume func(ctx context.Context, address netip.AddrPort, stream string, after int64) (*engine.Answer, error)
 	Cancel func(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error
-	// SendPlain speaks to a plain service.
+	// SendPlain makes a request to a plain service.
 	SendPlain func(ctx context.Context, address netip.AddrPort, call *service.Request) (*http.Response, error)
-	// Draining, when set, is told of an endpoint that said it is leaving.
+	// Draining, when set, is called for an endpoint that reports that it is shutting down.
 	Draining func(now time.Time, endpoint peridotpath.EndpointID)
-	// ResumeWindow is how long a stream whose caller left is kept for a return.
+	// ResumeWindow is how long a stream stays resumable after its caller disconnected.
 	ResumeWindow time.Duration
 
-	waiters   waiters
-	notify    chan struct{}
-	cancels   chan cancellation
-	startOnce sync.Once
+	pendingDecisions decisionWaiters
+	queueWakeups     chan struct{}
+	cancellations    chan cancellation
+	initOnce         sync.Once
 }
 
-// start makes the channels, whichever of Run and Do comes first.
-func (dispatcher *Dispatcher) start() {
-	dispatcher.startOnce.Do(func() {
-		dispatcher.notify = make(chan struct{}, 1)
-		dispatcher.cancels = make(chan cancellation, cancelQueue)
+// initChannels makes the channels once, in whichever of Run and Do is called first.
+func (dispatcher *Dispatcher) initChannels() {
+	dispatcher.initOnce.Do(func() {
+		dispatcher.queueWakeups = make(chan struct{}, 1)
+		dispatcher.cancellations = make(chan cancellation, maxPendingCancellations)
 	})
 }
 
-// idleAdvance bounds how long queued work waits when no event wakes the queue.
-const idleAdvance = 50 * time.Millisecond
+// maxAdvanceInterval bounds the time between two queue advances when no event wakes it.
+const maxAdvanceInterval = 50 * time.Millisecond
 
 // Run advances the queue and cancels abandoned streams until ctx ends.
 func (dispatcher *Dispatcher) Run(ctx context.Context) error {
-	dispatcher.start()
-	cancelled := make(chan struct{})
+	dispatcher.initChannels()
+	cancellationsDone := make(chan struct{})
 	go func() {
-		defer close(cancelled)
-		dispatcher.cancelAbandoned(ctx)
+		defer close(cancellationsDone)
+		dispatcher.runCancellations(ctx)
 	}()
-	defer func() { <-cancelled }()
-	timer := time.NewTimer(idleAdvance)
+	defer func() { <-cancellationsDone }()
+	timer := time.NewTimer(maxAdvanceInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-dispatcher.notify:
+		case <-dispatcher.queueWakeups:
 		case <-timer.C:
 		}
-		dispatcher.advance()
-		timer.Reset(dispatcher.untilNext())
+		dispatcher.advanceQueue()
+		timer.Reset(dispatcher.timeUntilAdvance())
 	}
 }
 
-func (dispatcher *Dispatcher) untilNext() time.Duration {
+func (dispatcher *Dispatcher) timeUntilAdvance() time.Duration {
 	next := dispatcher.Scheduler.Next()
 	if next.IsZero() {
-		return idleAdvance
+		return maxAdvanceInterval
 	}
-	return min(max(time.Until(next), time.Millisecond), idleAdvance)
+	return min(max(time.Until(next), time.Millisecond), maxAdvanceInterval)
 }
 
-func (dispatcher *Dispatcher) advance() {
+func (dispatcher *Dispatcher) advanceQueue() {
 	for _, decision := range dispatcher.Scheduler.Advance(time.Now()) {
-		if !dispatcher.waiters.deliver(decision) && decision.Verdict == decide.Place {
+		if !dispatcher.pendingDecisions.deliver(decision) && decision.Verdict == decide.Place {
 			dispatcher.Scheduler.Done(time.Now(), decision.Work, decide.Abandoned, 0)
 		}
 	}
 }
 
-// wake has Run look at the queue: a place may have come free.
-func (dispatcher *Dispatcher) wake() {
+// wakeQueue makes Run advance the queue: an endpoint may have free capacity.
+func (dispatcher *Dispatcher) wakeQueue() {
 	select {
-	case dispatcher.notify <- struct{}{}:
+	case dispatcher.queueWakeups <- struct{}{}:
 	default:
 	}
 }
 
-// done ends a placement and wakes the queue.
-func (dispatcher *Dispatcher) done(work *decide.Work, outcome decide.Outcome, tokens peridotpath.Tokens) {
+// finishPlacement reports a placement's outcome to the scheduler and wakes the queue.
+func (dispatcher *Dispatcher) finishPlacement(work *decide.Work, outcome decide.Outcome, tokens peridotpath.Tokens) {
 	dispatcher.Scheduler.Done(time.Now(), work, outcome, tokens)
-	dispatcher.wake()
+	dispatcher.wakeQueue()
 }
--- a/peridotpath/dispatch/dispatch_test.go
+++ b/peridotpath/dispatch/dispatch_test.go
@@ -15,25 +15,25 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-var errReset = errors.New("connection reset")
+var errConnectionReset = errors.New("connection reset")
 
-// TestRepeatsOnlyWhatIsSafe puts each way in which a first attempt fails before
-// an idempotent and a non-idempotent request.
+// TestRetriesOnlyWhatIsSafe runs an idempotent and a non-idempotent request
+// against each kind of failure of the first attempt.
 //
-// What a user would see otherwise: a claim acknowledged twice. An endpoint read
-// the body, ran it and lost the connection; the layer took that for "not run"
-// and sent the same body to a second endpoint.
-func TestRepeatsOnlyWhatIsSafe(t *testing.T) {
+// It guards against running a claim twice: an endpoint reads the body, runs it and
+// loses the connection; if that counted as "not run", the same body would be sent
+// to a second endpoint.
+func TestRetriesOnlyWhatIsSafe(t *testing.T) {
 	failures := map[string]struct {
 		stream string
 		err    error
-		// idempotent and other say whether a second attempt is wanted.
-		idempotent, other bool
-		code              peridotpath.Code
+		// retriesIdempotent and other are set if such a request expects a second attempt.
+		retriesIdempotent, retriesOther bool
+		code                            peridotpath.Code
 	}{
-		"connection never made":  {"", engine.ErrUnreached.Wrap(errReset), true, true, 0},
+		"connection never made":  {"", engine.ErrUnreached.Wrap(errConnectionReset), true, true, 0},
 		"refused as not run":     {"", engine.ErrRefused.New("full"), true, true, 0},
-		"failed after sending":   {"", engine.ErrFailed.Wrap(errReset), true, false, peridotpath.CodeOutcomeUnknown},
+		"failed after sending":   {"", engine.ErrFailed.Wrap(errConnectionReset), true, false, peridotpath.CodeOutcomeUnknown},
 		"empty success":          {"data: [DONE]\n\n", nil, true, false, peridotpath.CodeOutcomeUnknown},
 		"request found at fault": {"", engine.ErrBadRequest.New("no"), false, false, peridotpath.CodeBadRequest},
 	}
@@ -48,18 +48,18 @@
 							return nil, failure.err
 						}
 						if call == 0 {
-							return answered(failure.stream, nil), nil
+							return scriptedAnswer(failure.stream, nil), nil
 						}
-						return answered(events(0, 2, true), nil), nil
+						return scriptedAnswer(events(0, 2, true), nil), nil
 					}
-					defer fixture.run(t)()
+					defer fixture.start(t)()
 					received := &received{}
 					result := fixture.Do(t.Context(), request(idempotent), received.sink())
-					repeated := failure.other
+					retried := failure.retriesOther
 					if idempotent {
-						repeated = failure.idempotent
+						retried = failure.retriesIdempotent
 					}
-					if !repeated {
+					if !retried {
 						is.Equal(len(fixture.sends), 1) // sent once
 						is.Equal(result.Code, failure.code)
 						is.Equal(received.started, 0)
@@ -67,7 +67,7 @@
 					}
 					is.Equal(result, nil)
 					is.Equal(len(fixture.sends), 2)
-					is.True(fixture.sends[0] != fixture.sends[1]) // elsewhere
+					is.True(fixture.sends[0] != fixture.sends[1]) // the retry goes to another endpoint
 					is.Equal(strings.Join(received.events, " "), "0:t0 1:t1 2:t2 3:[DONE]")
 				})
 			})
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestResumesABrokenStream breaks a stream off after its second token. The
-// caller must see each token once and in order. Without the check of offsets
-// it saw the tokens that the engine sends again twice.
-func TestResumesABrokenStream(t *testing.T) {
+// TestResumesInterruptedStream interrupts a stream after its second token. The caller
+// must receive each token once and in order. Without the check of offsets it
+// received tokens twice that the engine sends again.
+func TestResumesInterruptedStream(t *testing.T) {
 	resumed := map[string]string{
 		"from where it broke off": events(2, 4, true),
 		"with tokens sent again":  events(0, 4, true),
@@ -89,10 +89,10 @@
 				is := is.New(t)
 				fixture := newFixture()
 				fixture.send = func(int, context.Context) (*engine.Answer, error) {
-					return answered(events(0, 1, false)+"id: 2\ndata: {\"cho", errReset), nil
+					return scriptedAnswer(events(0, 1, false)+"id: 2\ndata: {\"cho", errConnectionReset), nil
 				}
-				fixture.resume = func(int, int64) (*engine.Answer, error) { return answered(stream, nil), nil }
-				defer fixture.run(t)()
+				fixture.resume = func(int, int64) (*engine.Answer, error) { return scriptedAnswer(stream, nil), nil }
+				defer fixture.start(t)()
 				received := &received{}
 				result := fixture.Do(t.Context(), request(false), received.sink())
 				is.Equal(result, nil)
@@ -103,36 +103,37 @@
 	}
 }
 
-// TestSkippedTokensAreNotPassedOn has the engine leave out a token, as when
-// events are lost on its side. The caller must not get a text with a hole in it.
-func TestSkippedTokensAreNotPassedOn(t *testing.T) {
+// TestTokensAfterAGapAreNotRelayed makes the engine omit a token, which happens when
+// it loses events. The caller must not receive a text with a gap.
+func TestTokensAfterAGapAreNotRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fixture := newFixture()
 		fixture.send = func(int, context.Context) (*engine.Answer, error) {
-			return answered(events(0, 1, false)+events(3, 4, true), nil), nil
+			return scriptedAnswer(events(0, 1, false)+events(3, 4, true), nil), nil
 		}
 		fixture.resume = func(int, int64) (*engine.Answer, error) { return nil, engine.ErrGone.New("s1") }
-		defer fixture.run(t)()
+		defer fixture.start(t)()
 		received := &received{}
 		result := fixture.Do(t.Context(), request(true), received.sink())
 		is.Equal(result.Code, peridotpath.CodeStreamCut)
-		is.Equal(strings.Join(received.events, " "), "0:t0 1:t1") // no hole, no end mark
-		is.Equal(len(fixture.sends), 1)                           // what has begun is not run again
+		is.Equal(strings.Join(received.events, " "), "0:t0 1:t1") // no gap, no end marker
+		is.Equal(len(fixture.sends), 1)                           // no retry after content was sent
 	})
 }
 
-// TestEndsByItsDeadline has an endpoint hang in every way there is. The caller
-// waits no longer than the deadline, and the engine's memory is freed.
-func TestEndsByItsDeadline(t *testing.T) {
+// TestHangingEndpointEndsByDeadline makes an endpoint hang before the headers, before the
+// first token and between two tokens. The caller must get a result by the
+// deadline, and the engine's memory must be freed.
+func TestHangingEndpointEndsByDeadline(t *testing.T) {
 	hangs := map[string]func(ctx context.Context) (*engine.Answer, error){
 		"before the headers": func(ctx context.Context) (*engine.Answer, error) {
 			<-ctx.Done()
 			return nil, engine.ErrFailed.Wrap(ctx.Err())
 		},
-		"before the first token": func(ctx context.Context) (*engine.Answer, error) { return hanging(ctx, ""), nil },
+		"before the first token": func(ctx context.Context) (*engine.Answer, error) { return hangingAnswer(ctx, ""), nil },
 		"between two tokens": func(ctx context.Context) (*engine.Answer, error) {
-			return hanging(ctx, events(0, 1, false)), nil
+			return hangingAnswer(ctx, events(0, 1, false)), nil
 		},
 	}
 	for name, send := range hangs {
@@ -141,11 +142,11 @@
 				is := is.New(t)
 				fixture := newFixture()
 				fixture.send = func(_ int, ctx context.Context) (*engine.Answer, error) { return send(ctx) }
-				defer fixture.run(t)()
-				began := time.Now()
+				defer fixture.start(t)()
+				startedAt := time.Now()
 				result := fixture.Do(t.Context(), request(true), (&received{}).sink())
 				is.Equal(result.Code, peridotpath.CodeDeadline)
-				is.Equal(time.Since(began), deadline)
+				is.Equal(time.Since(startedAt), deadline)
 				time.Sleep(time.Second)
 				if name != "before the headers" {
 					is.Equal(fixture.cancelled(), []string{"s1 only_detached=false"})
@@ -155,19 +156,19 @@
 	}
 }
 
-// TestCallerWhoLeavesMayReturn has a caller vanish in the middle of a stream.
-// It may come back for the rest at any instance within the resume window; after
-// that the engine's memory must come free, unless someone reads the stream.
-func TestCallerWhoLeavesMayReturn(t *testing.T) {
+// TestStreamStaysResumableAfterDisconnect disconnects a caller in the middle of a stream. The
+// stream stays resumable at any instance for the resume window. After that it must
+// be cancelled to free the engine's memory, unless a reader is attached.
+func TestStreamStaysResumableAfterDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fixture := newFixture()
 		fixture.send = func(_ int, ctx context.Context) (*engine.Answer, error) {
-			return hanging(ctx, events(0, 1, false)), nil
+			return hangingAnswer(ctx, events(0, 1, false)), nil
 		}
-		defer fixture.run(t)()
-		caller, leave := context.WithCancel(t.Context())
-		time.AfterFunc(time.Second, leave)
+		defer fixture.start(t)()
+		caller, disconnect := context.WithCancel(t.Context())
+		time.AfterFunc(time.Second, disconnect)
 		result := fixture.Do(caller, request(true), (&received{}).sink())
 		is.Equal(result.Code, peridotpath.CodeCallerGone)
 		time.Sleep(fixture.ResumeWindow - time.Second)
@@ -177,8 +178,8 @@
 	})
 }
 
-// TestWholeAnswerIsDeliveredWholeOrNotAtAll covers answers that are no stream.
-func TestWholeAnswerIsDeliveredWholeOrNotAtAll(t *testing.T) {
+// TestWholeAnswerIsAllOrNothing covers answers that are not streams.
+func TestWholeAnswerIsAllOrNothing(t *testing.T) {
 	const good = `{"choices":[{"text":"all"}],"usage":{"completion_tokens":1}}`
 	cases := map[string]struct {
 		body string
@@ -196,8 +197,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				fixture := newFixture()
-				fixture.send = func(int, context.Context) (*engine.Answer, error) { return answered(test.body, test.err), nil }
-				defer fixture.run(t)()
+				fixture.send = func(int, context.Context) (*engine.Answer, error) { return scriptedAnswer(test.body, test.err), nil }
+				defer fixture.start(t)()
 				received := &received{}
 				request := request(false)
 				request.Stream = false
@@ -215,17 +216,18 @@
 	}
 }
 
-// TestBodyIsLetGoOfAtTheFirstToken: forty callers with prompts of a million
-// tokens read their answers for minutes. Held until the end, their bodies used
-// up the memory for bodies, and every other caller was refused with body_memory.
-func TestBodyIsLetGoOfAtTheFirstToken(t *testing.T) {
+// TestBodyIsReleasedAtFirstToken guards against bodies that are held until the
+// end of the answer: forty callers with prompts of a million tokens, whose answers
+// take minutes, used up the body memory, and every other caller was refused with
+// body_memory.
+func TestBodyIsReleasedAtFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fixture := newFixture()
 		fixture.send = func(_ int, ctx context.Context) (*engine.Answer, error) {
-			return hanging(ctx, events(0, 0, false)), nil
+			return hangingAnswer(ctx, events(0, 0, false)), nil
 		}
-		defer fixture.run(t)()
+		defer fixture.start(t)()
 		request := request(true)
 		freed := 0
 		request.Free = func() { freed++ }
@@ -242,9 +244,10 @@
 	})
 }
 
-// TestUsageIsPassedOn: the lengths that engines count correct the estimates
-// that prompts are placed and refused by, from whole answers and from streams.
-func TestUsageIsPassedOn(t *testing.T) {
+// TestUsageIsReported checks that the engine's token counts reach Request.Usage
+// from whole answers and from streams. They correct the estimates by which prompts
+// are placed and refused.
+func TestUsageIsReported(t *testing.T) {
 	const usage = `"usage":{"prompt_tokens":1234,"completion_tokens":1}`
 	for name, stream := range map[string]string{
 		"whole":  `{"choices":[{"text":"all"}],` + usage + `}`,
@@ -254,14 +257,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				fixture := newFixture()
-				fixture.send = func(int, context.Context) (*engine.Answer, error) { return answered(stream, nil), nil }
-				defer fixture.run(t)()
-				var told []peridotpath.Tokens
+				fixture.send = func(int, context.Context) (*engine.Answer, error) { return scriptedAnswer(stream, nil), nil }
+				defer fixture.start(t)()
+				var reported []peridotpath.Tokens
 				request := request(true)
 				request.Stream = name == "stream"
-				request.Usage = func(prompt peridotpath.Tokens) { told = append(told, prompt) }
+				request.Usage = func(prompt peridotpath.Tokens) { reported = append(reported, prompt) }
 				is.Equal(fixture.Do(t.Context(), request, (&received{}).sink()), nil)
-				is.Equal(told, []peridotpath.Tokens{1234})
+				is.Equal(reported, []peridotpath.Tokens{1234})
 			})
 		})
 	}
--- a/peridotpath/dispatch/fixture_test.go
+++ b/peridotpath/dispatch/fixture_test.go
@@ -21,7 +21,7 @@
 
 const deadline = 30 * time.Second
 
-// fixture is a dispatcher before two engines that the test scripts.
+// fixture is a dispatcher with two engines whose answers the test scripts.
 type fixture struct {
 	*dispatch.Dispatcher
 	// send and resume script the engines; the first argument counts calls from 0.
@@ -67,15 +67,15 @@
 	}
 }
 
-// cancelled returns the cancellations so far.
+// cancelled returns the cancellations that were sent so far.
 func (fixture *fixture) cancelled() []string {
 	fixture.mu.Lock()
 	defer fixture.mu.Unlock()
 	return slices.Clone(fixture.cancels)
 }
 
-// run starts the background work and returns what stops it.
-func (fixture *fixture) run(t *testing.T) (stop func()) {
+// start starts the dispatcher's Run and returns a function that stops it.
+func (fixture *fixture) start(t *testing.T) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -104,20 +104,20 @@
 	}
 }
 
-// received is what a caller has got so far.
+// received records what a caller has received.
 type received struct {
 	started int
 	events  []string
 	whole   string
-	// gone makes every write fail, as when the caller has left.
-	gone bool
+	// disconnected makes every write fail, which is the case after the caller disconnected.
+	disconnected bool
 }
 
 func (received *received) sink() *dispatch.Sink {
 	return &dispatch.Sink{
 		Start: func(http.Header, peridotpath.EndpointID, string) { received.started++ },
 		Event: func(offset int64, data []byte) error {
-			if received.gone {
+			if received.disconnected {
 				return io.ErrClosedPipe
 			}
 			received.events = append(received.events, fmt.Sprintf("%d:%s", offset, text(data)))
@@ -138,7 +138,7 @@
 }
 
 // events returns a stream's bytes with the tokens from first to last, and the
-// end mark where done is set.
+// end marker if done is set.
 func events(first, last int, done bool) string {
 	var stream strings.Builder
 	for i := first; i <= last; i++ {
@@ -150,30 +150,30 @@
 	return stream.String()
 }
 
-// answered is an answer that consists of the stream's bytes and then ends, or
-// fails with err if that is set.
-func answered(stream string, err error) *engine.Answer {
+// scriptedAnswer returns an answer whose body has the stream's bytes and then ends, or
+// fails with err if that is not nil.
+func scriptedAnswer(stream string, err error) *engine.Answer {
 	reader := io.Reader(strings.NewReader(stream))
 	if err != nil {
-		reader = io.MultiReader(reader, failing{err})
+		reader = io.MultiReader(reader, failingReader{err})
 	}
 	return &engine.Answer{Status: http.StatusOK, Body: io.NopCloser(reader), StreamID: "s1"}
 }
 
-type failing struct{ err error }
+type failingReader struct{ err error }
 
-func (failing failing) Read([]byte) (int, error) { return 0, failing.err }
+func (failingReader failingReader) Read([]byte) (int, error) { return 0, failingReader.err }
 
-// hanging is an answer whose body gives the stream's bytes and then blocks
-// until ctx ends.
-func hanging(ctx context.Context, stream string) *engine.Answer {
-	body := io.MultiReader(strings.NewReader(stream), blocked{ctx})
+// hangingAnswer returns an answer whose body has the stream's bytes and then blocks until
+// ctx ends.
+func hangingAnswer(ctx context.Context, stream string) *engine.Answer {
+	body := io.MultiReader(strings.NewReader(stream), blockedReader{ctx})
 	return &engine.Answer{Status: http.StatusOK, Body: io.NopCloser(body), StreamID: "s1"}
 }
 
-type blocked struct{ ctx context.Context }
+type blockedReader struct{ ctx context.Context }
 
-func (blocked blocked) Read([]byte) (int, error) {
-	<-blocked.ctx.Done()
-	return 0, blocked.ctx.Err()
+func (blockedReader blockedReader) Read([]byte) (int, error) {
+	<-blockedReader.ctx.Done()
+	return 0, blockedReader.ctx.Err()
 }
--- a/peridotpath/dispatch/truthful_test.go
+++ b/peridotpath/dispatch/not_run_test.go
@@ -11,10 +11,10 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-// A volunteer's line runs at an engine that answers empty; the repeat meets an
-// engine that refuses, or none at all. The caller read "not run" though an
-// engine had run it, since only the last attempt was looked at.
-func TestNotRunIsSaidOfNoneThatRan(t *testing.T) {
+// The first attempt runs at an engine and fails; the retry is refused or finds no
+// endpoint. If only the last attempt determined the result, the caller would get
+// "not run" for a request that an engine ran.
+func TestNotRunOnlyIfNoAttemptRan(t *testing.T) {
 	refused := engine.ErrRefused.New("full")
 	tests := []struct {
 		name   string
@@ -34,11 +34,11 @@
 				fixture.send = func(call int, _ context.Context) (*engine.Answer, error) {
 					return nil, test.errs[min(call, len(test.errs)-1)]
 				}
-				defer fixture.run(t)()
+				defer fixture.start(t)()
 				work := request(true)
 				work.Work.Profile.MaxAttempts = len(test.errs) + 1
 				result := fixture.Do(t.Context(), work, (&received{}).sink())
-				is.Equal(result.Code.NotRun(), test.notRun) // what the caller is told
+				is.Equal(result.Code.NotRun(), test.notRun) // the result that the caller gets
 				is.Equal(result.Code, test.code)
 			})
 		})
--- a/peridotpath/dispatch/prompt.go
+++ b/peridotpath/dispatch/prompt.go
@@ -14,19 +14,19 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// maxWhole bounds an answer that is not a stream, in bytes.
-const maxWhole = 16 << 20
+// maxWholeAnswerSize bounds an answer that is not a stream, in bytes.
+const maxWholeAnswerSize = 16 << 20
 
 // Do runs a prompt and returns nil when the whole answer was delivered. ctx
-// ends when the caller leaves.
+// ends when the caller disconnects.
 func (dispatcher *Dispatcher) Do(ctx context.Context, request *Request, sink *Sink) *peridotpath.Result {
-	return dispatcher.run(ctx, request.Work, request.MaySend, func(ctx context.Context, decision decide.Decision) attempt {
-		return dispatcher.try(ctx, request, decision, sink)
+	return dispatcher.runAttempts(ctx, request.Work, request.MaySend, func(ctx context.Context, decision decide.Decision) attempt {
+		return dispatcher.attemptPrompt(ctx, request, decision, sink)
 	})
 }
 
-// try sends the work to one endpoint and relays the answer.
-func (dispatcher *Dispatcher) try(ctx context.Context, request *Request, decision decide.Decision, sink *Sink) attempt {
+// attemptPrompt sends the work to one endpoint and relays its answer.
+func (dispatcher *Dispatcher) attemptPrompt(ctx context.Context, request *Request, decision decide.Decision, sink *Sink) attempt {
 	work, endpoint := request.Work, decision.Endpoint
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -35,18 +35,18 @@
 		Priority: decision.Priority, Deadline: work.Deadline,
 	})
 	if err != nil {
-		return dispatcher.sendFailed(ctx, work, endpoint.ID, err)
+		return dispatcher.classifySendError(ctx, work, endpoint.ID, err)
 	}
 	if request.Stream {
-		return dispatcher.relay(ctx, request, endpoint, answer, sink)
+		return dispatcher.relayStream(ctx, request, endpoint, answer, sink)
 	}
 	defer answer.Body.Close()
-	return dispatcher.whole(ctx, request, endpoint, answer, sink)
+	return dispatcher.relayWhole(ctx, request, endpoint, answer, sink)
 }
 
-// noteUsage tells how many tokens the engine counted in the prompt, if the
-// answer, or a stream's event, says so.
-func (request *Request) noteUsage(data []byte) {
+// reportUsage passes the engine's token count of the prompt to Request.Usage, if the
+// answer or the stream's event contains it.
+func (request *Request) reportUsage(data []byte) {
 	if request.Usage == nil {
 		return
 	}
@@ -55,44 +55,44 @@
 	}
 }
 
-// dropBody gives the body's memory back.
-func (request *Request) dropBody() {
+// releaseBody releases the body's memory.
+func (request *Request) releaseBody() {
 	request.Body.Drop()
 	if request.Free != nil {
 		request.Free()
 	}
 }
 
-// whole reads an answer that is not a stream and delivers it in one piece, so
-// that half an answer never reaches a caller as a success.
-func (dispatcher *Dispatcher) whole(ctx context.Context, request *Request, endpoint peridotpath.Endpoint, answer *engine.Answer, sink *Sink) attempt {
+// relayWhole buffers an answer that is not a stream before it is delivered, so that a
+// partial answer never reaches a caller as a success.
+func (dispatcher *Dispatcher) relayWhole(ctx context.Context, request *Request, endpoint peridotpath.Endpoint, answer *engine.Answer, sink *Sink) attempt {
 	work := request.Work
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWhole))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxWholeAnswerSize))
 	if ctx.Err() != nil {
-		return attempt{outcome: decide.Abandoned, result: ended(ctx, work, false)}
+		return attempt{outcome: decide.Abandoned, result: contextEndedResult(ctx, work, false)}
 	}
 	if err != nil {
-		return failed(work, telemetry.RetryFailed, peridotpath.CodeEndpointFailed, err.Error())
+		return failedAttempt(work, telemetry.RetryFailed, peridotpath.CodeEndpointFailed, err.Error())
 	}
-	if !strictjson.Valid(body) || !wholeHasContent(body) {
-		return failed(work, telemetry.RetryBadAnswer, peridotpath.CodeBadAnswer, "no content")
+	if !strictjson.Valid(body) || !answerHasContent(body) {
+		return failedAttempt(work, telemetry.RetryBadAnswer, peridotpath.CodeBadAnswer, "no content")
 	}
-	dispatcher.firstToken(work)
-	request.noteUsage(body)
+	dispatcher.recordFirstToken(work)
+	request.reportUsage(body)
 	sink.Start(answer.Header, endpoint.ID, answer.StreamID)
 	tokens := peridotpath.Tokens(gjson.GetBytes(body, "usage.completion_tokens").Int())
-	return delivered(tokens, sink.Whole(body))
+	return deliveredAttempt(tokens, sink.Whole(body))
 }
 
-// wholeHasContent refuses an empty success: a timeout dressed as an answer is
-// invisible to the people it hurts.
-func wholeHasContent(body []byte) bool {
+// answerHasContent reports whether an answer has content. An empty success counts
+// as a failure: it is often an engine's timeout, which no caller could detect.
+func answerHasContent(body []byte) bool {
 	choice := gjson.GetBytes(body, "choices.0")
 	return choice.Get("text").String() != "" || choice.Get("message.content").String() != "" ||
 		choice.Get("message.tool_calls.0").Exists()
 }
 
-func (dispatcher *Dispatcher) firstToken(work *decide.Work) {
+func (dispatcher *Dispatcher) recordFirstToken(work *decide.Work) {
 	now := time.Now()
 	dispatcher.Scheduler.FirstToken(now, work)
 	telemetry.RecordTimeToFirstToken(work.Class, now.Sub(work.Arrived))
--- a/peridotpath/dispatch/relay.go
+++ b/peridotpath/dispatch/relay.go
@@ -16,99 +16,99 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// resumeDelays are the waits before each try to resume a stream that broke
-// off. Together they stay under a second: longer than a lost connection needs,
-// shorter than a caller's patience.
+// resumeDelays are the delays before each attempt to resume an interrupted
+// stream. Their sum is below a second: long enough to get past a lost connection,
+// short enough for a client's timeout.
 var resumeDelays = [...]time.Duration{0, 100 * time.Millisecond, 400 * time.Millisecond}
 
-// stream is the state of one relayed stream.
+// stream is the state of one stream that is being relayed.
 type stream struct {
 	dispatcher *Dispatcher
 	work       *decide.Work
 	endpoint   peridotpath.Endpoint
 	id         string
 	sink       *Sink
-	// begun is called when the first content has come.
-	begun func()
-	// usage is told of each event that names the usage; nil for nobody.
-	usage func(data []byte)
-
-	// next is the offset that the next event must have; a resumed stream
-	// repeats nothing and skips nothing.
-	next    int64
-	started bool
-	// held are events without content that came before the first token.
-	held   [][]byte
-	tokens peridotpath.Tokens
+	// onFirstContent is called at the first content.
+	onFirstContent func()
+	// onUsage, if not nil, is called with each event that contains the token usage.
+	onUsage func(data []byte)
+
+	// nextOffset is the required offset of the next event: a resumed stream neither
+	// repeats nor skips events.
+	nextOffset  int64
+	contentSent bool
+	// heldEvents has the events without content that came before the first token.
+	heldEvents [][]byte
+	tokens     peridotpath.Tokens
 }
 
-// usageField is in the event that names the usage, where the caller asked for it.
+// usageField occurs in the event with the token usage, which is sent on request.
 var usageField = []byte(`"usage":{`)
 
-// maxHeld bounds the events held back before the first content.
-const maxHeld = 16
+// maxHeldEvents bounds the events that are held back before the first content.
+const maxHeldEvents = 16
 
-// relay passes a stream on until its end, resuming it where it breaks off.
-func (dispatcher *Dispatcher) relay(ctx context.Context, request *Request, endpoint peridotpath.Endpoint, answer *engine.Answer, sink *Sink) attempt {
+// relayStream relays a stream to its end and resumes it where it is interrupted.
+func (dispatcher *Dispatcher) relayStream(ctx context.Context, request *Request, endpoint peridotpath.Endpoint, answer *engine.Answer, sink *Sink) attempt {
 	stream := &stream{
 		dispatcher: dispatcher, work: request.Work, endpoint: endpoint, id: answer.StreamID,
-		sink: sink, begun: request.dropBody, usage: request.noteUsage,
+		sink: sink, onFirstContent: request.releaseBody, onUsage: request.reportUsage,
 	}
-	return stream.run(ctx, answer)
+	return stream.relay(ctx, answer)
 }
 
 // Continue relays a stream that a caller resumes by cursor, from the event
-// after the given offset.
+// after the given offset on.
 func (dispatcher *Dispatcher) Continue(ctx context.Context, work *decide.Work, endpoint peridotpath.Endpoint, id string, after int64, sink *Sink) *peridotpath.Result {
-	dispatcher.start()
+	dispatcher.initChannels()
 	ctx, cancel := context.WithDeadline(ctx, work.Deadline)
 	defer cancel()
-	stream := &stream{dispatcher: dispatcher, work: work, endpoint: endpoint, id: id, sink: sink, next: after + 1}
+	stream := &stream{dispatcher: dispatcher, work: work, endpoint: endpoint, id: id, sink: sink, nextOffset: after + 1}
 	answer, err := stream.resume(ctx, resumeDelays[:])
 	if err != nil {
-		return failure(peridotpath.CodeStreamCut, err.Error())
+		return failureResult(peridotpath.CodeStreamCut, err.Error())
 	}
 	sink.Start(answer.Header, endpoint.ID, id)
-	stream.started = true
-	attempt := stream.run(ctx, answer)
+	stream.contentSent = true
+	attempt := stream.relay(ctx, answer)
 	return attempt.result
 }
 
-// run relays the answer and those that resume it. It closes each body before
-// the next is asked for: an engine whose events could not be used goes on
-// sending them, and would take the stream for one that is being read.
-func (stream *stream) run(ctx context.Context, answer *engine.Answer) attempt {
-	fruitless := 0
+// relay relays the answer and the answers that resume it. It closes each body before
+// it requests the next: an engine that sent unusable events keeps sending into an
+// open connection and would count the stream as attached.
+func (stream *stream) relay(ctx context.Context, answer *engine.Answer) attempt {
+	resumesWithoutEvents := 0
 	for {
-		before := stream.next
-		whole, err := stream.pass(ctx, engine.Read(answer.Body))
+		offsetBefore := stream.nextOffset
+		complete, err := stream.relayEvents(ctx, engine.Read(answer.Body))
 		answer.Body.Close()
-		if whole {
+		if complete {
 			return stream.finish()
 		}
-		if result := stream.stopped(ctx, err); result != nil {
+		if result := stream.abandonedAttempt(ctx, err); result != nil {
 			return *result
 		}
-		if stream.next > before {
-			fruitless = 0
+		if stream.nextOffset > offsetBefore {
+			resumesWithoutEvents = 0
 		}
-		if fruitless == len(resumeDelays) {
-			return stream.cut(ctx, err)
+		if resumesWithoutEvents == len(resumeDelays) {
+			return stream.cutAttempt(ctx, err)
 		}
-		answer, err = stream.resume(ctx, resumeDelays[fruitless:])
+		answer, err = stream.resume(ctx, resumeDelays[resumesWithoutEvents:])
 		if err != nil {
-			return stream.cut(ctx, err)
+			return stream.cutAttempt(ctx, err)
 		}
-		fruitless++
+		resumesWithoutEvents++
 		telemetry.CountRetry(telemetry.RetryResumed)
 	}
 }
 
-// errSink is the class of failures to write to the caller.
-var errSink = errs.Class("dispatch: write to the caller")
+// errCallerWrite is the class of failures to write to the caller.
+var errCallerWrite = errs.Class("dispatch: write to the caller")
 
-// pass relays events until the end mark (true) or a failure.
-func (stream *stream) pass(ctx context.Context, events *engine.Events) (bool, error) {
+// relayEvents relays events until the end marker, for which it returns true, or an error.
+func (stream *stream) relayEvents(ctx context.Context, events *engine.Events) (bool, error) {
 	for {
 		event, err := events.Next()
 		if err != nil {
@@ -118,13 +118,13 @@
 			return false, ctx.Err()
 		}
 		if event.Offset < 0 {
-			event.Offset = stream.next
+			event.Offset = stream.nextOffset
 		}
-		if event.Offset < stream.next {
+		if event.Offset < stream.nextOffset {
 			continue
 		}
-		if event.Offset > stream.next {
-			return false, engine.ErrFailed.New("event %d came, %d was due", event.Offset, stream.next)
+		if event.Offset > stream.nextOffset {
+			return false, engine.ErrFailed.New("event %d came, %d was due", event.Offset, stream.nextOffset)
 		}
 		if string(event.Data) == engine.Done {
 			return true, nil
@@ -132,39 +132,39 @@
 		if !strictjson.Valid(event.Data) {
 			return false, engine.ErrFailed.New("event %d is not JSON", event.Offset)
 		}
-		if err := stream.event(event); err != nil {
-			return false, errSink.Wrap(err)
+		if err := stream.relayEvent(event); err != nil {
+			return false, errCallerWrite.Wrap(err)
 		}
 	}
 }
 
-// event passes one event on. Until the first content it is held back, so that
-// an endpoint that fails early can still be replaced by another.
-func (stream *stream) event(event engine.Event) error {
-	stream.next = event.Offset + 1
-	if stream.started {
+// relayEvent relays one event. Events before the first content are held back, so that
+// the request can still be retried elsewhere if the endpoint fails early.
+func (stream *stream) relayEvent(event engine.Event) error {
+	stream.nextOffset = event.Offset + 1
+	if stream.contentSent {
 		stream.tokens++
-		if stream.usage != nil && bytes.Contains(event.Data, usageField) {
-			stream.usage(event.Data)
+		if stream.onUsage != nil && bytes.Contains(event.Data, usageField) {
+			stream.onUsage(event.Data)
 		}
 		return stream.sink.Event(event.Offset, event.Data)
 	}
-	stream.held = append(stream.held, append([]byte{}, event.Data...))
-	if !eventHasContent(event.Data) && len(stream.held) < maxHeld {
+	stream.heldEvents = append(stream.heldEvents, append([]byte{}, event.Data...))
+	if !eventHasContent(event.Data) && len(stream.heldEvents) < maxHeldEvents {
 		return nil
 	}
-	stream.started = true
-	stream.begun()
-	stream.dispatcher.firstToken(stream.work)
+	stream.contentSent = true
+	stream.onFirstContent()
+	stream.dispatcher.recordFirstToken(stream.work)
 	stream.sink.Start(nil, stream.endpoint.ID, stream.id)
-	first := stream.next - int64(len(stream.held))
-	for i, data := range stream.held {
-		if err := stream.sink.Event(first+int64(i), data); err != nil {
+	firstOffset := stream.nextOffset - int64(len(stream.heldEvents))
+	for i, data := range stream.heldEvents {
+		if err := stream.sink.Event(firstOffset+int64(i), data); err != nil {
 			return err
 		}
 	}
 	stream.tokens = 1
-	stream.held = nil
+	stream.heldEvents = nil
 	return nil
 }
 
@@ -175,34 +175,34 @@
 		choice.Get("delta.tool_calls.0").Exists()
 }
 
-// finish ends a stream whose end mark came. One without any content is a
-// failure, not an answer.
+// finish ends a stream after its end marker. A stream without content is a
+// failure.
 func (stream *stream) finish() attempt {
-	if !stream.started {
-		return failed(stream.work, telemetry.RetryBadAnswer, peridotpath.CodeBadAnswer, "stream without content")
+	if !stream.contentSent {
+		return failedAttempt(stream.work, telemetry.RetryBadAnswer, peridotpath.CodeBadAnswer, "stream without content")
 	}
-	return delivered(stream.tokens, stream.sink.Event(stream.next, []byte(engine.Done)))
+	return deliveredAttempt(stream.tokens, stream.sink.Event(stream.nextOffset, []byte(engine.Done)))
 }
 
-// stopped returns how the attempt ends if the caller left or the time ran out,
-// and nil if the endpoint's side broke.
-func (stream *stream) stopped(ctx context.Context, err error) *attempt {
-	if ctx.Err() == nil && !errSink.Has(err) {
+// abandonedAttempt returns the abandoned attempt if the caller disconnected or the deadline
+// passed, and nil if the endpoint failed. It schedules the stream's cancellation.
+func (stream *stream) abandonedAttempt(ctx context.Context, err error) *attempt {
+	if ctx.Err() == nil && !errCallerWrite.Has(err) {
 		return nil
 	}
-	result := callerGone()
+	result := callerGoneResult()
 	if ctx.Err() != nil {
-		result = ended(ctx, stream.work, false)
+		result = contextEndedResult(ctx, stream.work, false)
 	}
-	stream.dispatcher.abandon(stream.endpoint.Address, stream.id, result.Code == peridotpath.CodeCallerGone)
-	return &attempt{outcome: decide.Abandoned, started: stream.started, tokens: stream.tokens, result: result}
+	stream.dispatcher.queueCancellation(stream.endpoint.Address, stream.id, result.Code == peridotpath.CodeCallerGone)
+	return &attempt{outcome: decide.Abandoned, contentSent: stream.contentSent, tokens: stream.tokens, result: result}
 }
 
-// resume attaches to the stream again after the last event that was passed on.
-// It waits each of the delays before one try. A stream that is resumed and gives
-// nothing has used up the first of them: a caller that resumes after the last
-// event of a whole stream, as browsers do by themselves, would else have the
-// endpoint asked without pause until its deadline.
+// resume reattaches to the stream after the last relayed event, with one attempt
+// after each delay. run drops the first delay for each resumed answer without
+// events: a caller that resumes after the last event of a complete stream, which
+// browsers do on their own, would otherwise cause a busy loop of requests to the
+// endpoint until the deadline.
 func (stream *stream) resume(ctx context.Context, delays []time.Duration) (*engine.Answer, error) {
 	err := engine.ErrGone.New("the endpoint named no stream")
 	for _, delay := range delays {
@@ -210,7 +210,7 @@
 			return nil, err
 		}
 		var answer *engine.Answer
-		answer, err = stream.dispatcher.Resume(ctx, stream.endpoint.Address, stream.id, stream.next-1)
+		answer, err = stream.dispatcher.Resume(ctx, stream.endpoint.Address, stream.id, stream.nextOffset-1)
 		if err == nil || engine.ErrGone.Has(err) {
 			return answer, err
 		}
@@ -218,13 +218,13 @@
 	return nil, err
 }
 
-// cut ends an attempt whose stream broke off for good.
-func (stream *stream) cut(ctx context.Context, err error) attempt {
-	if ended := stream.stopped(ctx, err); ended != nil {
-		return *ended
+// cutAttempt returns the failed attempt of a stream that could not be resumed.
+func (stream *stream) cutAttempt(ctx context.Context, err error) attempt {
+	if abandoned := stream.abandonedAttempt(ctx, err); abandoned != nil {
+		return *abandoned
 	}
-	stream.dispatcher.abandon(stream.endpoint.Address, stream.id, false)
-	attempt := failed(stream.work, telemetry.RetryFailed, peridotpath.CodeStreamCut, err.Error())
-	attempt.started, attempt.tokens = stream.started, stream.tokens
+	stream.dispatcher.queueCancellation(stream.endpoint.Address, stream.id, false)
+	attempt := failedAttempt(stream.work, telemetry.RetryFailed, peridotpath.CodeStreamCut, err.Error())
+	attempt.contentSent, attempt.tokens = stream.contentSent, stream.tokens
 	return attempt
 }
--- a/peridotpath/dispatch/resume_test.go
+++ b/peridotpath/dispatch/resume_test.go
@@ -18,45 +18,44 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-// A volunteer's browser has the whole line and, as browsers do, connects again
-// with the last event's id. The engine has nothing more to give and ends its
-// answer at once; the instance asked it again without a pause until the
-// request's deadline, for every such browser.
-func TestResumingAWholeStreamEnds(t *testing.T) {
+// A browser that has the complete stream reconnects on its own with the last
+// event's id. The engine has no more events and ends its answer at once. The
+// dispatcher must not resume in a busy loop until the request's deadline.
+func TestResumingCompleteStreamEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fixture := newFixture()
-		const enough = 100
+		const maxResumes = 100
 		fixture.resume = func(call int, _ int64) (*engine.Answer, error) {
-			if call > enough {
-				return nil, engine.ErrGone.New("asked %d times", call)
+			if call > maxResumes {
+				return nil, engine.ErrGone.New("resumed %d times", call)
 			}
 			return &engine.Answer{Status: 200, Body: io.NopCloser(strings.NewReader(""))}, nil
 		}
 		work := &decide.Work{Profile: &peridotpath.Profile{Idempotent: true}, Deadline: time.Now().Add(deadline)}
-		began := time.Now()
+		startedAt := time.Now()
 		endpoint := peridotpath.Endpoint{ID: "engine-1", Address: netip.MustParseAddrPort("127.0.0.1:1")}
 		sink := &dispatch.Sink{Start: func(http.Header, peridotpath.EndpointID, string) {}, Event: func(int64, []byte) error { return nil }}
 		result := fixture.Continue(context.Background(), work, endpoint, "s1", 7, sink)
 		is.Equal(result.Code, peridotpath.CodeStreamCut)
-		is.Equal(len(fixture.resumes), 4)                  // the endpoint was asked over and over
-		is.True(time.Since(began) < 2*time.Second)         // the caller was kept waiting
-		is.True(time.Since(began) >= 500*time.Millisecond) // the tries came without a pause
+		is.Equal(len(fixture.resumes), 4)                      // number of resume requests
+		is.True(time.Since(startedAt) < 2*time.Second)         // the result came too late
+		is.True(time.Since(startedAt) >= 500*time.Millisecond) // no delay between the resume requests
 	})
 }
 
-// An engine sends events that cannot be used, with a gap among them, each time
-// that a stream is resumed. The connection is whole, so the engine went on
-// sending into it and took the stream for read, for as long as the request
-// lived: one connection more for every try.
-func TestResumingClosesTheAnswerBefore(t *testing.T) {
+// An engine sends unusable events, with a gap in their offsets, each time a stream
+// is resumed. A connection that is not closed stays healthy: the engine keeps
+// sending and counts the stream as attached until the request's end, with one more
+// open connection for each resume.
+func TestResumingClosesPreviousAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		fixture := newFixture()
-		open, most := 0, 0
+		open, maxOpen := 0, 0
 		fixture.resume = func(int, int64) (*engine.Answer, error) {
 			open++
-			most = max(most, open)
+			maxOpen = max(maxOpen, open)
 			body := strings.NewReader("id: 9\ndata: {}\n\n")
 			return &engine.Answer{Status: 200, Body: &countedBody{Reader: body, open: &open}}, nil
 		}
@@ -66,12 +65,12 @@
 		result := fixture.Continue(context.Background(), work, endpoint, "s1", 0, sink)
 		is.Equal(result.Code, peridotpath.CodeStreamCut)
 		is.True(len(fixture.resumes) > 1)
-		is.Equal(most, 1) // answers that were open at a time
-		is.Equal(open, 0) // answers that were left open
+		is.Equal(maxOpen, 1) // answers open at the same time
+		is.Equal(open, 0)    // answers left open
 	})
 }
 
-// countedBody counts itself as open until it is closed.
+// countedBody decrements the number of open bodies on Close.
 type countedBody struct {
 	io.Reader
 	open *int
--- a/peridotpath/dispatch/run.go
+++ b/peridotpath/dispatch/run.go
@@ -10,33 +10,33 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// run has the work placed, tries it there, and repeats it where that is safe.
-func (dispatcher *Dispatcher) run(ctx context.Context, work *decide.Work, maySend func() error, try func(context.Context, decide.Decision) attempt) *peridotpath.Result {
-	dispatcher.start()
+// runAttempts places the work, attempts it at the endpoint, and retries where that is safe.
+func (dispatcher *Dispatcher) runAttempts(ctx context.Context, work *decide.Work, maySend func() error, attemptAt func(context.Context, decide.Decision) attempt) *peridotpath.Result {
+	dispatcher.initChannels()
 	ctx, cancel := context.WithDeadline(ctx, work.Deadline)
 	defer cancel()
-	decision := dispatcher.await(ctx, work, func() decide.Decision {
+	decision := dispatcher.awaitDecision(ctx, work, func() decide.Decision {
 		return dispatcher.Scheduler.Submit(time.Now(), work)
 	})
-	// ran is the result of the last attempt that an endpoint may have run.
-	var ran *peridotpath.Result
+	// lastRun is the result of the last attempt that may have run at an endpoint.
+	var lastRun *peridotpath.Result
 	for {
 		if decision.Verdict == decide.Refuse {
-			return truthful(decision.Result, ran)
+			return resultForCaller(decision.Result, lastRun)
 		}
-		attempt := forbidden(maySend)
+		attempt := checkMaySend(maySend)
 		if attempt.result == nil {
-			attempt = try(ctx, decision)
+			attempt = attemptAt(ctx, decision)
 		}
-		dispatcher.done(work, attempt.outcome, attempt.tokens)
-		dispatcher.logAttempt(work, decision.Endpoint.ID, &attempt)
+		dispatcher.finishPlacement(work, attempt.outcome, attempt.tokens)
+		dispatcher.logFailedAttempt(work, decision.Endpoint.ID, &attempt)
 		if attempt.outcome == decide.Failed {
-			ran = attempt.result
+			lastRun = attempt.result
 		}
-		if attempt.result == nil || !mayRepeat(ctx, work, &attempt) {
-			return truthful(attempt.result, ran)
+		if attempt.result == nil || !mayRetry(ctx, work, &attempt) {
+			return resultForCaller(attempt.result, lastRun)
 		}
-		decision = dispatcher.await(ctx, work, func() decide.Decision {
+		decision = dispatcher.awaitDecision(ctx, work, func() decide.Decision {
 			return dispatcher.Scheduler.Retry(time.Now(), work, attempt.result)
 		})
 		if decision.Verdict == decide.Place {
@@ -45,18 +45,19 @@
 	}
 }
 
-// truthful returns what the caller is told in the end. A repeat that is refused
-// did not run, but an earlier attempt may have: a caller told "not run" would
-// send the request once more as if it were new, so it gets that attempt's result.
-func truthful(result, ran *peridotpath.Result) *peridotpath.Result {
-	if result != nil && ran != nil && result.Code.NotRun() {
-		return ran
+// resultForCaller returns the result for the caller. A retry that is refused did not run,
+// but an earlier attempt may have: after "not run" the caller would send the
+// request again as a new one, so it gets the earlier attempt's result.
+func resultForCaller(result, lastRun *peridotpath.Result) *peridotpath.Result {
+	if result != nil && lastRun != nil && result.Code.NotRun() {
+		return lastRun
 	}
 	return result
 }
 
-// forbidden returns an attempt that was not made, if maySend forbids it.
-func forbidden(maySend func() error) attempt {
+// checkMaySend returns an unsent attempt with a result if maySend fails, and an empty
+// attempt otherwise.
+func checkMaySend(maySend func() error) attempt {
 	if maySend == nil {
 		return attempt{}
 	}
@@ -66,16 +67,16 @@
 	}
 	var result *peridotpath.Result
 	if !errors.As(err, &result) {
-		result = failure(peridotpath.CodePlatformDown, err.Error())
+		result = failureResult(peridotpath.CodePlatformDown, err.Error())
 	}
 	return attempt{outcome: decide.Unsent, result: result}
 }
 
-// mayRepeat guards against running work twice. Work that certainly did not run
-// may go elsewhere; work that may have run only if it is idempotent and its
-// caller has seen nothing of the answer.
-func mayRepeat(ctx context.Context, work *decide.Work, attempt *attempt) bool {
-	if attempt.started || ctx.Err() != nil {
+// mayRetry reports whether the work may be retried without running twice. Work
+// that certainly did not run may be; work that may have run only if it is
+// idempotent and no content was sent to its caller.
+func mayRetry(ctx context.Context, work *decide.Work, attempt *attempt) bool {
+	if attempt.contentSent || ctx.Err() != nil {
 		return false
 	}
 	switch attempt.outcome {
@@ -88,7 +89,7 @@
 	}
 }
 
-func (dispatcher *Dispatcher) logAttempt(work *decide.Work, endpoint peridotpath.EndpointID, attempt *attempt) {
+func (dispatcher *Dispatcher) logFailedAttempt(work *decide.Work, endpoint peridotpath.EndpointID, attempt *attempt) {
 	if attempt.result == nil {
 		return
 	}
