--- a/peridotpath/caller/body.go
+++ b/peridotpath/caller/body.go
@@ -11,133 +11,131 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Bodies reads request bodies within a bound on the memory that all of them
-// take together.
+// Bodies reads request bodies and bounds the total memory that they use.
 //
-// It is made for many million-token prompts (4 to 6 MB each) at once: without
-// the bound they take the Instance's memory and with it every other request.
-// A body that does not fit is refused at once and was not run.
+// The bound matters under many concurrent million-token prompts (4 to 6 MB each):
+// without it they exhaust the Instance's memory, and every other request fails.
+// A body that does not fit is refused at once, as not run.
 type Bodies struct {
-	// MaxBody bounds one body.
+	// MaxBody bounds the size of one body.
 	MaxBody peridotpath.Bytes
-	// MaxHeld bounds all bodies held at a time.
+	// MaxHeld bounds the total size of all bodies in memory.
 	MaxHeld peridotpath.Bytes
-	// ReadTimeout bounds the time between two pieces of a body; a slow sender
-	// would otherwise hold memory for as long as it likes.
+	// ReadTimeout bounds the time between two reads of a body; a stalled sender
+	// would otherwise hold memory without limit.
 	ReadTimeout time.Duration
 
-	held *semaphore.Weighted
+	memory *semaphore.Weighted
 }
 
 // NewBodies returns a Bodies with the given bounds.
 func NewBodies(maxBody, maxHeld peridotpath.Bytes, readTimeout time.Duration) *Bodies {
-	return &Bodies{MaxBody: maxBody, MaxHeld: maxHeld, ReadTimeout: readTimeout, held: semaphore.NewWeighted(int64(maxHeld))}
+	return &Bodies{MaxBody: maxBody, MaxHeld: maxHeld, ReadTimeout: readTimeout, memory: semaphore.NewWeighted(int64(maxHeld))}
 }
 
 const (
-	// firstPiece is the buffer, in bytes, for a body of undeclared length; it
+	// initialBufferSize is the initial buffer, in bytes, of a body of undeclared length; it
 	// doubles as the body grows.
-	firstPiece = 16 << 10
-	// retryBodies is the Retry-After of a body that found no memory.
-	retryBodies = 500 * time.Millisecond
-	// slowestPerS is the bytes a second that a sender must reach on the whole.
-	slowestPerS = 16 << 10
+	initialBufferSize = 16 << 10
+	// memoryRetryAfter is the Retry-After of a request that is refused for lack of memory.
+	memoryRetryAfter = 500 * time.Millisecond
+	// minBytesPerSecond is the minimum average rate of a sender, in bytes per second.
+	minBytesPerSecond = 16 << 10
 )
 
-// due is when the next piece must be there: ReadTimeout after the last one, and
-// earlier for a sender that is slow on the whole. One that sends a byte just
-// before each ReadTimeout would else hold memory for 16 MB for years, and sixteen
-// of them have every other body refused. At 16 KiB/s a prompt of a million
-// tokens takes six minutes; callers in the region send it in a second.
-func (bodies *Bodies) due(began time.Time, received int) time.Time {
-	next := time.Now().Add(bodies.ReadTimeout)
-	whole := began.Add(bodies.ReadTimeout + time.Duration(received)*time.Second/slowestPerS)
-	if whole.Before(next) {
-		return whole
+// readDeadline returns the deadline of the next read: ReadTimeout from now, or earlier for a
+// sender whose average rate is too low. With ReadTimeout alone, a client that sends
+// one byte just before each timeout could hold the memory of a 16 MB body for years,
+// and sixteen of them would have every other body refused. At 16 KiB/s a prompt of a
+// million tokens takes six minutes; callers in the region send it within a second.
+func (bodies *Bodies) readDeadline(startedAt time.Time, received int) time.Time {
+	stallDeadline := time.Now().Add(bodies.ReadTimeout)
+	rateDeadline := startedAt.Add(bodies.ReadTimeout + time.Duration(received)*time.Second/minBytesPerSecond)
+	if rateDeadline.Before(stallDeadline) {
+		return rateDeadline
 	}
-	return next
+	return stallDeadline
 }
 
 // earlier returns the earlier of two times, the first if the second is zero.
-func earlier(one, other time.Time) time.Time {
-	if other.IsZero() || one.Before(other) {
-		return one
+func earlier(first, second time.Time) time.Time {
+	if second.IsZero() || first.Before(second) {
+		return first
 	}
-	return other
+	return second
 }
 
-// Read returns the whole body and a function that gives its memory back, to be
-// called once, when the body is no longer needed; a failure has given it back
-// already. The body must be there by the given time, unless that is zero: what
-// came later could only be refused, and its caller would have waited for the
-// refusal beyond its own deadline.
-func (bodies *Bodies) Read(writer http.ResponseWriter, request *http.Request, by time.Time) ([]byte, func(), *peridotpath.Result) {
+// Read returns the whole body and a function that releases its memory, to be called
+// once, when the body is no longer needed; after a failure it is already released.
+// The body must arrive by the given time, unless that is zero: a later one could
+// only be refused, after the caller's own deadline.
+func (bodies *Bodies) Read(writer http.ResponseWriter, request *http.Request, deadline time.Time) ([]byte, func(), *peridotpath.Result) {
 	if request.ContentLength > int64(bodies.MaxBody) {
 		return nil, nil, &peridotpath.Result{Code: peridotpath.CodeBodyTooLarge}
 	}
-	size := int64(firstPiece)
+	size := int64(initialBufferSize)
 	if request.ContentLength >= 0 {
-		// One byte more than declared, so that the end is read without growing.
+		// One byte more than declared, so that EOF is read without growing the buffer.
 		size = request.ContentLength + 1
 	}
-	reading := &reading{bodies: bodies, began: time.Now(), by: by}
-	if !reading.reserve(size) {
-		return nil, nil, noMemory()
+	buffer := &bodyBuffer{bodies: bodies, startedAt: time.Now(), deadline: deadline}
+	if !buffer.reserve(size) {
+		return nil, nil, bodyMemoryResult()
 	}
-	result := reading.all(http.NewResponseController(writer), request.Body)
+	result := buffer.readAll(http.NewResponseController(writer), request.Body)
 	if result != nil {
-		reading.free()
+		buffer.release()
 		return nil, nil, result
 	}
-	// free lives for as long as the request: were it to refer to the body, a
-	// body that is let go of at the first token would stay in memory.
-	body := reading.buffer
-	reading.buffer = nil
-	return body, reading.free, nil
+	// The release function lives as long as the request. If it referred to the body,
+	// a body that is released at the first token would stay in memory.
+	body := buffer.data
+	buffer.data = nil
+	return body, buffer.release, nil
 }
 
-// noMemory is the refusal of a body that the bound has no room for.
-func noMemory() *peridotpath.Result {
-	return &peridotpath.Result{Code: peridotpath.CodeBodyMemory, RetryAfter: retryBodies}
+// bodyMemoryResult returns the refusal of a body that does not fit the memory bound.
+func bodyMemoryResult() *peridotpath.Result {
+	return &peridotpath.Result{Code: peridotpath.CodeBodyMemory, RetryAfter: memoryRetryAfter}
 }
 
-// reading is one body while it comes in.
-type reading struct {
-	bodies *Bodies
-	began  time.Time
-	// by is when the whole body must be there; zero for no such time.
-	by time.Time
-	// reserved is the part of the bound, in bytes, that the body has taken.
+// bodyBuffer is the buffer of a body that is being received.
+type bodyBuffer struct {
+	bodies    *Bodies
+	startedAt time.Time
+	// deadline is the deadline of the whole body; zero for none.
+	deadline time.Time
+	// reserved is the memory, in bytes, that the body has acquired.
 	reserved int64
-	buffer   []byte
+	data     []byte
 }
 
-// reserve takes more bytes of the bound and makes the buffer as large as what
-// is reserved; false when there is no room.
-func (reading *reading) reserve(more int64) bool {
-	if !reading.bodies.held.TryAcquire(more) {
+// reserve acquires more bytes and grows the buffer to the reserved size. It returns
+// false if the memory bound has no room.
+func (bodyBuffer *bodyBuffer) reserve(more int64) bool {
+	if !bodyBuffer.bodies.memory.TryAcquire(more) {
 		return false
 	}
-	reading.reserved += more
-	grown := make([]byte, len(reading.buffer), reading.reserved)
-	copy(grown, reading.buffer)
-	reading.buffer = grown
+	bodyBuffer.reserved += more
+	grown := make([]byte, len(bodyBuffer.data), bodyBuffer.reserved)
+	copy(grown, bodyBuffer.data)
+	bodyBuffer.data = grown
 	return true
 }
 
-// free gives the reserved bytes back.
-func (reading *reading) free() { reading.bodies.held.Release(reading.reserved) }
+// release releases the reserved bytes.
+func (bodyBuffer *bodyBuffer) release() { bodyBuffer.bodies.memory.Release(bodyBuffer.reserved) }
 
-// all reads until the body's end.
-func (reading *reading) all(controller *http.ResponseController, body io.Reader) *peridotpath.Result {
+// readAll reads the body to its end.
+func (bodyBuffer *bodyBuffer) readAll(controller *http.ResponseController, body io.Reader) *peridotpath.Result {
 	for {
-		if len(reading.buffer) == cap(reading.buffer) && !reading.reserve(int64(cap(reading.buffer))) {
-			return noMemory()
+		if len(bodyBuffer.data) == cap(bodyBuffer.data) && !bodyBuffer.reserve(int64(cap(bodyBuffer.data))) {
+			return bodyMemoryResult()
 		}
-		_ = controller.SetReadDeadline(earlier(reading.bodies.due(reading.began, len(reading.buffer)), reading.by))
-		err := reading.piece(body)
+		_ = controller.SetReadDeadline(earlier(bodyBuffer.bodies.readDeadline(bodyBuffer.startedAt, len(bodyBuffer.data)), bodyBuffer.deadline))
+		err := bodyBuffer.readPiece(body)
 		switch {
-		case len(reading.buffer) > int(reading.bodies.MaxBody):
+		case len(bodyBuffer.data) > int(bodyBuffer.bodies.MaxBody):
 			return &peridotpath.Result{Code: peridotpath.CodeBodyTooLarge}
 		case errors.Is(err, io.EOF):
 			_ = controller.SetReadDeadline(time.Time{})
@@ -148,10 +146,10 @@
 	}
 }
 
-// piece reads what is there into the room that the buffer has left.
-func (reading *reading) piece(body io.Reader) error {
-	length := len(reading.buffer)
-	n, err := body.Read(reading.buffer[length:cap(reading.buffer)])
-	reading.buffer = reading.buffer[:length+n]
+// readPiece reads once into the buffer's spare capacity.
+func (bodyBuffer *bodyBuffer) readPiece(body io.Reader) error {
+	length := len(bodyBuffer.data)
+	n, err := body.Read(bodyBuffer.data[length:cap(bodyBuffer.data)])
+	bodyBuffer.data = bodyBuffer.data[:length+n]
 	return err
 }
--- a/peridotpath/caller/body_test.go
+++ b/peridotpath/caller/body_test.go
@@ -16,35 +16,35 @@
 	"peridotpath.example/peridotpath/caller"
 )
 
-// pipes is a listener whose connections are pipes, for use under synctest.
-type pipes struct {
-	incoming chan net.Conn
-	closed   chan struct{}
+// pipeListener is a listener whose connections are pipes, for use under synctest.
+type pipeListener struct {
+	connections chan net.Conn
+	closed      chan struct{}
 }
 
-func (pipes *pipes) Accept() (net.Conn, error) {
+func (pipeListener *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case connection := <-pipes.incoming:
+	case connection := <-pipeListener.connections:
 		return connection, nil
-	case <-pipes.closed:
+	case <-pipeListener.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (pipes *pipes) Close() error { close(pipes.closed); return nil }
+func (pipeListener *pipeListener) Close() error { close(pipeListener.closed); return nil }
 
-func (pipes *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (pipeListener *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller announces a long body and sends one byte every nine seconds, just
-// within the time that is allowed between two pieces. Its memory was held for as
-// long as it liked; some sixteen such callers have every other prompt refused.
-func TestSlowSenderIsCutOff(t *testing.T) {
+// A caller declares a long body and sends one byte every nine seconds, just within
+// ReadTimeout. Without a minimum rate its memory stays reserved without limit, and
+// about sixteen such callers have every other prompt refused.
+func TestSlowSenderIsRefused(t *testing.T) {
 	tests := []struct {
-		name  string
-		piece int
-		every time.Duration
-		code  peridotpath.Code
-		most  time.Duration
+		name        string
+		piece       int
+		interval    time.Duration
+		code        peridotpath.Code
+		maxDuration time.Duration
 	}{
 		{"a byte at a time", 1, 9 * time.Second, peridotpath.CodeBodyIncomplete, 11 * time.Second},
 		{"nothing at all", 0, 9 * time.Second, peridotpath.CodeBodyIncomplete, 11 * time.Second},
@@ -57,7 +57,7 @@
 				is := is.New(t)
 				bodies := caller.NewBodies(2<<20, 3<<20, 10*time.Second)
 				results := make(chan *peridotpath.Result, 1)
-				listener := &pipes{incoming: make(chan net.Conn), closed: make(chan struct{})}
+				listener := &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 				server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 					_, free, result := bodies.Read(writer, request, time.Time{})
 					if free != nil {
@@ -67,14 +67,14 @@
 				})}
 				served := make(chan error, 1)
 				go func() { served <- server.Serve(listener) }()
-				client, other := net.Pipe()
-				listener.incoming <- other
+				client, serverEnd := net.Pipe()
+				listener.connections <- serverEnd
 				var senders sync.WaitGroup
 				senders.Go(func() { _, _ = bufio.NewReader(client).ReadString(0) })
-				began := time.Now()
-				senders.Go(func() { drip(client, length, test.piece, test.every) })
+				startedAt := time.Now()
+				senders.Go(func() { sendSlowly(client, length, test.piece, test.interval) })
 				result := <-results
-				is.True(time.Since(began) <= test.most) // memory was held too long
+				is.True(time.Since(startedAt) <= test.maxDuration) // memory was held too long
 				have := peridotpath.CodeOK
 				if result != nil {
 					have = result.Code
@@ -89,13 +89,14 @@
 	}
 }
 
-// drip sends a request of the given length piece by piece until it is cut off.
-func drip(connection net.Conn, length, piece int, every time.Duration) {
+// sendSlowly sends a request of the given length in pieces until the server closes the
+// connection.
+func sendSlowly(connection net.Conn, length, piece int, interval time.Duration) {
 	fmt.Fprintf(connection, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n", length)
 	for sent := 0; sent < length; sent += piece {
 		if _, err := connection.Write(make([]byte, min(piece, length-sent))); err != nil {
 			return
 		}
-		time.Sleep(every)
+		time.Sleep(interval)
 	}
 }
--- a/peridotpath/caller/complete.go
+++ b/peridotpath/caller/complete.go
@@ -20,56 +20,56 @@
 	"peridotpath.example/peridotpath/strictjson"
 )
 
-// complete serves the completion and chat-completion paths.
-func (server *Server) complete(exchange *exchange) *peridotpath.Result {
+// serveCompletion serves the completion and chat-completion paths.
+func (server *Server) serveCompletion(exchange *exchange) *peridotpath.Result {
 	if exchange.request.Header.Get(HeaderLastEventID) != "" {
-		return server.resume(exchange)
+		return server.resumeStream(exchange)
 	}
-	by, result := exchange.askedDeadline()
+	deadline, result := exchange.callerDeadline()
 	if result != nil {
 		return result
 	}
-	body, free, result := server.read(exchange, by)
+	body, release, result := server.readBody(exchange, deadline)
 	if result != nil {
 		return result
 	}
-	free = sync.OnceFunc(free)
-	defer free()
-	request, result := server.classify(exchange, body)
+	release = sync.OnceFunc(release)
+	defer release()
+	request, result := server.newRequest(exchange, body)
 	if result != nil {
 		return result
 	}
-	exchange.serve(request.Work)
+	exchange.setWork(request.Work)
 	if request.Work.Class == peridotpath.Oversize && server.Oversize != nil {
 		server.Oversize(request.Work.Profile.Service, request.Work.Prompt+request.Work.Output)
 	}
-	request.Free = free
-	return server.once(exchange, body, func(ctx context.Context, maySend func() error) *peridotpath.Result {
+	request.Free = release
+	return server.runOnce(exchange, body, func(ctx context.Context, maySend func() error) *peridotpath.Result {
 		request.MaySend = maySend
-		return server.Do(ctx, request, server.sink(exchange, request.Work))
+		return server.Do(ctx, request, server.answerSink(exchange, request.Work))
 	})
 }
 
-// fields are the parts of a body that this system reads; the rest passes by.
-type fields struct {
-	model  string
-	stream bool
-	output peridotpath.Tokens
+// bodyFields has the fields of a body that are evaluated; the engine gets the whole body.
+type bodyFields struct {
+	model     string
+	stream    bool
+	maxTokens peridotpath.Tokens
 	// prompt is the raw text of the prompt or the messages, part of the body.
 	prompt string
-	// oddMessages says that the messages are no list.
-	oddMessages bool
+	// messagesNotArray is set if messages is present and not an array.
+	messagesNotArray bool
 }
 
-// parse checks a body and takes all fields out of it at once, without copying it.
-// A prompt of a million tokens is 4 to 6 MB: each further pass or copy adds
-// milliseconds to its first token and to those of the requests beside it.
-func parse(body []byte) (fields, bool) {
-	var fields fields
+// parseBody validates a body and extracts all fields in one pass, without a copy. A
+// prompt of a million tokens is 4 to 6 MB: each further pass or copy adds
+// milliseconds to its time to first token and to that of concurrent requests.
+func parseBody(body []byte) (bodyFields, bool) {
+	var fields bodyFields
 	if !utf8.Valid(body) || !strictjson.Valid(body) {
 		return fields, false
 	}
-	// The string shares the body's memory, which nothing writes to any more.
+	// The string shares the body's memory, which is not written after this point.
 	object := gjson.Parse(unsafe.String(unsafe.SliceData(body), len(body)))
 	if !object.IsObject() {
 		return fields, false
@@ -81,68 +81,70 @@
 		case "stream":
 			fields.stream = value.Bool()
 		case "max_tokens", "max_completion_tokens":
-			fields.output = max(fields.output, peridotpath.Tokens(value.Int()))
+			fields.maxTokens = max(fields.maxTokens, peridotpath.Tokens(value.Int()))
 		case "prompt", "messages":
-			// The longest of them counts: a long prompt before an empty list of
-			// messages would else pass every limit as a short one.
+			// The longest value counts: otherwise a long prompt before an empty list
+			// of messages would pass every limit as a short one.
 			if len(value.Raw) > len(fields.prompt) {
 				fields.prompt = value.Raw
 			}
-			fields.oddMessages = fields.oddMessages || name.Str == "messages" && !value.IsArray()
+			fields.messagesNotArray = fields.messagesNotArray || name.Str == "messages" && !value.IsArray()
 		}
 		return true
 	})
 	return fields, true
 }
 
-// classify turns a body into a request: profile, length, deadline.
-func (server *Server) classify(exchange *exchange, body []byte) (*dispatch.Request, *peridotpath.Result) {
-	fields, ok := parse(body)
+// newRequest makes a request from a body: it finds the profile, estimates the length
+// and sets the deadline.
+func (server *Server) newRequest(exchange *exchange, body []byte) (*dispatch.Request, *peridotpath.Result) {
+	fields, ok := parseBody(body)
 	if !ok {
 		return nil, &peridotpath.Result{Code: peridotpath.CodeBadRequest, Detail: "the body is not a JSON object in UTF-8"}
 	}
-	profile, result := exchange.profile(fields.model)
+	profile, result := exchange.findProfile(fields.model)
 	if result != nil {
 		return nil, result
 	}
 	if server.IsPlain != nil && server.IsPlain(profile.Service) {
-		// An engine's call at a plain service would fail there, as what may have run.
+		// A completion request would fail at a plain service and be reported as one
+		// that may have run.
 		detail := "the profile is of a plain service: ask under " + ServicePrefix + string(profile.Name) + "/"
 		return nil, &peridotpath.Result{Code: peridotpath.CodeBadRequest, Detail: detail}
 	}
-	if fields.oddMessages {
+	if fields.messagesNotArray {
 		return nil, &peridotpath.Result{Code: peridotpath.CodeBadRequest, Detail: "messages is not a list"}
 	}
 	if fields.prompt == "" {
 		return nil, &peridotpath.Result{Code: peridotpath.CodeBadRequest, Detail: "neither prompt nor messages"}
 	}
-	deadline, result := exchange.deadline(profile)
+	deadline, result := exchange.requestDeadline(profile)
 	if result != nil {
 		return nil, result
 	}
-	length := len(fields.prompt)
-	prompt := server.estimator.tokens(profile.Service, length)
+	promptBytes := len(fields.prompt)
+	prompt := server.estimator.estimate(profile.Service, promptBytes)
 	if prompt > profile.MaxPromptTokens {
 		return nil, &peridotpath.Result{Code: peridotpath.CodePromptTooLong, Detail: "about " + strconv.Itoa(int(prompt)) + " tokens"}
 	}
-	output := fields.output
+	output := fields.maxTokens
 	if output <= 0 || output > profile.MaxOutputTokens {
 		output = profile.MaxOutputTokens
 	}
 	work := &decide.Work{
 		ID: exchange.id, Customer: exchange.customer, Profile: profile,
 		Class:  peridotpath.ClassOf(prompt+output, server.EngineHolds(profile.Service)),
-		Prompt: prompt, Output: output, Prefixes: prefixes(fields.prompt),
-		Arrived: exchange.arrived, Deadline: deadline,
+		Prompt: prompt, Output: output, Prefixes: prefixHashes(fields.prompt),
+		Arrived: exchange.arrivedAt, Deadline: deadline,
 	}
 	return &dispatch.Request{
 		Work: work, Path: exchange.request.URL.Path, Body: engine.NewBody(body), Stream: fields.stream,
-		Usage: func(tokens peridotpath.Tokens) { server.estimator.observe(profile.Service, length, tokens) },
+		Usage: func(tokens peridotpath.Tokens) { server.estimator.observe(profile.Service, promptBytes, tokens) },
 	}, nil
 }
 
-// profile picks by header, else by the model's name.
-func (exchange *exchange) profile(model string) (*peridotpath.Profile, *peridotpath.Result) {
+// findProfile returns the profile named in the header, or else by the model.
+func (exchange *exchange) findProfile(model string) (*peridotpath.Profile, *peridotpath.Result) {
 	name := exchange.request.Header.Get(HeaderProfile)
 	if name == "" {
 		name = model
@@ -154,62 +156,63 @@
 	return profile, nil
 }
 
-// deadline is the profile's, or an earlier one that the caller asks for.
-func (exchange *exchange) deadline(profile *peridotpath.Profile) (time.Time, *peridotpath.Result) {
-	asked, result := exchange.askedDeadline()
-	return earlier(exchange.arrived.Add(profile.DeadlineMS.Duration()), asked), result
+// requestDeadline returns the profile's deadline, or an earlier one that the caller requests.
+func (exchange *exchange) requestDeadline(profile *peridotpath.Profile) (time.Time, *peridotpath.Result) {
+	requested, result := exchange.callerDeadline()
+	return earlier(exchange.arrivedAt.Add(profile.DeadlineMS.Duration()), requested), result
 }
 
-// askedDeadline is the one that the caller asks for, zero for none.
-func (exchange *exchange) askedDeadline() (time.Time, *peridotpath.Result) {
+// callerDeadline returns the deadline that the caller requests, zero for none.
+func (exchange *exchange) callerDeadline() (time.Time, *peridotpath.Result) {
 	text := exchange.request.Header.Get(HeaderDeadlineMS)
 	if text == "" {
 		return time.Time{}, nil
 	}
-	asked, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || asked <= 0 {
+	milliseconds, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || milliseconds <= 0 {
 		return time.Time{}, &peridotpath.Result{Code: peridotpath.CodeBadDeadline, Detail: strconv.Quote(text)}
 	}
-	// A longer one than any profile's would overflow a duration.
-	asked = min(asked, peridotpath.MaxDeadlineMS)
-	return exchange.arrived.Add(peridotpath.Millis(asked).Duration()), nil
+	// A value beyond any profile's deadline could overflow a duration.
+	milliseconds = min(milliseconds, peridotpath.MaxDeadlineMS)
+	return exchange.arrivedAt.Add(peridotpath.Millis(milliseconds).Duration()), nil
 }
 
-// read reads the body, which must be there by the given time unless that is zero.
-func (server *Server) read(exchange *exchange, by time.Time) ([]byte, func(), *peridotpath.Result) {
-	body, free, result := server.Bodies.Read(exchange.writer, exchange.request, by)
-	exchange.bodyRead = result == nil
-	return body, free, result
+// readBody reads the body, which must arrive by the given time unless that is zero.
+func (server *Server) readBody(exchange *exchange, deadline time.Time) ([]byte, func(), *peridotpath.Result) {
+	body, release, result := server.Bodies.Read(exchange.writer, exchange.request, deadline)
+	exchange.bodyConsumed = result == nil
+	return body, release, result
 }
 
-// Prefixes are hashed at these lengths in bytes, each twice the one before, as
-// decide.Work.Prefixes has them in tokens. The bytes are those of the first
-// estimate: lengths that follow it would hash one text at changing places.
+// Prefixes are hashed at lengths that double, which are the bytes of the lengths in
+// tokens of decide.Work.Prefixes by the initial estimate. With the current estimate
+// the hashes of one text would be taken at changing lengths.
 const (
-	firstPrefix = int(startBytesPerToken) * int(decide.PrefixBlock)
-	prefixStep  = 2
+	firstPrefixSize = int(initialBytesPerToken) * int(decide.PrefixBlock)
+	prefixGrowth    = 2
 )
 
-func prefixes(text string) []uint64 {
-	var sums []uint64
+func prefixHashes(text string) []uint64 {
+	var hashes []uint64
 	hash := xxhash.New()
-	done := 0
-	for end := firstPrefix; end <= len(text); end *= prefixStep {
-		_, _ = hash.WriteString(text[done:end])
-		sums = append(sums, hash.Sum64())
-		done = end
+	hashed := 0
+	for end := firstPrefixSize; end <= len(text); end *= prefixGrowth {
+		_, _ = hash.WriteString(text[hashed:end])
+		hashes = append(hashes, hash.Sum64())
+		hashed = end
 	}
-	return sums
+	return hashes
 }
 
-// resume goes on with a stream after the event that the caller had last, at
-// this Instance, whichever one began it.
-func (server *Server) resume(exchange *exchange) *peridotpath.Result {
-	text := exchange.request.Header.Get(HeaderLastEventID)
-	stream, after, err := server.Signer.Open(exchange.customer.ID, text)
+// resumeStream continues a stream after the caller's last event. The stream may have been
+// started at another Instance.
+func (server *Server) resumeStream(exchange *exchange) *peridotpath.Result {
+	cursorText := exchange.request.Header.Get(HeaderLastEventID)
+	stream, after, err := server.Signer.Open(exchange.customer.ID, cursorText)
 	if cursor.ErrNoSecret.Has(err) {
-		// An instance that starts during an outage cannot tell. Called bad, a good
-		// cursor would be thrown away, and with it the rest of the answer.
+		// An instance that starts during an outage cannot verify cursors yet. If it
+		// reported a valid cursor as bad, the client would discard it and lose the
+		// rest of the answer.
 		return &peridotpath.Result{Code: peridotpath.CodeNotReady, RetryAfter: time.Second, Detail: err.Error()}
 	}
 	if err != nil {
@@ -223,17 +226,17 @@
 	if !time.Now().Before(stream.Deadline()) {
 		return &peridotpath.Result{Code: peridotpath.CodeDeadline, Detail: "the request's time has run out"}
 	}
-	// A client that repeats its call sends the body again; left unread it would
-	// hold the answer back.
-	_, free, result := server.read(exchange, stream.Deadline())
+	// A client that repeats its request sends the body again; an unread body would
+	// delay the answer.
+	_, release, result := server.readBody(exchange, stream.Deadline())
 	if result != nil {
 		return result
 	}
-	free()
+	release()
 	work := &decide.Work{
 		ID: exchange.id, Customer: exchange.customer, Profile: profile,
-		Arrived: exchange.arrived, Deadline: stream.Deadline(), Attempts: 1,
+		Arrived: exchange.arrivedAt, Deadline: stream.Deadline(), Attempts: 1,
 	}
-	exchange.serve(work)
-	return server.Continue(exchange.request.Context(), work, endpoint, stream.ID, after, server.sink(exchange, work))
+	exchange.setWork(work)
+	return server.Continue(exchange.request.Context(), work, endpoint, stream.ID, after, server.answerSink(exchange, work))
 }
--- a/peridotpath/caller/complete_test.go
+++ b/peridotpath/caller/complete_test.go
@@ -11,10 +11,11 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-// A client sends messages as one text, or asks a plain service for a chat. It
-// was told "may have run", or was answered as if all were well; both can be told
-// beforehand, and how to do better.
-func TestRequestsThatCannotWork(t *testing.T) {
+// A client sends messages as one string, or a chat request for a plain service's
+// profile. Without a check before dispatch, such a request failed as one that may
+// have run, or succeeded although it was wrong. It must be refused with a message
+// that says how to correct it.
+func TestInvalidCompletionRequests(t *testing.T) {
 	tests := []struct{ name, path, body, want string }{
 		{"messages that are no list", engine.PathChatCompletions, `{"model":"line","messages":"leaf 12"}`, "messages is not a list"},
 		{"messages beside a prompt", engine.PathCompletions, `{"model":"line","prompt":"a long enough prompt","messages":7}`, "messages is not a list"},
@@ -24,12 +25,12 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				stack := newStack()
-				defer stack.close(t)
-				stack.pair(t)
-				answer := stack.readAll(t.Context(), t, "http://"+here+test.path, apiKey, test.body, nil)
+				stack := newTestStack()
+				defer stack.stop(t)
+				stack.startPair(t)
+				answer := stack.requestAll(t.Context(), t, "http://"+firstAddress+test.path, apiKey, test.body, nil)
 				is.Equal(answer.status, http.StatusBadRequest)
-				is.Equal(codeOf(answer.text), "1001")
+				is.Equal(failureCode(answer.text), "1001")
 				is.True(strings.Contains(answer.text, test.want))
 			})
 		})
--- a/peridotpath/caller/deadline_test.go
+++ b/peridotpath/caller/deadline_test.go
@@ -20,34 +20,33 @@
 	"peridotpath.example/peridotpath/faults"
 )
 
-// margin is what an answer may take beyond the request's time.
-const margin = time.Second
+// responseMargin is how long after its deadline a request's answer may arrive.
+const responseMargin = time.Second
 
-// Something that a request needs hangs: the engine or the service before its
-// headers or in the middle of an answer, the platform that records the claim,
-// the engine that a stream is resumed at. Each caller must be told by its
-// deadline, with a code or, where the answer is opaque and begun, by a broken
-// connection; without a bound it waits for ever and holds its memory.
-func TestWhateverHangsEndsByItsDeadline(t *testing.T) {
+// A dependency of a request hangs: the engine or the service, before its headers or
+// in the middle of an answer, or the platform that records the claim. Each caller
+// must get a result by its deadline: a code, or an aborted connection if an opaque
+// answer has begun. Without a bound the request would wait forever and hold memory.
+func TestHangingDependencyEndsByDeadline(t *testing.T) {
 	const line, claims = engine.PathCompletions, "/services/acknowledge/claims"
-	streamed, whole := lineBody("leaf 12", 400, true), lineBody("leaf 12", 400, false)
+	streamed, whole := completionBody("leaf 12", 400, true), completionBody("leaf 12", 400, false)
 	keyed := map[string]string{caller.HeaderIdempotencyKey: "k1"}
-	hang := func(stack *stack) {
+	hang := func(stack *testStack) {
 		stack.engine.Faults.Set(faults.Fault{Kind: faults.Hang})
 		stack.service.Faults.Set(faults.Fault{Kind: faults.Hang})
 	}
-	// midway sends part of an answer and hangs.
-	midway := func(stack *stack) {
+	// midway sends part of an answer and then hangs.
+	midway := func(stack *testStack) {
 		handler := http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			writer.Header().Set("X-Stream-Id", "s1")
 			_, _ = io.WriteString(writer, "id: 0\ndata: {\"choices\":[{\"text\":\"half\"}]}\n\n")
 			<-request.Context().Done()
-			panic(http.ErrAbortHandler) // not the end of an answer
+			panic(http.ErrAbortHandler) // a clean return would end the answer
 		})
-		stack.network.Serve(stackEngine, handler)
-		stack.network.Serve(stackService, handler)
+		stack.network.Serve(engineAddress, handler)
+		stack.network.Serve(serviceAddress, handler)
 	}
-	platform := func(stack *stack) {
+	platform := func(stack *testStack) {
 		stack.platform.Fault = func(ctx context.Context, _, _ string, _ bool) error {
 			<-ctx.Done()
 			return ctx.Err()
@@ -55,7 +54,7 @@
 	}
 	tests := []struct {
 		name   string
-		hangs  func(*stack)
+		hangs  func(*testStack)
 		path   string
 		body   string
 		header map[string]string
@@ -63,137 +62,137 @@
 		broken bool
 		limit  time.Duration
 	}{
-		{"engine before headers, streamed", hang, line, streamed, nil, "4001", false, lineTime},
-		{"engine before headers, whole", hang, line, whole, nil, "4001", false, lineTime},
-		{"engine midway, streamed", midway, line, streamed, nil, "4001", false, lineTime},
-		{"engine midway, whole", midway, line, whole, nil, "4001", false, lineTime},
-		{"the caller's own deadline", hang, line, lineBody("leaf 12", 40, true), map[string]string{caller.HeaderDeadlineMS: "9000"}, "4001", false, 9 * time.Second},
-		{"service before headers", hang, claims, "{}", nil, "4002", false, acknowledgeTime},
-		{"service before headers, with a key", hang, claims, "{}", keyed, "4002", false, acknowledgeTime},
-		{"service midway", midway, claims, "{}", nil, "", true, acknowledgeTime},
-		{"platform at the claim", platform, claims, "{}", keyed, "5001", false, acknowledgeTime},
+		{"engine before headers, streamed", hang, line, streamed, nil, "4001", false, lineDeadline},
+		{"engine before headers, whole", hang, line, whole, nil, "4001", false, lineDeadline},
+		{"engine midway, streamed", midway, line, streamed, nil, "4001", false, lineDeadline},
+		{"engine midway, whole", midway, line, whole, nil, "4001", false, lineDeadline},
+		{"the caller's own deadline", hang, line, completionBody("leaf 12", 40, true), map[string]string{caller.HeaderDeadlineMS: "9000"}, "4001", false, 9 * time.Second},
+		{"service before headers", hang, claims, "{}", nil, "4002", false, acknowledgeDeadline},
+		{"service before headers, with a key", hang, claims, "{}", keyed, "4002", false, acknowledgeDeadline},
+		{"service midway", midway, claims, "{}", nil, "", true, acknowledgeDeadline},
+		{"platform at the claim", platform, claims, "{}", keyed, "5001", false, acknowledgeDeadline},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				stack := newStack()
-				defer stack.close(t)
-				stack.pair(t)
+				stack := newTestStack()
+				defer stack.stop(t)
+				stack.startPair(t)
 				test.hangs(stack)
 				began := time.Now()
-				answer := stack.readAll(t.Context(), t, "http://"+here+test.path, apiKey, test.body, test.header)
-				is.True(time.Since(began) <= test.limit+10*time.Millisecond) // the caller was told late
-				is.Equal(codeOf(answer.text), test.code)
+				answer := stack.requestAll(t.Context(), t, "http://"+firstAddress+test.path, apiKey, test.body, test.header)
+				is.True(time.Since(began) <= test.limit+10*time.Millisecond) // the result came too late
+				is.Equal(failureCode(answer.text), test.code)
 				is.Equal(answer.broken, test.broken)
 			})
 		})
 	}
 }
 
-// The engine hangs when the stream is resumed: the volunteer who came back is
-// told by the first request's deadline, not by one that begins anew.
-func TestResumeThatHangsEndsByItsDeadline(t *testing.T) {
+// The engine hangs when a stream is resumed. The result must come by the deadline
+// of the original request; the resumption does not start a new one.
+func TestHangingResumeEndsByOriginalDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		stack := newStack()
-		defer stack.close(t)
-		stack.pair(t)
+		stack := newTestStack()
+		defer stack.stop(t)
+		stack.startPair(t)
 		began := time.Now()
-		body := lineBody("leaf 12", 400, true)
-		response := stack.ask(t.Context(), t, here, apiKey, body, nil)
+		body := completionBody("leaf 12", 400, true)
+		response := stack.sendCompletion(t.Context(), t, firstAddress, apiKey, body, nil)
 		begun := readStream(response.Body, 3)
 		response.Body.Close()
-		stack.network.Serve(stackEngine, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
+		stack.network.Serve(engineAddress, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 			<-request.Context().Done()
 		}))
 		time.Sleep(5 * time.Second)
-		answer := stack.readAll(t.Context(), t, "http://"+there+engine.PathCompletions, apiKey, body, map[string]string{caller.HeaderLastEventID: begun.cursors[2]})
-		is.True(codeOf(answer.text) != "")            // a coded failure
-		is.True(time.Since(began) <= lineTime+margin) // the caller was told late
+		answer := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, apiKey, body, map[string]string{caller.HeaderLastEventID: begun.cursors[2]})
+		is.True(failureCode(answer.text) != "")                   // a coded failure
+		is.True(time.Since(began) <= lineDeadline+responseMargin) // the result came too late
 	})
 }
 
-// front serves a handler over pipes: a caller that does not read blocks the
-// server at once, as full socket buffers do.
-type front struct {
+// pipeServer serves a handler over unbuffered pipes: a caller that does not read blocks
+// the server's writes at once, like full socket buffers.
+type pipeServer struct {
 	server   *http.Server
-	listener *pipes
+	listener *pipeListener
 	served   chan error
 }
 
-func newFront(handler http.Handler) *front {
-	front := &front{
+func newPipeServer(handler http.Handler) *pipeServer {
+	front := &pipeServer{
 		server:   &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, ErrorLog: nil},
-		listener: &pipes{incoming: make(chan net.Conn), closed: make(chan struct{})},
+		listener: &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})},
 		served:   make(chan error, 1),
 	}
 	go func() { front.served <- front.server.Serve(front.listener) }()
 	return front
 }
 
-// dial returns a caller's end of a new connection.
-func (front *front) dial() net.Conn {
-	client, other := net.Pipe()
-	front.listener.incoming <- other
+// dial returns the client's end of a new connection.
+func (pipeServer *pipeServer) dial() net.Conn {
+	client, serverEnd := net.Pipe()
+	pipeServer.listener.connections <- serverEnd
 	return client
 }
 
-func (front *front) close() error {
-	front.server.Close()
-	return <-front.served
+func (pipeServer *pipeServer) close() error {
+	pipeServer.server.Close()
+	return <-pipeServer.served
 }
 
-// post writes a request's head and what there is of its body.
-func post(connection net.Conn, path, key string, length int, body string) {
+// writeRequest writes a request's headers and the given part of its body.
+func writeRequest(connection net.Conn, path, key string, length int, body string) {
 	fmt.Fprintf(connection, "POST %s HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", path, key, length, body)
 }
 
-// A caller sends a request and stops reading, as a laptop that is closed does:
-// its connection stays, its buffers fill, no error comes. The engine's stream
-// and the service's connection were held for as long as the caller liked, and a
-// planned stop waited for it without end.
-func TestCallerWhoStopsReadingIsLetGoOf(t *testing.T) {
+// A caller sends a request and stops reading, like a laptop that is closed: the
+// connection stays open, the buffers fill and no error occurs. Without a write
+// deadline the engine's stream, the service's connection and a planned stop would
+// wait without limit.
+func TestWriteDeadlineForStalledReader(t *testing.T) {
 	tests := []struct {
 		name, path, body string
 		limit            time.Duration
 	}{
-		{"stream", engine.PathCompletions, lineBody("leaf 12", 400, true), lineTime},
-		{"whole answer", engine.PathCompletions, lineBody("leaf 12", 400, false), lineTime},
-		{"plain service", "/services/acknowledge/claims", "{}", acknowledgeTime},
+		{"stream", engine.PathCompletions, completionBody("leaf 12", 400, true), lineDeadline},
+		{"whole answer", engine.PathCompletions, completionBody("leaf 12", 400, false), lineDeadline},
+		{"plain service", "/services/acknowledge/claims", "{}", acknowledgeDeadline},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				stack := newStack()
-				defer stack.close(t)
-				// More than net/http holds back.
-				stack.network.Serve(stackService, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
+				stack := newTestStack()
+				defer stack.stop(t)
+				// More than net/http buffers.
+				stack.network.Serve(serviceAddress, http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) {
 					_, _ = writer.Write(make([]byte, 1<<20))
 				}))
 				server, handler := stack.instance(t, "i1")
-				front := newFront(handler)
+				front := newPipeServer(handler)
 				defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 				client := front.dial()
 				defer client.Close()
-				post(client, test.path, apiKey, len(test.body), test.body)
-				time.Sleep(test.limit + 2*margin)
+				writeRequest(client, test.path, apiKey, len(test.body), test.body)
+				time.Sleep(test.limit + 2*responseMargin)
 				synctest.Wait()
-				is.Equal(server.Active(), int64(0)) // still being served
+				is.Equal(server.Active(), int64(0)) // the request is still being served
 				time.Sleep(12 * time.Second)        // the resume window
 				load := stack.engine.Load()
-				is.Equal(load.Running+load.Waiting, 0)       // the engine holds memory for nobody
-				is.NoErr(front.server.Shutdown(t.Context())) // a planned stop ends
+				is.Equal(load.Running+load.Waiting, 0)       // the engine holds memory for an abandoned request
+				is.NoErr(front.server.Shutdown(t.Context())) // a planned stop completes
 			})
 		})
 	}
 }
 
-// A caller's key has expired, and it sends its prompt slowly or not at all.
-// net/http reads the rest of a body before it sends an answer: the refusal was
-// held back for as long as the body took, and a planned stop with it.
-func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
+// A refused caller, for example one with an expired key, sends its prompt slowly or
+// not at all. net/http reads the rest of a body before it sends an answer: the
+// refusal and a planned stop would be delayed until the body ends.
+func TestRefusalDoesNotWaitForBody(t *testing.T) {
 	tests := []struct {
 		name, path, key string
 		status          int
@@ -205,22 +204,22 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				stack := newStack()
-				defer stack.close(t)
+				stack := newTestStack()
+				defer stack.stop(t)
 				_, handler := stack.instance(t, "i1")
-				front := newFront(handler)
+				front := newPipeServer(handler)
 				defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 				client := front.dial()
 				defer client.Close()
 				began := time.Now()
-				post(client, test.path, test.key, 1000, "half")
+				writeRequest(client, test.path, test.key, 1000, "half")
 				time.AfterFunc(time.Minute, func() { client.Close() })
 				response, err := http.ReadResponse(bufio.NewReader(client), nil)
 				is.NoErr(err) // no answer within a minute
 				defer response.Body.Close()
 				is.Equal(response.StatusCode, test.status)
-				is.Equal(time.Since(began), time.Duration(0)) // held back
-				time.Sleep(2 * margin)
+				is.Equal(time.Since(began), time.Duration(0)) // the refusal was delayed
+				time.Sleep(2 * responseMargin)
 				is.NoErr(front.server.Shutdown(t.Context()))
 				is.True(time.Since(began) <= 10*time.Second) // a planned stop waited for the body
 			})
@@ -228,25 +227,25 @@
 	}
 }
 
-// An acknowledgement's body drips in, fast enough for the rule on slow senders.
-// Its time runs out meanwhile; its caller waited on, for minutes, for an answer
-// that could only be a refusal.
-func TestSlowBodyEndsByTheDeadline(t *testing.T) {
+// A body arrives slowly, but above the minimum rate, and the request's deadline
+// passes meanwhile. Without a deadline on the body the caller would wait minutes for
+// an answer that can only be a refusal.
+func TestSlowBodyEndsByDeadline(t *testing.T) {
 	tests := []struct {
 		name, path, header string
 		limit              time.Duration
 	}{
-		{"plain service", "/services/acknowledge/claims", "", acknowledgeTime},
+		{"plain service", "/services/acknowledge/claims", "", acknowledgeDeadline},
 		{"prompt with a deadline of the caller's", engine.PathCompletions, "4000", 4 * time.Second},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				stack := newStack()
-				defer stack.close(t)
+				stack := newTestStack()
+				defer stack.stop(t)
 				_, handler := stack.instance(t, "i1")
-				front := newFront(handler)
+				front := newPipeServer(handler)
 				defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 				client := front.dial()
 				defer client.Close()
@@ -255,7 +254,7 @@
 				if test.header != "" {
 					test.header = "\r\n" + caller.HeaderDeadlineMS + ": " + test.header
 				}
-				post(client, test.path, apiKey+test.header, length, "")
+				writeRequest(client, test.path, apiKey+test.header, length, "")
 				sent := make(chan struct{})
 				go func() {
 					defer close(sent)
@@ -271,51 +270,51 @@
 				is.NoErr(err)
 				text, _ := io.ReadAll(response.Body)
 				response.Body.Close()
-				is.True(time.Since(began) <= test.limit+margin) // the caller was told late
-				is.Equal(codeOf(string(text)), "1003")
+				is.True(time.Since(began) <= test.limit+responseMargin) // the result came too late
+				is.Equal(failureCode(string(text)), "1003")
 				client.Close()
 				<-sent
-				time.Sleep(margin) // net/http closes a connection slowly
+				time.Sleep(responseMargin) // net/http delays the close of a connection
 			})
 		})
 	}
 }
 
-// A desk keeps its connection for the next call. The instance is told to stop,
-// still serves the call at hand and closes idle connections a moment later: the
-// next acknowledgement, on its way by then, was lost and its outcome unknown.
-// The answer itself must say that the connection ends.
-func TestStoppingInstanceLetsGoOfConnections(t *testing.T) {
+// A client reuses its connection. A stopping instance still serves the current
+// request and closes idle connections shortly after: a next request that is already
+// in transit would be lost, with an unknown outcome. The answer itself must close
+// the connection.
+func TestStoppingInstanceClosesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		stack := newStack()
-		defer stack.close(t)
+		stack := newTestStack()
+		defer stack.stop(t)
 		server, handler := stack.instance(t, "i1")
-		front := newFront(handler)
+		front := newPipeServer(handler)
 		defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 		for _, stopping := range []bool{false, true} {
 			if stopping {
 				server.Stop()
 			}
 			client := front.dial()
-			post(client, "/services/acknowledge/claims", apiKey, 2, "{}")
+			writeRequest(client, "/services/acknowledge/claims", apiKey, 2, "{}")
 			response, err := http.ReadResponse(bufio.NewReader(client), nil)
 			is.NoErr(err)
 			_, err = io.Copy(io.Discard, response.Body)
 			is.NoErr(err)
 			response.Body.Close()
-			is.Equal(response.StatusCode, http.StatusOK) // served all the same
+			is.Equal(response.StatusCode, http.StatusOK) // a stopping instance still serves
 			is.Equal(response.Close, stopping)
 			client.Close()
 		}
-		time.Sleep(margin)
+		time.Sleep(responseMargin)
 	})
 }
 
-// The platform hangs right after a claim was written. The service acknowledges
-// within a second; the clerk must have the answer then, and one whose service
-// failed the failure, not when the ledger has given up on recording its end.
-func TestAnswerDoesNotWaitForItsRecord(t *testing.T) {
+// The platform hangs right after a claim was written. The service answers within a
+// second; the caller must get that answer, or the service's failure, at once, and
+// not only after the ledger's attempt to record the outcome has timed out.
+func TestAnswerDoesNotWaitForClaimRecord(t *testing.T) {
 	tests := []struct {
 		name   string
 		fault  faults.Kind
@@ -329,8 +328,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				stack := newStack()
-				defer stack.close(t)
+				stack := newTestStack()
+				defer stack.stop(t)
 				stack.service.CallDuration = time.Second
 				if test.fault != "" {
 					stack.service.Faults.Set(faults.Fault{Kind: test.fault})
@@ -346,12 +345,12 @@
 					claimed.Store(call == "swap" && applied)
 					return nil
 				}
-				front := newFront(handler)
+				front := newPipeServer(handler)
 				defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 				client := front.dial()
 				defer client.Close()
 				began := time.Now()
-				post(client, "/services/acknowledge/claims", apiKey+"\r\nIdempotency-Key: k1", 2, "{}")
+				writeRequest(client, "/services/acknowledge/claims", apiKey+"\r\nIdempotency-Key: k1", 2, "{}")
 				response, err := http.ReadResponse(bufio.NewReader(client), nil)
 				is.NoErr(err)
 				_, err = io.Copy(io.Discard, response.Body)
@@ -359,7 +358,7 @@
 				response.Body.Close()
 				is.True(claimed.Load())
 				is.Equal(response.StatusCode, test.status)
-				is.True(time.Since(began) <= 1100*time.Millisecond) // the answer was held back
+				is.True(time.Since(began) <= 1100*time.Millisecond) // the answer was delayed
 			})
 		})
 	}
--- a/peridotpath/caller/estimate.go
+++ b/peridotpath/caller/estimate.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// startBytesPerToken is the estimate until an engine has told a prompt's length.
-	startBytesPerToken = 4.0
-	// leastBytesPerToken and mostBytesPerToken bound what an engine can tell: a
-	// wrong usage must not make every prompt look a hundred times its length.
-	leastBytesPerToken = 1.0
-	mostBytesPerToken  = 16.0
-	// estimateStep weighs one observation.
-	estimateStep = 0.05
-	// leastObserved is the shortest prompt, in bytes, whose usage counts: in
-	// shorter ones the form of the request outweighs its text.
-	leastObserved = 2_000
+	// initialBytesPerToken is the estimate before the first usage report of an engine.
+	initialBytesPerToken = 4.0
+	// minBytesPerToken and maxBytesPerToken bound an observed ratio: with a wrong
+	// usage report every prompt could be estimated at a hundred times its length.
+	minBytesPerToken = 1.0
+	maxBytesPerToken = 16.0
+	// observationWeight is the weight of one observation in the moving average.
+	observationWeight = 0.05
+	// minObservedBytes is the minimum length, in bytes, of a prompt whose usage is
+	// observed: in shorter ones the request's JSON outweighs the text.
+	minObservedBytes = 2_000
 )
 
-// estimator turns the bytes of prompts into tokens, by service, and learns from
-// the usage that engines report. Text in Bengali script takes three bytes a
-// letter; with a fixed ratio for English its prompts would be placed, queued
-// and refused by a length that they do not have.
-type estimator struct {
-	ratios sync.Map // peridotpath.Service to *atomic.Uint64, the bits of bytes per token
+// tokenEstimator estimates the tokens of a prompt from its bytes. The ratio of a service
+// is an exponential moving average over the usage that its engines report. Bengali
+// script has three bytes a letter: with a fixed ratio for English, its prompts would
+// be placed, queued and refused by a wrong length.
+type tokenEstimator struct {
+	ratios sync.Map // peridotpath.Service to *atomic.Uint64, the float64 bits of bytes per token
 }
 
-func (estimator *estimator) ratio(service peridotpath.Service) *atomic.Uint64 {
-	if found, ok := estimator.ratios.Load(service); ok {
+func (tokenEstimator *tokenEstimator) bytesPerToken(service peridotpath.Service) *atomic.Uint64 {
+	if found, ok := tokenEstimator.ratios.Load(service); ok {
 		return found.(*atomic.Uint64)
 	}
 	fresh := &atomic.Uint64{}
-	fresh.Store(math.Float64bits(startBytesPerToken))
-	found, _ := estimator.ratios.LoadOrStore(service, fresh)
+	fresh.Store(math.Float64bits(initialBytesPerToken))
+	found, _ := tokenEstimator.ratios.LoadOrStore(service, fresh)
 	return found.(*atomic.Uint64)
 }
 
-// tokens estimates the length of a prompt; it is at least one.
-func (estimator *estimator) tokens(service peridotpath.Service, bytes int) peridotpath.Tokens {
-	ratio := math.Float64frombits(estimator.ratio(service).Load())
+// estimate estimates the length of a prompt; it is at least one.
+func (tokenEstimator *tokenEstimator) estimate(service peridotpath.Service, bytes int) peridotpath.Tokens {
+	ratio := math.Float64frombits(tokenEstimator.bytesPerToken(service).Load())
 	return peridotpath.Tokens(float64(bytes)/ratio) + 1
 }
 
-// observe takes in what an engine counted. Of two at the same moment one may
-// be lost, which changes nothing.
-func (estimator *estimator) observe(service peridotpath.Service, bytes int, tokens peridotpath.Tokens) {
-	if bytes < leastObserved || tokens <= 0 {
+// observe updates the ratio with an engine's token count. One of two concurrent
+// updates may be lost, which is harmless to the average.
+func (tokenEstimator *tokenEstimator) observe(service peridotpath.Service, bytes int, tokens peridotpath.Tokens) {
+	if bytes < minObservedBytes || tokens <= 0 {
 		return
 	}
-	ratio := estimator.ratio(service)
-	old := ratio.Load()
-	before := math.Float64frombits(old)
-	seen := min(max(float64(bytes)/float64(tokens), leastBytesPerToken), mostBytesPerToken)
-	ratio.CompareAndSwap(old, math.Float64bits(before+estimateStep*(seen-before)))
+	ratio := tokenEstimator.bytesPerToken(service)
+	oldBits := ratio.Load()
+	oldRatio := math.Float64frombits(oldBits)
+	observed := min(max(float64(bytes)/float64(tokens), minBytesPerToken), maxBytesPerToken)
+	ratio.CompareAndSwap(oldBits, math.Float64bits(oldRatio+observationWeight*(observed-oldRatio)))
 }
--- a/peridotpath/caller/failure.go
+++ b/peridotpath/caller/failure.go
@@ -10,11 +10,11 @@
 	"peridotpath.example/peridotpath"
 )
 
-// headerShouldRetry is what client libraries of language models heed before
-// they repeat a request by themselves.
+// headerShouldRetry is the header by which client libraries of language models
+// decide on automatic retries.
 const headerShouldRetry = "X-Should-Retry"
 
-// failureBody is the error object that clients of language models expect.
+// failureBody is the error body that clients of language models expect.
 type failureBody struct {
 	Error failureDetail `json:"error"`
 }
@@ -25,7 +25,7 @@
 	Code    string `json:"code"`
 	// Number is the result code; docs/CODES.md has the table.
 	Number peridotpath.Code `json:"number"`
-	// NotRun says that the request certainly ran nowhere.
+	// NotRun is set if the request certainly did not run at any endpoint.
 	NotRun       bool   `json:"not_run"`
 	RetryAfterMS int64  `json:"retry_after_ms,omitempty"`
 	RequestID    string `json:"request_id"`
@@ -60,27 +60,27 @@
 	}
 }
 
-// fail writes the failure: as the whole answer, or as the last event where a
-// stream has begun. An interrupted stream has no end mark, so that no client
-// takes half an answer for a whole one.
-func (exchange *exchange) fail(result *peridotpath.Result) {
+// writeFailure writes the failure as the whole answer, or as the last event of a stream
+// that has begun. An interrupted stream has no end marker, so that no client
+// mistakes a partial answer for a complete one.
+func (exchange *exchange) writeFailure(result *peridotpath.Result) {
 	if result.Code == peridotpath.CodeCallerGone {
 		return
 	}
-	if exchange.opaque {
-		// Half of a plain service's answer would look whole, did the
-		// connection end in good order: break it.
+	if exchange.isOpaque {
+		// A partial answer of a plain service would look complete if the connection
+		// closed normally: abort it.
 		panic(http.ErrAbortHandler)
 	}
 	body := exchange.failureJSON(result)
-	if !exchange.bodyRead {
-		exchange.leaveBody()
+	if !exchange.bodyConsumed {
+		exchange.closeAfterAnswer()
 	}
-	if exchange.begun {
+	if exchange.answerBegun {
 		// A resumed stream may fail before its first event.
 		exchange.writer.Header().Set("Content-Type", "text/event-stream")
-		line := append([]byte("event: error\ndata: "), body...)
-		_, _ = exchange.writer.Write(append(line, '\n', '\n'))
+		event := append([]byte("event: error\ndata: "), body...)
+		_, _ = exchange.writer.Write(append(event, '\n', '\n'))
 		_ = http.NewResponseController(exchange.writer).Flush()
 		return
 	}
@@ -88,9 +88,8 @@
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderCode, strconv.Itoa(int(result.Code)))
 	if !result.Code.NotRun() && exchange.work != nil && !exchange.work.Profile.Idempotent {
-		// Client libraries repeat requests by themselves on most statuses above
-		// 500. One that may have run would run a second time, and its caller
-		// would not even know of the first.
+		// Client libraries retry automatically on most statuses above 500. A request
+		// that may have run would run a second time, without its caller's knowledge.
 		header.Set(headerShouldRetry, "false")
 	}
 	if result.RetryAfter > 0 {
@@ -101,25 +100,25 @@
 }
 
 const (
-	// bodyGrace is how long a refused caller may go on sending its body.
-	bodyGrace = time.Second
-	// refusalTime bounds the sending of a refusal.
-	refusalTime = 10 * time.Second
+	// unreadBodyTimeout is how long a refused caller may continue to send its body.
+	unreadBodyTimeout = time.Second
+	// refusalWriteTimeout bounds the time to write a refusal.
+	refusalWriteTimeout = 10 * time.Second
 )
 
-// leaveBody has the answer sent at once though the body was not read. net/http
-// would read the rest of it first, without a bound in time: a caller whose key
-// is refused and who sends slowly, or not at all, would wait for its answer as
-// long as it takes, and so would a planned stop. With the connection closed
-// after the answer nothing of the body can be taken for another request.
-func (exchange *exchange) leaveBody() {
+// closeAfterAnswer makes the server write the answer although the body was not read.
+// net/http first reads the rest of the body, without a time limit: the refusal of a
+// caller that sends slowly or stalls, and a planned stop with it, would be delayed
+// without bound. The connection closes after the answer, so that no remaining bytes
+// of the body are parsed as another request.
+func (exchange *exchange) closeAfterAnswer() {
 	exchange.writer.Header().Set("Connection", "close")
-	_ = http.NewResponseController(exchange.writer).SetReadDeadline(time.Now().Add(bodyGrace))
-	exchange.writeUntil(time.Now().Add(refusalTime))
+	_ = http.NewResponseController(exchange.writer).SetReadDeadline(time.Now().Add(unreadBodyTimeout))
+	exchange.setWriteDeadline(time.Now().Add(refusalWriteTimeout))
 }
 
-// retryAfterSeconds rounds up: the header has whole seconds, and a caller that
-// comes back early would be refused again. The body has milliseconds.
-func retryAfterSeconds(span time.Duration) string {
-	return strconv.FormatInt(int64(math.Ceil(span.Seconds())), 10)
+// retryAfterSeconds rounds up to whole seconds, the unit of the header: a caller that
+// retries early would be refused again. The body has milliseconds.
+func retryAfterSeconds(retryAfter time.Duration) string {
+	return strconv.FormatInt(int64(math.Ceil(retryAfter.Seconds())), 10)
 }
--- a/peridotpath/caller/models.go
+++ b/peridotpath/caller/models.go
@@ -17,8 +17,8 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// models lists what a caller may name as model: profiles and their aliases.
-func (server *Server) models(exchange *exchange) *peridotpath.Result {
+// listModels lists the names that a request may have as model: profiles and their aliases.
+func (server *Server) listModels(exchange *exchange) *peridotpath.Result {
 	list := modelList{Object: "list", Data: []model{}}
 	for _, profile := range exchange.config.Profiles {
 		for _, name := range append([]string{string(profile.Name)}, profile.Aliases...) {
--- a/peridotpath/caller/once.go
+++ b/peridotpath/caller/once.go
@@ -11,51 +11,50 @@
 )
 
 const (
-	maxIdempotencyKey = 255
-	// maxRecorded bounds the answer that is recorded for repeats of a key.
-	maxRecorded = 1 << 20
-	// HeaderReplayed marks an answer that was given before.
+	maxIdempotencyKeyLength = 255
+	// maxRecordedAnswer bounds, in bytes, an answer that is recorded for replay.
+	maxRecordedAnswer = 1 << 20
+	// HeaderReplayed marks an answer that is replayed for a repeated key.
 	HeaderReplayed = "Peridotpath-Replayed"
 )
 
-// once serves a request with an idempotency key at most once, under the claim
-// ledger. Requests without a key, and those of idempotent profiles, are served
-// as they are: the first are sent once and never again after a byte has gone
-// out, the second may run twice without harm.
-func (server *Server) once(exchange *exchange, body []byte, serve func(ctx context.Context, maySend func() error) *peridotpath.Result) *peridotpath.Result {
+// runOnce runs a request with an idempotency key at most once, by a claim in the
+// ledger. Requests without a key, and those of idempotent profiles, need no claim:
+// the former are never retried after a byte was sent, the latter may run twice.
+func (server *Server) runOnce(exchange *exchange, body []byte, serve func(ctx context.Context, maySend func() error) *peridotpath.Result) *peridotpath.Result {
 	ctx := exchange.request.Context()
-	keys, given := exchange.request.Header[HeaderIdempotencyKey]
-	if !given || exchange.work.Profile.Idempotent {
+	keys, hasKey := exchange.request.Header[HeaderIdempotencyKey]
+	if !hasKey || exchange.work.Profile.Idempotent {
 		return serve(ctx, nil)
 	}
-	if len(keys) != 1 || keys[0] == "" || len(keys[0]) > maxIdempotencyKey {
+	if len(keys) != 1 || keys[0] == "" || len(keys[0]) > maxIdempotencyKeyLength {
 		return &peridotpath.Result{Code: peridotpath.CodeBadIdempotencyKey}
 	}
-	// The claim is taken within the request's time, and goes on without its caller:
-	// one who repeats after a broken connection wants the answer, not "unknown".
+	// The claim has the request's deadline, but outlives the caller's connection: a
+	// retry after a lost connection must get the answer, not an unknown outcome.
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), exchange.work.Deadline)
 	defer cancel()
 	verdict, err := server.Claims.Claim(ctx, exchange.customer.ID, keys[0], bodyHash(exchange.request, body))
 	if err != nil {
-		return asResult(err)
+		return errorResult(err)
 	}
 	switch verdict.Standing {
 	case claim.Granted:
-		return server.claimed(ctx, exchange, verdict.Claim, serve)
+		return server.runClaimed(ctx, exchange, verdict.Claim, serve)
 	case claim.RunningHere:
 		answer, err := verdict.Run.Wait(ctx)
 		if err != nil {
-			return asResult(err)
+			return errorResult(err)
 		}
-		return exchange.replay(answer)
+		return exchange.replayAnswer(answer)
 	case claim.Done:
-		return exchange.replay(verdict.Answer)
+		return exchange.replayAnswer(verdict.Answer)
 	default:
 		return verdict.Result()
 	}
 }
 
-// bodyHash covers what must be the same when a key is repeated.
+// bodyHash hashes the parts of a request that must be equal when a key is repeated.
 func bodyHash(request *http.Request, body []byte) claim.BodyHash {
 	hash := sha256.New()
 	hash.Write([]byte(request.Method + "\n" + request.URL.RequestURI() + "\n"))
@@ -63,7 +62,7 @@
 	return claim.BodyHash(hash.Sum(nil))
 }
 
-func asResult(err error) *peridotpath.Result {
+func errorResult(err error) *peridotpath.Result {
 	var result *peridotpath.Result
 	if errors.As(err, &result) {
 		return result
@@ -71,28 +70,28 @@
 	return &peridotpath.Result{Code: peridotpath.CodeInternal, Detail: err.Error()}
 }
 
-// claimed serves the request and records how it ended. Recording goes on in
-// the ledger; the caller's answer does not wait for it.
-func (server *Server) claimed(ctx context.Context, exchange *exchange, granted *claim.Claim, serve func(ctx context.Context, maySend func() error) *peridotpath.Result) *peridotpath.Result {
-	recorder := &recorder{ResponseWriter: exchange.writer}
+// runClaimed serves the request and records its outcome. The ledger completes the
+// record in the background; the caller's answer does not wait for it.
+func (server *Server) runClaimed(ctx context.Context, exchange *exchange, granted *claim.Claim, serve func(ctx context.Context, maySend func() error) *peridotpath.Result) *peridotpath.Result {
+	recorder := &answerRecorder{ResponseWriter: exchange.writer}
 	exchange.writer = recorder
 	result := serve(ctx, granted.Dispatch)
 	exchange.writer = recorder.ResponseWriter
-	atOnce, cancel := context.WithCancel(ctx)
+	cancelledContext, cancel := context.WithCancel(ctx)
 	cancel()
 	switch {
 	case result == nil:
-		_ = granted.Finish(atOnce, recorder.answer())
+		_ = granted.Finish(cancelledContext, recorder.recordedAnswer())
 	case result.Code.NotRun() || !granted.Dispatched():
-		_ = granted.Release(atOnce, result)
+		_ = granted.Release(cancelledContext, result)
 	default:
-		_ = granted.MarkUnknown(atOnce)
+		_ = granted.MarkUnknown(cancelledContext)
 	}
 	return result
 }
 
-// replay gives a caller the answer that the first one got.
-func (exchange *exchange) replay(answer *claim.Answer) *peridotpath.Result {
+// replayAnswer writes the recorded answer of the key's first request.
+func (exchange *exchange) replayAnswer(answer *claim.Answer) *peridotpath.Result {
 	if answer == nil {
 		return &peridotpath.Result{Code: peridotpath.CodeAnswerGone}
 	}
@@ -106,56 +105,58 @@
 	return nil
 }
 
-// recorder keeps what is written, for repeats of the key, and goes on when the
-// caller has left.
-type recorder struct {
+// answerRecorder records the answer for replay and continues after the caller
+// disconnected.
+type answerRecorder struct {
 	http.ResponseWriter
-	status   int
-	body     []byte
-	overflow bool
-	gone     bool
+	status       int
+	body         []byte
+	tooLarge     bool
+	disconnected bool
 }
 
-// WriteHeader notes and writes the status.
-func (recorder *recorder) WriteHeader(status int) {
-	recorder.status = status
-	recorder.ResponseWriter.WriteHeader(status)
+// WriteHeader records and writes the status.
+func (answerRecorder *answerRecorder) WriteHeader(status int) {
+	answerRecorder.status = status
+	answerRecorder.ResponseWriter.WriteHeader(status)
 }
 
-// Write records and writes. It succeeds when the caller has left.
-func (recorder *recorder) Write(piece []byte) (int, error) {
-	if recorder.status == 0 {
-		recorder.status = http.StatusOK
+// Write records and writes. It also succeeds after the caller disconnected.
+func (answerRecorder *answerRecorder) Write(piece []byte) (int, error) {
+	if answerRecorder.status == 0 {
+		answerRecorder.status = http.StatusOK
 	}
-	if len(recorder.body)+len(piece) > maxRecorded {
-		recorder.overflow = true
-		recorder.body = nil
+	if len(answerRecorder.body)+len(piece) > maxRecordedAnswer {
+		answerRecorder.tooLarge = true
+		answerRecorder.body = nil
 	}
-	if !recorder.overflow {
-		recorder.body = append(recorder.body, piece...)
+	if !answerRecorder.tooLarge {
+		answerRecorder.body = append(answerRecorder.body, piece...)
 	}
-	if !recorder.gone {
-		_, err := recorder.ResponseWriter.Write(piece)
-		recorder.gone = err != nil
+	if !answerRecorder.disconnected {
+		_, err := answerRecorder.ResponseWriter.Write(piece)
+		answerRecorder.disconnected = err != nil
 	}
 	return len(piece), nil
 }
 
-// FlushError flushes to a caller who is still there.
-func (recorder *recorder) FlushError() error {
-	if !recorder.gone {
-		recorder.gone = http.NewResponseController(recorder.ResponseWriter).Flush() != nil
+// FlushError flushes unless the caller disconnected.
+func (answerRecorder *answerRecorder) FlushError() error {
+	if !answerRecorder.disconnected {
+		answerRecorder.disconnected = http.NewResponseController(answerRecorder.ResponseWriter).Flush() != nil
 	}
 	return nil
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (recorder *recorder) Unwrap() http.ResponseWriter { return recorder.ResponseWriter }
+func (answerRecorder *answerRecorder) Unwrap() http.ResponseWriter {
+	return answerRecorder.ResponseWriter
+}
 
-// answer returns what was recorded, nil where that was too much.
-func (recorder *recorder) answer() *claim.Answer {
-	if recorder.overflow {
+// recordedAnswer returns the recorded answer, nil if it exceeded the size limit.
+func (answerRecorder *answerRecorder) recordedAnswer() *claim.Answer {
+	if answerRecorder.tooLarge {
 		return nil
 	}
-	return &claim.Answer{Status: recorder.status, Header: recorder.Header().Clone(), Body: recorder.body}
+	return &claim.Answer{Status: answerRecorder.status, Header: answerRecorder.Header().Clone(), Body: answerRecorder.body}
 }
--- a/peridotpath/caller/once_test.go
+++ b/peridotpath/caller/once_test.go
@@ -27,8 +27,8 @@
 
 const apiKey = "desk-key"
 
-// newServer returns an instance's callers' side before the given platform,
-// whose plain service is run, and what stops it.
+// newServer returns an instance's Server with the given platform, whose plain
+// service is run, and a function that stops it.
 func newServer(t *testing.T, name peridotpath.InstanceID, platform *memory.Memory, run func(ctx context.Context, writer http.ResponseWriter) *peridotpath.Result) (*caller.Server, func()) {
 	t.Helper()
 	config := &peridotpath.Config{
@@ -63,8 +63,8 @@
 	return server, func() { cancel(); <-ended }
 }
 
-// call makes a call with an idempotency key.
-func call(ctx context.Context, server *caller.Server, key, body string) *httptest.ResponseRecorder {
+// callService makes a call with an idempotency key.
+func callService(ctx context.Context, server *caller.Server, key, body string) *httptest.ResponseRecorder {
 	request := httptest.NewRequestWithContext(ctx, http.MethodPost, "/services/acknowledge/claims", strings.NewReader(body))
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	request.Header.Set("Idempotency-Key", key)
@@ -73,9 +73,9 @@
 	return recorder
 }
 
-// acknowledge returns a service that counts its runs, takes a second for each,
-// and answers with their number.
-func acknowledge(runs *atomic.Int64) func(context.Context, http.ResponseWriter) *peridotpath.Result {
+// acknowledgeService returns a service that counts its runs, takes a second for each, and
+// repeats its answer as often as it has run.
+func acknowledgeService(runs *atomic.Int64) func(context.Context, http.ResponseWriter) *peridotpath.Result {
 	return func(ctx context.Context, writer http.ResponseWriter) *peridotpath.Result {
 		number := runs.Add(1)
 		time.Sleep(time.Second)
@@ -88,66 +88,65 @@
 	}
 }
 
-// TestAcknowledgedOnce has a couple's claim sent twice with one key: at the
-// same instance while the first runs, at another, and again after the answer.
-// Without the ledger they got two acknowledgements and believed their suitcase
-// lost twice.
-func TestAcknowledgedOnce(t *testing.T) {
+// TestKeyRunsOnce sends a claim repeatedly with one key: at the same instance
+// and at another while the first request runs, and again after the answer. Without
+// the ledger the claim would be acknowledged twice.
+func TestKeyRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		platform := &memory.Memory{}
 		var runs atomic.Int64
-		here, stopHere := newServer(t, "i1", platform, acknowledge(&runs))
+		here, stopHere := newServer(t, "i1", platform, acknowledgeService(&runs))
 		defer stopHere()
-		there, stopThere := newServer(t, "i2", platform, acknowledge(&runs))
+		there, stopThere := newServer(t, "i2", platform, acknowledgeService(&runs))
 		defer stopThere()
 
 		first := make(chan *httptest.ResponseRecorder)
-		go func() { first <- call(context.Background(), here, "k1", "claim") }()
+		go func() { first <- callService(context.Background(), here, "k1", "claim") }()
 		time.Sleep(500 * time.Millisecond)
-		elsewhere := call(t.Context(), there, "k1", "claim")
+		elsewhere := callService(t.Context(), there, "k1", "claim")
 		is.Equal(elsewhere.Code, http.StatusConflict)
 		is.Equal(elsewhere.Header().Get(caller.HeaderCode), "4005")
 		is.True(elsewhere.Header().Get("Retry-After") != "")
-		attached := call(t.Context(), here, "k1", "claim")
+		attached := callService(t.Context(), here, "k1", "claim")
 		answer := <-first
 		is.Equal(answer.Code, http.StatusCreated)
 		is.Equal(answer.Body.String(), "acknowledged ")
 		time.Sleep(2 * time.Second)
-		for _, repeat := range []*httptest.ResponseRecorder{attached, call(t.Context(), here, "k1", "claim"), call(t.Context(), there, "k1", "claim")} {
+		for _, repeat := range []*httptest.ResponseRecorder{attached, callService(t.Context(), here, "k1", "claim"), callService(t.Context(), there, "k1", "claim")} {
 			is.Equal(repeat.Code, http.StatusCreated)
 			is.Equal(repeat.Body.String(), "acknowledged ")
 			is.Equal(repeat.Header().Get(caller.HeaderReplayed), "true")
 		}
-		other := call(t.Context(), there, "k1", "another claim")
-		is.Equal(other.Header().Get(caller.HeaderCode), "1011") // the key came with another body
+		other := callService(t.Context(), there, "k1", "another claim")
+		is.Equal(other.Header().Get(caller.HeaderCode), "1011") // the key was used with another body
 		is.Equal(runs.Load(), int64(1))
 	})
 }
 
-// TestCallerWhoLeftGetsTheAnswer has the counter's connection break while the
-// call runs. The clerk's repeat must get the answer, not "unknown".
-func TestCallerWhoLeftGetsTheAnswer(t *testing.T) {
+// TestRetryAfterDisconnectGetsAnswer disconnects the caller while the call runs. A retry
+// must get the answer, not an unknown outcome.
+func TestRetryAfterDisconnectGetsAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var runs atomic.Int64
-		server, stop := newServer(t, "i1", &memory.Memory{}, acknowledge(&runs))
+		server, stop := newServer(t, "i1", &memory.Memory{}, acknowledgeService(&runs))
 		defer stop()
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(500*time.Millisecond, leave)
-		call(ctx, server, "k1", "claim")
+		ctx, disconnect := context.WithCancel(t.Context())
+		time.AfterFunc(500*time.Millisecond, disconnect)
+		callService(ctx, server, "k1", "claim")
 		time.Sleep(2 * time.Second)
-		is.Equal(call(t.Context(), server, "k1", "claim").Body.String(), "acknowledged ")
+		is.Equal(callService(t.Context(), server, "k1", "claim").Body.String(), "acknowledged ")
 		is.Equal(runs.Load(), int64(1))
 	})
 }
 
-// TestFailuresDecideWhetherAKeyRunsAgain: what certainly did not run may be
-// sent again with the same key, what may have run never.
-func TestFailuresDecideWhetherAKeyRunsAgain(t *testing.T) {
+// TestKeyRunsAgainOnlyIfNotRun checks that a request that certainly did not
+// run may run again with the same key, and that one that may have run does not.
+func TestKeyRunsAgainOnlyIfNotRun(t *testing.T) {
 	cases := []struct {
 		code peridotpath.Code
-		// unsent says that the failure came before anything was sent.
+		// unsent is set if the failure occurs before anything was sent.
 		unsent bool
 		runs   int64
 	}{
@@ -181,9 +180,9 @@
 						return send(ctx, work, call, maySend, writer)
 					}
 				}
-				is.Equal(call(t.Context(), server, "k1", "claim").Code, code.Status())
+				is.Equal(callService(t.Context(), server, "k1", "claim").Code, code.Status())
 				time.Sleep(2 * time.Second)
-				repeat := call(t.Context(), server, "k1", "claim")
+				repeat := callService(t.Context(), server, "k1", "claim")
 				is.Equal(runs.Load(), want.runs)
 				if want.runs == 1 {
 					is.Equal(repeat.Header().Get(caller.HeaderCode), "4002")
@@ -193,18 +192,18 @@
 	}
 }
 
-// TestPlatformDownIsNotRun: without the ledger's record nothing may be sent,
-// and the caller is told so within its time.
-func TestPlatformDownIsNotRun(t *testing.T) {
+// TestPlatformOutageIsNotRun checks that nothing is sent without the ledger's record,
+// and that the caller gets that result by its deadline.
+func TestPlatformOutageIsNotRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		platform := &memory.Memory{Fault: func(context.Context, string, string, bool) error {
 			return keyvalue.ErrUnavailable.New("down")
 		}}
 		var runs atomic.Int64
-		server, stop := newServer(t, "i1", platform, acknowledge(&runs))
+		server, stop := newServer(t, "i1", platform, acknowledgeService(&runs))
 		defer stop()
-		answer := call(t.Context(), server, "k1", "claim")
+		answer := callService(t.Context(), server, "k1", "claim")
 		is.Equal(answer.Code, http.StatusServiceUnavailable)
 		is.True(strings.Contains(answer.Body.String(), `"not_run":true`))
 		is.True(answer.Header().Get("Retry-After") != "")
--- a/peridotpath/caller/path_bench_test.go
+++ b/peridotpath/caller/path_bench_test.go
@@ -25,35 +25,37 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-// path is the whole request path before one engine on loopback.
-type path struct {
-	direct  string
-	through string
+// requestPath is the whole request path to one engine on loopback, with the base URLs of
+// the engine and of the Server.
+type requestPath struct {
+	directURL string
+	serverURL string
 }
 
-// token is one event as engines send it.
-const token = "id: %d\ndata: {\"id\":\"c1\",\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":\"word \"}]}\n\n"
+// tokenEventFormat is the format of one event of an engine.
+const tokenEventFormat = "id: %d\ndata: {\"id\":\"c1\",\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":\"word \"}]}\n\n"
 
-// newPath serves tokens at once; hold, when set, is waited for after the first.
-func newPath(b *testing.B, tokens int, hold <-chan struct{}) *path {
+// newRequestPath starts a path whose engine sends its tokens without delay. If proceed is not
+// nil, the engine waits for it after the first token.
+func newRequestPath(b *testing.B, tokens int, proceed <-chan struct{}) *requestPath {
 	b.Helper()
-	back := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
+	engineServer := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.Copy(io.Discard, request.Body)
 		writer.Header().Set("Content-Type", "text/event-stream")
 		writer.Header().Set(engine.HeaderStreamID, "s1")
 		for i := range tokens {
-			fmt.Fprintf(writer, token, i)
+			fmt.Fprintf(writer, tokenEventFormat, i)
 			_ = http.NewResponseController(writer).Flush()
-			if i == 0 && hold != nil {
-				<-hold
+			if i == 0 && proceed != nil {
+				<-proceed
 			}
 		}
 		fmt.Fprintf(writer, "id: %d\ndata: [DONE]\n\n", tokens)
 	}))
-	b.Cleanup(back.Close)
+	b.Cleanup(engineServer.Close)
 	endpoint := peridotpath.Endpoint{
 		ID: "e1", Service: "claims-llm", Kind: peridotpath.KindEngine, State: peridotpath.StateLive,
-		Address: netip.MustParseAddrPort(back.Listener.Addr().String()), KVTokens: 400_000_000,
+		Address: netip.MustParseAddrPort(engineServer.Listener.Addr().String()), KVTokens: 400_000_000,
 	}
 	scheduler := &decide.Scheduler{}
 	scheduler.SetEndpoints(time.Now(), []peridotpath.Endpoint{endpoint})
@@ -72,9 +74,9 @@
 		_ = dispatcher.Run(ctx)
 	}()
 	b.Cleanup(func() { cancel(); <-ended })
-	front := httptest.NewServer(newRouter(b, dispatcher))
-	b.Cleanup(front.Close)
-	return &path{direct: back.URL, through: front.URL}
+	callerServer := httptest.NewServer(newRouter(b, dispatcher))
+	b.Cleanup(callerServer.Close)
+	return &requestPath{directURL: engineServer.URL, serverURL: callerServer.URL}
 }
 
 func newRouter(b *testing.B, dispatcher *dispatch.Dispatcher) http.Handler {
@@ -103,13 +105,14 @@
 	return router
 }
 
-// prompt is a request body of about size bytes.
-func prompt(size int) []byte {
+// promptBody returns a request body of about size bytes.
+func promptBody(size int) []byte {
 	return fmt.Appendf(nil, `{"model":"lookup","stream":true,"max_tokens":100,"prompt":"%s"}`, bytes.Repeat([]byte("word "), size/5))
 }
 
-// ask posts the prompt and returns the answer and the time to its first event.
-func ask(b *testing.B, base string, body []byte) (*http.Response, *bufio.Reader, time.Duration) {
+// postPrompt posts the prompt and returns the response, the reader of its remaining body
+// and the time to its first line.
+func postPrompt(b *testing.B, base string, body []byte) (*http.Response, *bufio.Reader, time.Duration) {
 	b.Helper()
 	request, err := http.NewRequest(http.MethodPost, base+engine.PathCompletions, bytes.NewReader(body))
 	if err != nil {
@@ -128,17 +131,17 @@
 	return response, lines, time.Since(began)
 }
 
-// BenchmarkFirstToken reports the time to first token through the whole path
-// over a direct connection, taken in turns in one run.
+// BenchmarkFirstToken reports the time to first token through the whole path and
+// over a direct connection, measured alternately in one run.
 func BenchmarkFirstToken(b *testing.B) {
 	for _, size := range []int{4 << 10, 400 << 10, 4 << 20} {
 		b.Run(fmt.Sprintf("body=%dKiB", size>>10), func(b *testing.B) {
-			path, body := newPath(b, 2, nil), prompt(size)
+			path, body := newRequestPath(b, 2, nil), promptBody(size)
 			direct := hdrhistogram.New(1, 60_000_000, 3)
 			through := hdrhistogram.New(1, 60_000_000, 3)
 			for b.Loop() {
-				for base, histogram := range map[string]*hdrhistogram.Histogram{path.direct: direct, path.through: through} {
-					response, rest, span := ask(b, base, body)
+				for base, histogram := range map[string]*hdrhistogram.Histogram{path.directURL: direct, path.serverURL: through} {
+					response, rest, span := postPrompt(b, base, body)
 					_, _ = io.Copy(io.Discard, rest)
 					response.Body.Close()
 					_ = histogram.RecordValue(span.Microseconds())
@@ -154,21 +157,21 @@
 	}
 }
 
-// BenchmarkRelayedToken reports the cost of a token on its way through, engine
-// and caller of the benchmark included.
+// BenchmarkRelayedToken reports the cost of relaying a token, including the
+// benchmark's own engine and callers.
 func BenchmarkRelayedToken(b *testing.B) {
 	const tokens = 2_000
 	for _, through := range []bool{false, true} {
 		b.Run(fmt.Sprintf("through=%t", through), func(b *testing.B) {
-			path, body := newPath(b, tokens, nil), prompt(4<<10)
-			base := path.direct
+			path, body := newRequestPath(b, tokens, nil), promptBody(4<<10)
+			base := path.directURL
 			if through {
-				base = path.through
+				base = path.serverURL
 			}
 			b.ReportAllocs()
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					response, rest, _ := ask(b, base, body)
+					response, rest, _ := postPrompt(b, base, body)
 					_, _ = io.Copy(io.Discard, rest)
 					response.Body.Close()
 				}
@@ -178,14 +181,14 @@
 	}
 }
 
-// BenchmarkOpenStreams reports the memory of open streams, those of the
-// benchmark's own engine and callers included, and without the path.
+// BenchmarkOpenStreams reports the memory of open streams, including the
+// benchmark's own engine and callers, through the path and without it.
 func BenchmarkOpenStreams(b *testing.B) {
 	for _, test := range []struct{ streams, size int }{{1_000, 4 << 10}, {100, 1 << 20}} {
 		for _, through := range []bool{false, true} {
 			b.Run(fmt.Sprintf("streams=%d/body=%dKiB/through=%t", test.streams, test.size>>10, through), func(b *testing.B) {
 				for b.Loop() {
-					used := openStreams(b, test.streams, prompt(test.size), through)
+					used := openStreams(b, test.streams, promptBody(test.size), through)
 					b.ReportMetric(float64(used)/float64(test.streams)/1024, "KiB/stream")
 				}
 			})
@@ -193,23 +196,23 @@
 	}
 }
 
-// openStreams returns the memory that the streams take while all are open.
+// openStreams returns the memory that the streams use while all are open.
 func openStreams(b *testing.B, streams int, body []byte, through bool) uint64 {
-	hold := make(chan struct{})
-	path := newPath(b, 2, hold)
-	base := path.direct
+	proceed := make(chan struct{})
+	path := newRequestPath(b, 2, proceed)
+	base := path.directURL
 	if through {
-		base = path.through
+		base = path.serverURL
 	}
-	before := inUse()
+	before := memoryInUse()
 	var open []*http.Response
 	for range streams {
-		response, _, _ := ask(b, base, body) //nolint:bodyclose // all are closed at the end
+		response, _, _ := postPrompt(b, base, body) //nolint:bodyclose // all are closed at the end
 		response.Request = nil
 		open = append(open, response) //nolint:bodyclose // as above
 	}
-	after := inUse()
-	close(hold)
+	after := memoryInUse()
+	close(proceed)
 	for _, response := range open {
 		_, _ = io.Copy(io.Discard, response.Body)
 		response.Body.Close()
@@ -217,7 +220,7 @@
 	return after - before
 }
 
-func inUse() uint64 {
+func memoryInUse() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&stats)
--- a/peridotpath/caller/plain.go
+++ b/peridotpath/caller/plain.go
@@ -10,59 +10,59 @@
 	"peridotpath.example/peridotpath/service"
 )
 
-// ServicePrefix comes before the profile's name and the service's own path:
+// ServicePrefix precedes the profile's name and the service's own path:
 // /services/{profile}/{path...}.
 const ServicePrefix = "/services/"
 
-// Services returns the handler of everything under ServicePrefix.
-func (server *Server) Services() http.Handler { return server.handle(server.plain) }
+// Services returns the handler of the paths under ServicePrefix.
+func (server *Server) Services() http.Handler { return server.newHandler(server.servePlain) }
 
-// plain passes a call through to a plain service.
-func (server *Server) plain(exchange *exchange) *peridotpath.Result {
+// servePlain forwards a call to a plain service.
+func (server *Server) servePlain(exchange *exchange) *peridotpath.Result {
 	name, target, found := strings.Cut(strings.TrimPrefix(exchange.request.URL.EscapedPath(), ServicePrefix), "/")
 	profile := exchange.config.Profile(name)
 	if profile == nil || !found {
 		return &peridotpath.Result{Code: peridotpath.CodeUnknownProfile, Detail: name}
 	}
-	deadline, result := exchange.deadline(profile)
+	deadline, result := exchange.requestDeadline(profile)
 	if result != nil {
 		return result
 	}
-	body, free, result := server.read(exchange, deadline)
+	body, release, result := server.readBody(exchange, deadline)
 	if result != nil {
 		return result
 	}
-	defer free()
+	defer release()
 	target = "/" + target
 	if query := exchange.request.URL.RawQuery; query != "" {
 		target += "?" + query
 	}
-	exchange.serve(&decide.Work{
+	exchange.setWork(&decide.Work{
 		ID: exchange.id, Customer: exchange.customer, Profile: profile,
-		Arrived: exchange.arrived, Deadline: deadline,
+		Arrived: exchange.arrivedAt, Deadline: deadline,
 	})
 	call := &service.Request{
 		ID: exchange.id, Method: exchange.request.Method, Target: target,
 		Header: exchange.request.Header, Body: body,
 	}
-	return server.once(exchange, body, func(ctx context.Context, maySend func() error) *peridotpath.Result {
-		return server.DoPlain(ctx, exchange.work, call, maySend, &beginning{exchange.writer, exchange})
+	return server.runOnce(exchange, body, func(ctx context.Context, maySend func() error) *peridotpath.Result {
+		return server.DoPlain(ctx, exchange.work, call, maySend, &startMarker{exchange.writer, exchange})
 	})
 }
 
-// beginning notes that the answer has begun, so that a later failure is not
-// written into the middle of it.
-type beginning struct {
+// startMarker records that the answer has begun, so that a later failure is not
+// written into it.
+type startMarker struct {
 	http.ResponseWriter
 	exchange *exchange
 }
 
-// WriteHeader writes the answer's status.
-func (beginning *beginning) WriteHeader(status int) {
-	beginning.exchange.begun = true
-	beginning.exchange.opaque = true
-	beginning.ResponseWriter.WriteHeader(status)
+// WriteHeader marks the answer as begun and writes the status.
+func (startMarker *startMarker) WriteHeader(status int) {
+	startMarker.exchange.answerBegun = true
+	startMarker.exchange.isOpaque = true
+	startMarker.ResponseWriter.WriteHeader(status)
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (beginning *beginning) Unwrap() http.ResponseWriter { return beginning.ResponseWriter }
+func (startMarker *startMarker) Unwrap() http.ResponseWriter { return startMarker.ResponseWriter }
--- a/peridotpath/caller/resume_test.go
+++ b/peridotpath/caller/resume_test.go
@@ -19,45 +19,44 @@
 )
 
 const (
-	here  = "10.0.0.1:8080"
-	there = "10.0.0.2:8080"
+	firstAddress  = "10.0.0.1:8080"
+	secondAddress = "10.0.0.2:8080"
 )
 
-// pair starts two instances on the network; they share what the platform holds.
-func (stack *stack) pair(t *testing.T) {
+// startPair starts two instances on the network that share one platform.
+func (testStack *testStack) startPair(t *testing.T) {
 	t.Helper()
-	_, first := stack.instance(t, "i1")
-	_, second := stack.instance(t, "i2")
-	stack.network.Serve(here, first)
-	stack.network.Serve(there, second)
+	_, first := testStack.instance(t, "i1")
+	_, second := testStack.instance(t, "i2")
+	testStack.network.Serve(firstAddress, first)
+	testStack.network.Serve(secondAddress, second)
 	synctest.Wait()
 }
 
-// A volunteer reads a line when her instance dies. Her browser goes on at
-// another one after the last event that it has, wherever the break fell. A word
-// that came twice would be a false variant reading, one that was left out a
-// lost one; both instances know nothing of the stream but the cursor.
-func TestResumeElsewhereAtEveryToken(t *testing.T) {
+// An instance dies in the middle of a stream, and the client resumes at another
+// instance after its last event, at every possible position. No token may be
+// repeated or lost. The instances share no state of the stream but the cursor.
+func TestResumeAtAnotherInstanceAfterEveryToken(t *testing.T) {
 	const tokens = 20
-	body := lineBody("leaf 12, line 4", tokens, true)
+	body := completionBody("leaf 12, line 4", tokens, true)
 	want := enginetest.Answer(enginetest.Seed([]byte(body)), tokens)
 	for boundary := 1; ; boundary++ {
-		var first, rest *stream
+		var first, rest *receivedStream
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			stack := newStack()
-			defer stack.close(t)
-			stack.pair(t)
-			response := stack.ask(t.Context(), t, here, apiKey, body, nil)
+			stack := newTestStack()
+			defer stack.stop(t)
+			stack.startPair(t)
+			response := stack.sendCompletion(t.Context(), t, firstAddress, apiKey, body, nil)
 			first = readStream(response.Body, boundary)
 			if first.done {
 				response.Body.Close()
 				return
 			}
 			is.Equal(len(first.cursors), boundary) // a cursor with each event
-			stack.network.Serve(here, nil)         // it dies
+			stack.network.Serve(firstAddress, nil) // the instance dies
 			response.Body.Close()
-			response = stack.ask(t.Context(), t, there, apiKey, body, map[string]string{caller.HeaderLastEventID: first.cursors[boundary-1]})
+			response = stack.sendCompletion(t.Context(), t, secondAddress, apiKey, body, map[string]string{caller.HeaderLastEventID: first.cursors[boundary-1]})
 			rest = readStream(response.Body, 0)
 			response.Body.Close()
 			is.Equal(first.text+rest.text, want) // each token once
@@ -65,50 +64,49 @@
 			is.Equal(stack.engine.Counts().Total.Runs, 1)
 		})
 		if first.done {
-			is.New(t).True(boundary > tokens) // every boundary had its turn
+			is.New(t).True(boundary > tokens) // every boundary was tested
 			return
 		}
 	}
 }
 
-// Someone takes a cursor from a log and tries it with their own key, changes
-// it, or comes with it when the stream or its time is over. Each must be
-// refused with its code: an answer shown to another customer is a passenger's
-// claim in a stranger's hands, and a wait without end is no answer.
-func TestCursorsThatOpenNothing(t *testing.T) {
+// A cursor is used with another customer's key, modified, or used after the stream
+// or its deadline has ended. Each must be refused with its code, at once: otherwise
+// one customer could read another's answer, or a caller would wait without limit.
+func TestUnusableCursors(t *testing.T) {
 	tests := []struct {
 		name   string
-		change func(stack *stack, text string) string
+		change func(stack *testStack, text string) string
 		key    string
 		wait   time.Duration
 		code   string
 	}{
-		{"forged", func(_ *stack, text string) string { return string(text[0]^1) + text[1:] }, apiKey, 0, "1009"},
-		{"signed with another secret", func(_ *stack, text string) string {
+		{"forged", func(_ *testStack, text string) string { return string(text[0]^1) + text[1:] }, apiKey, 0, "1009"},
+		{"signed with another secret", func(_ *testStack, text string) string {
 			other := &cursor.Signer{}
 			other.SetSecret([]byte("another fleet's"))
 			return string(cursor.At(nil, other.Token("desk", cursor.Stream{Endpoint: "engine-1", ID: "engine-1"}), 1))
 		}, apiKey, 0, "1009"},
 		{"another customer's", nil, airlineKey, 0, "1009"},
-		{"no offset", func(_ *stack, text string) string { return text[:strings.IndexByte(text, '.')] }, apiKey, 0, "1009"},
-		{"negative offset", func(_ *stack, text string) string { return text[:strings.IndexByte(text, '.')] + ".-1" }, apiKey, 0, "1009"},
-		{"engine left the fleet", func(stack *stack, text string) string { stack.endpoints = stack.endpoints[1:]; return text }, apiKey, 0, "3005"},
-		{"engine forgot the stream", func(stack *stack, text string) string {
-			stack.network.Serve(stackEngine, (&enginetest.Engine{Name: "engine"}).Handler())
+		{"no offset", func(_ *testStack, text string) string { return text[:strings.IndexByte(text, '.')] }, apiKey, 0, "1009"},
+		{"negative offset", func(_ *testStack, text string) string { return text[:strings.IndexByte(text, '.')] + ".-1" }, apiKey, 0, "1009"},
+		{"engine left the fleet", func(stack *testStack, text string) string { stack.endpoints = stack.endpoints[1:]; return text }, apiKey, 0, "3005"},
+		{"engine forgot the stream", func(stack *testStack, text string) string {
+			stack.network.Serve(engineAddress, (&enginetest.Engine{Name: "engine"}).Handler())
 			return text
 		}, apiKey, 0, "3005"},
-		{"engine is dead", func(stack *stack, text string) string { stack.network.Serve(stackEngine, nil); return text }, apiKey, 0, "3005"},
+		{"engine is dead", func(stack *testStack, text string) string { stack.network.Serve(engineAddress, nil); return text }, apiKey, 0, "3005"},
 		{"cancelled after the resume window", nil, apiKey, 15 * time.Second, "3005"},
-		{"past its deadline", nil, apiKey, lineTime + time.Second, "4001"},
+		{"past its deadline", nil, apiKey, lineDeadline + time.Second, "4001"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				stack := newStack()
-				defer stack.close(t)
-				stack.pair(t)
-				response := stack.ask(t.Context(), t, here, apiKey, lineBody("leaf 12", 400, true), nil)
+				stack := newTestStack()
+				defer stack.stop(t)
+				stack.startPair(t)
+				response := stack.sendCompletion(t.Context(), t, firstAddress, apiKey, completionBody("leaf 12", 400, true), nil)
 				begun := readStream(response.Body, 3)
 				is.Equal(len(begun.cursors), 3)
 				text := begun.cursors[2]
@@ -118,8 +116,8 @@
 				}
 				time.Sleep(test.wait)
 				began := time.Now()
-				answer := stack.readAll(t.Context(), t, "http://"+there+engine.PathCompletions, test.key, "", map[string]string{caller.HeaderLastEventID: text})
-				is.Equal(codeOf(answer.text), test.code)
+				answer := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, test.key, "", map[string]string{caller.HeaderLastEventID: text})
+				is.Equal(failureCode(answer.text), test.code)
 				is.True(answer.status >= http.StatusBadRequest) // a refusal, not a stream
 				is.True(time.Since(began) <= 2*time.Second)     // at once
 			})
@@ -127,27 +125,27 @@
 	}
 }
 
-// Two desks of different airlines number their requests from 1 and use the same
-// numbers as idempotency keys. Each must get the answer to its own claim, also
-// when both run at the same time and at the same instance.
+// Two customers use the same request ids and idempotency keys. Each must get the
+// answer to its own request, also when both run at the same time and at the same
+// instance.
 func TestSameRequestIDOfTwoCustomers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		stack := newStack()
+		stack := newTestStack()
 		stack.service.CallDuration = time.Second
-		defer stack.close(t)
-		stack.pair(t)
+		defer stack.stop(t)
+		stack.startPair(t)
 		header := map[string]string{caller.HeaderRequestID: "1", caller.HeaderIdempotencyKey: "1"}
 		keys := []string{apiKey, airlineKey}
-		type pairOf struct{ line, claim string }
-		answers := make([]pairOf, len(keys))
+		type answerPair struct{ line, claim string }
+		answers := make([]answerPair, len(keys))
 		done := make(chan struct{})
 		for i, key := range keys {
 			go func() {
 				defer func() { done <- struct{}{} }()
-				line := stack.readAll(t.Context(), t, "http://"+here+engine.PathCompletions, key, lineBody("claim of "+key, 20, true), header)
+				line := stack.requestAll(t.Context(), t, "http://"+firstAddress+engine.PathCompletions, key, completionBody("claim of "+key, 20, true), header)
 				answers[i].line = readStream(strings.NewReader(line.text), 0).text
-				claim := stack.readAll(t.Context(), t, "http://"+here+"/services/acknowledge/claims", key, `{"claim":"the same"}`, header)
+				claim := stack.requestAll(t.Context(), t, "http://"+firstAddress+"/services/acknowledge/claims", key, `{"claim":"the same"}`, header)
 				answers[i].claim = claim.text + claim.header.Get(caller.HeaderReplayed)
 			}()
 		}
@@ -155,24 +153,24 @@
 			<-done
 		}
 		for i, key := range keys {
-			want := enginetest.Answer(enginetest.Seed([]byte(lineBody("claim of "+key, 20, true))), 20)
+			want := enginetest.Answer(enginetest.Seed([]byte(completionBody("claim of "+key, 20, true))), 20)
 			is.Equal(answers[i].line, want)
 			is.True(strings.Contains(answers[i].claim, `"service":"desk-app"`))
-			is.True(!strings.HasSuffix(answers[i].claim, "true")) // not the other's answer played back
+			is.True(!strings.HasSuffix(answers[i].claim, "true")) // not a replay of the other customer's answer
 		}
 		is.Equal(stack.service.Counts().Total.Runs, 2) // one for each customer
 	})
 }
 
-// A volunteer's instance dies during an outage of the key-value service and the
-// balancer sends her to one that has just started: it cannot tell a good cursor
-// yet. Told "bad cursor" her client would throw the line away; told to come back
-// it gets the rest once the outage is over.
-func TestResumeDuringAnOutage(t *testing.T) {
+// An instance dies during an outage of the key-value service, and the client resumes
+// at one that has just started and cannot verify cursors yet. After a bad_cursor
+// failure the client would discard the stream; after a retryable failure it gets the
+// rest when the outage is over.
+func TestResumeDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		stack := newStack()
-		defer stack.close(t)
+		stack := newTestStack()
+		defer stack.stop(t)
 		var down atomic.Bool
 		stack.platform.Fault = func(context.Context, string, string, bool) error {
 			if down.Load() {
@@ -181,23 +179,23 @@
 			return nil
 		}
 		_, first := stack.instance(t, "i1")
-		stack.network.Serve(here, first)
+		stack.network.Serve(firstAddress, first)
 		synctest.Wait()
-		body := lineBody("leaf 12", 400, true)
-		response := stack.ask(t.Context(), t, here, apiKey, body, nil)
+		body := completionBody("leaf 12", 400, true)
+		response := stack.sendCompletion(t.Context(), t, firstAddress, apiKey, body, nil)
 		begun := readStream(response.Body, 3)
 		down.Store(true)
-		stack.network.Serve(here, nil)
+		stack.network.Serve(firstAddress, nil)
 		response.Body.Close()
 		_, second := stack.instance(t, "i2")
-		stack.network.Serve(there, second)
+		stack.network.Serve(secondAddress, second)
 		header := map[string]string{caller.HeaderLastEventID: begun.cursors[2]}
-		refused := stack.readAll(t.Context(), t, "http://"+there+engine.PathCompletions, apiKey, body, header)
+		refused := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, apiKey, body, header)
 		is.Equal(refused.status, http.StatusServiceUnavailable)
 		is.True(refused.header.Get("Retry-After") != "")
 		down.Store(false)
 		time.Sleep(3 * time.Second)
-		answer := stack.readAll(t.Context(), t, "http://"+there+engine.PathCompletions, apiKey, body, header)
+		answer := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, apiKey, body, header)
 		rest := readStream(strings.NewReader(answer.text), 0)
 		is.Equal(begun.text+rest.text, enginetest.Answer(enginetest.Seed([]byte(body)), 400))
 	})
--- a/peridotpath/caller/server.go
+++ b/peridotpath/caller/server.go
@@ -1,6 +1,12 @@
-// Package caller speaks HTTP to callers: the completion and chat-completion
-// interface that clients of language models already use, with streams as
+// Package caller is the HTTP interface to callers: the completion and
+// chat-completion API that clients of language models already use, with streams as
 // server-sent events, and plain services under a path prefix.
+//
+// It authenticates callers, estimates prompt lengths, runs requests with an
+// idempotency key at most once and resumes streams by signed cursor. Against slow
+// or stalled clients and under floods of large prompts it bounds memory and time:
+// body memory, a minimum upload rate, and read and write deadlines derived from the
+// request's deadline.
 package caller
 
 import (
@@ -35,38 +41,40 @@
 	HeaderLastEventID    = "Last-Event-Id"
 )
 
-// Server answers callers. Set the exported fields before Routes.
+// Server serves callers. Set the exported fields before Routes.
 type Server struct {
 	Log zerolog.Logger
-	// Config returns the configuration in force, nil before there is one.
+	// Config returns the active configuration, nil before there is one.
 	Config func() *peridotpath.Config
-	// Ready, when set, reports whether the configuration is recent enough to take
-	// new callers by.
+	// Ready, when set, reports whether the configuration is recent enough to admit
+	// new callers.
 	Ready func() bool
-	// MaxActive bounds the requests that are served at a time; zero for no bound.
-	// The load it is made for is callers that open connections without end: each
-	// takes memory before anything is known of its request.
+	// MaxActive bounds the concurrent requests; zero for no bound. It matters when
+	// callers open connections without limit: each uses memory before its request
+	// is parsed.
 	MaxActive int
-	// MaxHeaderBytes bounds the headers of a request; zero for no bound.
+	// MaxHeaderBytes bounds the size of a request's headers; zero for no bound.
 	MaxHeaderBytes peridotpath.Bytes
-	// Do runs a request; Continue goes on with a stream by its cursor.
+	// Do runs a prompt, Continue resumes a stream by cursor, and DoPlain makes a call
+	// to a plain service.
 	Do       func(ctx context.Context, request *dispatch.Request, sink *dispatch.Sink) *peridotpath.Result
 	Continue func(ctx context.Context, work *decide.Work, endpoint peridotpath.Endpoint, id string, after int64, sink *dispatch.Sink) *peridotpath.Result
 	DoPlain  func(ctx context.Context, work *decide.Work, call *service.Request, maySend func() error, writer http.ResponseWriter) *peridotpath.Result
 	// Claims is the ledger of idempotency keys.
 	Claims *claim.Ledger
-	// Endpoint returns the endpoint with that id, if the fleet has it.
+	// Endpoint returns the endpoint with the given id, if the fleet has it.
 	Endpoint func(id peridotpath.EndpointID) (peridotpath.Endpoint, bool)
-	// EngineHolds returns the KV memory of the service's largest engine.
+	// EngineHolds returns the KV cache size of the service's largest engine.
 	EngineHolds func(service peridotpath.Service) peridotpath.Tokens
-	// IsPlain, when set, reports whether the service's endpoints are no engines.
+	// IsPlain, when set, reports whether the service is a plain one, not of engines.
 	IsPlain func(service peridotpath.Service) bool
-	// Oversize, when set, is told of each prompt that no single engine holds.
+	// Oversize, when set, is called for each request that exceeds the KV cache of
+	// every single engine.
 	Oversize func(service peridotpath.Service, tokens peridotpath.Tokens)
 	Signer   *cursor.Signer
 	Bodies   *Bodies
 
-	estimator estimator
+	estimator tokenEstimator
 	stopping  atomic.Bool
 	active    atomic.Int64
 }
@@ -74,16 +82,16 @@
 // Routes returns the routes for go-zero's rest.
 func (server *Server) Routes() []rest.Route {
 	return []rest.Route{
-		{Method: http.MethodPost, Path: engine.PathCompletions, Handler: server.handle(server.complete)},
-		{Method: http.MethodPost, Path: engine.PathChatCompletions, Handler: server.handle(server.complete)},
-		{Method: http.MethodGet, Path: "/v1/streams", Handler: server.handle(server.resume)},
-		{Method: http.MethodGet, Path: "/v1/models", Handler: server.handle(server.models)},
-		{Method: http.MethodGet, Path: "/health/live", Handler: server.live},
-		{Method: http.MethodGet, Path: "/health/ready", Handler: server.ready},
+		{Method: http.MethodPost, Path: engine.PathCompletions, Handler: server.newHandler(server.serveCompletion)},
+		{Method: http.MethodPost, Path: engine.PathChatCompletions, Handler: server.newHandler(server.serveCompletion)},
+		{Method: http.MethodGet, Path: "/v1/streams", Handler: server.newHandler(server.resumeStream)},
+		{Method: http.MethodGet, Path: "/v1/models", Handler: server.newHandler(server.listModels)},
+		{Method: http.MethodGet, Path: "/health/live", Handler: server.serveLive},
+		{Method: http.MethodGet, Path: "/health/ready", Handler: server.serveReady},
 	}
 }
 
-// Stop makes the instance not ready; what comes in all the same is still served.
+// Stop makes the instance not ready. Requests that still arrive are served.
 func (server *Server) Stop() { server.stopping.Store(true) }
 
 // Stopping reports whether Stop was called.
@@ -97,16 +105,16 @@
 	return server.Ready == nil || server.Ready()
 }
 
-// Active returns how many requests are being served.
+// Active returns the number of requests that are being served.
 func (server *Server) Active() int64 { return server.active.Load() }
 
-func (server *Server) live(writer http.ResponseWriter, _ *http.Request) {
+func (server *Server) serveLive(writer http.ResponseWriter, _ *http.Request) {
 	writer.WriteHeader(http.StatusOK)
 }
 
-// ready answers the balancer. An Instance without configuration or about to
-// stop asks for no new callers, but still serves the ones that come.
-func (server *Server) ready(writer http.ResponseWriter, _ *http.Request) {
+// serveReady serves the balancer's readiness check. An Instance without configuration or
+// about to stop is not ready, but still serves the requests that it receives.
+func (server *Server) serveReady(writer http.ResponseWriter, _ *http.Request) {
 	if !server.IsReady() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -114,58 +122,58 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// exchange is one caller's request while it is being served.
+// exchange is the state of one request while it is being served.
 type exchange struct {
-	id       peridotpath.RequestID
-	customer *peridotpath.Customer
-	config   *peridotpath.Config
-	request  *http.Request
-	writer   http.ResponseWriter
-	arrived  time.Time
-	work     *decide.Work
-	// begun says that part of the answer was written; opaque, that it is of a
-	// form in which no failure can be told.
-	begun  bool
-	opaque bool
-	// bodyRead says that nothing of the body is left on the connection.
-	bodyRead bool
+	id        peridotpath.RequestID
+	customer  *peridotpath.Customer
+	config    *peridotpath.Config
+	request   *http.Request
+	writer    http.ResponseWriter
+	arrivedAt time.Time
+	work      *decide.Work
+	// answerBegun is set once part of the answer was written. isOpaque is set if the answer
+	// has a format in which no failure can be reported.
+	answerBegun bool
+	isOpaque    bool
+	// bodyConsumed is set if no part of the body remains unread on the connection.
+	bodyConsumed bool
 }
 
-// writeMargin is how long after its deadline a request's answer may still be
-// written: the failure that says so has to go out.
-const writeMargin = time.Second
+// writeGracePeriod is how long after a request's deadline its answer may still be
+// written, so that the deadline failure itself can be sent.
+const writeGracePeriod = time.Second
 
-// serve notes the work that the exchange is about. Its caller may stop reading
-// without closing the connection. The writes then block, and would hold an
-// engine's stream or a service's connection, and a planned stop with them, for
-// as long as the caller likes; they fail at the deadline instead.
-func (exchange *exchange) serve(work *decide.Work) {
+// setWork sets the exchange's work and the write deadline. A caller may stop reading
+// without closing the connection. Without a deadline its writes would block
+// indefinitely and hold an engine's stream or a service's connection, and with them
+// a planned stop.
+func (exchange *exchange) setWork(work *decide.Work) {
 	exchange.work = work
-	exchange.writeUntil(work.Deadline.Add(writeMargin))
+	exchange.setWriteDeadline(work.Deadline.Add(writeGracePeriod))
 }
 
-func (exchange *exchange) writeUntil(limit time.Time) {
-	_ = http.NewResponseController(exchange.writer).SetWriteDeadline(limit)
+func (exchange *exchange) setWriteDeadline(deadline time.Time) {
+	_ = http.NewResponseController(exchange.writer).SetWriteDeadline(deadline)
 }
 
-// handle wraps a handler with what all share: an id, the customer, the final
-// answer of a failure, one log line and the counters.
-func (server *Server) handle(serve func(*exchange) *peridotpath.Result) http.HandlerFunc {
+// newHandler wraps a handler with the steps that all requests share: the request id,
+// authentication, the limits, the failure response, one log line and the counters.
+func (server *Server) newHandler(serve func(*exchange) *peridotpath.Result) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		server.active.Add(1)
 		defer server.active.Add(-1)
-		exchange := &exchange{id: requestID(request), request: request, writer: writer, arrived: time.Now()}
-		exchange.bodyRead = request.ContentLength == 0
+		exchange := &exchange{id: requestID(request), request: request, writer: writer, arrivedAt: time.Now()}
+		exchange.bodyConsumed = request.ContentLength == 0
 		writer.Header().Set(HeaderRequestID, string(exchange.id))
 		if server.Stopping() {
-			// Connections in use would be closed under their callers when the notice
-			// is over, with a request on the way to them perhaps lost; one that closes
-			// with its answer has its caller connect anew, to another instance.
+			// Connections that stay open would be closed when the notice period ends,
+			// and a request in transit could be lost. After a connection that closes
+			// with its answer the caller reconnects, to another instance.
 			writer.Header().Set("Connection", "close")
 		}
 		result := server.authenticate(exchange)
 		if server.MaxActive > 0 && server.Active() > int64(server.MaxActive) {
-			result = &peridotpath.Result{Code: peridotpath.CodeBodyMemory, RetryAfter: retryBodies, Detail: "too many requests at a time"}
+			result = &peridotpath.Result{Code: peridotpath.CodeBodyMemory, RetryAfter: memoryRetryAfter, Detail: "too many requests at a time"}
 		}
 		if server.MaxHeaderBytes > 0 && HeaderBytes(request) > server.MaxHeaderBytes {
 			result = &peridotpath.Result{Code: peridotpath.CodeHeaderTooLarge}
@@ -173,11 +181,11 @@
 		if result == nil {
 			result = serve(exchange)
 		}
-		server.finish(exchange, result)
+		server.finishExchange(exchange, result)
 	}
 }
 
-// HeaderBytes returns about how many bytes the headers took.
+// HeaderBytes returns the approximate size of the request line and the headers.
 func HeaderBytes(request *http.Request) peridotpath.Bytes {
 	const separators = len(": \r\n")
 	size := len(request.RequestURI)
@@ -189,17 +197,17 @@
 	return peridotpath.Bytes(size)
 }
 
-// NotFound answers what nothing is served under.
+// NotFound returns the handler of unknown paths.
 func (server *Server) NotFound() http.Handler {
-	return server.handle(func(*exchange) *peridotpath.Result {
+	return server.newHandler(func(*exchange) *peridotpath.Result {
 		return &peridotpath.Result{Code: peridotpath.CodeNotFound}
 	})
 }
 
 const maxRequestID = 128
 
-// requestID keeps the caller's own id where it has a sane one. Nothing is
-// looked up by it, so two callers with the same id cannot meet.
+// requestID returns the caller's own id if it is valid, or else a new one. No state
+// is keyed by it, so equal ids of two callers cannot collide.
 func requestID(request *http.Request) peridotpath.RequestID {
 	id := request.Header.Get(HeaderRequestID)
 	if id == "" || len(id) > maxRequestID || strings.ContainsAny(id, "\r\n\t ") {
@@ -223,21 +231,21 @@
 	return nil
 }
 
-// finish gives a failure its answer at once, counts it and logs the request.
-func (server *Server) finish(exchange *exchange, result *peridotpath.Result) {
+// finishExchange writes the answer of a failure, counts the result and logs the request.
+func (server *Server) finishExchange(exchange *exchange, result *peridotpath.Result) {
 	code := peridotpath.CodeOK
 	if result != nil {
 		code = result.Code
-		defer exchange.fail(result)
+		defer exchange.writeFailure(result)
 	}
 	telemetry.CountResult(code)
 	event := server.Log.Info().Str("request", string(exchange.id)).Int("code", int(code)).
-		Str("result", code.String()).Dur("took_ms", time.Since(exchange.arrived))
+		Str("result", code.String()).Dur("took_ms", time.Since(exchange.arrivedAt))
 	if exchange.customer != nil {
 		event = event.Str("customer", string(exchange.customer.ID))
 	}
 	if work := exchange.work; work != nil {
-		telemetry.RecordRequestTime(work.Class, time.Since(exchange.arrived))
+		telemetry.RecordRequestTime(work.Class, time.Since(exchange.arrivedAt))
 		event = event.Str("profile", string(work.Profile.Name)).Str("length", work.Class.String()).Int("attempts", work.Attempts)
 	}
 	if result != nil && result.Detail != "" {
--- a/peridotpath/caller/sink.go
+++ b/peridotpath/caller/sink.go
@@ -9,55 +9,55 @@
 	"peridotpath.example/peridotpath/dispatch"
 )
 
-// answer writes one answer to its caller.
-type answer struct {
+// answerWriter writes an answer to its caller.
+type answerWriter struct {
 	exchange   *exchange
 	work       *decide.Work
 	signer     *cursor.Signer
 	controller *http.ResponseController
-	// token is what the cursors of the stream's events share; empty for none.
-	token string
-	// buffer is the last event as it was written; its memory serves the next.
-	buffer []byte
+	// cursorToken is the common part of the cursors of the stream's events; empty for none.
+	cursorToken string
+	// eventBuffer has the last event as written; its memory is reused for the next.
+	eventBuffer []byte
 }
 
-// sink returns where the dispatcher is to put the answer of the exchange.
-func (server *Server) sink(exchange *exchange, work *decide.Work) *dispatch.Sink {
-	answer := &answer{
+// answerSink returns the sink to which the dispatcher writes the exchange's answer.
+func (server *Server) answerSink(exchange *exchange, work *decide.Work) *dispatch.Sink {
+	answerWriter := &answerWriter{
 		exchange: exchange, work: work, signer: server.Signer,
 		controller: http.NewResponseController(exchange.writer),
 	}
-	return &dispatch.Sink{Start: answer.start, Event: answer.event, Whole: answer.whole}
+	return &dispatch.Sink{Start: answerWriter.begin, Event: answerWriter.writeEvent, Whole: answerWriter.writeWhole}
 }
 
-func (answer *answer) start(_ http.Header, endpoint peridotpath.EndpointID, stream string) {
-	answer.exchange.begun = true
-	answer.exchange.writer.Header().Set(HeaderEndpoint, string(endpoint))
+func (answerWriter *answerWriter) begin(_ http.Header, endpoint peridotpath.EndpointID, stream string) {
+	answerWriter.exchange.answerBegun = true
+	answerWriter.exchange.writer.Header().Set(HeaderEndpoint, string(endpoint))
 	if stream != "" {
-		answer.token = answer.signer.Token(answer.work.Customer.ID, cursor.Stream{
-			Endpoint: endpoint, ID: stream, Profile: answer.work.Profile.Name, DeadlineMS: answer.work.Deadline.UnixMilli(),
+		answerWriter.cursorToken = answerWriter.signer.Token(answerWriter.work.Customer.ID, cursor.Stream{
+			Endpoint: endpoint, ID: stream, Profile: answerWriter.work.Profile.Name, DeadlineMS: answerWriter.work.Deadline.UnixMilli(),
 		})
 	}
 }
 
-// event writes and flushes one server-sent event.
-func (answer *answer) event(offset int64, data []byte) error {
-	if len(answer.buffer) == 0 {
-		header := answer.exchange.writer.Header()
+// writeEvent writes and flushes one server-sent event.
+func (answerWriter *answerWriter) writeEvent(offset int64, data []byte) error {
+	if len(answerWriter.eventBuffer) == 0 {
+		header := answerWriter.exchange.writer.Header()
 		header.Set("Content-Type", "text/event-stream")
 		header.Set("Cache-Control", "no-cache")
 	}
-	answer.buffer = answer.appendEvent(answer.buffer[:0], offset, data)
-	if _, err := answer.exchange.writer.Write(answer.buffer); err != nil {
+	answerWriter.eventBuffer = answerWriter.appendEvent(answerWriter.eventBuffer[:0], offset, data)
+	if _, err := answerWriter.exchange.writer.Write(answerWriter.eventBuffer); err != nil {
 		return err
 	}
-	return answer.controller.Flush()
+	return answerWriter.controller.Flush()
 }
 
-func (answer *answer) appendEvent(buffer []byte, offset int64, data []byte) []byte {
-	if answer.token != "" {
+func (answerWriter *answerWriter) appendEvent(buffer []byte, offset int64, data []byte) []byte {
+	if answerWriter.cursorToken != "" {
 		buffer = append(buffer, "id: "...)
-		buffer = cursor.At(buffer, answer.token, offset)
+		buffer = cursor.At(buffer, answerWriter.cursorToken, offset)
 		buffer = append(buffer, '\n')
 	}
 	buffer = append(buffer, "data: "...)
@@ -65,9 +65,9 @@
 	return append(buffer, "\n\n"...)
 }
 
-// whole writes an answer that is not a stream.
-func (answer *answer) whole(body []byte) error {
-	answer.exchange.writer.Header().Set("Content-Type", "application/json")
-	_, err := answer.exchange.writer.Write(body)
+// writeWhole writes an answer that is not a stream.
+func (answerWriter *answerWriter) writeWhole(body []byte) error {
+	answerWriter.exchange.writer.Header().Set("Content-Type", "application/json")
+	_, err := answerWriter.exchange.writer.Write(body)
 	return err
 }
--- a/peridotpath/caller/stack_test.go
+++ b/peridotpath/caller/stack_test.go
@@ -30,17 +30,17 @@
 )
 
 const (
-	stackEngine  = "10.0.1.1:7100"
-	stackService = "10.0.2.1:7200"
-	airlineKey   = "airline-key"
+	engineAddress  = "10.0.1.1:7100"
+	serviceAddress = "10.0.2.1:7200"
+	airlineKey     = "airline-key"
 
-	lineTime        = 30 * time.Second
-	acknowledgeTime = 10 * time.Second
+	lineDeadline        = 30 * time.Second
+	acknowledgeDeadline = 10 * time.Second
 )
 
-// stack is whole instances, without sockets, before one engine, one replica of
-// a plain service and one platform.
-type stack struct {
+// testStack is a set of complete instances, without sockets, with one engine, one replica
+// of a plain service and one platform.
+type testStack struct {
 	network   enginetest.Network
 	platform  memory.Memory
 	engine    enginetest.Engine
@@ -53,13 +53,13 @@
 	ended  []chan error
 }
 
-func newStack() *stack {
-	stack := &stack{engine: enginetest.Engine{Name: "engine"}, service: servicetest.Service{Name: "desk-app"}}
+func newTestStack() *testStack {
+	stack := &testStack{engine: enginetest.Engine{Name: "engine"}, service: servicetest.Service{Name: "desk-app"}}
 	stack.ctx, stack.cancel = context.WithCancel(context.Background())
 	stack.config = &peridotpath.Config{
 		Profiles: []peridotpath.Profile{
-			{Name: "line", Service: "claims-llm", Idempotent: true, DeadlineMS: peridotpath.Millis(lineTime.Milliseconds())},
-			{Name: "acknowledge", Service: "desk-app", DeadlineMS: peridotpath.Millis(acknowledgeTime.Milliseconds())},
+			{Name: "line", Service: "claims-llm", Idempotent: true, DeadlineMS: peridotpath.Millis(lineDeadline.Milliseconds())},
+			{Name: "acknowledge", Service: "desk-app", DeadlineMS: peridotpath.Millis(acknowledgeDeadline.Milliseconds())},
 		},
 		Customers: []peridotpath.Customer{
 			{ID: "desk", KeySHA256: peridotpath.HashKey(apiKey)},
@@ -69,63 +69,63 @@
 	stack.config.Defaults()
 	stack.config.Index()
 	stack.endpoints = []peridotpath.Endpoint{
-		{ID: "engine-1", Service: "claims-llm", Kind: peridotpath.KindEngine, Address: netip.MustParseAddrPort(stackEngine), State: peridotpath.StateLive, KVTokens: 400_000},
-		{ID: "desk-1", Service: "desk-app", Kind: peridotpath.KindPlain, Address: netip.MustParseAddrPort(stackService), State: peridotpath.StateLive},
+		{ID: "engine-1", Service: "claims-llm", Kind: peridotpath.KindEngine, Address: netip.MustParseAddrPort(engineAddress), State: peridotpath.StateLive, KVTokens: 400_000},
+		{ID: "desk-1", Service: "desk-app", Kind: peridotpath.KindPlain, Address: netip.MustParseAddrPort(serviceAddress), State: peridotpath.StateLive},
 	}
-	stack.network.Serve(stackEngine, stack.engine.Handler())
-	stack.network.Serve(stackService, stack.service.Handler())
-	stack.run(stack.engine.Run)
+	stack.network.Serve(engineAddress, stack.engine.Handler())
+	stack.network.Serve(serviceAddress, stack.service.Handler())
+	stack.start(stack.engine.Run)
 	return stack
 }
 
-func (stack *stack) run(task func(context.Context) error) {
+func (testStack *testStack) start(task func(context.Context) error) {
 	ended := make(chan error, 1)
-	stack.ended = append(stack.ended, ended)
-	go func() { ended <- task(stack.ctx) }()
+	testStack.ended = append(testStack.ended, ended)
+	go func() { ended <- task(testStack.ctx) }()
 }
 
-func (stack *stack) close(t *testing.T) {
-	stack.network.Close()
-	stack.cancel()
-	for _, ended := range stack.ended {
+func (testStack *testStack) stop(t *testing.T) {
+	testStack.network.Close()
+	testStack.cancel()
+	for _, ended := range testStack.ended {
 		if err := <-ended; err != nil && !errors.Is(err, context.Canceled) {
 			t.Error(err)
 		}
 	}
 }
 
-// instance starts one instance, joined as peridotd joins it, and returns its
-// callers' side.
-func (stack *stack) instance(t *testing.T, id peridotpath.InstanceID) (*caller.Server, http.Handler) {
+// instance starts one instance, wired like in peridotd, and returns its Server and
+// handler.
+func (testStack *testStack) instance(t *testing.T, id peridotpath.InstanceID) (*caller.Server, http.Handler) {
 	t.Helper()
 	scheduler := &decide.Scheduler{Seed: 1}
-	scheduler.SetEndpoints(time.Now(), stack.endpoints)
-	engines := &engine.Client{Instance: id, Incarnation: 1, Do: stack.network.Do}
+	scheduler.SetEndpoints(time.Now(), testStack.endpoints)
+	engines := &engine.Client{Instance: id, Incarnation: 1, Do: testStack.network.Do}
 	dispatcher := &dispatch.Dispatcher{
 		Scheduler: scheduler, Log: zerolog.Nop(), ResumeWindow: 10 * time.Second,
 		Send: engines.Send, Resume: engines.Resume, Cancel: engines.Cancel,
-		SendPlain: (&service.Client{Do: stack.network.Do}).Send,
+		SendPlain: (&service.Client{Do: testStack.network.Do}).Send,
 	}
 	ledger := &claim.Ledger{
-		Store: stack.platform.Store(), Instance: id, Incarnation: 1, Metrics: metrics.NewSet(),
+		Store: testStack.platform.Store(), Instance: id, Incarnation: 1, Metrics: metrics.NewSet(),
 		Alive: func(peridotpath.InstanceID, peridotpath.Incarnation) bool { return true },
 	}
 	signer := &cursor.Signer{}
 	server := &caller.Server{
-		Log: zerolog.Nop(), Config: func() *peridotpath.Config { return stack.config },
+		Log: zerolog.Nop(), Config: func() *peridotpath.Config { return testStack.config },
 		Do: dispatcher.Do, Continue: dispatcher.Continue, DoPlain: dispatcher.DoPlain,
-		Endpoint: stack.endpoint, EngineHolds: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
+		Endpoint: testStack.endpoint, EngineHolds: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
 		IsPlain: func(service peridotpath.Service) bool { return service == "desk-app" },
 		Claims:  ledger, Signer: signer, Bodies: caller.NewBodies(16<<20, 64<<20, 10*time.Second),
 	}
-	stack.run(dispatcher.Run)
-	stack.run(ledger.Run)
-	stack.run(func(ctx context.Context) error { return signer.Run(ctx, stack.platform.Store()) })
-	return server, routesOf(t, server)
+	testStack.start(dispatcher.Run)
+	testStack.start(ledger.Run)
+	testStack.start(func(ctx context.Context) error { return signer.Run(ctx, testStack.platform.Store()) })
+	return server, routesHandler(t, server)
 }
 
-func (stack *stack) endpoint(id peridotpath.EndpointID) (peridotpath.Endpoint, bool) {
-	for _, endpoint := range stack.endpoints {
+func (testStack *testStack) endpoint(id peridotpath.EndpointID) (peridotpath.Endpoint, bool) {
+	for _, endpoint := range testStack.endpoints {
 		if endpoint.ID == id {
 			return endpoint, true
 		}
@@ -133,8 +133,8 @@
 	return peridotpath.Endpoint{}, false
 }
 
-// routesOf serves what inbound.Listener serves.
-func routesOf(t *testing.T, server *caller.Server) http.Handler {
+// routesHandler returns a handler with the routes of inbound.Listener.
+func routesHandler(t *testing.T, server *caller.Server) http.Handler {
 	t.Helper()
 	routes := router.NewRouter()
 	for _, route := range server.Routes() {
@@ -151,20 +151,20 @@
 	})
 }
 
-// stream is what a caller has of a streamed answer.
-type stream struct {
+// receivedStream is the part of a streamed answer that a caller has received.
+type receivedStream struct {
 	text    string
 	cursors []string
-	// texts are the joined text after each event.
+	// texts has the joined text after each event.
 	texts []string
 	done  bool
-	// failure is the code of an error event, or of an answer that is no stream.
-	failure string
+	// failureCode is the code of an error event, or of an answer that is not a stream.
+	failureCode string
 }
 
-// readStream reads at most most events; zero stands for all.
-func readStream(body io.Reader, most int) *stream {
-	stream := &stream{}
+// readStream reads up to maxEvents events; zero means all.
+func readStream(body io.Reader, maxEvents int) *receivedStream {
+	stream := &receivedStream{}
 	lines := bufio.NewReader(body)
 	for {
 		line, err := lines.ReadString('\n')
@@ -182,19 +182,19 @@
 		case data == engine.Done:
 			stream.done = true
 		case strings.Contains(data, `"error":`):
-			stream.failure = codeOf(data)
+			stream.failureCode = failureCode(data)
 		default:
-			stream.text += textOf(data)
+			stream.text += eventText(data)
 		}
 		stream.texts = append(stream.texts, stream.text)
-		if len(stream.texts) == most {
+		if len(stream.texts) == maxEvents {
 			return stream
 		}
 	}
 }
 
-// textOf returns the text of an event.
-func textOf(data string) string {
+// eventText returns the text of an event.
+func eventText(data string) string {
 	_, rest, found := strings.Cut(data, `"text":"`)
 	if !found {
 		return ""
@@ -203,8 +203,8 @@
 	return text
 }
 
-// codeOf returns the number of a failure.
-func codeOf(body string) string {
+// failureCode returns the code number of a failure.
+func failureCode(body string) string {
 	_, rest, found := strings.Cut(body, `"number":`)
 	if !found {
 		return ""
@@ -213,17 +213,17 @@
 	return number
 }
 
-func lineBody(prompt string, tokens int, streamed bool) string {
+func completionBody(prompt string, tokens int, streamed bool) string {
 	return fmt.Sprintf(`{"model":"line","stream":%t,"max_tokens":%d,"prompt":%q}`, streamed, tokens, prompt)
 }
 
-// ask sends a line's request to an instance on the network.
-func (stack *stack) ask(ctx context.Context, t *testing.T, instance, key, body string, header map[string]string) *http.Response {
+// sendCompletion sends a completion request to an instance on the network.
+func (testStack *testStack) sendCompletion(ctx context.Context, t *testing.T, instance, key, body string, header map[string]string) *http.Response {
 	t.Helper()
-	return stack.send(ctx, t, "http://"+instance+engine.PathCompletions, key, body, header)
+	return testStack.send(ctx, t, "http://"+instance+engine.PathCompletions, key, body, header)
 }
 
-func (stack *stack) send(ctx context.Context, t *testing.T, url, key, body string, header map[string]string) *http.Response {
+func (testStack *testStack) send(ctx context.Context, t *testing.T, url, key, body string, header map[string]string) *http.Response {
 	t.Helper()
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -233,27 +233,27 @@
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	response, err := stack.network.Do(request)
+	response, err := testStack.network.Do(request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return response
 }
 
-// reply is an answer that was read to its end.
-type reply struct {
+// wholeResponse is an answer that was read to the end of its body.
+type wholeResponse struct {
 	status int
 	header http.Header
 	text   string
-	// broken says that the connection broke before the answer's end.
+	// broken is set if the connection broke before the answer's end.
 	broken bool
 }
 
-// readAll returns a whole answer.
-func (stack *stack) readAll(ctx context.Context, t *testing.T, url, key, body string, header map[string]string) reply {
+// requestAll sends a request and returns the whole answer.
+func (testStack *testStack) requestAll(ctx context.Context, t *testing.T, url, key, body string, header map[string]string) wholeResponse {
 	t.Helper()
-	response := stack.send(ctx, t, url, key, body, header)
+	response := testStack.send(ctx, t, url, key, body, header)
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	return reply{response.StatusCode, response.Header, string(text), err != nil}
+	return wholeResponse{response.StatusCode, response.Header, string(text), err != nil}
 }
