--- a/peridotpath/session/bad_input_test.go
+++ b/peridotpath/session/bad_input_test.go
@@ -20,25 +20,25 @@
 	"peridotpath.example/peridotpath/faults"
 )
 
-// reply is what a caller got.
-type reply struct {
+// callResponse is the response that a caller received.
+type callResponse struct {
 	status int
 	header http.Header
 	body   string
 	broken bool
 }
 
-// code is the numbered code of a failure, wherever it stands.
-func (reply *reply) code() peridotpath.Code {
-	text := reply.body
+// code returns the code number of a failure, from the body or from an error event.
+func (callResponse *callResponse) code() peridotpath.Code {
+	text := callResponse.body
 	if _, event, found := strings.Cut(text, "event: error\ndata: "); found {
 		text = event
 	}
 	return peridotpath.Code(gjson.Get(text, "error.number").Int())
 }
 
-// call makes one call at the fleet's first instance and reads the answer.
-func (fleet *fleet) call(t *testing.T, method, path string, body io.Reader, header map[string]string) *reply {
+// call makes one call at the fleet's first instance and reads its answer.
+func (fleet *fleet) call(t *testing.T, method, path string, body io.Reader, header map[string]string) *callResponse {
 	t.Helper()
 	address := fleet.instances[fleet.deployment.instances[0]].address
 	request, err := http.NewRequest(method, "http://"+address.String()+path, body)
@@ -49,31 +49,31 @@
 	for name, value := range header {
 		request.Header.Set(name, value)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), clientTimeout)
 	defer cancel()
 	response, err := fleet.network.Do(request.WithContext(ctx))
 	if err != nil {
-		return &reply{broken: true}
+		return &callResponse{broken: true}
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(response.Body)
-	return &reply{status: response.StatusCode, header: response.Header, body: string(text), broken: err != nil}
+	return &callResponse{status: response.StatusCode, header: response.Header, body: string(text), broken: err != nil}
 }
 
-// truncated ends before its length is reached, as when a sender dies.
-type truncated struct{ io.Reader }
+// truncatedBody is a body that fails at its end, as if its sender had died.
+type truncatedBody struct{ io.Reader }
 
-func (truncated truncated) Read(piece []byte) (int, error) {
-	n, err := truncated.Reader.Read(piece)
+func (truncatedBody truncatedBody) Read(piece []byte) (int, error) {
+	n, err := truncatedBody.Reader.Read(piece)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// Whatever a caller sends, it reads a clear error with its code, nothing runs,
-// and the instance serves the next caller.
-func TestBadRequests(t *testing.T) {
+// Each kind of invalid request must get an error with its code and run nowhere, and
+// the instance must serve the next caller.
+func TestInvalidRequests(t *testing.T) {
 	const path = engine.PathChatCompletions
 	good := `{"model":"line","max_tokens":2,"messages":[{"role":"user","content":"patra"}]}`
 	tests := []struct {
@@ -90,9 +90,9 @@
 		{"cut JSON", path, strings.NewReader(good[:40]), nil, peridotpath.CodeBadRequest},
 		{"brackets without end", path, bytes.NewReader(bytes.Repeat([]byte("["), 15<<20)), nil, peridotpath.CodeBadRequest},
 		{"no prompt", path, strings.NewReader(`{"model":"line"}`), nil, peridotpath.CodeBadRequest},
-		{"sender dies", path, truncated{strings.NewReader(good[:40])}, nil, peridotpath.CodeBodyIncomplete},
+		{"sender dies", path, truncatedBody{strings.NewReader(good[:40])}, nil, peridotpath.CodeBodyIncomplete},
 		{"too large", path, bytes.NewReader(make([]byte, 16<<20+1)), nil, peridotpath.CodeBodyTooLarge},
-		{"too large without a length", path, io.LimitReader(endless{}, 17<<20), nil, peridotpath.CodeBodyTooLarge},
+		{"too large without a length", path, io.LimitReader(endlessBody{}, 17<<20), nil, peridotpath.CodeBodyTooLarge},
 		{"unknown model", path, strings.NewReader(strings.Replace(good, "line", "gpt", 1)), nil, peridotpath.CodeUnknownProfile},
 		{"unknown profile", path, strings.NewReader(good), map[string]string{caller.HeaderProfile: "nobody's"}, peridotpath.CodeUnknownProfile},
 		{"unknown key", path, strings.NewReader(good), map[string]string{"Authorization": "Bearer x"}, peridotpath.CodeUnauthorized},
@@ -112,13 +112,13 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				fleet := newFleet(t, portal())
-				defer fleet.close()
-				bad := fleet.call(t, http.MethodPost, test.path, test.body, test.header)
-				is.Equal(bad.code(), test.code)
-				is.Equal(bad.status, test.code.Status())
-				is.Equal(bad.header.Get(caller.HeaderCode), fmt.Sprint(int(test.code)))
-				is.True(gjson.Get(bad.body, "error.not_run").Bool())
+				fleet := newFleet(t, portalDeployment())
+				defer fleet.stop()
+				response := fleet.call(t, http.MethodPost, test.path, test.body, test.header)
+				is.Equal(response.code(), test.code)
+				is.Equal(response.status, test.code.Status())
+				is.Equal(response.header.Get(caller.HeaderCode), fmt.Sprint(int(test.code)))
+				is.True(gjson.Get(response.body, "error.not_run").Bool())
 				is.Equal(fleet.engine.Counts().Total.Runs+fleet.services[0].Counts().Total.Runs+fleet.services[1].Counts().Total.Runs, 0)
 				next := fleet.call(t, http.MethodPost, path, strings.NewReader(good), nil)
 				is.Equal(next.status, http.StatusOK) // the next caller
@@ -127,72 +127,72 @@
 	}
 }
 
-// endless is a body without an end.
-type endless struct{}
+// endlessBody is an infinite body.
+type endlessBody struct{}
 
-func (endless) Read(piece []byte) (int, error) {
+func (endlessBody) Read(piece []byte) (int, error) {
 	for i := range piece {
 		piece[i] = 'a'
 	}
 	return len(piece), nil
 }
 
-// An endpoint that answers badly makes a failure with its code, never an answer
-// that looks whole; the one good attempt after it, where it is allowed, is whole.
-func TestBadAnswers(t *testing.T) {
+// An endpoint that answers badly must cause a failure with a code, never an answer
+// that looks complete, and no KV cache may stay in use at the engine.
+func TestInvalidEndpointAnswers(t *testing.T) {
 	kinds := []faults.Kind{faults.Empty, faults.Garbage, faults.Half, faults.Close, faults.Fail, faults.Hang}
 	for _, kind := range kinds {
 		for _, stream := range []bool{true, false} {
 			t.Run(fmt.Sprint(kind, " stream ", stream), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					is := is.New(t)
-					fleet := newFleet(t, portal())
-					defer fleet.close()
+					fleet := newFleet(t, portalDeployment())
+					defer fleet.stop()
 					fleet.engine.Faults.Set(faults.Fault{Kind: kind})
 					began := time.Now()
 					body := fmt.Sprintf(`{"model":"line","max_tokens":9,"stream":%t,"messages":[{"role":"user","content":"patra"}]}`, stream)
-					bad := fleet.call(t, http.MethodPost, engine.PathChatCompletions, strings.NewReader(body), nil)
-					is.True(bad.code() != 0) // a bad answer passed for a good one
-					is.True(!bad.code().NotRun() || kind == faults.Fail)
-					is.True(!strings.Contains(bad.body, engine.Done))
+					response := fleet.call(t, http.MethodPost, engine.PathChatCompletions, strings.NewReader(body), nil)
+					is.True(response.code() != 0) // a bad answer was delivered as a success
+					is.True(!response.code().NotRun() || kind == faults.Fail)
+					is.True(!strings.Contains(response.body, engine.Done))
 					is.True(time.Since(began) <= 11*time.Second)
 					time.Sleep(time.Minute)
 					load := fleet.engine.Load()
-					is.Equal(load.KVUsed, peridotpath.Tokens(0)) // memory was left behind
+					is.Equal(load.KVUsed, peridotpath.Tokens(0)) // KV cache was not freed
 				})
 			})
 		}
 	}
 }
 
-// A plain service that breaks off in the middle breaks the caller's connection:
-// half a page image must not look like a whole one.
-func TestHalfOfAPlainAnswer(t *testing.T) {
+// If a plain service's answer is interrupted, the caller's connection must break, so
+// that a partial page image does not look complete.
+func TestInterruptedPlainAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		fleet := newFleet(t, portal())
-		defer fleet.close()
+		fleet := newFleet(t, portalDeployment())
+		defer fleet.stop()
 		for i := range fleet.services {
 			fleet.services[i].Faults.Set(faults.Fault{Kind: faults.Half})
 		}
-		half := fleet.call(t, http.MethodGet, "/services/page-image/12.png", strings.NewReader(""), nil)
-		is.True(half.broken)
+		response := fleet.call(t, http.MethodGet, "/services/page-image/12.png", strings.NewReader(""), nil)
+		is.True(response.broken)
 	})
 }
 
-// A caller that vanishes leaves nothing behind on the engine once the time to
-// come back is over.
-func TestCallerVanishes(t *testing.T) {
+// After a caller disconnects, the engine must hold no KV cache for it once the
+// resume window has passed.
+func TestCallerDisconnects(t *testing.T) {
 	for _, stream := range []bool{true, false} {
 		t.Run(fmt.Sprint("stream ", stream), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				fleet := newFleet(t, portal())
-				defer fleet.close()
-				ctx, vanish := context.WithCancel(t.Context())
-				time.AfterFunc(102*time.Millisecond, vanish)
-				asked := chat(fleet.deployment.instances[0], "gone", "volunteers-key", "line", "patra", 200, stream)
-				response, err := fleet.network.Do(fleet.transcript.request(&asked).WithContext(ctx))
+				fleet := newFleet(t, portalDeployment())
+				defer fleet.stop()
+				ctx, disconnect := context.WithCancel(t.Context())
+				time.AfterFunc(102*time.Millisecond, disconnect)
+				request := chatRequest(fleet.deployment.instances[0], "gone", "volunteers-key", "line", "patra", 200, stream)
+				response, err := fleet.network.Do(fleet.transcript.newRequest(&request).WithContext(ctx))
 				if err == nil {
 					_, _ = io.Copy(io.Discard, response.Body)
 					response.Body.Close()
@@ -201,7 +201,7 @@
 				is.Equal(fleet.engine.Load().KVUsed, peridotpath.Tokens(0))
 				want := engine.Count{Runs: 1, Cancelled: 1}
 				if stream {
-					// It ran to its end while its caller could still come back.
+					// It ran to its end within the resume window.
 					want = engine.Count{Runs: 1, Finished: 1}
 				}
 				is.Equal(fleet.engine.Counts().Total, want)
--- a/peridotpath/session/claims_test.go
+++ b/peridotpath/session/claims_test.go
@@ -11,7 +11,7 @@
 	"peridotpath.example/peridotpath/faults"
 )
 
-func claimsDesk() *deployment {
+func claimsDeskDeployment() *deployment {
 	return &deployment{
 		llm: "claims-llm", plain: "desk-app",
 		instances:   []peridotpath.InstanceID{"colombo-a-1", "negombo-b-1"},
@@ -30,68 +30,68 @@
 	}
 }
 
-func acknowledgement(instance peridotpath.InstanceID, name, key, body string) ask {
-	return ask{
+func acknowledgementRequest(instance peridotpath.InstanceID, name, key, body string) clientRequest {
+	return clientRequest{
 		instance: instance, name: name, method: "POST", path: "/services/acknowledgement/claims/acknowledge?channel=sms",
 		key: "airline-key", body: body, header: map[string]string{"Idempotency-Key": key},
 	}
 }
 
-func chat(instance peridotpath.InstanceID, name, key, model, prompt string, output int, stream bool) ask {
-	return ask{
+func chatRequest(instance peridotpath.InstanceID, name, key, model, prompt string, output int, stream bool) clientRequest {
+	return clientRequest{
 		instance: instance, name: name, method: "POST", path: "/v1/chat/completions", key: key,
 		body: fmt.Sprintf(`{"model":%q,"stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`, model, stream, output, prompt),
 	}
 }
 
-// A flight is diverted and its airline files a batch of claims. A couple's desk
-// presses the button twice and again elsewhere; the platform has an outage; the
-// desk's service dies with a claim in its hands. Each claim is acknowledged
-// once or said to be unknown, and counter lookups pass a heavy dossier by.
-func TestClaimsDeskDiversion(t *testing.T) {
+// A session of a claims desk: a batch of claims, one claim sent concurrently and
+// again at another instance, an outage of the key-value service, and a service that
+// dies while it runs a claim. Each claim must be acknowledged once or reported as of
+// unknown outcome, and a short lookup must not wait behind a long prompt.
+func TestClaimsDeskSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		fleet := newFleet(t, claimsDesk())
-		defer fleet.close()
+		fleet := newFleet(t, claimsDeskDeployment())
+		defer fleet.stop()
 		session := fleet.transcript
 		const colombo, negombo = "colombo-a-1", "negombo-b-1"
 
-		session.title("a batch of claims, each acknowledged once")
+		session.appendTitle("a batch of claims, each acknowledged once")
 		for i := 1; i <= 3; i++ {
-			session.send(acknowledgement(colombo, fmt.Sprintf("batch-%d", i), fmt.Sprintf("claim-%d", i), fmt.Sprintf(`{"claim":%d}`, i)))
+			session.send(acknowledgementRequest(colombo, fmt.Sprintf("batch-%d", i), fmt.Sprintf("claim-%d", i), fmt.Sprintf(`{"claim":%d}`, i)))
 		}
 
-		session.title("the honeymoon couple's claim is sent twice at once, and again later elsewhere")
-		first := session.begin(acknowledgement(colombo, "couple-1", "claim-couple", `{"claim":"couple"}`))
+		session.appendTitle("a claim is sent twice concurrently, and again later at another instance")
+		first := session.startRequest(acknowledgementRequest(colombo, "couple-1", "claim-couple", `{"claim":"couple"}`))
 		time.Sleep(5 * time.Millisecond)
-		second := session.begin(acknowledgement(colombo, "couple-2", "claim-couple", `{"claim":"couple"}`))
+		second := session.startRequest(acknowledgementRequest(colombo, "couple-2", "claim-couple", `{"claim":"couple"}`))
 		first()
 		second()
 		time.Sleep(time.Second)
-		session.send(acknowledgement(negombo, "couple-3", "claim-couple", `{"claim":"couple"}`))
+		session.send(acknowledgementRequest(negombo, "couple-3", "claim-couple", `{"claim":"couple"}`))
 
-		session.title("a key comes with another body")
-		session.send(acknowledgement(negombo, "reused", "claim-couple", `{"claim":"somebody else's"}`))
+		session.appendTitle("a key is reused with another body")
+		session.send(acknowledgementRequest(negombo, "reused", "claim-couple", `{"claim":"somebody else's"}`))
 
-		session.title("the key-value service is down: nothing runs, and the caller is told so")
+		session.appendTitle("the key-value service is down: nothing runs, and the caller gets a not-run failure")
 		fleet.outage.Store(true)
-		session.send(acknowledgement(colombo, "outage-1", "claim-outage", `{"claim":"outage"}`))
+		session.send(acknowledgementRequest(colombo, "outage-1", "claim-outage", `{"claim":"outage"}`))
 		fleet.outage.Store(false)
 		time.Sleep(5 * time.Second)
-		session.send(acknowledgement(colombo, "outage-2", "claim-outage", `{"claim":"outage"}`))
+		session.send(acknowledgementRequest(colombo, "outage-2", "claim-outage", `{"claim":"outage"}`))
 
-		session.title("the desk's service dies with a claim in its hands")
+		session.appendTitle("the desk's service dies while it runs a claim")
 		for i := range fleet.services {
 			fleet.services[i].Faults.Set(faults.Fault{Kind: faults.Close, Count: 1})
 		}
-		session.send(acknowledgement(colombo, "death-1", "claim-death", `{"claim":"death"}`))
+		session.send(acknowledgementRequest(colombo, "death-1", "claim-death", `{"claim":"death"}`))
 		time.Sleep(time.Second)
-		session.send(acknowledgement(negombo, "death-2", "claim-death", `{"claim":"death"}`))
+		session.send(acknowledgementRequest(negombo, "death-2", "claim-death", `{"claim":"death"}`))
 
-		session.title("a dossier of 120,000 tokens with a counter lookup behind it")
+		session.appendTitle("a dossier of 120,000 tokens with a counter lookup behind it")
 		dossier := strings.Repeat("receipt and photograph. ", 120_000*4/24)
-		heavy := session.begin(chat(colombo, "dossier", "airline-key", "dossier", dossier, 3, false))
-		time.Sleep(103 * time.Millisecond) // not at a step of the engine
-		session.send(chat(negombo, "lookup", "counter-key", "counter-lookup", strings.Repeat("tag LK 4711? ", 400), 4, true))
+		heavy := session.startRequest(chatRequest(colombo, "dossier", "airline-key", "dossier", dossier, 3, false))
+		time.Sleep(103 * time.Millisecond) // not at an iteration of the engine
+		session.send(chatRequest(negombo, "lookup", "counter-key", "counter-lookup", strings.Repeat("tag LK 4711? ", 400), 4, true))
 		heavy()
 
 		time.Sleep(time.Minute)
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -1,7 +1,8 @@
-// Package session_test holds whole sessions of callers to golden files:
-// requests, answers, log lines and what the endpoints ran. Everything is the
-// real code but the endpoints, the platform and the sockets; the clock is that
-// of testing/synctest. "go test ./session -update" writes the files anew.
+// Package session_test compares whole sessions of callers with golden files:
+// requests, answers, log lines and the requests that the endpoints ran. All code is
+// the production code except the endpoints, the platform and the sockets, which are
+// fakes; the clock is that of testing/synctest. "go test ./session -update" rewrites
+// the files.
 package session_test
 
 import (
@@ -40,7 +41,7 @@
 	serviceAddress2 = "10.0.2.2:7200"
 )
 
-// deployment is what differs between the users.
+// deployment is the part of a fleet that differs between sessions.
 type deployment struct {
 	llm, plain  peridotpath.Service
 	instances   []peridotpath.InstanceID
@@ -48,12 +49,12 @@
 	config      *peridotpath.Config
 }
 
-// fleet is two instances before one engine and two replicas of a plain service.
+// fleet is two instances with one engine and two replicas of a plain service.
 type fleet struct {
 	deployment *deployment
 	network    enginetest.Network
 	platform   memory.Memory
-	// outage has every call to the platform fail.
+	// outage, while set, makes every call to the platform fail.
 	outage     atomic.Bool
 	engine     enginetest.Engine
 	services   [2]servicetest.Service
@@ -65,10 +66,10 @@
 	ended  []chan error
 }
 
-// instance is one process of the system.
+// instance is one instance of the fleet.
 type instance struct {
 	address netip.AddrPort
-	log     log
+	log     instanceLog
 }
 
 func newFleet(t *testing.T, deployment *deployment) *fleet {
@@ -92,21 +93,22 @@
 	for i, id := range deployment.instances {
 		fleet.startInstance(ctx, t, id, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 8080))
 	}
-	// The first load reports come in, and later ones at moments of their own.
+	// The first load reports arrive in this time, and the offset keeps later ones
+	// from coinciding with the session's steps.
 	time.Sleep(1101 * time.Millisecond)
-	fleet.transcript.began = time.Now()
+	fleet.transcript.startedAt = time.Now()
 	return fleet
 }
 
-// run keeps a task of the fleet going until close.
-func (fleet *fleet) run(ctx context.Context, task func(ctx context.Context) error) {
+// start starts a task that ends at close.
+func (fleet *fleet) start(ctx context.Context, task func(ctx context.Context) error) {
 	ended := make(chan error, 1)
 	fleet.ended = append(fleet.ended, ended)
 	go func() { ended <- task(ctx) }()
 }
 
-// close ends everything and waits for it.
-func (fleet *fleet) close() {
+// stop stops all tasks and waits for them.
+func (fleet *fleet) stop() {
 	fleet.network.Close()
 	fleet.cancel()
 	for _, ended := range fleet.ended {
@@ -120,7 +122,7 @@
 	deployment := fleet.deployment
 	fleet.engine = enginetest.Engine{Name: string(deployment.llm), PrefillPerS: 50_000, DecodePerS: 40}
 	fleet.network.Serve(engineAddress, fleet.engine.Handler())
-	fleet.run(ctx, fleet.engine.Run)
+	fleet.start(ctx, fleet.engine.Run)
 	fleet.endpoints = []peridotpath.Endpoint{{
 		ID: peridotpath.EndpointID(deployment.llm + "-1"), Service: deployment.llm, Kind: peridotpath.KindEngine,
 		DataCentre: deployment.dataCentres[0], Address: netip.MustParseAddrPort(engineAddress),
@@ -137,10 +139,10 @@
 	}
 }
 
-// startInstance joins the parts of an instance as peridotd does.
+// startInstance starts an instance, wired like in peridotd.
 func (fleet *fleet) startInstance(ctx context.Context, t *testing.T, id peridotpath.InstanceID, address netip.AddrPort) {
 	t.Helper()
-	started := &instance{address: address, log: log{transcript: fleet.transcript}}
+	started := &instance{address: address, log: instanceLog{transcript: fleet.transcript}}
 	fleet.instances[id] = started
 	logger, err := telemetry.NewLog(&started.log, "info", id)
 	if err != nil {
@@ -171,10 +173,10 @@
 		EngineHolds: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
 		Signer:      signer, Claims: ledger, MaxHeaderBytes: 64 << 10, Bodies: caller.NewBodies(16<<20, 64<<20, 10*time.Second),
 	}
-	fleet.run(ctx, dispatcher.Run)
-	fleet.run(ctx, ledger.Run)
-	fleet.run(ctx, poller.Run)
-	fleet.network.Serve(address.String(), handler(t, server))
+	fleet.start(ctx, dispatcher.Run)
+	fleet.start(ctx, ledger.Run)
+	fleet.start(ctx, poller.Run)
+	fleet.network.Serve(address.String(), routesHandler(t, server))
 }
 
 func (fleet *fleet) endpoint(id peridotpath.EndpointID) (peridotpath.Endpoint, bool) {
@@ -186,8 +188,8 @@
 	return peridotpath.Endpoint{}, false
 }
 
-// handler serves what inbound.Listener serves, without a socket.
-func handler(t testing.TB, server *caller.Server) http.Handler {
+// routesHandler returns a handler with the routes of inbound.Listener, without a socket.
+func routesHandler(t testing.TB, server *caller.Server) http.Handler {
 	t.Helper()
 	routes := router.NewRouter()
 	routes.SetNotFoundHandler(server.NotFound())
@@ -206,8 +208,9 @@
 	})
 }
 
-// kill takes an instance away as a power cut does: what it was answering breaks off.
+// kill makes an instance unreachable at once, like a power failure: its open answers
+// are interrupted.
 func (fleet *fleet) kill(id peridotpath.InstanceID) {
-	fleet.transcript.note("%s dies", id)
+	fleet.transcript.appendLine("%s dies", id)
 	fleet.network.Serve(fleet.instances[id].address.String(), nil)
 }
--- a/peridotpath/session/fuzz_test.go
+++ b/peridotpath/session/fuzz_test.go
@@ -18,8 +18,8 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-// FuzzRequestBody holds that whatever body comes, the caller gets either a run
-// whose estimate is in bounds or a numbered failure in JSON.
+// FuzzRequestBody checks that every body leads either to a run whose estimate is
+// within its bounds or to a numbered failure in JSON.
 func FuzzRequestBody(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"line","prompt":"x"}`, `{"model":"lipi-line","messages":[],"stream":true,"max_tokens":1e400}`,
@@ -28,7 +28,7 @@
 	} {
 		f.Add([]byte(seed))
 	}
-	config := portal().config
+	config := portalDeployment().config
 	config.Defaults()
 	config.Index()
 	var ran *dispatch.Request
@@ -43,7 +43,7 @@
 			return nil
 		},
 	}
-	serve := handler(f, server)
+	serve := routesHandler(f, server)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		ran = nil
 		request := httptest.NewRequest(http.MethodPost, engine.PathCompletions, bytes.NewReader(body))
--- a/peridotpath/session/transcript_test.go
+++ b/peridotpath/session/transcript_test.go
@@ -23,38 +23,38 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
-// transcript is the text of a session.
+// transcript is the text of a session, which is compared with a golden file.
 type transcript struct {
-	t     *testing.T
-	fleet *fleet
-	began time.Time
+	t         *testing.T
+	fleet     *fleet
+	startedAt time.Time
 
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-// line returns a line with the time since the session's beginning.
-func (transcript *transcript) line(format string, args ...any) string {
-	return fmt.Sprintf("%9.3f ", time.Since(transcript.began).Seconds()) + fmt.Sprintf(format, args...) + "\n"
+// formatLine formats a line that starts with the time since the session's start.
+func (transcript *transcript) formatLine(format string, args ...any) string {
+	return fmt.Sprintf("%9.3f ", time.Since(transcript.startedAt).Seconds()) + fmt.Sprintf(format, args...) + "\n"
 }
 
-func (transcript *transcript) add(text string) {
+func (transcript *transcript) appendText(text string) {
 	transcript.mu.Lock()
 	defer transcript.mu.Unlock()
 	transcript.text.WriteString(text)
 }
 
-func (transcript *transcript) note(format string, args ...any) {
-	transcript.add(transcript.line(format, args...))
+func (transcript *transcript) appendLine(format string, args ...any) {
+	transcript.appendText(transcript.formatLine(format, args...))
 }
 
-// title begins a scene.
-func (transcript *transcript) title(text string) { transcript.add("\n# " + text + "\n") }
+// appendTitle adds the heading of a section.
+func (transcript *transcript) appendTitle(text string) { transcript.appendText("\n# " + text + "\n") }
 
-// ask is one call of a caller.
-type ask struct {
+// clientRequest is one request of a caller.
+type clientRequest struct {
 	instance peridotpath.InstanceID
 	name     string
 	method   string
@@ -62,119 +62,120 @@
 	key      string
 	body     string
 	header   map[string]string
-	// leaveAfter ends the call after so many events.
-	leaveAfter int
+	// disconnectAfter is the number of events after which the caller disconnects, zero for
+	// never.
+	disconnectAfter int
 }
 
-// patience ends a call that never ends by itself, in the session's own time.
-const patience = 20 * time.Second
+// clientTimeout is the client timeout of a call, in the session's synthetic time.
+const clientTimeout = 20 * time.Second
 
-// send makes the call, notes it and its answer, and returns the id of the last event.
-func (transcript *transcript) send(ask ask) string {
-	return transcript.begin(ask)()
+// send makes the call, records it and its answer, and returns the id of the last event.
+func (transcript *transcript) send(request clientRequest) string {
+	return transcript.startRequest(request)()
 }
 
-// begin makes the call and returns what waits for its answer. Answers are noted
-// then, so that calls that go on at the same time have a fixed order.
-func (transcript *transcript) begin(ask ask) (wait func() string) {
-	answer := &answer{transcript: transcript, name: ask.name, leaveAfter: ask.leaveAfter, ended: make(chan struct{})}
-	request := transcript.request(&ask)
+// startRequest starts the call and returns a function that waits for its answer. The answer
+// is recorded in that function, so that concurrent calls have a fixed order.
+func (transcript *transcript) startRequest(clientRequest clientRequest) (wait func() string) {
+	answer := &recordedAnswer{transcript: transcript, name: clientRequest.name, disconnectAfter: clientRequest.disconnectAfter, ended: make(chan struct{})}
+	request := transcript.newRequest(&clientRequest)
 	go func() {
 		defer close(answer.ended)
-		answer.take(request)
+		answer.receive(request)
 	}()
 	return func() string {
 		<-answer.ended
-		transcript.add(answer.text.String())
-		return answer.last
+		transcript.appendText(answer.text.String())
+		return answer.lastEventID
 	}
 }
 
-// answer is one answer as its caller sees it.
-type answer struct {
-	transcript *transcript
-	name       string
-	leaveAfter int
-	text       strings.Builder
-	last       string
-	ended      chan struct{}
+// recordedAnswer records one answer as its caller receives it.
+type recordedAnswer struct {
+	transcript      *transcript
+	name            string
+	disconnectAfter int
+	text            strings.Builder
+	lastEventID     string
+	ended           chan struct{}
 }
 
-func (answer *answer) note(format string, args ...any) {
-	answer.text.WriteString(answer.transcript.line("< "+answer.name+" "+format, args...))
+func (recordedAnswer *recordedAnswer) appendLine(format string, args ...any) {
+	recordedAnswer.text.WriteString(recordedAnswer.transcript.formatLine("< "+recordedAnswer.name+" "+format, args...))
 }
 
-func (answer *answer) take(request *http.Request) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (recordedAnswer *recordedAnswer) receive(request *http.Request) {
+	ctx, cancel := context.WithTimeout(context.Background(), clientTimeout)
 	defer cancel()
-	response, err := answer.transcript.fleet.network.Do(request.WithContext(ctx))
+	response, err := recordedAnswer.transcript.fleet.network.Do(request.WithContext(ctx))
 	if err != nil {
-		answer.note("connection broken")
+		recordedAnswer.appendLine("connection broken")
 		return
 	}
 	defer response.Body.Close()
-	answer.note("%d%s", response.StatusCode, headers(response.Header))
+	recordedAnswer.appendLine("%d%s", response.StatusCode, callerHeaders(response.Header))
 	if strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream") {
-		answer.events(response.Body)
+		recordedAnswer.receiveEvents(response.Body)
 		return
 	}
 	body, err := io.ReadAll(response.Body)
-	answer.note("%s%s", shorten(strings.TrimSpace(string(body))), broken(err))
+	recordedAnswer.appendLine("%s%s", shorten(strings.TrimSpace(string(body))), brokenSuffix(err))
 }
 
-func (transcript *transcript) request(ask *ask) *http.Request {
-	address := transcript.fleet.instances[ask.instance].address
-	request, err := http.NewRequest(ask.method, "http://"+address.String()+ask.path, strings.NewReader(ask.body))
+func (transcript *transcript) newRequest(clientRequest *clientRequest) *http.Request {
+	address := transcript.fleet.instances[clientRequest.instance].address
+	request, err := http.NewRequest(clientRequest.method, "http://"+address.String()+clientRequest.path, strings.NewReader(clientRequest.body))
 	if err != nil {
 		panic(err)
 	}
-	request.Header.Set("Authorization", "Bearer "+ask.key)
-	request.Header.Set(caller.HeaderRequestID, ask.name)
-	given := ""
-	for _, name := range slices.Sorted(maps.Keys(ask.header)) {
-		request.Header.Set(name, ask.header[name])
-		given += fmt.Sprintf(" %s=%q", name, shortenCursor(ask.header[name]))
+	request.Header.Set("Authorization", "Bearer "+clientRequest.key)
+	request.Header.Set(caller.HeaderRequestID, clientRequest.name)
+	headerText := ""
+	for _, name := range slices.Sorted(maps.Keys(clientRequest.header)) {
+		request.Header.Set(name, clientRequest.header[name])
+		headerText += fmt.Sprintf(" %s=%q", name, shortenCursor(clientRequest.header[name]))
 	}
-	transcript.note("> %s %s %s %s%s %s", ask.name, ask.instance, ask.method, ask.path, given, shorten(ask.body))
+	transcript.appendLine("> %s %s %s %s%s %s", clientRequest.name, clientRequest.instance, clientRequest.method, clientRequest.path, headerText, shorten(clientRequest.body))
 	return request
 }
 
-// events notes the events of a stream as they come.
-func (answer *answer) events(stream io.Reader) {
+// receiveEvents records the events of a stream as they arrive.
+func (recordedAnswer *recordedAnswer) receiveEvents(stream io.Reader) {
 	count := 0
 	lines := bufio.NewReader(stream)
 	for {
 		line, err := lines.ReadString('\n')
 		line = strings.TrimSuffix(line, "\n")
 		if err != nil {
-			answer.note("end of stream%s", broken(err))
+			recordedAnswer.appendLine("end of stream%s", brokenSuffix(err))
 			return
 		}
 		if id, found := strings.CutPrefix(line, "id: "); found {
-			answer.last = id
+			recordedAnswer.lastEventID = id
 			line = "id: " + shortenCursor(id)
 		}
 		if line != "" {
-			answer.note("%s", shorten(line))
+			recordedAnswer.appendLine("%s", shorten(line))
 			continue
 		}
 		count++
-		if count == answer.leaveAfter {
-			answer.note("leaves")
+		if count == recordedAnswer.disconnectAfter {
+			recordedAnswer.appendLine("disconnects")
 			return
 		}
 	}
 }
 
-func broken(err error) string {
+func brokenSuffix(err error) string {
 	if err == nil || errors.Is(err, io.EOF) {
 		return ""
 	}
-	return " (broken off)"
+	return " (interrupted)"
 }
 
-// headers returns the headers that this system adds for callers.
-func headers(header http.Header) string {
+// callerHeaders returns the response headers that are part of the callers' interface.
+func callerHeaders(header http.Header) string {
 	text := ""
 	for _, name := range slices.Sorted(maps.Keys(header)) {
 		if strings.HasPrefix(name, "Peridotpath-") || name == "Retry-After" || name == "Content-Type" {
@@ -184,69 +185,69 @@
 	return text
 }
 
-const longest = 240
+const maxShortened = 240
 
-// shorten keeps a long text's two ends and its length.
+// shorten replaces a long text by its start, its end and its length.
 func shorten(text string) string {
-	if len(text) <= longest {
+	if len(text) <= maxShortened {
 		return text
 	}
-	return fmt.Sprintf("%s...%s (%d bytes)", text[:longest/2], text[len(text)-longest/4:], len(text))
+	return fmt.Sprintf("%s...%s (%d bytes)", text[:maxShortened/2], text[len(text)-maxShortened/4:], len(text))
 }
 
-var cursorToken = regexp.MustCompile(`^[A-Za-z0-9_-]{40,}\.`)
+var cursorTokenPattern = regexp.MustCompile(`^[A-Za-z0-9_-]{40,}\.`)
 
-// shortenCursor keeps the offset of a cursor.
-func shortenCursor(text string) string { return cursorToken.ReplaceAllString(text, "CURSOR.") }
+// shortenCursor replaces a cursor's token and keeps its offset.
+func shortenCursor(text string) string { return cursorTokenPattern.ReplaceAllString(text, "CURSOR.") }
 
-var logTime = regexp.MustCompile(`^time=\S+ `)
+var logTimePattern = regexp.MustCompile(`^time=\S+ `)
 
-// log takes an instance's log, a line a call.
-type log struct {
+// instanceLog collects an instance's log, one line for each call of Write.
+type instanceLog struct {
 	transcript *transcript
 
 	mu    sync.Mutex
 	lines []string
 }
 
-// Write notes a line with the session's time in the place of its own.
-func (log *log) Write(line []byte) (int, error) {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	text := logTime.ReplaceAllString(strings.TrimSpace(string(line)), "")
-	log.lines = append(log.lines, log.transcript.line("%s", text))
+// Write records a line with the session's time in place of its timestamp.
+func (instanceLog *instanceLog) Write(line []byte) (int, error) {
+	instanceLog.mu.Lock()
+	defer instanceLog.mu.Unlock()
+	text := logTimePattern.ReplaceAllString(strings.TrimSpace(string(line)), "")
+	instanceLog.lines = append(instanceLog.lines, instanceLog.transcript.formatLine("%s", text))
 	return len(line), nil
 }
 
-// sorted returns the lines by time, and those of the same moment by their text.
-func (log *log) sorted() []string {
-	log.mu.Lock()
-	defer log.mu.Unlock()
-	return slices.Sorted(slices.Values(log.lines))
+// sortedLines returns the lines by time, and lines of the same time by their text.
+func (instanceLog *instanceLog) sortedLines() []string {
+	instanceLog.mu.Lock()
+	defer instanceLog.mu.Unlock()
+	return slices.Sorted(slices.Values(instanceLog.lines))
 }
 
-// finish adds the log lines and what the endpoints ran, and compares the whole
-// with the golden file.
+// finish adds the log lines and the requests that the endpoints ran, and compares
+// the transcript with the golden file.
 func (transcript *transcript) finish(name string) {
 	transcript.t.Helper()
 	fleet := transcript.fleet
 	for _, id := range fleet.deployment.instances {
-		transcript.title("log of " + string(id))
-		for _, line := range fleet.instances[id].log.sorted() {
-			transcript.add(line)
+		transcript.appendTitle("log of " + string(id))
+		for _, line := range fleet.instances[id].log.sortedLines() {
+			transcript.appendText(line)
 		}
 	}
-	transcript.title("what the endpoints ran")
+	transcript.appendTitle("the requests that the endpoints ran")
 	for i := range fleet.services {
-		transcript.counts(fleet.endpoints[i+1].ID, fleet.services[i].Counts())
+		transcript.appendCounts(fleet.endpoints[i+1].ID, fleet.services[i].Counts())
 	}
-	transcript.counts(fleet.endpoints[0].ID, fleet.engine.Counts())
+	transcript.appendCounts(fleet.endpoints[0].ID, fleet.engine.Counts())
 	load := fleet.engine.Load()
 	fmt.Fprintf(&transcript.text, "%s running=%d waiting=%d kv_used=%d\n", fleet.endpoints[0].ID, load.Running, load.Waiting, load.KVUsed)
-	transcript.compare(filepath.Join("testdata", name+".golden"))
+	transcript.compareGolden(filepath.Join("testdata", name+".golden"))
 }
 
-func (transcript *transcript) counts(endpoint peridotpath.EndpointID, counts engine.Counts) {
+func (transcript *transcript) appendCounts(endpoint peridotpath.EndpointID, counts engine.Counts) {
 	for _, id := range slices.Sorted(maps.Keys(counts.Requests)) {
 		count := counts.Requests[id]
 		fmt.Fprintf(&transcript.text, "%s request=%s runs=%d finished=%d cancelled=%d refused=%d\n",
@@ -254,10 +255,10 @@
 	}
 }
 
-func (transcript *transcript) compare(path string) {
+func (transcript *transcript) compareGolden(path string) {
 	transcript.t.Helper()
 	have := strings.TrimLeft(transcript.text.String(), "\n")
-	if *update {
+	if *updateGolden {
 		if err := os.WriteFile(path, []byte(have), 0o644); err != nil {
 			transcript.t.Fatal(err)
 		}
@@ -270,12 +271,12 @@
 	haveLines, wantLines := strings.Split(have, "\n"), strings.Split(string(want), "\n")
 	for i := range max(len(haveLines), len(wantLines)) {
 		if i >= len(haveLines) || i >= len(wantLines) || haveLines[i] != wantLines[i] {
-			transcript.t.Fatalf("%s, line %d:\nwant %s\nhave %s", path, i+1, at(wantLines, i), at(haveLines, i))
+			transcript.t.Fatalf("%s, line %d:\nwant %s\nhave %s", path, i+1, lineAt(wantLines, i), lineAt(haveLines, i))
 		}
 	}
 }
 
-func at(lines []string, i int) string {
+func lineAt(lines []string, i int) string {
 	if i >= len(lines) {
 		return "(end)"
 	}
