--- a/peridotpath/caller/body.go
+++ b/peridotpath/caller/body.go
@@ -28,7 +28,7 @@
 	memory *semaphore.Weighted
 }
 
-// NewBodies returns a Bodies with the given bounds.
+// NewBodies returns a reader of bodies with the given bounds.
 func NewBodies(maxBody, maxHeld peridotpath.Bytes, readTimeout time.Duration) *Bodies {
 	return &Bodies{MaxBody: maxBody, MaxHeld: maxHeld, ReadTimeout: readTimeout, memory: semaphore.NewWeighted(int64(maxHeld))}
 }
--- a/peridotpath/caller/server.go
+++ b/peridotpath/caller/server.go
@@ -55,8 +55,8 @@
 	MaxActive int
 	// MaxHeaderBytes bounds the size of a request's headers; zero for no bound.
 	MaxHeaderBytes peridotpath.Bytes
-	// Do runs a prompt, Continue resumes a stream by cursor, and DoPlain makes a call
-	// to a plain service.
+	// These functions run a prompt, resume a stream by cursor, and make a call to a
+	// plain service.
 	Do       func(ctx context.Context, request *dispatch.Request, sink *dispatch.Sink) *peridotpath.Result
 	Continue func(ctx context.Context, work *decide.Work, endpoint peridotpath.Endpoint, id string, after int64, sink *dispatch.Sink) *peridotpath.Result
 	DoPlain  func(ctx context.Context, work *decide.Work, call *service.Request, maySend func() error, writer http.ResponseWriter) *peridotpath.Result
@@ -94,7 +94,7 @@
 // Stop makes the instance not ready. Requests that still arrive are served.
 func (server *Server) Stop() { server.stopping.Store(true) }
 
-// Stopping reports whether Stop was called.
+// Stopping reports whether Server.Stop was called.
 func (server *Server) Stopping() bool { return server.stopping.Load() }
 
 // IsReady reports whether the balancer may send new callers.
