--- a/peridotd/daemon.go
+++ b/peridotd/daemon.go
@@ -72,7 +72,7 @@
 	daemon.dispatcher = &dispatch.Dispatcher{
 		Scheduler: daemon.scheduler, Log: log, ResumeWindow: resumeWindow,
 		Send: daemon.engines.Send, Resume: daemon.engines.Resume, Cancel: daemon.engines.Cancel,
-		SendPlain: (&service.Client{}).Send, Draining: daemon.fleet.view.Refused,
+		SendPlain: (&service.Client{}).Send, OnEndpointDraining: daemon.fleet.view.Refused,
 	}
 	daemon.claims = &claim.Ledger{
 		Store: daemon.keyValue, Instance: settings.InstanceID, Incarnation: incarnation,
@@ -87,17 +87,17 @@
 func (daemon *daemon) initCallers() {
 	limits := daemon.settings.Limits
 	daemon.callers = &caller.Server{
-		Log: daemon.log, Config: daemon.currentConfig, Ready: daemon.ready,
-		Do: daemon.dispatcher.Do, Continue: daemon.dispatcher.Continue, DoPlain: daemon.dispatcher.DoPlain,
-		Endpoint: daemon.fleet.follower.Endpoint, EngineHolds: daemon.fleet.largestEngineKV, IsPlain: daemon.fleet.hasOnlyPlainEndpoints,
-		Oversize: daemon.groups.counter.RecordPrompt, Signer: daemon.signer, Claims: daemon.claims,
-		MaxActive: limits.MaxConnections, MaxHeaderBytes: limits.MaxHeaderBytes,
-		Bodies: caller.NewBodies(limits.MaxBodyBytes, limits.BodyMemoryBytes, bodyTimeout),
+		Log: daemon.log, ActiveConfig: daemon.currentConfig, IsConfigRecent: daemon.ready,
+		Do: daemon.dispatcher.Do, ContinueStream: daemon.dispatcher.ContinueStream, DoPlain: daemon.dispatcher.DoPlain,
+		FindEndpoint: daemon.fleet.follower.Endpoint, LargestEngineKV: daemon.fleet.largestEngineKV, IsPlainService: daemon.fleet.hasOnlyPlainEndpoints,
+		OnOversizePrompt: daemon.groups.counter.RecordPrompt, Signer: daemon.signer, Claims: daemon.claims,
+		MaxActiveRequests: limits.MaxConnections, MaxHeaderBytes: limits.MaxHeaderBytes,
+		BodyReader: caller.NewBodyReader(limits.MaxBodyBytes, limits.BodyMemoryBytes, bodyTimeout),
 	}
 	daemon.callerListener = &inbound.Listener{
 		Name: "callers", Address: daemon.settings.CallerAddress,
-		Routes: daemon.callers.Routes(), Prefix: caller.ServicePrefix, PrefixHandler: daemon.callers.Services(),
-		NotFound: daemon.callers.NotFound(), MaxHeaderBytes: int(limits.MaxHeaderBytes),
+		Routes: daemon.callers.Routes(), Prefix: caller.ServicePrefix, PrefixHandler: daemon.callers.ServiceHandler(),
+		NotFound: daemon.callers.NotFoundHandler(), MaxHeaderBytes: int(limits.MaxHeaderBytes),
 	}
 	daemon.callerListener.Init()
 }
@@ -216,17 +216,17 @@
 // runTask runs a task and logs an error if it ends before the daemon stops.
 func (daemon *daemon) runTask(ctx context.Context, task task) {
 	err := task.run(ctx)
-	if ctx.Err() == nil && !daemon.callers.Stopping() {
+	if ctx.Err() == nil && !daemon.callers.IsStopping() {
 		daemon.log.Error().Str("task", task.name).Err(err).Msg("task_ended")
 	}
 }
 
 // stop stops the instance gracefully.
 func (daemon *daemon) stop(ctx context.Context) error {
-	daemon.log.Info().Int64("active", daemon.callers.Active()).Msg("stopping")
+	daemon.log.Info().Int64("active", daemon.callers.ActiveRequests()).Msg("stopping")
 	stop := &gracefulStop{
 		BalancerNotice: daemon.settings.Drain.BalancerNoticeMS.Duration(), PeerHandover: daemon.settings.Drain.HandoverMS.Duration(),
-		SetNotReady: daemon.callers.Stop, ActiveRequests: daemon.callers.Active, CloseCallers: daemon.callerListener.Close,
+		SetNotReady: daemon.callers.BeginStop, ActiveRequests: daemon.callers.ActiveRequests, CloseCallers: daemon.callerListener.Close,
 		CloseClaims: daemon.claims.Close, ClosePeers: daemon.peerListener.Close,
 	}
 	return stop.run(ctx)
--- a/peridotd/operate.go
+++ b/peridotd/operate.go
@@ -141,9 +141,9 @@
 	daemon := backend.daemon
 	response := &pb.StatusResponse{
 		Instance: string(daemon.settings.InstanceID), DataCentre: string(daemon.settings.DataCentre),
-		Ready: daemon.callers.IsReady(), Stopping: daemon.callers.Stopping(),
+		Ready: daemon.callers.IsReady(), Stopping: daemon.callers.IsStopping(),
 		ConfigAgeMs: time.Since(daemon.config.LastContact()).Milliseconds(),
-		Running:     int32(daemon.callers.Active()), Waiting: int32(daemon.scheduler.QueuedCount()),
+		Running:     int32(daemon.callers.ActiveRequests()), Waiting: int32(daemon.scheduler.QueuedCount()),
 	}
 	for _, state := range daemon.scheduler.Endpoints(time.Now()) {
 		switch {
--- a/peridotpath/caller/body.go
+++ b/peridotpath/caller/body.go
@@ -11,16 +11,16 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Bodies reads request bodies and bounds the total memory that they use.
+// BodyReader reads request bodies and bounds the total memory that they use.
 //
 // The bound matters under many concurrent million-token prompts (4 to 6 MB each):
 // without it they exhaust the Instance's memory, and every other request fails.
 // A body that does not fit is refused at once, as not run.
-type Bodies struct {
-	// MaxBody bounds the size of one body.
-	MaxBody peridotpath.Bytes
-	// MaxHeld bounds the total size of all bodies in memory.
-	MaxHeld peridotpath.Bytes
+type BodyReader struct {
+	// MaxBodySize bounds the size of one body.
+	MaxBodySize peridotpath.Bytes
+	// MaxTotalSize bounds the total size of all bodies in memory.
+	MaxTotalSize peridotpath.Bytes
 	// ReadTimeout bounds the time between two reads of a body; a stalled sender
 	// would otherwise hold memory without limit.
 	ReadTimeout time.Duration
@@ -28,9 +28,9 @@
 	memory *semaphore.Weighted
 }
 
-// NewBodies returns a reader of bodies with the given bounds.
-func NewBodies(maxBody, maxHeld peridotpath.Bytes, readTimeout time.Duration) *Bodies {
-	return &Bodies{MaxBody: maxBody, MaxHeld: maxHeld, ReadTimeout: readTimeout, memory: semaphore.NewWeighted(int64(maxHeld))}
+// NewBodyReader returns a reader of bodies with the given bounds.
+func NewBodyReader(maxBodySize, maxTotalSize peridotpath.Bytes, readTimeout time.Duration) *BodyReader {
+	return &BodyReader{MaxBodySize: maxBodySize, MaxTotalSize: maxTotalSize, ReadTimeout: readTimeout, memory: semaphore.NewWeighted(int64(maxTotalSize))}
 }
 
 const (
@@ -48,9 +48,9 @@
 // one byte just before each timeout could hold the memory of a 16 MB body for years,
 // and sixteen of them would have every other body refused. At 16 KiB/s a prompt of a
 // million tokens takes six minutes; callers in the region send it within a second.
-func (bodies *Bodies) readDeadline(startedAt time.Time, received int) time.Time {
-	stallDeadline := time.Now().Add(bodies.ReadTimeout)
-	rateDeadline := startedAt.Add(bodies.ReadTimeout + time.Duration(received)*time.Second/minBytesPerSecond)
+func (bodyReader *BodyReader) readDeadline(startedAt time.Time, received int) time.Time {
+	stallDeadline := time.Now().Add(bodyReader.ReadTimeout)
+	rateDeadline := startedAt.Add(bodyReader.ReadTimeout + time.Duration(received)*time.Second/minBytesPerSecond)
 	if rateDeadline.Before(stallDeadline) {
 		return rateDeadline
 	}
@@ -69,8 +69,8 @@
 // once, when the body is no longer needed; after a failure it is already released.
 // The body must arrive by the given time, unless that is zero: a later one could
 // only be refused, after the caller's own deadline.
-func (bodies *Bodies) Read(writer http.ResponseWriter, request *http.Request, deadline time.Time) ([]byte, func(), *peridotpath.Result) {
-	if request.ContentLength > int64(bodies.MaxBody) {
+func (bodyReader *BodyReader) Read(writer http.ResponseWriter, request *http.Request, deadline time.Time) ([]byte, func(), *peridotpath.Result) {
+	if request.ContentLength > int64(bodyReader.MaxBodySize) {
 		return nil, nil, &peridotpath.Result{Code: peridotpath.CodeBodyTooLarge}
 	}
 	size := int64(initialBufferSize)
@@ -78,7 +78,7 @@
 		// One byte more than declared, so that EOF is read without growing the buffer.
 		size = request.ContentLength + 1
 	}
-	buffer := &bodyBuffer{bodies: bodies, startedAt: time.Now(), deadline: deadline}
+	buffer := &bodyBuffer{reader: bodyReader, startedAt: time.Now(), deadline: deadline}
 	if !buffer.reserve(size) {
 		return nil, nil, bodyMemoryResult()
 	}
@@ -101,7 +101,7 @@
 
 // bodyBuffer is the buffer of a body that is being received.
 type bodyBuffer struct {
-	bodies    *Bodies
+	reader    *BodyReader
 	startedAt time.Time
 	// deadline is the deadline of the whole body; zero for none.
 	deadline time.Time
@@ -113,7 +113,7 @@
 // reserve acquires more bytes and grows the buffer to the reserved size. It returns
 // false if the memory bound has no room.
 func (bodyBuffer *bodyBuffer) reserve(more int64) bool {
-	if !bodyBuffer.bodies.memory.TryAcquire(more) {
+	if !bodyBuffer.reader.memory.TryAcquire(more) {
 		return false
 	}
 	bodyBuffer.reserved += more
@@ -124,7 +124,7 @@
 }
 
 // release releases the reserved bytes.
-func (bodyBuffer *bodyBuffer) release() { bodyBuffer.bodies.memory.Release(bodyBuffer.reserved) }
+func (bodyBuffer *bodyBuffer) release() { bodyBuffer.reader.memory.Release(bodyBuffer.reserved) }
 
 // readAll reads the body to its end.
 func (bodyBuffer *bodyBuffer) readAll(controller *http.ResponseController, body io.Reader) *peridotpath.Result {
@@ -132,10 +132,10 @@
 		if len(bodyBuffer.data) == cap(bodyBuffer.data) && !bodyBuffer.reserve(int64(cap(bodyBuffer.data))) {
 			return bodyMemoryResult()
 		}
-		_ = controller.SetReadDeadline(earlier(bodyBuffer.bodies.readDeadline(bodyBuffer.startedAt, len(bodyBuffer.data)), bodyBuffer.deadline))
+		_ = controller.SetReadDeadline(earlier(bodyBuffer.reader.readDeadline(bodyBuffer.startedAt, len(bodyBuffer.data)), bodyBuffer.deadline))
 		err := bodyBuffer.readPiece(body)
 		switch {
-		case len(bodyBuffer.data) > int(bodyBuffer.bodies.MaxBody):
+		case len(bodyBuffer.data) > int(bodyBuffer.reader.MaxBodySize):
 			return &peridotpath.Result{Code: peridotpath.CodeBodyTooLarge}
 		case errors.Is(err, io.EOF):
 			_ = controller.SetReadDeadline(time.Time{})
--- a/peridotpath/caller/body_test.go
+++ b/peridotpath/caller/body_test.go
@@ -55,7 +55,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				bodyReader := caller.NewBodies(2<<20, 3<<20, 10*time.Second)
+				bodyReader := caller.NewBodyReader(2<<20, 3<<20, 10*time.Second)
 				results := make(chan *peridotpath.Result, 1)
 				listener := &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 				server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
--- a/peridotpath/caller/complete.go
+++ b/peridotpath/caller/complete.go
@@ -40,10 +40,10 @@
 		return result
 	}
 	exchange.setWork(request.Work)
-	if request.Work.Class == peridotpath.Oversize && server.Oversize != nil {
-		server.Oversize(request.Work.Profile.Service, request.Work.PromptTokens+request.Work.MaxOutputTokens)
+	if request.Work.Class == peridotpath.Oversize && server.OnOversizePrompt != nil {
+		server.OnOversizePrompt(request.Work.Profile.Service, request.Work.PromptTokens+request.Work.MaxOutputTokens)
 	}
-	request.Free = release
+	request.OnBodyReleased = release
 	return server.runOnce(exchange, body, func(ctx context.Context, maySend func() error) *peridotpath.Result {
 		request.MaySend = maySend
 		return server.Do(ctx, request, server.answerSink(exchange, request.Work))
@@ -106,7 +106,7 @@
 	if result != nil {
 		return nil, result
 	}
-	if server.IsPlain != nil && server.IsPlain(profile.Service) {
+	if server.IsPlainService != nil && server.IsPlainService(profile.Service) {
 		// A completion request would fail at a plain service and be reported as one
 		// that may have run.
 		detail := "the profile is of a plain service: ask under " + ServicePrefix + string(profile.Name) + "/"
@@ -133,13 +133,13 @@
 	}
 	work := &decide.Work{
 		ID: exchange.id, Customer: exchange.customer, Profile: profile,
-		Class:        peridotpath.ClassOf(prompt+output, server.EngineHolds(profile.Service)),
+		Class:        peridotpath.ClassOf(prompt+output, server.LargestEngineKV(profile.Service)),
 		PromptTokens: prompt, MaxOutputTokens: output, Prefixes: prefixHashes(fields.prompt),
 		ArrivedAt: exchange.arrivedAt, Deadline: deadline,
 	}
 	return &dispatch.Request{
-		Work: work, Path: exchange.request.URL.Path, Body: engine.NewBody(body), Stream: fields.stream,
-		Usage: func(tokens peridotpath.Tokens) { server.estimator.observe(profile.Service, promptBytes, tokens) },
+		Work: work, Path: exchange.request.URL.Path, Body: engine.NewBody(body), WantsStream: fields.stream,
+		OnPromptUsage: func(tokens peridotpath.Tokens) { server.estimator.observe(profile.Service, promptBytes, tokens) },
 	}, nil
 }
 
@@ -179,7 +179,7 @@
 
 // readBody reads the body, which must arrive by the given time unless that is zero.
 func (server *Server) readBody(exchange *exchange, deadline time.Time) ([]byte, func(), *peridotpath.Result) {
-	body, release, result := server.Bodies.Read(exchange.writer, exchange.request, deadline)
+	body, release, result := server.BodyReader.Read(exchange.writer, exchange.request, deadline)
 	exchange.bodyConsumed = result == nil
 	return body, release, result
 }
@@ -219,7 +219,7 @@
 		return &peridotpath.Result{Code: peridotpath.CodeBadCursor, Detail: err.Error()}
 	}
 	profile := exchange.config.Profile(string(stream.Profile))
-	endpoint, found := server.Endpoint(stream.Endpoint)
+	endpoint, found := server.FindEndpoint(stream.Endpoint)
 	if profile == nil || !found {
 		return &peridotpath.Result{Code: peridotpath.CodeStreamCut, Detail: "the stream's endpoint is gone"}
 	}
@@ -238,5 +238,5 @@
 		ArrivedAt: exchange.arrivedAt, Deadline: stream.Deadline(), Attempts: 1,
 	}
 	exchange.setWork(work)
-	return server.Continue(exchange.request.Context(), work, endpoint, stream.ID, after, server.answerSink(exchange, work))
+	return server.ContinueStream(exchange.request.Context(), work, endpoint, stream.ID, after, server.answerSink(exchange, work))
 }
--- a/peridotpath/caller/deadline_test.go
+++ b/peridotpath/caller/deadline_test.go
@@ -179,8 +179,8 @@
 				writeRequest(client, test.path, apiKey, len(test.body), test.body)
 				time.Sleep(test.limit + 2*responseMargin)
 				synctest.Wait()
-				is.Equal(server.Active(), int64(0)) // the request is still being served
-				time.Sleep(12 * time.Second)        // the resume window
+				is.Equal(server.ActiveRequests(), int64(0)) // the request is still being served
+				time.Sleep(12 * time.Second)                // the resume window
 				load := stack.engine.Load()
 				is.Equal(load.Running+load.Waiting, 0)       // the engine holds memory for an abandoned request
 				is.NoErr(front.server.Shutdown(t.Context())) // a planned stop completes
@@ -294,7 +294,7 @@
 		defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 		for _, stopping := range []bool{false, true} {
 			if stopping {
-				server.Stop()
+				server.BeginStop()
 			}
 			client := front.dial()
 			writeRequest(client, "/services/acknowledge/claims", apiKey, 2, "{}")
--- a/peridotpath/caller/once_test.go
+++ b/peridotpath/caller/once_test.go
@@ -48,9 +48,9 @@
 		_ = ledger.Run(ctx)
 	}()
 	server := &caller.Server{
-		Config: func() *peridotpath.Config { return config },
-		Claims: ledger, Signer: &cursor.Signer{},
-		Bodies: caller.NewBodies(1<<20, 1<<20, time.Second),
+		ActiveConfig: func() *peridotpath.Config { return config },
+		Claims:       ledger, Signer: &cursor.Signer{},
+		BodyReader: caller.NewBodyReader(1<<20, 1<<20, time.Second),
 		DoPlain: func(ctx context.Context, _ *decide.Work, _ *service.Request, maySend func() error, writer http.ResponseWriter) *peridotpath.Result {
 			if err := maySend(); err != nil {
 				var result *peridotpath.Result
@@ -69,7 +69,7 @@
 	request.Header.Set("Authorization", "Bearer "+apiKey)
 	request.Header.Set("Idempotency-Key", key)
 	recorder := httptest.NewRecorder()
-	server.Services().ServeHTTP(recorder, request)
+	server.ServiceHandler().ServeHTTP(recorder, request)
 	return recorder
 }
 
--- a/peridotpath/caller/path_bench_test.go
+++ b/peridotpath/caller/path_bench_test.go
@@ -91,10 +91,10 @@
 	signer := &cursor.Signer{}
 	signer.SetSecret([]byte("benchmark"))
 	server := &caller.Server{
-		Log: zerolog.Nop(), Config: func() *peridotpath.Config { return config },
-		Do: dispatcher.Do, Continue: dispatcher.Continue, Signer: signer,
-		EngineHolds: func(peridotpath.Service) peridotpath.Tokens { return 400_000_000 },
-		Bodies:      caller.NewBodies(16<<20, 1<<30, time.Second),
+		Log: zerolog.Nop(), ActiveConfig: func() *peridotpath.Config { return config },
+		Do: dispatcher.Do, ContinueStream: dispatcher.ContinueStream, Signer: signer,
+		LargestEngineKV: func(peridotpath.Service) peridotpath.Tokens { return 400_000_000 },
+		BodyReader:      caller.NewBodyReader(16<<20, 1<<30, time.Second),
 	}
 	router := router.NewRouter()
 	for _, route := range server.Routes() {
--- a/peridotpath/caller/plain.go
+++ b/peridotpath/caller/plain.go
@@ -14,8 +14,8 @@
 // /services/{profile}/{path...}.
 const ServicePrefix = "/services/"
 
-// Services returns the handler of the paths under ServicePrefix.
-func (server *Server) Services() http.Handler { return server.newHandler(server.servePlain) }
+// ServiceHandler returns the handler of the paths under ServicePrefix.
+func (server *Server) ServiceHandler() http.Handler { return server.newHandler(server.servePlain) }
 
 // servePlain forwards a call to a plain service.
 func (server *Server) servePlain(exchange *exchange) *peridotpath.Result {
--- a/peridotpath/caller/server.go
+++ b/peridotpath/caller/server.go
@@ -44,35 +44,35 @@
 // Server serves callers. Set the exported fields before Routes.
 type Server struct {
 	Log zerolog.Logger
-	// Config returns the active configuration, nil before there is one.
-	Config func() *peridotpath.Config
-	// Ready, when set, reports whether the configuration is recent enough to admit
+	// ActiveConfig returns the active configuration, nil before there is one.
+	ActiveConfig func() *peridotpath.Config
+	// IsConfigRecent, when set, reports whether the configuration is recent enough to admit
 	// new callers.
-	Ready func() bool
-	// MaxActive bounds the concurrent requests; zero for no bound. It matters when
+	IsConfigRecent func() bool
+	// MaxActiveRequests bounds the concurrent requests; zero for no bound. It matters when
 	// callers open connections without limit: each uses memory before its request
 	// is parsed.
-	MaxActive int
+	MaxActiveRequests int
 	// MaxHeaderBytes bounds the size of a request's headers; zero for no bound.
 	MaxHeaderBytes peridotpath.Bytes
 	// These functions run a prompt, resume a stream by cursor, and make a call to a
 	// plain service.
-	Do       func(ctx context.Context, request *dispatch.Request, sink *dispatch.Sink) *peridotpath.Result
-	Continue func(ctx context.Context, work *decide.Work, endpoint peridotpath.Endpoint, id string, after int64, sink *dispatch.Sink) *peridotpath.Result
-	DoPlain  func(ctx context.Context, work *decide.Work, call *service.Request, maySend func() error, writer http.ResponseWriter) *peridotpath.Result
+	Do             func(ctx context.Context, request *dispatch.Request, sink *dispatch.Sink) *peridotpath.Result
+	ContinueStream func(ctx context.Context, work *decide.Work, endpoint peridotpath.Endpoint, id string, after int64, sink *dispatch.Sink) *peridotpath.Result
+	DoPlain        func(ctx context.Context, work *decide.Work, call *service.Request, maySend func() error, writer http.ResponseWriter) *peridotpath.Result
 	// Claims is the ledger of idempotency keys.
 	Claims *claim.Ledger
-	// Endpoint returns the endpoint with the given id, if the fleet has it.
-	Endpoint func(id peridotpath.EndpointID) (peridotpath.Endpoint, bool)
-	// EngineHolds returns the KV cache size of the service's largest engine.
-	EngineHolds func(service peridotpath.Service) peridotpath.Tokens
-	// IsPlain, when set, reports whether the service is a plain one, not of engines.
-	IsPlain func(service peridotpath.Service) bool
-	// Oversize, when set, is called for each request that exceeds the KV cache of
+	// FindEndpoint returns the endpoint with the given id, if the fleet has it.
+	FindEndpoint func(id peridotpath.EndpointID) (peridotpath.Endpoint, bool)
+	// LargestEngineKV returns the KV cache size of the service's largest engine.
+	LargestEngineKV func(service peridotpath.Service) peridotpath.Tokens
+	// IsPlainService, when set, reports whether the service is a plain one, not of engines.
+	IsPlainService func(service peridotpath.Service) bool
+	// OnOversizePrompt, when set, is called for each request that exceeds the KV cache of
 	// every single engine.
-	Oversize func(service peridotpath.Service, tokens peridotpath.Tokens)
-	Signer   *cursor.Signer
-	Bodies   *Bodies
+	OnOversizePrompt func(service peridotpath.Service, tokens peridotpath.Tokens)
+	Signer           *cursor.Signer
+	BodyReader       *BodyReader
 
 	estimator tokenEstimator
 	stopping  atomic.Bool
@@ -91,22 +91,22 @@
 	}
 }
 
-// Stop makes the instance not ready. Requests that still arrive are served.
-func (server *Server) Stop() { server.stopping.Store(true) }
+// BeginStop makes the instance not ready. Requests that still arrive are served.
+func (server *Server) BeginStop() { server.stopping.Store(true) }
 
-// Stopping reports whether Server.Stop was called.
-func (server *Server) Stopping() bool { return server.stopping.Load() }
+// IsStopping reports whether Server.BeginStop was called.
+func (server *Server) IsStopping() bool { return server.stopping.Load() }
 
 // IsReady reports whether the balancer may send new callers.
 func (server *Server) IsReady() bool {
-	if server.stopping.Load() || server.Config() == nil {
+	if server.stopping.Load() || server.ActiveConfig() == nil {
 		return false
 	}
-	return server.Ready == nil || server.Ready()
+	return server.IsConfigRecent == nil || server.IsConfigRecent()
 }
 
-// Active returns the number of requests that are being served.
-func (server *Server) Active() int64 { return server.active.Load() }
+// ActiveRequests returns the number of requests that are being served.
+func (server *Server) ActiveRequests() int64 { return server.active.Load() }
 
 func (server *Server) serveLive(writer http.ResponseWriter, _ *http.Request) {
 	writer.WriteHeader(http.StatusOK)
@@ -165,17 +165,17 @@
 		exchange := &exchange{id: requestID(request), request: request, writer: writer, arrivedAt: time.Now()}
 		exchange.bodyConsumed = request.ContentLength == 0
 		writer.Header().Set(HeaderRequestID, string(exchange.id))
-		if server.Stopping() {
+		if server.IsStopping() {
 			// Connections that stay open would be closed when the notice period ends,
 			// and a request in transit could be lost. After a connection that closes
 			// with its answer the caller reconnects, to another instance.
 			writer.Header().Set("Connection", "close")
 		}
 		result := server.authenticate(exchange)
-		if server.MaxActive > 0 && server.Active() > int64(server.MaxActive) {
+		if server.MaxActiveRequests > 0 && server.ActiveRequests() > int64(server.MaxActiveRequests) {
 			result = &peridotpath.Result{Code: peridotpath.CodeBodyMemory, RetryAfter: memoryRetryAfter, Detail: "too many requests at a time"}
 		}
-		if server.MaxHeaderBytes > 0 && HeaderBytes(request) > server.MaxHeaderBytes {
+		if server.MaxHeaderBytes > 0 && HeaderSize(request) > server.MaxHeaderBytes {
 			result = &peridotpath.Result{Code: peridotpath.CodeHeaderTooLarge}
 		}
 		if result == nil {
@@ -185,8 +185,8 @@
 	}
 }
 
-// HeaderBytes returns the approximate size of the request line and the headers.
-func HeaderBytes(request *http.Request) peridotpath.Bytes {
+// HeaderSize returns the approximate size of the request line and the headers.
+func HeaderSize(request *http.Request) peridotpath.Bytes {
 	const separators = len(": \r\n")
 	size := len(request.RequestURI)
 	for name, values := range request.Header {
@@ -197,8 +197,8 @@
 	return peridotpath.Bytes(size)
 }
 
-// NotFound returns the handler of unknown paths.
-func (server *Server) NotFound() http.Handler {
+// NotFoundHandler returns the handler of unknown paths.
+func (server *Server) NotFoundHandler() http.Handler {
 	return server.newHandler(func(*exchange) *peridotpath.Result {
 		return &peridotpath.Result{Code: peridotpath.CodeNotFound}
 	})
@@ -217,7 +217,7 @@
 }
 
 func (server *Server) authenticate(exchange *exchange) *peridotpath.Result {
-	exchange.config = server.Config()
+	exchange.config = server.ActiveConfig()
 	if exchange.config == nil {
 		return &peridotpath.Result{Code: peridotpath.CodeNotReady, RetryAfter: time.Second}
 	}
--- a/peridotpath/caller/sink.go
+++ b/peridotpath/caller/sink.go
@@ -27,7 +27,7 @@
 		exchange: exchange, work: work, signer: server.Signer,
 		controller: http.NewResponseController(exchange.writer),
 	}
-	return &dispatch.Sink{Start: answerWriter.begin, Event: answerWriter.writeEvent, Whole: answerWriter.writeWhole}
+	return &dispatch.Sink{BeginAnswer: answerWriter.begin, WriteEvent: answerWriter.writeEvent, WriteWhole: answerWriter.writeWhole}
 }
 
 func (answerWriter *answerWriter) begin(_ http.Header, endpoint peridotpath.EndpointID, stream string) {
--- a/peridotpath/caller/stack_test.go
+++ b/peridotpath/caller/stack_test.go
@@ -112,11 +112,11 @@
 	}
 	signer := &cursor.Signer{}
 	server := &caller.Server{
-		Log: zerolog.Nop(), Config: func() *peridotpath.Config { return testStack.config },
-		Do: dispatcher.Do, Continue: dispatcher.Continue, DoPlain: dispatcher.DoPlain,
-		Endpoint: testStack.endpoint, EngineHolds: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
-		IsPlain: func(service peridotpath.Service) bool { return service == "desk-app" },
-		Claims:  ledger, Signer: signer, Bodies: caller.NewBodies(16<<20, 64<<20, 10*time.Second),
+		Log: zerolog.Nop(), ActiveConfig: func() *peridotpath.Config { return testStack.config },
+		Do: dispatcher.Do, ContinueStream: dispatcher.ContinueStream, DoPlain: dispatcher.DoPlain,
+		FindEndpoint: testStack.endpoint, LargestEngineKV: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
+		IsPlainService: func(service peridotpath.Service) bool { return service == "desk-app" },
+		Claims:         ledger, Signer: signer, BodyReader: caller.NewBodyReader(16<<20, 64<<20, 10*time.Second),
 	}
 	testStack.start(dispatcher.Run)
 	testStack.start(ledger.Run)
@@ -144,7 +144,7 @@
 	}
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if strings.HasPrefix(request.URL.Path, caller.ServicePrefix) {
-			server.Services().ServeHTTP(writer, request)
+			server.ServiceHandler().ServeHTTP(writer, request)
 			return
 		}
 		routes.ServeHTTP(writer, request)
--- a/peridotpath/dispatch/attempt.go
+++ b/peridotpath/dispatch/attempt.go
@@ -66,8 +66,8 @@
 // membership list may still have it as live for half a minute.
 func (dispatcher *Dispatcher) reportDraining(endpoint peridotpath.EndpointID, err error) {
 	leaving := engine.ErrLeaving.Has(err) || service.ErrLeaving.Has(err)
-	if leaving && dispatcher.Draining != nil {
-		dispatcher.Draining(time.Now(), endpoint)
+	if leaving && dispatcher.OnEndpointDraining != nil {
+		dispatcher.OnEndpointDraining(time.Now(), endpoint)
 	}
 }
 
--- a/peridotpath/dispatch/dispatch.go
+++ b/peridotpath/dispatch/dispatch.go
@@ -31,12 +31,12 @@
 	Path string
 	// Body is released at the first content: the request is not sent again after it.
 	Body *engine.Body
-	// Free, when set, is called after Body was released.
-	Free func()
-	// Stream is set if the caller requests the answer as server-sent events.
-	Stream bool
-	// Usage, when set, is called with the prompt's length as the engine counted it.
-	Usage func(prompt peridotpath.Tokens)
+	// OnBodyReleased, when set, is called after Body was released.
+	OnBodyReleased func()
+	// WantsStream is set if the caller requests the answer as server-sent events.
+	WantsStream bool
+	// OnPromptUsage, when set, is called with the prompt's length as the engine counted it.
+	OnPromptUsage func(prompt peridotpath.Tokens)
 	// MaySend, when set, is called right before each attempt is sent. An error,
 	// preferably a *peridotpath.Result, prevents the attempt.
 	MaySend func() error
@@ -44,13 +44,13 @@
 
 // Sink writes the answer to the caller. Its functions are called from one goroutine.
 type Sink struct {
-	// Start is called once, at the first content. An earlier failure is returned
+	// BeginAnswer is called once, at the first content. An earlier failure is returned
 	// by Do and can still become an ordinary error response.
-	Start func(header http.Header, endpoint peridotpath.EndpointID, stream string)
-	// Event writes one event of a stream. An error means that the caller disconnected.
-	Event func(offset int64, data []byte) error
-	// Whole writes an answer that is not a stream.
-	Whole func(body []byte) error
+	BeginAnswer func(header http.Header, endpoint peridotpath.EndpointID, stream string)
+	// WriteEvent writes one event of a stream. An error means that the caller disconnected.
+	WriteEvent func(offset int64, data []byte) error
+	// WriteWhole writes an answer that is not a stream.
+	WriteWhole func(body []byte) error
 }
 
 // Dispatcher runs requests. Set the exported fields before Run.
@@ -63,8 +63,8 @@
 	Cancel func(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error
 	// SendPlain makes a request to a plain service.
 	SendPlain func(ctx context.Context, address netip.AddrPort, call *service.Request) (*http.Response, error)
-	// Draining, when set, is called for an endpoint that reports that it is shutting down.
-	Draining func(now time.Time, endpoint peridotpath.EndpointID)
+	// OnEndpointDraining, when set, is called for an endpoint that reports that it is shutting down.
+	OnEndpointDraining func(now time.Time, endpoint peridotpath.EndpointID)
 	// ResumeWindow is how long a stream stays resumable after its caller disconnected.
 	ResumeWindow time.Duration
 
--- a/peridotpath/dispatch/dispatch_test.go
+++ b/peridotpath/dispatch/dispatch_test.go
@@ -201,7 +201,7 @@
 				defer fixture.start(t)()
 				received := &received{}
 				request := request(false)
-				request.Stream = false
+				request.WantsStream = false
 				result := fixture.Do(t.Context(), request, received.sink())
 				is.Equal(len(fixture.sends), 1)
 				if test.code == peridotpath.CodeOK {
@@ -230,10 +230,10 @@
 		defer fixture.start(t)()
 		request := request(true)
 		freed := 0
-		request.Free = func() { freed++ }
+		request.OnBodyReleased = func() { freed++ }
 		received := &received{}
 		sink := received.sink()
-		sink.Event = func(int64, []byte) error {
+		sink.WriteEvent = func(int64, []byte) error {
 			is.Equal(freed, 1)
 			is.Equal(request.Body.Len(), 0)
 			return nil
@@ -244,7 +244,7 @@
 	})
 }
 
-// TestUsageIsReported checks that the engine's token counts reach Request.Usage
+// TestUsageIsReported checks that the engine's token counts reach Request.OnPromptUsage
 // from whole answers and from streams. They correct the estimates by which prompts
 // are placed and refused.
 func TestUsageIsReported(t *testing.T) {
@@ -261,8 +261,8 @@
 				defer fixture.start(t)()
 				var reported []peridotpath.Tokens
 				request := request(true)
-				request.Stream = name == "stream"
-				request.Usage = func(prompt peridotpath.Tokens) { reported = append(reported, prompt) }
+				request.WantsStream = name == "stream"
+				request.OnPromptUsage = func(prompt peridotpath.Tokens) { reported = append(reported, prompt) }
 				is.Equal(fixture.Do(t.Context(), request, (&received{}).sink()), nil)
 				is.Equal(reported, []peridotpath.Tokens{1234})
 			})
--- a/peridotpath/dispatch/fixture_test.go
+++ b/peridotpath/dispatch/fixture_test.go
@@ -96,7 +96,7 @@
 	customer.Defaults()
 	now := time.Now()
 	return &dispatch.Request{
-		Stream: true, Path: engine.PathCompletions, Body: engine.NewBody([]byte(`{"prompt":"x"}`)),
+		WantsStream: true, Path: engine.PathCompletions, Body: engine.NewBody([]byte(`{"prompt":"x"}`)),
 		Work: &decide.Work{
 			ID: "r1", Customer: customer, Profile: profile, PromptTokens: 1000, MaxOutputTokens: 10,
 			ArrivedAt: now, Deadline: now.Add(deadline),
@@ -115,15 +115,15 @@
 
 func (received *received) sink() *dispatch.Sink {
 	return &dispatch.Sink{
-		Start: func(http.Header, peridotpath.EndpointID, string) { received.started++ },
-		Event: func(offset int64, data []byte) error {
+		BeginAnswer: func(http.Header, peridotpath.EndpointID, string) { received.started++ },
+		WriteEvent: func(offset int64, data []byte) error {
 			if received.disconnected {
 				return io.ErrClosedPipe
 			}
 			received.events = append(received.events, fmt.Sprintf("%d:%s", offset, text(data)))
 			return nil
 		},
-		Whole: func(body []byte) error { received.whole = string(body); return nil },
+		WriteWhole: func(body []byte) error { received.whole = string(body); return nil },
 	}
 }
 
--- a/peridotpath/dispatch/prompt.go
+++ b/peridotpath/dispatch/prompt.go
@@ -37,29 +37,29 @@
 	if err != nil {
 		return dispatcher.classifySendError(ctx, work, endpoint.ID, err)
 	}
-	if request.Stream {
+	if request.WantsStream {
 		return dispatcher.relayStream(ctx, request, endpoint, answer, sink)
 	}
 	defer answer.Body.Close()
 	return dispatcher.relayWhole(ctx, request, endpoint, answer, sink)
 }
 
-// reportUsage passes the engine's token count of the prompt to Request.Usage, if the
+// reportUsage passes the engine's token count of the prompt to Request.OnPromptUsage, if the
 // answer or the stream's event contains it.
 func (request *Request) reportUsage(data []byte) {
-	if request.Usage == nil {
+	if request.OnPromptUsage == nil {
 		return
 	}
 	if tokens := gjson.GetBytes(data, "usage.prompt_tokens").Int(); tokens > 0 {
-		request.Usage(peridotpath.Tokens(tokens))
+		request.OnPromptUsage(peridotpath.Tokens(tokens))
 	}
 }
 
 // releaseBody releases the body's memory.
 func (request *Request) releaseBody() {
 	request.Body.Release()
-	if request.Free != nil {
-		request.Free()
+	if request.OnBodyReleased != nil {
+		request.OnBodyReleased()
 	}
 }
 
@@ -79,9 +79,9 @@
 	}
 	dispatcher.recordFirstToken(work)
 	request.reportUsage(body)
-	sink.Start(answer.Header, endpoint.ID, answer.StreamID)
+	sink.BeginAnswer(answer.Header, endpoint.ID, answer.StreamID)
 	tokens := peridotpath.Tokens(gjson.GetBytes(body, "usage.completion_tokens").Int())
-	return deliveredAttempt(tokens, sink.Whole(body))
+	return deliveredAttempt(tokens, sink.WriteWhole(body))
 }
 
 // answerHasContent reports whether an answer has content. An empty success counts
--- a/peridotpath/dispatch/relay.go
+++ b/peridotpath/dispatch/relay.go
@@ -57,9 +57,9 @@
 	return stream.relay(ctx, answer)
 }
 
-// Continue relays a stream that a caller resumes by cursor, from the event
+// ContinueStream relays a stream that a caller resumes by cursor, from the event
 // after the given offset on.
-func (dispatcher *Dispatcher) Continue(ctx context.Context, work *decide.Work, endpoint peridotpath.Endpoint, id string, after int64, sink *Sink) *peridotpath.Result {
+func (dispatcher *Dispatcher) ContinueStream(ctx context.Context, work *decide.Work, endpoint peridotpath.Endpoint, id string, after int64, sink *Sink) *peridotpath.Result {
 	dispatcher.initChannels()
 	ctx, cancel := context.WithDeadline(ctx, work.Deadline)
 	defer cancel()
@@ -68,7 +68,7 @@
 	if err != nil {
 		return failureResult(peridotpath.CodeStreamCut, err.Error())
 	}
-	sink.Start(answer.Header, endpoint.ID, id)
+	sink.BeginAnswer(answer.Header, endpoint.ID, id)
 	stream.contentSent = true
 	attempt := stream.relay(ctx, answer)
 	return attempt.result
@@ -147,7 +147,7 @@
 		if stream.onUsage != nil && bytes.Contains(event.Data, usageField) {
 			stream.onUsage(event.Data)
 		}
-		return stream.sink.Event(event.Offset, event.Data)
+		return stream.sink.WriteEvent(event.Offset, event.Data)
 	}
 	stream.heldEvents = append(stream.heldEvents, append([]byte{}, event.Data...))
 	if !eventHasContent(event.Data) && len(stream.heldEvents) < maxHeldEvents {
@@ -156,10 +156,10 @@
 	stream.contentSent = true
 	stream.onFirstContent()
 	stream.dispatcher.recordFirstToken(stream.work)
-	stream.sink.Start(nil, stream.endpoint.ID, stream.id)
+	stream.sink.BeginAnswer(nil, stream.endpoint.ID, stream.id)
 	firstOffset := stream.nextOffset - int64(len(stream.heldEvents))
 	for i, data := range stream.heldEvents {
-		if err := stream.sink.Event(firstOffset+int64(i), data); err != nil {
+		if err := stream.sink.WriteEvent(firstOffset+int64(i), data); err != nil {
 			return err
 		}
 	}
@@ -181,7 +181,7 @@
 	if !stream.contentSent {
 		return failedAttempt(stream.work, telemetry.RetryBadAnswer, peridotpath.CodeBadAnswer, "stream without content")
 	}
-	return deliveredAttempt(stream.tokens, stream.sink.Event(stream.nextOffset, []byte(engine.EndMark)))
+	return deliveredAttempt(stream.tokens, stream.sink.WriteEvent(stream.nextOffset, []byte(engine.EndMark)))
 }
 
 // abandonedAttempt returns the abandoned attempt if the caller disconnected or the deadline
--- a/peridotpath/dispatch/resume_test.go
+++ b/peridotpath/dispatch/resume_test.go
@@ -35,8 +35,8 @@
 		work := &decide.Work{Profile: &peridotpath.Profile{Idempotent: true}, Deadline: time.Now().Add(deadline)}
 		startedAt := time.Now()
 		endpoint := peridotpath.Endpoint{ID: "engine-1", Address: netip.MustParseAddrPort("127.0.0.1:1")}
-		sink := &dispatch.Sink{Start: func(http.Header, peridotpath.EndpointID, string) {}, Event: func(int64, []byte) error { return nil }}
-		result := fixture.Continue(context.Background(), work, endpoint, "s1", 7, sink)
+		sink := &dispatch.Sink{BeginAnswer: func(http.Header, peridotpath.EndpointID, string) {}, WriteEvent: func(int64, []byte) error { return nil }}
+		result := fixture.ContinueStream(context.Background(), work, endpoint, "s1", 7, sink)
 		is.Equal(result.Code, peridotpath.CodeStreamCut)
 		is.Equal(len(fixture.resumes), 4)                      // number of resume requests
 		is.True(time.Since(startedAt) < 2*time.Second)         // the result came too late
@@ -61,8 +61,8 @@
 		}
 		work := &decide.Work{Profile: &peridotpath.Profile{Idempotent: true}, Deadline: time.Now().Add(deadline)}
 		endpoint := peridotpath.Endpoint{ID: "engine-1", Address: netip.MustParseAddrPort("127.0.0.1:1")}
-		sink := &dispatch.Sink{Start: func(http.Header, peridotpath.EndpointID, string) {}, Event: func(int64, []byte) error { return nil }}
-		result := fixture.Continue(context.Background(), work, endpoint, "s1", 0, sink)
+		sink := &dispatch.Sink{BeginAnswer: func(http.Header, peridotpath.EndpointID, string) {}, WriteEvent: func(int64, []byte) error { return nil }}
+		result := fixture.ContinueStream(context.Background(), work, endpoint, "s1", 0, sink)
 		is.Equal(result.Code, peridotpath.CodeStreamCut)
 		is.True(len(fixture.resumes) > 1)
 		is.Equal(maxOpen, 1) // answers open at the same time
--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -61,7 +61,7 @@
 // IngressDependencies holds the dependencies of a handler of callers' requests.
 type IngressDependencies struct {
 	Relay  *relay.Relay
-	Bodies *caller.Bodies
+	Bodies *caller.BodyReader
 	// Stopping reports that callers should not reuse the connection, Closing that no
 	// further request is accepted.
 	Stopping, Closing func() bool
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -29,7 +29,7 @@
 // createListeners creates and opens the listeners.
 func (instance *Instance) createListeners() {
 	settings := instance.Settings
-	bodies := caller.NewBodies(initialMaxBody, peridotpath.Bytes(bodyMemoryShare*float64(settings.Memory)), bodyReadTimeout)
+	bodies := caller.NewBodyReader(initialMaxBody, peridotpath.Bytes(bodyMemoryShare*float64(settings.Memory)), bodyReadTimeout)
 	handler := instance.Adapter.Ingress(IngressDependencies{
 		Relay: instance.relay, Bodies: bodies, Stopping: instance.stopping.Load, Closing: instance.closing.Load,
 	})
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -159,7 +159,7 @@
 	}
 	dispatcher := &dispatch.Dispatcher{
 		Scheduler: scheduler, Log: logger, ResumeWindow: 10 * time.Second,
-		Send: engines.Send, Resume: engines.Resume, Cancel: engines.Cancel, SendPlain: services.Send, Draining: view.Refused,
+		Send: engines.Send, Resume: engines.Resume, Cancel: engines.Cancel, SendPlain: services.Send, OnEndpointDraining: view.Refused,
 	}
 	ledger := &claim.Ledger{
 		Store: fleet.platform.Store(), Instance: id, Incarnation: 1, Logger: logger, Metrics: metrics.NewSet(),
@@ -168,10 +168,10 @@
 	signer := &cursor.Signer{}
 	signer.SetSecret([]byte("the same at every instance"))
 	server := &caller.Server{
-		Log: logger, Config: func() *peridotpath.Config { return fleet.deployment.config },
-		Do: dispatcher.Do, Continue: dispatcher.Continue, DoPlain: dispatcher.DoPlain, Endpoint: fleet.endpoint,
-		EngineHolds: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
-		Signer:      signer, Claims: ledger, MaxHeaderBytes: 64 << 10, Bodies: caller.NewBodies(16<<20, 64<<20, 10*time.Second),
+		Log: logger, ActiveConfig: func() *peridotpath.Config { return fleet.deployment.config },
+		Do: dispatcher.Do, ContinueStream: dispatcher.ContinueStream, DoPlain: dispatcher.DoPlain, FindEndpoint: fleet.endpoint,
+		LargestEngineKV: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
+		Signer:          signer, Claims: ledger, MaxHeaderBytes: 64 << 10, BodyReader: caller.NewBodyReader(16<<20, 64<<20, 10*time.Second),
 	}
 	fleet.start(ctx, dispatcher.Run)
 	fleet.start(ctx, ledger.Run)
@@ -192,8 +192,8 @@
 func routesHandler(t testing.TB, server *caller.Server) http.Handler {
 	t.Helper()
 	routes := router.NewRouter()
-	routes.SetNotFoundHandler(server.NotFound())
-	routes.SetNotAllowedHandler(server.NotFound())
+	routes.SetNotFoundHandler(server.NotFoundHandler())
+	routes.SetNotAllowedHandler(server.NotFoundHandler())
 	for _, route := range server.Routes() {
 		if err := routes.Handle(route.Method, route.Path, route.Handler); err != nil {
 			t.Fatal(err)
@@ -201,7 +201,7 @@
 	}
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if strings.HasPrefix(request.URL.Path, caller.ServicePrefix) {
-			server.Services().ServeHTTP(writer, request)
+			server.ServiceHandler().ServeHTTP(writer, request)
 			return
 		}
 		routes.ServeHTTP(writer, request)
--- a/peridotpath/session/fuzz_test.go
+++ b/peridotpath/session/fuzz_test.go
@@ -33,13 +33,13 @@
 	config.Index()
 	var ran *dispatch.Request
 	server := &caller.Server{
-		Log: zerolog.Nop(), Config: func() *peridotpath.Config { return config }, Signer: &cursor.Signer{},
-		EngineHolds: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
-		Bodies:      caller.NewBodies(1<<20, 8<<20, time.Second),
+		Log: zerolog.Nop(), ActiveConfig: func() *peridotpath.Config { return config }, Signer: &cursor.Signer{},
+		LargestEngineKV: func(peridotpath.Service) peridotpath.Tokens { return 400_000 },
+		BodyReader:      caller.NewBodyReader(1<<20, 8<<20, time.Second),
 		Do: func(_ context.Context, request *dispatch.Request, sink *dispatch.Sink) *peridotpath.Result {
 			ran = request
-			sink.Start(nil, "lipi-model-1", "")
-			_ = sink.Whole([]byte(`{}`))
+			sink.BeginAnswer(nil, "lipi-model-1", "")
+			_ = sink.WriteWhole([]byte(`{}`))
 			return nil
 		},
 	}
--- a/peridotpath/shift/fixture_test.go
+++ b/peridotpath/shift/fixture_test.go
@@ -108,7 +108,7 @@
 	}
 	started.dispatcher = &dispatch.Dispatcher{
 		Scheduler: scheduler, Log: zerolog.Nop(), ResumeWindow: 10 * time.Second,
-		Send: client.Send, Resume: client.Resume, Cancel: client.Cancel, Draining: view.Refused,
+		Send: client.Send, Resume: client.Resume, Cancel: client.Cancel, OnEndpointDraining: view.Refused,
 	}
 	started.counter = &shift.DemandCounter{Store: store, Interval: 2 * time.Second}
 	started.holder = &lease.Holder{
@@ -179,15 +179,15 @@
 			instance.counter.RecordPrompt(service, tokens)
 		}
 		sink := &dispatch.Sink{
-			Start: func(http.Header, peridotpath.EndpointID, string) { answer.timeToFirstToken = time.Since(begin) },
-			Event: func(_ int64, data []byte) error {
+			BeginAnswer: func(http.Header, peridotpath.EndpointID, string) { answer.timeToFirstToken = time.Since(begin) },
+			WriteEvent: func(_ int64, data []byte) error {
 				if gjson.GetBytes(data, "choices.0.text").String() != "" {
 					answer.tokens++
 				}
 				return nil
 			},
 		}
-		request := &dispatch.Request{Work: work, Path: engine.PathCompletions, Body: engine.NewBody(text), Stream: true}
+		request := &dispatch.Request{Work: work, Path: engine.PathCompletions, Body: engine.NewBody(text), WantsStream: true}
 		answer.result = instance.dispatcher.Do(context.Background(), request, sink)
 		answer.totalTime = time.Since(begin)
 		retry := answer.result != nil && answer.result.RetryAfter > 0 && answer.tokens == 0
