--- a/peridotpath/peer/relay_test.go
+++ b/peridotpath/peer/config_follower_test.go
@@ -22,8 +22,8 @@
 	"peridotpath.example/peridotpath/peer/wire"
 )
 
-// profiles returns the stored form of the profiles' document.
-func profiles(t *testing.T, revision peridotpath.Revision, names ...string) []byte {
+// profilesDocument returns the stored form of the profiles document.
+func profilesDocument(t *testing.T, revision peridotpath.Revision, names ...string) []byte {
 	t.Helper()
 	items := []map[string]any{}
 	for _, name := range names {
@@ -36,25 +36,26 @@
 	return text
 }
 
-// follower is a Store that hears no platform, joined to a reader through relay.
-func follower(relay *peer.Relay) *config.Store {
-	down := func() error { return keyvalue.ErrUnavailable.New("cut off") }
+// newFollowerStore returns a Store that cannot reach the platform and fetches its documents
+// through configFollower.
+func newFollowerStore(configFollower *peer.Relay) *config.Store {
+	fail := func() error { return keyvalue.ErrUnavailable.New("platform unreachable") }
 	return &config.Store{
 		KeyValue: &keyvalue.Store{
-			List: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) { return nil, 0, down() },
+			List: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) { return nil, 0, fail() },
 			Watch: func(context.Context, string, keyvalue.Version, time.Duration) ([]keyvalue.Entry, keyvalue.Version, error) {
-				return nil, 0, down()
+				return nil, 0, fail()
 			},
 		},
 		IsReader: func() bool { return false },
-		Peers:    relay.Peers,
+		Peers:    configFollower.Peers,
 	}
 }
 
-// reader returns a Store with one profile and the version of its document.
-func reader(t *testing.T, kv *keyvalue.Store) (*config.Store, keyvalue.Version) {
+// newReaderStore returns a Store with one profile and the version of its document.
+func newReaderStore(t *testing.T, kv *keyvalue.Store) (*config.Store, keyvalue.Version) {
 	t.Helper()
-	version, err := kv.Swap(t.Context(), "config/profiles", 0, profiles(t, 1, "counter"), keyvalue.LeaseID{})
+	version, err := kv.Swap(t.Context(), "config/profiles", 0, profilesDocument(t, 1, "counter"), keyvalue.LeaseID{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,11 +66,11 @@
 	return store, version
 }
 
-// An instance that starts while the platform is down takes its configuration
-// from another one, over the real protocol.
-func TestConfigurationOverTheWire(t *testing.T) {
+// An instance that starts while the platform is down loads its configuration from a peer over
+// the HTTP protocol.
+func TestStartFromPeerWhilePlatformIsDown(t *testing.T) {
 	is := is.New(t)
-	source, _ := reader(t, (&memory.Memory{}).Store())
+	source, _ := newReaderStore(t, (&memory.Memory{}).Store())
 	book := &digest.Book{Epoch: 5}
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 4, AsOf: time.Now()})
 	service := &peer.Service{
@@ -81,8 +82,8 @@
 	instance := peridotpath.Instance{ID: "instance-1", Peer: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	client := &peer.Client{}
 	others := func() []peridotpath.Instance { return []peridotpath.Instance{instance} }
-	fresh := follower(&peer.Relay{Readers: others, Others: others, Changes: client.Changes})
-	snapshot, err := fresh.Load(t.Context())
+	follower := newFollowerStore(&peer.Relay{Readers: others, Others: others, Changes: client.Changes})
+	snapshot, err := follower.Load(t.Context())
 	is.NoErr(err)
 	is.Equal(snapshot.Config.Profile("counter").Service, peridotpath.Service("claims-llm"))
 
@@ -90,58 +91,59 @@
 	is.NoErr(err)
 	is.Equal(answer.Endpoints[0].Endpoint, "engine-1")
 	_, err = client.Exchange(t.Context(), instance, &wire.Digest{Version: &wire.Version{Protocol: 9, ReadableBy: 9}})
-	is.True(peer.ErrVersion.Has(err)) // told apart from a failure
+	is.True(peer.ErrVersion.Has(err)) // distinct from a failed call
 	_, err = client.Changes(t.Context(), instance, &wire.ChangesRequest{})
 	is.True(peer.ErrVersion.Has(err))
 }
 
-// askedCount counts the questions of a follower, and those with all revisions.
-type askedCount struct{ questions, long int }
+// requestCounter counts the requests of a follower, and those with all revisions.
+type requestCounter struct{ total, withRevisions int }
 
-func relayTo(source *config.Store, asked *askedCount) *peer.Relay {
+func newConfigFollower(source *config.Store, requests *requestCounter) *peer.Relay {
 	service := &peer.Service{Changes: source.Changes}
 	others := func() []peridotpath.Instance { return []peridotpath.Instance{{ID: "instance-1"}} }
 	return &peer.Relay{
 		Readers: others, Others: others,
 		Changes: func(ctx context.Context, _ peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
-			asked.questions++
+			requests.total++
 			if len(request.Revisions) > 0 {
-				asked.long++
+				requests.withRevisions++
 			}
 			return service.Answer(ctx, request)
 		},
 	}
 }
 
-// A change is in force at a follower at once, and its questions stay short.
-func TestFollowerHearsOfChanges(t *testing.T) {
+// A follower applies each change within a second, and its requests contain only the hash of
+// the revisions.
+func TestFollowerReceivesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		kv := (&memory.Memory{}).Store()
-		source, version := reader(t, kv)
-		asked := &askedCount{}
-		fresh := follower(relayTo(source, asked))
-		_, err := fresh.Load(ctx)
+		source, version := newReaderStore(t, kv)
+		requests := &requestCounter{}
+		follower := newFollowerStore(newConfigFollower(source, requests))
+		_, err := follower.Load(ctx)
 		is.NoErr(err)
 		ended := make(chan error, 2)
 		go func() { ended <- source.Run(ctx) }()
-		go func() { ended <- fresh.Run(ctx) }()
+		go func() { ended <- follower.Run(ctx) }()
 		for revision := range peridotpath.Revision(20) {
-			version, err = kv.Swap(ctx, "config/profiles", version, profiles(t, revision+2, "counter"), keyvalue.LeaseID{})
+			version, err = kv.Swap(ctx, "config/profiles", version, profilesDocument(t, revision+2, "counter"), keyvalue.LeaseID{})
 			is.NoErr(err)
 			time.Sleep(time.Second)
-			is.Equal(fresh.Applied()["profiles"], revision+2)
+			is.Equal(follower.Applied()["profiles"], revision+2)
 		}
-		is.Equal(asked.long, 0) // the hash stood in for the revisions
+		is.Equal(requests.withRevisions, 0) // the hash replaced the revisions
 
-		// The reader starts anew and knows no hash: it asks for the revisions
-		// once, and does not send every document of 34,000 customers again.
-		anew := &askedCount{}
-		updates, err := relayTo(source, anew).Peers(ctx, fresh.Applied(), time.Second)
+		// A restarted reader does not know the hash. It requests the revisions once, and does
+		// not send the documents of 34,000 customers again.
+		afterRestart := &requestCounter{}
+		updates, err := newConfigFollower(source, afterRestart).Peers(ctx, follower.Applied(), time.Second)
 		is.NoErr(err)
 		is.Equal(len(updates[0].Documents), 0)
-		is.Equal(anew.long, 1)
+		is.Equal(afterRestart.withRevisions, 1)
 		cancel()
 		for range cap(ended) {
 			is.True(errors.Is(<-ended, context.Canceled))
@@ -149,32 +151,31 @@
 	})
 }
 
-// A newer version writes a profile that this one refuses. Follower and reader
-// would hand the document back and forth as fast as the network lets them, and
-// the follower would not be worse off for it in any way that callers see; the
-// network and both instances' processors would.
-func TestRefusedDocumentIsNotAskedForInAHurry(t *testing.T) {
+// Guards against a request loop between follower and reader after a newer version wrote a
+// document that the follower rejects. The loop would not affect callers, but would load the
+// network and the processors of both instances.
+func TestRejectedDocumentIsRequestedAtLimitedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		source, _ := reader(t, (&memory.Memory{}).Store())
-		asked := &askedCount{}
-		relay := relayTo(source, asked)
-		real := relay.Changes
-		relay.Changes = func(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
+		source, _ := newReaderStore(t, (&memory.Memory{}).Store())
+		requests := &requestCounter{}
+		configFollower := newConfigFollower(source, requests)
+		original := configFollower.Changes
+		configFollower.Changes = func(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 			time.Sleep(latency)
-			reply, err := real(ctx, peer, request)
+			reply, err := original(ctx, peer, request)
 			for _, document := range reply.GetDocuments() {
 				document.Name = "written-by-a-later-version"
 			}
 			return reply, err
 		}
-		fresh := follower(relay)
-		_, _ = fresh.Load(ctx)
+		follower := newFollowerStore(configFollower)
+		_, _ = follower.Load(ctx)
 		for ctx.Err() == nil {
-			_, _ = relay.Peers(ctx, fresh.Applied(), config.DefaultWait)
+			_, _ = configFollower.Peers(ctx, follower.Applied(), config.DefaultWait)
 		}
-		is.True(asked.questions <= 62)
+		is.True(requests.total <= 62)
 	})
 }
--- a/peridotpath/peer/documents.go
+++ b/peridotpath/peer/documents.go
@@ -15,23 +15,23 @@
 	"peridotpath.example/peridotpath/peer/wire"
 )
 
-// packer deflates documents: a shard of customers shrinks to a quarter. It
-// keeps the latest form of each, because a change goes to every follower of a
-// reader and deflating costs it more than all else about a change.
-type packer struct {
+// documentDeflater compresses documents with DEFLATE, which reduces a shard of customers to a
+// quarter of its size. It caches the latest compressed form of each document: a reader sends
+// each change to all of its followers, and compression is the largest part of the cost.
+type documentDeflater struct {
 	mu     sync.Mutex
-	byName map[config.DocumentName]packed
+	byName map[config.DocumentName]deflatedDocument
 }
 
-type packed struct {
+type deflatedDocument struct {
 	hash     uint64
 	deflated []byte
 }
 
-func (packer *packer) pack(update config.Update) (*wire.ChangesReply, error) {
+func (documentDeflater *documentDeflater) encodeUpdate(update config.Update) (*wire.ChangesReply, error) {
 	reply := &wire.ChangesReply{Version: digest.Version(), AgeMs: uint64(max(update.AgeMS, 0))}
 	for _, document := range update.Documents {
-		deflated, err := packer.document(document)
+		deflated, err := documentDeflater.deflateCached(document)
 		if err != nil {
 			return nil, err
 		}
@@ -40,21 +40,21 @@
 	return reply, nil
 }
 
-func (packer *packer) document(document config.Document) ([]byte, error) {
+func (documentDeflater *documentDeflater) deflateCached(document config.Document) ([]byte, error) {
 	hash := xxhash.Sum64(document.Text)
-	packer.mu.Lock()
-	defer packer.mu.Unlock()
-	if found, ok := packer.byName[document.Name]; ok && found.hash == hash {
+	documentDeflater.mu.Lock()
+	defer documentDeflater.mu.Unlock()
+	if found, ok := documentDeflater.byName[document.Name]; ok && found.hash == hash {
 		return found.deflated, nil
 	}
 	deflated, err := deflate(document.Text)
 	if err != nil {
 		return nil, err
 	}
-	if packer.byName == nil {
-		packer.byName = map[config.DocumentName]packed{}
+	if documentDeflater.byName == nil {
+		documentDeflater.byName = map[config.DocumentName]deflatedDocument{}
 	}
-	packer.byName[document.Name] = packed{hash, deflated}
+	documentDeflater.byName[document.Name] = deflatedDocument{hash, deflated}
 	return deflated, nil
 }
 
@@ -73,13 +73,13 @@
 	return buffer.Bytes(), nil
 }
 
-func unpackUpdate(reply *wire.ChangesReply) (config.Update, error) {
+func decodeUpdate(reply *wire.ChangesReply) (config.Update, error) {
 	update := config.Update{AgeMS: peridotpath.Millis(reply.AgeMs)}
 	for _, document := range reply.Documents {
 		reader := flate.NewReader(bytes.NewReader(document.Deflated))
 		text, err := io.ReadAll(io.LimitReader(reader, keyvalue.MaxValueBytes+1))
 		if err != nil || len(text) > keyvalue.MaxValueBytes {
-			return config.Update{}, Error.New("document %q: %d bytes: %v", document.Name, len(text), err)
+			return config.Update{}, Error.New("inflate document %q: %d bytes: %v", document.Name, len(text), err)
 		}
 		update.Documents = append(update.Documents, config.Document{Name: config.DocumentName(document.Name), Text: text})
 	}
--- a/peridotpath/peer/exchange.go
+++ b/peridotpath/peer/exchange.go
@@ -1,6 +1,8 @@
-// Package peer speaks to the other instances: it exchanges digests of load and
-// demand with them and relays the configuration. When they are silent each
-// instance goes on with what it knows itself.
+// Package peer implements the protocol between instances. Pairs of instances periodically
+// exchange delta-encoded digests of endpoint load and customer demand, within a byte
+// budget, and instances that do not read the configuration from the platform fetch it from
+// peers by long polling. When peers are unreachable, an instance continues with the state
+// that it has.
 package peer
 
 import (
@@ -27,78 +29,81 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("peer")
 
-// ErrVersion says that a message cannot be read by this version.
+// ErrVersion is the class of errors for messages of a protocol version that this instance
+// cannot read.
 var ErrVersion = errs.Class("peer: version")
 
 const (
-	// DefaultInterval between two exchanges with one peer, while the budget
-	// allows it.
+	// DefaultInterval is the default time between two exchanges with one peer, if the
+	// budget allows it.
 	DefaultInterval = 500 * time.Millisecond
-	// DefaultBudget in bytes a second, for messages of both directions. With
-	// the readings of reports and the sweeps it leaves a fifth of the 8 kB that
-	// control may cost an instance to the configuration.
+	// DefaultBudget is the default limit on exchange traffic in bytes per second, for both
+	// directions together. Control traffic may use 8 kB/s per instance; the exchanges, the
+	// polls of load reports and the stream sweeps leave a fifth of it to the configuration.
 	DefaultBudget = 3500
-	// MessageOverhead is what HTTP adds to a message and its answer: headers,
-	// and the headers of the segments that carry them.
+	// MessageOverhead is the number of bytes that HTTP and TCP headers add to a message
+	// and its reply.
 	MessageOverhead = 500
-	// tick is how often the exchanges that are due are looked for.
-	tick = 50 * time.Millisecond
-	// callTimeout bounds one exchange. A peer that needs longer is of no use
-	// for decisions about load.
-	callTimeout = time.Second
-	// backoffLimit bounds the time between two tries of a silent peer.
-	backoffLimit = 10 * time.Second
-	// maxDoublings keeps the backoff's shift from overflowing; backoffLimit is
-	// reached long before.
-	maxDoublings = 8
-	// silentRounds is after how many intervals without a word the side that
-	// normally waits for a pair's exchange begins one itself.
-	silentRounds = 3
-	// urgentRetry spaces the tries to hand over an urgent change.
-	urgentRetry = 250 * time.Millisecond
-	// forgetAfter is how long a peer that is no longer listed is remembered.
-	forgetAfter = time.Minute
+	// dueCheckInterval is how often Exchanger.Run checks which exchanges are due.
+	dueCheckInterval = 50 * time.Millisecond
+	// exchangeTimeout bounds one exchange. Load that takes longer to arrive is too old for
+	// placement decisions.
+	exchangeTimeout = time.Second
+	// maxBackoff bounds the time between two attempts to reach an unresponsive peer.
+	maxBackoff = 10 * time.Second
+	// maxBackoffDoublings prevents an overflow of the backoff's shift. The backoff reaches
+	// maxBackoff after fewer doublings.
+	maxBackoffDoublings = 8
+	// maxSilentIntervals is the number of intervals without a message after which the
+	// passive side of a pair starts an exchange itself.
+	maxSilentIntervals = 3
+	// minUrgentInterval is the minimum time between two attempts to send an urgent change.
+	minUrgentInterval = 250 * time.Millisecond
+	// unlistedRetention is how long the state of a peer is kept after it is no longer listed.
+	unlistedRetention = time.Minute
 )
 
-// Exchanger keeps up the exchange of digests. Set the exported fields before Run.
+// Exchanger exchanges digests with the other instances. Set the exported fields before the
+// first call of a method.
 type Exchanger struct {
 	Self peridotpath.InstanceID
 	Book *digest.Book
 	Log  zerolog.Logger
-	// Peers returns the other instances to exchange with.
+	// Peers returns the other instances to exchange digests with.
 	Peers func() []peridotpath.Instance
-	// Call hands a digest to a peer and returns its answer.
+	// Call sends a digest to a peer and returns the digest in its reply.
 	Call func(ctx context.Context, peer peridotpath.Instance, digest *wire.Digest) (*wire.Digest, error)
-	// Report takes the reports that a peer's digest confirms.
+	// Report is called with each load report that a peer's digest adds or confirms.
 	Report func(now time.Time, id peridotpath.EndpointID, load peridotpath.Load)
-	// Interval between two exchanges with a peer; zero for DefaultInterval.
+	// Interval is the time between two exchanges with a peer; zero selects DefaultInterval.
 	Interval time.Duration
-	// Budget in bytes a second; zero for DefaultBudget.
+	// Budget limits exchange traffic in bytes per second; zero selects DefaultBudget.
 	Budget int
-	// Random returns a number from 0 to 1 for jitter; nil for the global source.
+	// Random returns a number in [0, 1) for jitter; nil selects the global source.
 	Random func() float64
 
 	once    sync.Once
 	limiter *rate.Limiter
 
-	mu      sync.Mutex
-	remotes map[peridotpath.InstanceID]*remote
+	mu         sync.Mutex
+	peerStates map[peridotpath.InstanceID]*peerState
 }
 
-// remote is the state of the exchange with one peer.
-type remote struct {
+// peerState is the state of the exchange with one peer.
+type peerState struct {
 	mirror digest.Mirror
 
 	// The fields below are guarded by Exchanger.mu.
-	epoch, acked uint64    // what the peer holds of our Book
-	next         time.Time // when the next exchange is due
-	tried        time.Time
-	failures     int
-	calling      bool
-	since        time.Time // first sight
+	ackedEpoch, ackedSequence uint64 // what the peer has received of Exchanger.Book
+	nextExchange              time.Time
+	lastAttempt               time.Time
+	failures                  int
+	isExchanging              bool
+	firstSeen                 time.Time
 }
 
-func (exchanger *Exchanger) start() {
+// init sets the defaults of the exported fields, once.
+func (exchanger *Exchanger) init() {
 	exchanger.once.Do(func() {
 		if exchanger.Interval == 0 {
 			exchanger.Interval = DefaultInterval
@@ -109,22 +114,22 @@
 		if exchanger.Random == nil {
 			exchanger.Random = rand.Float64
 		}
-		// Two seconds' worth may go at once, so that a start, when everything is
-		// new, is not held up.
+		// The burst of two seconds' worth of bytes keeps the limiter from delaying the first
+		// exchanges after a start, which carry the full state.
 		exchanger.limiter = rate.NewLimiter(rate.Limit(exchanger.Budget), 2*exchanger.Budget)
-		exchanger.remotes = map[peridotpath.InstanceID]*remote{}
+		exchanger.peerStates = map[peridotpath.InstanceID]*peerState{}
 	})
 }
 
-// Run exchanges digests until ctx ends, and returns when the last call has ended.
+// Run exchanges digests until ctx is done, and returns when the last exchange has ended.
 func (exchanger *Exchanger) Run(ctx context.Context) error {
-	exchanger.start()
+	exchanger.init()
 	var group errgroup.Group
 	defer func() { _ = group.Wait() }()
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(dueCheckInterval)
 	defer ticker.Stop()
 	for {
-		exchanger.round(ctx, &group)
+		exchanger.startDueExchanges(ctx, &group)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -133,208 +138,217 @@
 	}
 }
 
-// round begins the exchanges that are due.
-func (exchanger *Exchanger) round(ctx context.Context, group *errgroup.Group) {
+// startDueExchanges starts the exchanges that are due, and evicts peers that are no longer
+// listed.
+func (exchanger *Exchanger) startDueExchanges(ctx context.Context, group *errgroup.Group) {
 	now := time.Now()
 	urgent := exchanger.Book.Urgent()
-	listed := exchanger.Peers()
+	peers := exchanger.Peers()
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
-	for _, peer := range listed {
-		remote := exchanger.remote(now, peer.ID)
-		if !exchanger.due(now, peer.ID, remote, urgent) {
+	for _, peer := range peers {
+		state := exchanger.peerStateOf(now, peer.ID)
+		if !exchanger.isDue(now, peer.ID, state, urgent) {
 			continue
 		}
-		remote.calling, remote.tried = true, now
+		state.isExchanging, state.lastAttempt = true, now
 		group.Go(func() error {
-			exchanger.exchange(ctx, peer, remote)
+			exchanger.runExchange(ctx, peer, state)
 			return nil
 		})
 	}
-	exchanger.forget(now, listed)
+	exchanger.evictUnlisted(now, peers)
 }
 
-func (exchanger *Exchanger) remote(now time.Time, id peridotpath.InstanceID) *remote {
-	found := exchanger.remotes[id]
-	if found == nil {
-		found = &remote{since: now}
-		exchanger.remotes[id] = found
+// peerStateOf returns the state of a peer, creating it if needed. The caller holds
+// exchanger.mu.
+func (exchanger *Exchanger) peerStateOf(now time.Time, id peridotpath.InstanceID) *peerState {
+	state := exchanger.peerStates[id]
+	if state == nil {
+		state = &peerState{firstSeen: now}
+		exchanger.peerStates[id] = state
 	}
-	return found
+	return state
 }
 
-// due reports whether to begin an exchange with the peer.
+// isDue reports whether to start an exchange with the peer.
 //
-// One side of a pair begins, chosen by a hash, because an exchange serves both.
-// The other side steps in when it hears nothing: its peer may not have it on
-// its membership list yet. Only the news that an endpoint leaves goes out
-// whatever the budget says; it is charged to the exchanges that follow.
-func (exchanger *Exchanger) due(now time.Time, id peridotpath.InstanceID, remote *remote, urgent uint64) bool {
-	if remote.calling {
+// An exchange transfers both digests, so only one side of a pair, selected by a hash,
+// initiates. The passive side starts an exchange when it has received nothing for
+// maxSilentIntervals, since the initiator's membership list may not contain it yet. Only an
+// urgent change, an endpoint that starts to leave, is sent regardless of the budget; its
+// bytes are charged to later exchanges.
+func (exchanger *Exchanger) isDue(now time.Time, id peridotpath.InstanceID, state *peerState, urgentSequence uint64) bool {
+	if state.isExchanging {
 		return false
 	}
-	holds := remote.acked
-	if remote.epoch != exchanger.Book.Epoch {
-		holds = 0
+	acked := state.ackedSequence
+	if state.ackedEpoch != exchanger.Book.Epoch {
+		acked = 0
 	}
-	if urgent > holds && now.Sub(remote.tried) >= urgentRetry && remote.failures == 0 {
+	if urgentSequence > acked && now.Sub(state.lastAttempt) >= minUrgentInterval && state.failures == 0 {
 		return true
 	}
-	if now.Before(remote.next) || exchanger.limiter.TokensAt(now) <= 0 {
+	if now.Before(state.nextExchange) || exchanger.limiter.TokensAt(now) <= 0 {
 		return false
 	}
-	if begins(exchanger.Self, id) {
+	if isInitiator(exchanger.Self, id) {
 		return true
 	}
-	heard := remote.mirror.Heard()
-	if heard.IsZero() {
-		heard = remote.since
+	lastReceived := state.mirror.Heard()
+	if lastReceived.IsZero() {
+		lastReceived = state.firstSeen
 	}
-	return now.Sub(heard) > silentRounds*exchanger.Interval
+	return now.Sub(lastReceived) > maxSilentIntervals*exchanger.Interval
 }
 
-// begins says which of two instances begins their exchanges.
-func begins(self, other peridotpath.InstanceID) bool {
+// isInitiator reports whether self is the instance of the pair that starts their exchanges.
+func isInitiator(self, other peridotpath.InstanceID) bool {
 	low, high := min(self, other), max(self, other)
 	lowBegins := xxhash.Sum64String(string(low)+"/"+string(high))&1 == 0
 	return lowBegins == (self == low)
 }
 
-func (exchanger *Exchanger) forget(now time.Time, listed []peridotpath.Instance) {
-	if len(exchanger.remotes) <= len(listed) {
+// evictUnlisted removes the state of peers that are not listed and have sent nothing for
+// unlistedRetention. The caller holds exchanger.mu.
+func (exchanger *Exchanger) evictUnlisted(now time.Time, peers []peridotpath.Instance) {
+	if len(exchanger.peerStates) <= len(peers) {
 		return
 	}
-	present := make(map[peridotpath.InstanceID]bool, len(listed))
-	for _, peer := range listed {
-		present[peer.ID] = true
+	listed := make(map[peridotpath.InstanceID]bool, len(peers))
+	for _, peer := range peers {
+		listed[peer.ID] = true
 	}
-	for id, remote := range exchanger.remotes {
-		last := remote.mirror.Heard()
-		if !present[id] && !remote.calling && now.Sub(last) > forgetAfter && now.Sub(remote.since) > forgetAfter {
-			delete(exchanger.remotes, id)
+	for id, state := range exchanger.peerStates {
+		lastReceived := state.mirror.Heard()
+		if !listed[id] && !state.isExchanging && now.Sub(lastReceived) > unlistedRetention && now.Sub(state.firstSeen) > unlistedRetention {
+			delete(exchanger.peerStates, id)
 		}
 	}
 }
 
-func (exchanger *Exchanger) exchange(ctx context.Context, peer peridotpath.Instance, remote *remote) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (exchanger *Exchanger) runExchange(ctx context.Context, peer peridotpath.Instance, state *peerState) {
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	sent := exchanger.digest(time.Now(), remote)
-	got, err := exchanger.Call(ctx, peer, sent)
+	sent := exchanger.buildDigest(time.Now(), state)
+	received, err := exchanger.Call(ctx, peer, sent)
 	now := time.Now()
 	if err == nil {
-		err = exchanger.take(now, remote, got)
+		err = exchanger.applyDigest(now, state, received)
 	}
-	exchanger.charge(now, proto.Size(sent)+proto.Size(got)+MessageOverhead)
-	exchanger.settle(now, peer, remote, err)
+	exchanger.chargeBudget(now, proto.Size(sent)+proto.Size(received)+MessageOverhead)
+	exchanger.recordOutcome(now, peer, state, err)
 }
 
-// digest makes the digest for a peer.
-func (exchanger *Exchanger) digest(now time.Time, remote *remote) *wire.Digest {
+// buildDigest returns the digest for a peer: the changes since the last acknowledged one, and
+// the acknowledgement of what was received.
+func (exchanger *Exchanger) buildDigest(now time.Time, state *peerState) *wire.Digest {
 	exchanger.mu.Lock()
-	epoch, acked := remote.epoch, remote.acked
+	epoch, acked := state.ackedEpoch, state.ackedSequence
 	exchanger.mu.Unlock()
 	digest := exchanger.Book.Digest(now, epoch, acked)
 	digest.Instance = string(exchanger.Self)
-	digest.SeenEpoch, digest.Seen = remote.mirror.Seen()
+	digest.SeenEpoch, digest.Seen = state.mirror.Seen()
 	return digest
 }
 
-// take takes in a peer's digest.
-func (exchanger *Exchanger) take(now time.Time, remote *remote, got *wire.Digest) error {
-	if !digest.Readable(got.GetVersion()) {
-		return ErrVersion.New("protocol %d, readable by %d", got.GetVersion().GetProtocol(), got.GetVersion().GetReadableBy())
+// applyDigest applies a peer's digest and forwards the load reports in it.
+func (exchanger *Exchanger) applyDigest(now time.Time, state *peerState, received *wire.Digest) error {
+	if !digest.Readable(received.GetVersion()) {
+		return ErrVersion.New("protocol %d, readable by %d", received.GetVersion().GetProtocol(), received.GetVersion().GetReadableBy())
 	}
-	for _, report := range remote.mirror.Apply(now, got) {
+	for _, report := range state.mirror.Apply(now, received) {
 		if !report.Unread {
 			exchanger.Report(now, report.Endpoint, report.Load)
 		}
 	}
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
-	remote.epoch, remote.acked = got.SeenEpoch, got.Seen
+	state.ackedEpoch, state.ackedSequence = received.SeenEpoch, received.Seen
 	return nil
 }
 
-func (exchanger *Exchanger) charge(now time.Time, bytes int) {
-	bytesTotal.Add(bytes)
+// chargeBudget counts the bytes of an exchange against the budget.
+func (exchanger *Exchanger) chargeBudget(now time.Time, bytes int) {
+	exchangeBytes.Add(bytes)
 	exchanger.limiter.ReserveN(now, min(bytes, exchanger.limiter.Burst()))
 }
 
-// settle notes how an exchange ended and when the next one is due. A silent
-// peer is tried less and less often; the random part keeps instances apart that
-// lost it at the same moment.
-func (exchanger *Exchanger) settle(now time.Time, peer peridotpath.Instance, remote *remote, err error) {
+// recordOutcome records the result of an exchange and schedules the next one. Failures back
+// off exponentially; the jitter spreads the attempts of instances that lost the same peer at
+// the same time.
+func (exchanger *Exchanger) recordOutcome(now time.Time, peer peridotpath.Instance, state *peerState, err error) {
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
-	remote.calling = false
-	wait := exchanger.Interval
+	state.isExchanging = false
+	delay := exchanger.Interval
 	if err != nil {
-		remote.failures++
-		wait = min(wait<<min(remote.failures, maxDoublings), backoffLimit)
+		state.failures++
+		delay = min(delay<<min(state.failures, maxBackoffDoublings), maxBackoff)
 		countFailure(err)
-		if remote.failures == 1 {
+		if state.failures == 1 {
 			exchanger.Log.Warn().Str("event", "exchange_failed").Str("instance", string(peer.ID)).Err(err).Send()
 		}
 	} else {
-		remote.failures = 0
+		state.failures = 0
 	}
-	remote.next = now.Add(clock.Jitter(wait, exchanger.Random()))
+	state.nextExchange = now.Add(clock.Jitter(delay, exchanger.Random()))
 }
 
-// Answer takes a peer's digest and returns the one for it. It also serves
-// instances that the membership list does not name yet.
-func (exchanger *Exchanger) Answer(now time.Time, got *wire.Digest) (*wire.Digest, error) {
-	exchanger.start()
+// Answer applies a peer's digest and returns the reply for that peer. The peer need not be on
+// the membership list yet.
+func (exchanger *Exchanger) Answer(now time.Time, received *wire.Digest) (*wire.Digest, error) {
+	exchanger.init()
 	exchanger.mu.Lock()
-	remote := exchanger.remote(now, peridotpath.InstanceID(got.Instance))
+	state := exchanger.peerStateOf(now, peridotpath.InstanceID(received.Instance))
 	exchanger.mu.Unlock()
-	if err := exchanger.take(now, remote, got); err != nil {
+	if err := exchanger.applyDigest(now, state, received); err != nil {
 		countFailure(err)
 		return nil, err
 	}
-	answer := exchanger.digest(now, remote)
-	exchanger.charge(now, proto.Size(got)+proto.Size(answer)+MessageOverhead)
+	answer := exchanger.buildDigest(now, state)
+	exchanger.chargeBudget(now, proto.Size(received)+proto.Size(answer)+MessageOverhead)
 	return answer, nil
 }
 
-// Remotes returns what customers ask of every peer that is listed or was heard
-// of late; it is share.Limiter.Peers.
+// Remotes returns the customer demand at every peer that is listed or has recently sent a
+// digest, for
+// share.Limiter.Peers.
 func (exchanger *Exchanger) Remotes() []share.Peer {
-	exchanger.start()
+	exchanger.init()
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
-	peers := make([]share.Peer, 0, len(exchanger.remotes))
-	for _, remote := range exchanger.remotes {
-		peers = append(peers, share.Peer{Heard: remote.mirror.Heard(), Demand: remote.mirror.Demand()})
+	peers := make([]share.Peer, 0, len(exchanger.peerStates))
+	for _, state := range exchanger.peerStates {
+		peers = append(peers, share.Peer{Heard: state.mirror.Heard(), Demand: state.mirror.Demand()})
 	}
 	return peers
 }
 
 var (
-	bytesTotal     = metrics.NewCounter(`peridotpath_exchange_bytes_total`)
-	failedVersion  = metrics.NewCounter(`peridotpath_exchange_failures_total{reason="version"}`)
-	failedNoAnswer = metrics.NewCounter(`peridotpath_exchange_failures_total{reason="no_answer"}`)
+	exchangeBytes    = metrics.NewCounter(`peridotpath_exchange_bytes_total`)
+	versionFailures  = metrics.NewCounter(`peridotpath_exchange_failures_total{reason="version"}`)
+	noAnswerFailures = metrics.NewCounter(`peridotpath_exchange_failures_total{reason="no_answer"}`)
 )
 
 func countFailure(err error) {
 	if ErrVersion.Has(err) {
-		failedVersion.Inc()
+		versionFailures.Inc()
 		return
 	}
-	failedNoAnswer.Inc()
+	noAnswerFailures.Inc()
 }
 
-// Epoch returns the epoch of a peer's Book as last heard; zero when it was not
-// heard yet. It tells runs of the peer apart sooner than the membership list.
+// Epoch returns the epoch of a peer's digests as last received, or zero if none was received
+// yet. It identifies the peer's current run earlier than the membership list does.
 func (exchanger *Exchanger) Epoch(id peridotpath.InstanceID) uint64 {
-	exchanger.start()
+	exchanger.init()
 	exchanger.mu.Lock()
-	remote := exchanger.remotes[id]
+	state := exchanger.peerStates[id]
 	exchanger.mu.Unlock()
-	if remote == nil {
+	if state == nil {
 		return 0
 	}
-	epoch, _ := remote.mirror.Seen()
+	epoch, _ := state.mirror.Seen()
 	return epoch
 }
--- a/peridotpath/peer/network_test.go
+++ b/peridotpath/peer/network_test.go
@@ -20,27 +20,27 @@
 	"peridotpath.example/peridotpath/peer/wire"
 )
 
-// network joins instances in one process. All calls take latency; a cut pair
-// of instances, or instance and endpoint, gets no answer.
+// network connects instances in one process. Each call is delayed by latency. Calls between
+// partitioned instances, or between an instance and a partitioned endpoint, time out.
 type network struct {
 	nodes   []*node
 	engines []*fakeEngine
 
-	mu  sync.Mutex
-	cut map[[2]string]bool
-	// old instances speak without what later versions added; future ones send
-	// messages that nobody here can read.
-	future map[peridotpath.InstanceID]bool
+	mu          sync.Mutex
+	partitioned map[[2]string]bool
+	// unreadableVersion contains the instances that send messages of a protocol version that
+	// the others cannot read.
+	unreadableVersion map[peridotpath.InstanceID]bool
 }
 
 type fakeEngine struct {
 	peridotpath.Endpoint
-	mu    sync.Mutex
-	load  peridotpath.Load
-	reads map[peridotpath.InstanceID]int
+	mu              sync.Mutex
+	load            peridotpath.Load
+	readsByInstance map[peridotpath.InstanceID]int
 }
 
-// node is one instance with what it knows of the fleet.
+// node is one instance with its view of the fleet.
 type node struct {
 	peridotpath.Instance
 	network   *network
@@ -50,12 +50,12 @@
 	view      *fleet.View
 	book      *digest.Book
 
-	mu     sync.Mutex
-	random rand.PCG
-	others []peridotpath.Instance
-	fleet  map[peridotpath.EndpointID]peridotpath.Endpoint
-	loads  map[peridotpath.EndpointID]peridotpath.Load
-	bytes  int
+	mu        sync.Mutex
+	random    rand.PCG
+	others    []peridotpath.Instance
+	endpoints map[peridotpath.EndpointID]peridotpath.Endpoint
+	loads     map[peridotpath.EndpointID]peridotpath.Load
+	bytes     int
 }
 
 const latency = 2 * time.Millisecond
@@ -64,52 +64,52 @@
 
 func newNetwork(t *testing.T, instances, engines int) *network {
 	t.Helper()
-	network := &network{cut: map[[2]string]bool{}, future: map[peridotpath.InstanceID]bool{}}
+	network := &network{partitioned: map[[2]string]bool{}, unreadableVersion: map[peridotpath.InstanceID]bool{}}
 	for i := range engines {
 		id := peridotpath.EndpointID(fmt.Sprintf("engine-%03d", i))
 		address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 80)
 		network.engines = append(network.engines, &fakeEngine{
-			Endpoint: peridotpath.Endpoint{ID: id, Kind: peridotpath.KindEngine, State: peridotpath.StateLive, Address: address},
-			load:     peridotpath.Load{KVTokens: 400_000, PrefillPerS: 10_000, DecodePerS: 50},
-			reads:    map[peridotpath.InstanceID]int{},
+			Endpoint:        peridotpath.Endpoint{ID: id, Kind: peridotpath.KindEngine, State: peridotpath.StateLive, Address: address},
+			load:            peridotpath.Load{KVTokens: 400_000, PrefillPerS: 10_000, DecodePerS: 50},
+			readsByInstance: map[peridotpath.InstanceID]int{},
 		})
 	}
 	for i := range instances {
-		network.add(fmt.Sprintf("instance-%d", i))
+		network.addNode(fmt.Sprintf("instance-%d", i))
 	}
-	network.list(network.nodes)
+	network.setMembers(network.nodes)
 	return network
 }
 
-func (network *network) add(id string) *node {
-	made := &node{
+func (network *network) addNode(id string) *node {
+	created := &node{
 		Instance: peridotpath.Instance{ID: peridotpath.InstanceID(id), DataCentre: "colombo-a", State: peridotpath.StateLive},
 		network:  network, loads: map[peridotpath.EndpointID]peridotpath.Load{},
 	}
-	made.owners.Scope = ownership.Scope{Self: made.ID, DataCentre: "colombo-a", Buckets: 16, Readers: 2}
-	made.book = &digest.Book{Epoch: uint64(time.Now().UnixNano()) + uint64(len(network.nodes))}
-	made.view = &fleet.View{Publish: made.publish, Load: made.report}
-	made.random.Seed(uint64(len(network.nodes)), 7)
-	made.exchanger = &peer.Exchanger{
-		Self: made.ID, Book: made.book, Peers: made.peers, Call: made.call, Report: made.view.Report,
-		Random: made.float,
+	created.owners.Scope = ownership.Scope{Self: created.ID, DataCentre: "colombo-a", Buckets: 16, Readers: 2}
+	created.book = &digest.Book{Epoch: uint64(time.Now().UnixNano()) + uint64(len(network.nodes))}
+	created.view = &fleet.View{Publish: created.publish, Load: created.report}
+	created.random.Seed(uint64(len(network.nodes)), 7)
+	created.exchanger = &peer.Exchanger{
+		Self: created.ID, Book: created.book, Peers: created.peers, Call: created.sendDigest, Report: created.view.Report,
+		Random: created.randomFloat,
 	}
-	made.poller = &fleet.Poller{
-		View: made.view, Book: made.book, Load: made.read, Random: made.float,
-		Owns: func(id peridotpath.EndpointID) bool { return made.owners.Current().Owns(id) },
+	created.poller = &fleet.Poller{
+		View: created.view, Book: created.book, Load: created.fetchLoad, Random: created.randomFloat,
+		Owns: func(id peridotpath.EndpointID) bool { return created.owners.Current().Owns(id) },
 	}
-	network.nodes = append(network.nodes, made)
-	return made
+	network.nodes = append(network.nodes, created)
+	return created
 }
 
-func (node *node) float() float64 {
+func (node *node) randomFloat() float64 {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	return rand.New(&node.random).Float64()
 }
 
-// list gives all nodes the same membership list.
-func (network *network) list(nodes []*node) {
+// setMembers gives all nodes the same membership list.
+func (network *network) setMembers(nodes []*node) {
 	for _, node := range network.nodes {
 		node.setMembers(nodes, network.endpoints())
 	}
@@ -147,9 +147,9 @@
 func (node *node) publish(_ time.Time, endpoints []peridotpath.Endpoint) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	node.fleet = map[peridotpath.EndpointID]peridotpath.Endpoint{}
+	node.endpoints = map[peridotpath.EndpointID]peridotpath.Endpoint{}
 	for _, endpoint := range endpoints {
-		node.fleet[endpoint.ID] = endpoint
+		node.endpoints[endpoint.ID] = endpoint
 	}
 }
 
@@ -168,36 +168,36 @@
 func (node *node) state(id peridotpath.EndpointID) peridotpath.State {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	return node.fleet[id].State
+	return node.endpoints[id].State
 }
 
 func (network *network) reachable(a, b string) bool {
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	return !network.cut[[2]string{a, b}] && !network.cut[[2]string{b, a}]
+	return !network.partitioned[[2]string{a, b}] && !network.partitioned[[2]string{b, a}]
 }
 
-func (network *network) setCut(a, b string, cut bool) {
+func (network *network) setPartitioned(a, b string, partitioned bool) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
-	network.cut[[2]string{a, b}] = cut
+	network.partitioned[[2]string{a, b}] = partitioned
 }
 
-// isolate cuts a node from all other instances.
-func (network *network) isolate(node *node, cut bool) {
+// setIsolated partitions a node from all other instances, or reconnects it.
+func (network *network) setIsolated(node *node, isolated bool) {
 	for _, other := range network.nodes {
-		network.setCut(string(node.ID), string(other.ID), cut)
+		network.setPartitioned(string(node.ID), string(other.ID), isolated)
 	}
 }
 
-func (node *node) call(ctx context.Context, other peridotpath.Instance, sent *wire.Digest) (*wire.Digest, error) {
+func (node *node) sendDigest(ctx context.Context, other peridotpath.Instance, sent *wire.Digest) (*wire.Digest, error) {
 	time.Sleep(latency)
 	if !node.network.reachable(string(node.ID), string(other.ID)) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
 	sent = proto.Clone(sent).(*wire.Digest)
-	if node.network.future[node.ID] {
+	if node.network.unreadableVersion[node.ID] {
 		sent.Version = &wire.Version{Protocol: 9, ReadableBy: 9}
 	}
 	for _, callee := range node.network.nodes {
@@ -209,24 +209,24 @@
 			return nil, err
 		}
 		answer = proto.Clone(answer).(*wire.Digest)
-		if node.network.future[callee.ID] {
+		if node.network.unreadableVersion[callee.ID] {
 			answer.Version = &wire.Version{Protocol: 9, ReadableBy: 9}
 		}
-		node.count(sent, answer)
-		callee.count(sent, answer)
+		node.countBytes(sent, answer)
+		callee.countBytes(sent, answer)
 		time.Sleep(latency)
 		return answer, nil
 	}
 	return nil, errNoAnswer
 }
 
-func (node *node) count(sent, answer *wire.Digest) {
+func (node *node) countBytes(sent, answer *wire.Digest) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
 	node.bytes += proto.Size(sent) + proto.Size(answer) + peer.MessageOverhead
 }
 
-func (node *node) read(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error) {
+func (node *node) fetchLoad(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error) {
 	time.Sleep(latency)
 	for _, engine := range node.network.engines {
 		if engine.Address != address {
@@ -238,33 +238,33 @@
 		}
 		engine.mu.Lock()
 		defer engine.mu.Unlock()
-		engine.reads[node.ID]++
+		engine.readsByInstance[node.ID]++
 		engine.load.Revision++
 		return engine.load, nil
 	}
 	return peridotpath.Load{}, errNoAnswer
 }
 
-func (engine *fakeEngine) set(change func(load *peridotpath.Load)) {
+func (engine *fakeEngine) updateLoad(change func(load *peridotpath.Load)) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	change(&engine.load)
 }
 
-func (engine *fakeEngine) forgetReads() {
+func (engine *fakeEngine) resetReads() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	clear(engine.reads)
+	clear(engine.readsByInstance)
 }
 
-func (engine *fakeEngine) readBy() int {
+func (engine *fakeEngine) readerCount() int {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	return len(engine.reads)
+	return len(engine.readsByInstance)
 }
 
-// run runs every node until the returned function is called.
-func (network *network) run(t *testing.T) (stop func()) {
+// start runs every node until the returned function is called.
+func (network *network) start(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 2*len(network.nodes))
 	for _, node := range network.nodes {
--- a/peridotpath/peer/revisions.go
+++ b/peridotpath/peer/revisions.go
@@ -14,72 +14,74 @@
 	"peridotpath.example/peridotpath/peer/wire"
 )
 
-// rememberedRevisions is how many states of the configuration an instance
-// knows by hash: those of some minutes at 39,000 changes a day.
-const rememberedRevisions = 128
+// maxCachedRevisions is the number of configuration states that an instance can look up by
+// hash. It covers several minutes at 39,000 changes per day.
+const maxCachedRevisions = 128
 
-// hashRevisions hashes the set of revisions, whatever the order.
+// hashRevisions returns a hash of the set of revisions. It does not depend on their order and
+// is never zero.
 func hashRevisions(revisions config.Revisions) uint64 {
 	var sum uint64
 	for name, revision := range revisions {
 		sum += xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(name), uint64(revision)))
 	}
-	// Zero is what a message without the field has.
+	// Zero is the value of the field when it is absent from a message.
 	return cmp.Or(sum, 1)
 }
 
-func packRevisions(revisions config.Revisions) map[string]uint64 {
-	packed := make(map[string]uint64, len(revisions))
+func encodeRevisions(revisions config.Revisions) map[string]uint64 {
+	encoded := make(map[string]uint64, len(revisions))
 	for name, revision := range revisions {
-		packed[string(name)] = uint64(revision)
+		encoded[string(name)] = uint64(revision)
 	}
-	return packed
+	return encoded
 }
 
-// knownRevisions remembers by hash what followers have, so that they need not
-// send 258 revisions with each question.
-type knownRevisions struct {
-	mu     sync.Mutex
-	byHash map[uint64]config.Revisions
-	order  []uint64
+// revisionCache maps a hash to the set of revisions that a follower has, so that followers
+// send the hash instead of 258 revisions with each request.
+type revisionCache struct {
+	mu          sync.Mutex
+	byHash      map[uint64]config.Revisions
+	oldestFirst []uint64
 }
 
-// resolve returns the revisions that the asker has; false when they must be sent.
-func (known *knownRevisions) resolve(request *wire.ChangesRequest) (config.Revisions, bool) {
-	known.mu.Lock()
-	defer known.mu.Unlock()
-	if found, ok := known.byHash[request.Have]; ok {
+// resolve returns the revisions of the instance that sent the request, or false if the hash is
+// unknown and the request does not contain them.
+func (revisionCache *revisionCache) resolve(request *wire.ChangesRequest) (config.Revisions, bool) {
+	revisionCache.mu.Lock()
+	defer revisionCache.mu.Unlock()
+	if found, ok := revisionCache.byHash[request.Have]; ok {
 		return found, true
 	}
 	have := make(config.Revisions, len(request.Revisions))
 	for name, revision := range request.Revisions {
 		have[config.DocumentName(name)] = peridotpath.Revision(revision)
 	}
-	// An asker that has nothing sends no revisions, and the hash says so.
+	// A follower without any document sends no revisions; the hash of the empty set matches.
 	if hashRevisions(have) != request.Have {
 		return nil, false
 	}
-	known.add(request.Have, have)
+	revisionCache.add(request.Have, have)
 	return have, true
 }
 
-// remember notes what the asker has once it took in the update.
-func (known *knownRevisions) remember(have config.Revisions, update config.Update) {
+// addUpdated caches the revisions that the follower will have once it has applied the update.
+func (revisionCache *revisionCache) addUpdated(have config.Revisions, update config.Update) {
 	if len(update.Documents) == 0 {
 		return
 	}
-	next := maps.Clone(have)
+	updated := maps.Clone(have)
 	for _, document := range update.Documents {
-		if revision, err := revisionOf(document); err == nil {
-			next[document.Name] = revision
+		if revision, err := parseRevision(document); err == nil {
+			updated[document.Name] = revision
 		}
 	}
-	known.mu.Lock()
-	defer known.mu.Unlock()
-	known.add(hashRevisions(next), next)
+	revisionCache.mu.Lock()
+	defer revisionCache.mu.Unlock()
+	revisionCache.add(hashRevisions(updated), updated)
 }
 
-func revisionOf(document config.Document) (peridotpath.Revision, error) {
+func parseRevision(document config.Document) (peridotpath.Revision, error) {
 	var head struct {
 		Revision peridotpath.Revision `json:"revision"`
 	}
@@ -87,17 +89,17 @@
 	return head.Revision, err
 }
 
-func (known *knownRevisions) add(hash uint64, have config.Revisions) {
-	if known.byHash == nil {
-		known.byHash = map[uint64]config.Revisions{}
+func (revisionCache *revisionCache) add(hash uint64, have config.Revisions) {
+	if revisionCache.byHash == nil {
+		revisionCache.byHash = map[uint64]config.Revisions{}
 	}
-	if _, ok := known.byHash[hash]; ok {
+	if _, ok := revisionCache.byHash[hash]; ok {
 		return
 	}
-	known.byHash[hash] = have
-	known.order = append(known.order, hash)
-	if len(known.order) > rememberedRevisions {
-		delete(known.byHash, known.order[0])
-		known.order = known.order[1:]
+	revisionCache.byHash[hash] = have
+	revisionCache.oldestFirst = append(revisionCache.oldestFirst, hash)
+	if len(revisionCache.oldestFirst) > maxCachedRevisions {
+		delete(revisionCache.byHash, revisionCache.oldestFirst[0])
+		revisionCache.oldestFirst = revisionCache.oldestFirst[1:]
 	}
 }
--- a/peridotpath/peer/service.go
+++ b/peridotpath/peer/service.go
@@ -15,42 +15,45 @@
 	"peridotpath.example/peridotpath/peer/wire"
 )
 
-// maxWait bounds how long a peer may have its question wait.
-const maxWait = 30 * time.Second
+// maxLongPoll bounds the wait time that a peer may request.
+const maxLongPoll = 30 * time.Second
 
-// PathPrefix is where Handler serves.
+// PathPrefix is the URL path prefix of the protocol's methods.
 const PathPrefix = wire.PeerPathPrefix
 
-// Service answers other instances. Set the exported fields before Handler.
+// Service is the server side of the protocol between instances. Set the exported fields
+// before the first call of a method.
 type Service struct {
 	Exchanger *Exchanger
-	// Changes returns documents above have, waiting for one: Store.Changes.
+	// Changes returns the documents that are newer than have. If there is none, it waits for
+	// one until wait has passed. It is usually the method of config.Store.
 	Changes func(ctx context.Context, have config.Revisions, wait time.Duration) (config.Update, error)
 
-	known  knownRevisions
-	packer packer
+	revisions revisionCache
+	documents documentDeflater
 }
 
-// Handler serves the protocol under PathPrefix.
+// Handler returns the HTTP handler of the protocol, to be mounted under PathPrefix.
 func (service *Service) Handler() http.Handler {
-	return wire.NewPeerServer(&endpoints{service})
+	return wire.NewPeerServer(&twirpServer{service})
 }
 
-// endpoints keeps twirp's methods off Service.
-type endpoints struct{ service *Service }
+// twirpServer implements the generated wire.Peer interface, so that Service does not export
+// its methods.
+type twirpServer struct{ service *Service }
 
-// Exchange is part of the protocol.
-func (endpoints *endpoints) Exchange(_ context.Context, got *wire.Digest) (*wire.Digest, error) {
-	answer, err := endpoints.service.Exchanger.Answer(time.Now(), got)
+// Exchange implements wire.Peer.
+func (twirpServer *twirpServer) Exchange(_ context.Context, received *wire.Digest) (*wire.Digest, error) {
+	answer, err := twirpServer.service.Exchanger.Answer(time.Now(), received)
 	if err != nil {
 		return nil, twirp.NewError(twirp.FailedPrecondition, err.Error())
 	}
 	return answer, nil
 }
 
-// Changes is part of the protocol.
-func (endpoints *endpoints) Changes(ctx context.Context, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
-	reply, err := endpoints.service.Answer(ctx, request)
+// Changes implements wire.Peer.
+func (twirpServer *twirpServer) Changes(ctx context.Context, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
+	reply, err := twirpServer.service.Answer(ctx, request)
 	switch {
 	case err == nil:
 		return reply, nil
@@ -61,48 +64,51 @@
 	}
 }
 
-// Answer answers another instance's question for documents.
+// Answer handles another instance's request for configuration documents. If it does not
+// know the revisions behind the hash in the request, the reply asks for them.
 func (service *Service) Answer(ctx context.Context, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 	if !digest.Readable(request.GetVersion()) {
 		return nil, ErrVersion.New("changes: protocol %d", request.GetVersion().GetProtocol())
 	}
-	have, known := service.known.resolve(request)
+	have, known := service.revisions.resolve(request)
 	if !known {
 		return &wire.ChangesReply{Version: digest.Version(), SendRevisions: true}, nil
 	}
-	wait := min(time.Duration(request.WaitMs)*time.Millisecond, maxWait)
-	update, err := service.Changes(ctx, have, wait)
+	maxDelay := min(time.Duration(request.WaitMs)*time.Millisecond, maxLongPoll)
+	update, err := service.Changes(ctx, have, maxDelay)
 	if err != nil {
 		return nil, err
 	}
-	service.known.remember(have, update)
-	return service.packer.pack(update)
+	service.revisions.addUpdated(have, update)
+	return service.documents.encodeUpdate(update)
 }
 
-// Client speaks to other instances.
+// Client calls other instances.
 type Client struct{}
 
-func (client *Client) to(address netip.AddrPort) wire.Peer {
+func (client *Client) connect(address netip.AddrPort) wire.Peer {
 	return wire.NewPeerProtobufClient("http://"+address.String(), outbound.Doer{})
 }
 
-// Exchange hands a digest to an instance and returns its answer.
+// Exchange sends a digest to an instance and returns the digest in its reply.
 func (client *Client) Exchange(ctx context.Context, peer peridotpath.Instance, digest *wire.Digest) (*wire.Digest, error) {
-	answer, err := client.to(peer.Peer).Exchange(ctx, digest)
-	return answer, classify(err)
+	answer, err := client.connect(peer.Peer).Exchange(ctx, digest)
+	return answer, classifyError(err)
 }
 
-// Changes asks an instance for documents.
+// Changes requests the configuration documents that are newer than those of the request,
+// and waits for one as long as the request says.
 func (client *Client) Changes(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
-	reply, err := client.to(peer.Peer).Changes(ctx, request)
-	return reply, classify(err)
+	reply, err := client.connect(peer.Peer).Changes(ctx, request)
+	return reply, classifyError(err)
 }
 
-func classify(err error) error {
+// classifyError wraps a version mismatch in ErrVersion and any other error in Error.
+func classifyError(err error) error {
 	if err == nil {
 		return nil
 	}
-	if failure, ok := err.(twirp.Error); ok && failure.Code() == twirp.FailedPrecondition { //nolint:errorlint // twirp returns it bare
+	if failure, ok := err.(twirp.Error); ok && failure.Code() == twirp.FailedPrecondition { //nolint:errorlint // twirp returns it unwrapped
 		return ErrVersion.Wrap(err)
 	}
 	return Error.Wrap(err)
