--- a/peridotpath/peer/wire/doc.go
+++ b/peridotpath/peer/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire is the generated code of the protocol between instances. The
-// definition is in peer.proto; `make generate` makes the rest anew.
+// Package wire contains the generated code of the protocol between instances. The protocol
+// is defined in peer.proto; run `make generate` after changing it.
 package wire
--- a/peridotpath/peer/wire/peer.twirp.go
+++ b/peridotpath/peer/wire/peer.twirp.go
@@ -31,12 +31,12 @@
 // Peer Interface
 // ==============
 
-// Peer is what each instance offers to the others.
+// Peer is the service that each instance offers to the others.
 type Peer interface {
-	// Changes waits for configuration documents above what the caller has.
+	// Changes waits for configuration documents newer than those of the caller.
 	Changes(context.Context, *ChangesRequest) (*ChangesReply, error)
 
-	// Exchange hands over the caller's digest and returns the callee's.
+	// Exchange sends the caller's digest and returns the callee's.
 	Exchange(context.Context, *Digest) (*Digest, error)
 }
 
