--- a/peridotpath/fleet/poller.go
+++ b/peridotpath/fleet/poller.go
@@ -16,63 +16,66 @@
 )
 
 const (
-	// DefaultInterval leaves a second of the two within which an endpoint that
-	// leaves must be known everywhere.
+	// DefaultInterval is the default time between two polls of an endpoint. All instances must
+	// know of a leaving endpoint within two seconds; the interval, together with the poll
+	// itself, leaves one second for the exchange between instances.
 	DefaultInterval = 500 * time.Millisecond
-	// DefaultBudget is what the reading of reports may cost, in bytes a second.
+	// DefaultBudget is the default limit on poll traffic, in bytes per second.
 	DefaultBudget = 2500
-	// pollBytes is what reading one report costs on the wire, both ways.
-	pollBytes = 450
-	// readTimeout bounds one reading. An endpoint that takes longer is published
-	// as unread, so that its last figures do not pass for confirmed.
-	readTimeout = time.Second
-	// pollsAtOnce bounds the reports that are being read at a time.
-	pollsAtOnce = 32
-	// DefaultStaleAfter is how long another owner may be silent about an
-	// endpoint. Several exchanges, so that a slow one sends nobody polling.
+	// bytesPerPoll is the traffic of one poll, request and response together.
+	bytesPerPoll = 450
+	// pollTimeout bounds one poll. An endpoint that takes longer is published as unread, so
+	// that peers do not treat its last load as confirmed.
+	pollTimeout = time.Second
+	// maxConcurrentPolls bounds the polls that run at the same time.
+	maxConcurrentPolls = 32
+	// DefaultStaleAfter is the default age of a load after which the owner of its endpoint
+	// counts as silent. It spans several exchanges, so that one slow exchange causes no
+	// fallback polls.
 	DefaultStaleAfter = 6 * time.Second
-	// FallbackPolls bounds the endpoints of other owners that are read in one
-	// round. When a rack is lost every instance takes the same endpoints for
-	// unwatched, and reading all of them from everywhere would multiply their
-	// load by the number of instances in a bad moment.
+	// FallbackPolls bounds the polls per round of endpoints that other instances own. When a
+	// rack fails, the same endpoints become stale at every instance. If all instances polled
+	// all of them, the poll load of these endpoints would be multiplied by the number of
+	// instances during the outage.
 	FallbackPolls = 4
 )
 
-// Poller reads the reports of the endpoints that this instance owns, publishes
-// them, and reads a few of those whose owner is silent. Set the exported fields
-// before Run.
+// Poller polls the load reports of the endpoints that this instance owns and publishes them to
+// peers. It also polls a few endpoints whose owner is silent. Set the exported fields before
+// Run.
 type Poller struct {
 	View *View
 	Book *digest.Book
-	// Load reads an endpoint's report.
+	// Load fetches an endpoint's load report.
 	Load func(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error)
 	// Owns reports whether this instance owns the endpoint.
 	Owns func(id peridotpath.EndpointID) bool
-	// Interval between two readings of an endpoint; zero for DefaultInterval.
-	// It is stretched to keep within Budget.
+	// Interval is the minimum time between two polls of an endpoint; zero selects
+	// DefaultInterval. It is extended to keep the traffic within Poller.Budget.
 	Interval time.Duration
-	// Budget in bytes a second; zero for DefaultBudget.
+	// Budget limits poll traffic in bytes per second; zero selects DefaultBudget.
 	Budget int
-	// StaleAfter is when an owner counts as silent; zero for DefaultStaleAfter.
+	// StaleAfter is the age of a load after which the endpoint's owner counts as silent; zero
+	// selects DefaultStaleAfter.
 	StaleAfter time.Duration
-	// Random returns a number from 0 to 1 for jitter and choices; nil for the
-	// global source.
+	// Random returns a number in [0, 1) for jitter and the choice of fallback polls; nil
+	// selects the global source.
 	Random func() float64
 
-	mu   sync.Mutex
-	busy map[peridotpath.EndpointID]bool
+	mu         sync.Mutex
+	inProgress map[peridotpath.EndpointID]bool
 }
 
-// Run reads reports until ctx ends, and returns when the last reading has ended.
+// Run polls until ctx is done, and returns when the last poll has ended.
 func (poller *Poller) Run(ctx context.Context) error {
 	poller.setDefaults()
 	var group errgroup.Group
-	group.SetLimit(pollsAtOnce)
+	group.SetLimit(maxConcurrentPolls)
 	defer func() { _ = group.Wait() }()
 	for {
-		owned := poller.round(ctx, &group)
-		// The random part keeps instances that started together apart.
-		if !clock.SleepContext(ctx, clock.Jitter(poller.interval(owned), poller.Random())) {
+		owned := poller.startPolls(ctx, &group)
+		// The jitter spreads the polls of instances that started at the same time.
+		if !clock.SleepContext(ctx, clock.Jitter(poller.stretchedInterval(owned), poller.Random())) {
 			return ctx.Err()
 		}
 	}
@@ -91,38 +94,40 @@
 	if poller.Random == nil {
 		poller.Random = rand.Float64
 	}
-	poller.busy = map[peridotpath.EndpointID]bool{}
+	poller.inProgress = map[peridotpath.EndpointID]bool{}
 }
 
-// interval stretches the interval so that the readings keep within the budget.
-func (poller *Poller) interval(owned int) time.Duration {
-	return max(poller.Interval, time.Duration(owned*pollBytes)*time.Second/time.Duration(poller.Budget))
+// stretchedInterval returns the poll interval for the number of owned endpoints, extended so
+// that the polls stay within the budget.
+func (poller *Poller) stretchedInterval(owned int) time.Duration {
+	return max(poller.Interval, time.Duration(owned*bytesPerPoll)*time.Second/time.Duration(poller.Budget))
 }
 
-// round starts the readings that are due and returns how many endpoints are owned.
-func (poller *Poller) round(ctx context.Context, group *errgroup.Group) int {
+// startPolls starts one poll of each owned endpoint and of some stale ones, and returns the
+// number of owned endpoints.
+func (poller *Poller) startPolls(ctx context.Context, group *errgroup.Group) int {
 	now := time.Now()
-	var owned, silent []peridotpath.Endpoint
+	var owned, stale []peridotpath.Endpoint
 	for _, endpoint := range poller.View.Engines() {
 		switch {
 		case poller.Owns(endpoint.ID):
 			owned = append(owned, endpoint)
 		case poller.View.Age(now, endpoint.ID) > poller.StaleAfter:
-			silent = append(silent, endpoint)
+			stale = append(stale, endpoint)
 		}
 	}
 	poller.Book.KeepEndpoints(poller.Owns)
-	silent = poller.few(silent)
-	metrics.GetOrCreateCounter(`peridotpath_fallback_polls_total`).Add(len(silent))
-	for _, endpoint := range append(owned, silent...) {
-		poller.begin(ctx, group, endpoint)
+	stale = poller.chooseFallbacks(stale)
+	metrics.GetOrCreateCounter(`peridotpath_fallback_polls_total`).Add(len(stale))
+	for _, endpoint := range append(owned, stale...) {
+		poller.startPoll(ctx, group, endpoint)
 	}
 	return len(owned)
 }
 
-// few chooses at most FallbackPolls endpoints, so that instances that have the
-// same ones to choose from read different ones.
-func (poller *Poller) few(endpoints []peridotpath.Endpoint) []peridotpath.Endpoint {
+// chooseFallbacks returns at most FallbackPolls random endpoints, so that instances with the
+// same stale endpoints poll different ones.
+func (poller *Poller) chooseFallbacks(endpoints []peridotpath.Endpoint) []peridotpath.Endpoint {
 	count := min(len(endpoints), FallbackPolls)
 	for i := range count {
 		j := i + int(poller.Random()*float64(len(endpoints)-i))
@@ -131,50 +136,50 @@
 	return endpoints[:count]
 }
 
-// begin starts one reading, unless the last one of the endpoint still runs: an
-// endpoint that hangs may not hold up the others.
-func (poller *Poller) begin(ctx context.Context, group *errgroup.Group, endpoint peridotpath.Endpoint) {
-	if !poller.claim(endpoint.ID) {
+// startPoll starts a poll of the endpoint unless its last one is still running or
+// maxConcurrentPolls are. An unresponsive endpoint thus does not delay the others.
+func (poller *Poller) startPoll(ctx context.Context, group *errgroup.Group, endpoint peridotpath.Endpoint) {
+	if !poller.markInProgress(endpoint.ID) {
 		return
 	}
 	started := group.TryGo(func() error {
-		defer poller.release(endpoint.ID)
-		poller.read(ctx, endpoint)
+		defer poller.clearInProgress(endpoint.ID)
+		poller.poll(ctx, endpoint)
 		return nil
 	})
 	if !started {
-		poller.release(endpoint.ID)
+		poller.clearInProgress(endpoint.ID)
 	}
 }
 
-func (poller *Poller) claim(id peridotpath.EndpointID) bool {
+func (poller *Poller) markInProgress(id peridotpath.EndpointID) bool {
 	poller.mu.Lock()
 	defer poller.mu.Unlock()
-	if poller.busy[id] {
+	if poller.inProgress[id] {
 		return false
 	}
-	poller.busy[id] = true
+	poller.inProgress[id] = true
 	return true
 }
 
-func (poller *Poller) release(id peridotpath.EndpointID) {
+func (poller *Poller) clearInProgress(id peridotpath.EndpointID) {
 	poller.mu.Lock()
 	defer poller.mu.Unlock()
-	delete(poller.busy, id)
+	delete(poller.inProgress, id)
 }
 
-func (poller *Poller) read(ctx context.Context, endpoint peridotpath.Endpoint) {
-	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+func (poller *Poller) poll(ctx context.Context, endpoint peridotpath.Endpoint) {
+	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	sent := time.Now()
+	sentAt := time.Now()
 	load, err := poller.Load(ctx, endpoint.Address)
 	if err != nil {
 		metrics.GetOrCreateCounter(`peridotpath_reports_unread_total`).Inc()
 		poller.Book.Unread(endpoint.ID)
 		return
 	}
-	// From before the call: what was dispatched while it ran may not be in it.
-	load.AsOf = sent
+	// The time before the call, since the report may not contain requests dispatched during it.
+	load.AsOf = sentAt
 	poller.View.Report(time.Now(), endpoint.ID, load)
 	if poller.Owns(endpoint.ID) {
 		poller.Book.PutEndpoint(endpoint.ID, load)
--- a/peridotpath/fleet/view.go
+++ b/peridotpath/fleet/view.go
@@ -1,7 +1,7 @@
-// Package fleet merges what is known of the endpoints: the membership list, the
-// operators' drains, the endpoints' own reports, read here or handed on by
-// their owners, and their refusals. It also reads the reports of the endpoints
-// that this instance owns.
+// Package fleet computes the state and load of all endpoints from the membership list,
+// operators' drains, endpoints' load reports and their refusals. Each instance polls the
+// reports of the endpoints that it owns within a byte budget and receives the others from
+// their owners; it polls a few endpoints itself when their owner is silent.
 package fleet
 
 import (
@@ -15,26 +15,25 @@
 )
 
 const (
-	// vanishedHold is how long an endpoint that vanished from the membership
-	// list is kept as leaving. A list that flaps would otherwise have the
-	// scheduler forget, with each flap, what it sent there.
-	vanishedHold = 30 * time.Second
-	// refusalHold is how much later than a refusal a report must have been made
-	// to contradict it. A report's time is known no better than the delay of
-	// the messages that carried it.
-	refusalHold = time.Second
+	// unlistedRetention is how long an endpoint is kept as leaving after it was removed from
+	// the membership list. Otherwise a flapping list would make the scheduler discard the
+	// requests that it counts for the endpoint.
+	unlistedRetention = 30 * time.Second
+	// minReportLag is how much newer than a refusal a report must be to override it. The time
+	// of a report is accurate only to the network delay of the messages that carried it.
+	minReportLag = time.Second
 )
 
-// View is the fleet as this instance knows it. Set the exported fields before
-// the first call. Its methods may be called from any goroutine.
+// View holds the state of the endpoints as known to this instance. Set the exported fields
+// before the first call of a method. Its methods are safe for concurrent use.
 type View struct {
 	Log zerolog.Logger
-	// Drained reports whether operators took the endpoint out of placement; nil
-	// stands for none. Call Refresh when that changes.
+	// Drained reports whether an operator has drained the endpoint; nil means that none is.
+	// Call View.Refresh when the result changes.
 	Drained func(id peridotpath.EndpointID) bool
-	// Publish takes the endpoints whenever one of them changed.
+	// Publish is called with all endpoints after each change.
 	Publish func(now time.Time, endpoints []peridotpath.Endpoint)
-	// Load takes each report that is newer than the last one.
+	// Load is called with each load report that is newer than the endpoint's last one.
 	Load func(now time.Time, id peridotpath.EndpointID, load peridotpath.Load)
 
 	mu      sync.Mutex
@@ -44,20 +43,22 @@
 
 type member struct {
 	endpoint peridotpath.Endpoint
-	// vanished is when the list stopped naming the endpoint; zero while it does.
-	vanished time.Time
-	// asOf is the time of the newest report, or of the first sight of the endpoint.
-	asOf time.Time
-	// leaving is when the endpoint said last that it takes no new work; zero
-	// when it has said otherwise since.
-	leaving time.Time
+	// unlistedSince is when the endpoint was removed from the membership list; zero while it
+	// is listed.
+	unlistedSince time.Time
+	// newestReportAt is the time of the newest report, or the time when the endpoint was
+	// first listed.
+	newestReportAt time.Time
+	// leavingAsOf is the time of the last report or refusal by which the endpoint accepts no
+	// new work; zero if a later report overrides it.
+	leavingAsOf time.Time
 }
 
-// SetMembers takes a reading of the membership list.
+// SetMembers applies a new membership list.
 //
-// An empty reading after one with endpoints is not believed: it is what a
-// service says that was just restarted, and acting on it would refuse every
-// caller. Endpoints that are really gone are found out by their refusals.
+// An empty list after one with endpoints is ignored. A membership service that has just
+// restarted returns one, and without endpoints every request would be refused. Endpoints that
+// were indeed removed are detected by their refusals.
 func (view *View) SetMembers(now time.Time, endpoints []peridotpath.Endpoint) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -76,37 +77,39 @@
 		}
 		listed[endpoint.ID] = true
 		view.order = append(view.order, endpoint.ID)
-		view.join(now, endpoint)
+		view.addListed(now, endpoint)
 	}
-	view.keepVanished(now, listed)
+	view.retainUnlisted(now, listed)
 	view.publish(now)
 }
 
-func (view *View) join(now time.Time, endpoint peridotpath.Endpoint) {
+// addListed adds or updates an endpoint of the membership list.
+func (view *View) addListed(now time.Time, endpoint peridotpath.Endpoint) {
 	found := view.members[endpoint.ID]
-	// Another address is another process: what the old one said is void.
+	// A new address means a new process, to which earlier reports and refusals do not apply.
 	if found == nil || found.endpoint.Address != endpoint.Address {
-		found = &member{asOf: now}
+		found = &member{newestReportAt: now}
 		view.members[endpoint.ID] = found
 	}
 	found.endpoint = endpoint
-	found.vanished = time.Time{}
-	// A plain service reports no load, so nothing but time takes back what its
-	// refusal said; the list has caught up by then.
-	if endpoint.Kind == peridotpath.KindPlain && now.Sub(found.leaving) >= vanishedHold {
-		found.leaving = time.Time{}
+	found.unlistedSince = time.Time{}
+	// A plain service sends no load reports that could override its refusal, so the refusal
+	// expires. The membership list is up to date by then.
+	if endpoint.Kind == peridotpath.KindPlain && now.Sub(found.leavingAsOf) >= unlistedRetention {
+		found.leavingAsOf = time.Time{}
 	}
 }
 
-func (view *View) keepVanished(now time.Time, listed map[peridotpath.EndpointID]bool) {
+// retainUnlisted keeps endpoints that are no longer listed for unlistedRetention.
+func (view *View) retainUnlisted(now time.Time, listed map[peridotpath.EndpointID]bool) {
 	for id, found := range view.members {
 		if listed[id] {
 			continue
 		}
-		if found.vanished.IsZero() {
-			found.vanished = now
+		if found.unlistedSince.IsZero() {
+			found.unlistedSince = now
 		}
-		if now.Sub(found.vanished) >= vanishedHold {
+		if now.Sub(found.unlistedSince) >= unlistedRetention {
 			delete(view.members, id)
 			continue
 		}
@@ -114,15 +117,15 @@
 	}
 }
 
-// Refresh publishes the endpoints anew.
+// Refresh publishes the endpoints again, after a change of View.Drained.
 func (view *View) Refresh(now time.Time) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	view.publish(now)
 }
 
-// publish hands out the endpoints; view.mu is held, so that readings are handed
-// out in order.
+// publish calls View.Publish with the endpoints and their states. The caller holds view.mu, so
+// that the calls are in the order of the changes.
 func (view *View) publish(now time.Time) {
 	endpoints := make([]peridotpath.Endpoint, 0, len(view.order))
 	for _, id := range view.order {
@@ -138,36 +141,36 @@
 
 func (view *View) takesNoWork(found *member) bool {
 	drained := view.Drained != nil && view.Drained(found.endpoint.ID)
-	return drained || !found.leaving.IsZero() || !found.vanished.IsZero()
+	return drained || !found.leavingAsOf.IsZero() || !found.unlistedSince.IsZero()
 }
 
-// Report takes an endpoint's report, with AsOf on this instance's clock.
+// Report applies an endpoint's load report, whose AsOf is a time of this instance's clock.
 func (view *View) Report(now time.Time, id peridotpath.EndpointID, load peridotpath.Load) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	found := view.members[id]
-	if found == nil || !load.AsOf.After(found.asOf) {
+	if found == nil || !load.AsOf.After(found.newestReportAt) {
 		return
 	}
-	found.asOf = load.AsOf
+	found.newestReportAt = load.AsOf
 	view.Load(now, id, load)
 	switch {
-	case load.Leaving && found.leaving.IsZero():
-		found.leaving = load.AsOf
+	case load.Leaving && found.leavingAsOf.IsZero():
+		found.leavingAsOf = load.AsOf
 		view.Log.Info().Str("event", "endpoint_leaving").Str("endpoint", string(id)).Send()
 		view.publish(now)
 	case load.Leaving:
-		found.leaving = load.AsOf
-	case !found.leaving.IsZero() && load.AsOf.Sub(found.leaving) > refusalHold:
-		found.leaving = time.Time{}
+		found.leavingAsOf = load.AsOf
+	case !found.leavingAsOf.IsZero() && load.AsOf.Sub(found.leavingAsOf) > minReportLag:
+		found.leavingAsOf = time.Time{}
 		view.Log.Info().Str("event", "endpoint_returned").Str("endpoint", string(id)).Send()
 		view.publish(now)
 	}
 }
 
-// Refused notes that the endpoint itself turned work away because it leaves.
-// It gets no new work until a later report of its own says otherwise, whatever
-// the membership list says: the list lags.
+// Refused records that the endpoint refused a request because it is leaving. It is published
+// as leaving until a later load report of its own overrides the refusal. The membership list
+// does not override it, since the list lags.
 func (view *View) Refused(now time.Time, id peridotpath.EndpointID) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -175,33 +178,34 @@
 	if found == nil {
 		return
 	}
-	before := found.leaving
-	found.leaving = now
-	if before.IsZero() {
+	leavingBefore := found.leavingAsOf
+	found.leavingAsOf = now
+	if leavingBefore.IsZero() {
 		view.Log.Info().Str("event", "endpoint_leaving").Str("endpoint", string(id)).Bool("refusal", true).Send()
 		view.publish(now)
 	}
 }
 
-// Age returns how old the newest report of the endpoint is.
+// Age returns the age of the endpoint's newest report, or the time since it was first listed if
+// there is none.
 func (view *View) Age(now time.Time, id peridotpath.EndpointID) time.Duration {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	if found := view.members[id]; found != nil {
-		return now.Sub(found.asOf)
+		return now.Sub(found.newestReportAt)
 	}
 	return 0
 }
 
-// Engines returns the model engines that the membership list names, those that
-// are leaving included: they still run work and may come back.
+// Engines returns the model engines on the membership list. Leaving engines are included, since
+// they still execute requests and may return.
 func (view *View) Engines() []peridotpath.Endpoint {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	engines := make([]peridotpath.Endpoint, 0, len(view.order))
 	for _, id := range view.order {
 		found := view.members[id]
-		if found.endpoint.Kind == peridotpath.KindEngine && found.vanished.IsZero() {
+		if found.endpoint.Kind == peridotpath.KindEngine && found.unlistedSince.IsZero() {
 			engines = append(engines, found.endpoint)
 		}
 	}
--- a/peridotpath/fleet/view_test.go
+++ b/peridotpath/fleet/view_test.go
@@ -24,14 +24,14 @@
 	return list
 }
 
-// seen is what a View hands out.
-type seen struct {
+// published records what a View publishes.
+type published struct {
 	states map[peridotpath.EndpointID]peridotpath.State
 	loads  map[peridotpath.EndpointID]int
 }
 
-func view(drained map[peridotpath.EndpointID]bool) (*fleet.View, *seen) {
-	seen := &seen{loads: map[peridotpath.EndpointID]int{}}
+func newView(drained map[peridotpath.EndpointID]bool) (*fleet.View, *published) {
+	seen := &published{loads: map[peridotpath.EndpointID]int{}}
 	return &fleet.View{
 		Drained: func(id peridotpath.EndpointID) bool { return drained[id] },
 		Publish: func(_ time.Time, endpoints []peridotpath.Endpoint) {
@@ -44,25 +44,25 @@
 	}, seen
 }
 
-// The membership service restarts and answers with an empty list for a while.
-// Acting on it, every instance would refuse every caller.
-func TestEmptyListIsNotBelieved(t *testing.T) {
+// Guards against refusing every request after a restart of the membership service, which
+// returns an empty list for a while.
+func TestEmptyMembershipListIsIgnored(t *testing.T) {
 	is := is.New(t)
-	view, seen := view(nil)
+	view, seen := newView(nil)
 	view.SetMembers(start, engines("engine-1", "engine-2"))
 	view.SetMembers(start.Add(time.Second), nil)
 	is.Equal(seen.states["engine-1"], peridotpath.StateLive)
 	view.SetMembers(start.Add(2*time.Second), engines("engine-1"))
-	is.Equal(seen.states["engine-2"], peridotpath.StateLeaving) // vanished: no new work
+	is.Equal(seen.states["engine-2"], peridotpath.StateLeaving) // no longer listed: no new work
 	view.SetMembers(start.Add(time.Minute), engines("engine-1"))
 	is.Equal(len(seen.states), 1)
 	is.Equal(len(view.Engines()), 1)
 }
 
-// An engine turns work away because it leaves, while its report of a moment
-// before, which said nothing of that, is still on its way through its owner.
-// Taken for newer, the report would send it work again, to be refused again.
-func TestRefusalOutweighsReportsFromBefore(t *testing.T) {
+// Guards against sending requests to a leaving engine again. The engine refuses a request while
+// an earlier report, from before it was leaving, is still in transit through its owner. If that
+// report counted as newer, the engine would be sent requests that it refuses.
+func TestRefusalOverridesEarlierReports(t *testing.T) {
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	cases := []struct {
 		name     string
@@ -70,15 +70,15 @@
 		leaving  bool
 		want     peridotpath.State
 	}{
-		{"report from before", at(9.9), false, peridotpath.StateLeaving},
-		{"report whose time is uncertain", at(10.5), false, peridotpath.StateLeaving},
-		{"report from well after", at(11.5), false, peridotpath.StateLive},
-		{"report that says so too", at(11.5), true, peridotpath.StateLeaving},
+		{"report before the refusal", at(9.9), false, peridotpath.StateLeaving},
+		{"report within the time error", at(10.5), false, peridotpath.StateLeaving},
+		{"report after the refusal", at(11.5), false, peridotpath.StateLive},
+		{"report that confirms the refusal", at(11.5), true, peridotpath.StateLeaving},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			view, seen := view(nil)
+			view, seen := newView(nil)
 			view.SetMembers(start, engines("engine-1", "engine-2"))
 			view.Refused(at(10), "engine-1")
 			is.Equal(seen.states["engine-1"], peridotpath.StateLeaving)
@@ -86,16 +86,16 @@
 			view.Report(at(12), "engine-1", peridotpath.Load{AsOf: test.reported, Leaving: test.leaving})
 			is.Equal(seen.states["engine-1"], test.want)
 			view.SetMembers(at(13), engines("engine-1", "engine-2"))
-			is.Equal(seen.states["engine-1"], test.want) // whatever the list says
+			is.Equal(seen.states["engine-1"], test.want) // the membership list does not override it
 		})
 	}
 }
 
-// An endpoint left, and another process takes its name at another address. The
-// word of the old one must not keep the new one out of work.
-func TestAnotherAddressIsAnotherProcess(t *testing.T) {
+// Another process takes over the id of an endpoint that has left, at another address. The
+// refusal of the old process must not apply to the new one.
+func TestNewAddressResetsEndpointState(t *testing.T) {
 	is := is.New(t)
-	view, seen := view(nil)
+	view, seen := newView(nil)
 	view.SetMembers(start, engines("engine-1"))
 	view.Refused(start, "engine-1")
 	next := engines("engine-1")
@@ -104,11 +104,10 @@
 	is.Equal(seen.states["engine-1"], peridotpath.StateLive)
 }
 
-// Two instances took themselves for the owner, and the older report of the two
-// comes last.
+// Two instances both act as owner of an endpoint, and the older of their reports arrives last.
 func TestOlderReportIsDropped(t *testing.T) {
 	is := is.New(t)
-	view, seen := view(nil)
+	view, seen := newView(nil)
 	view.SetMembers(start, engines("engine-1"))
 	view.Report(start.Add(3*time.Second), "engine-1", peridotpath.Load{Running: 7, AsOf: start.Add(2 * time.Second)})
 	view.Report(start.Add(3*time.Second), "engine-1", peridotpath.Load{Running: 1, AsOf: start.Add(time.Second)})
@@ -116,10 +115,10 @@
 	is.Equal(view.Age(start.Add(3*time.Second), "engine-1"), time.Second)
 }
 
-func TestDrainTakesOutOfPlacement(t *testing.T) {
+func TestDrainedEndpointIsPublishedAsLeaving(t *testing.T) {
 	is := is.New(t)
 	drained := map[peridotpath.EndpointID]bool{}
-	view, seen := view(drained)
+	view, seen := newView(drained)
 	view.SetMembers(start, engines("engine-1"))
 	drained["engine-1"] = true
 	view.Refresh(start)
