--- a/peridotpath/ownership/example_test.go
+++ b/peridotpath/ownership/example_test.go
@@ -7,8 +7,8 @@
 	"peridotpath.example/peridotpath/ownership"
 )
 
-// Three instances, one of them leaving, read the same membership list. Without
-// a word between them exactly one takes itself for the owner of an endpoint.
+// Three instances, one of them leaving, read the same membership list. Without communication
+// exactly one of them is the owner of an endpoint.
 func Example() {
 	list := []peridotpath.Instance{
 		{ID: "entry-1", DataCentre: "colombo-a", State: peridotpath.StateLive},
@@ -16,15 +16,15 @@
 		{ID: "entry-3", DataCentre: "colombo-a", State: peridotpath.StateLeaving},
 	}
 	endpoints := []peridotpath.Endpoint{{ID: "engine-1"}, {ID: "engine-2"}}
-	owns := 0
+	ownerCount := 0
 	for _, self := range list {
 		owners := &ownership.Owners{Scope: ownership.Scope{Self: self.ID, DataCentre: self.DataCentre, Readers: 1}}
 		owners.Set(list, endpoints)
 		if owners.Current().Owns("engine-1") {
-			owns++
+			ownerCount++
 		}
 	}
-	fmt.Println("instances that own engine-1:", owns)
+	fmt.Println("instances that own engine-1:", ownerCount)
 	// Output:
 	// instances that own engine-1: 1
 }
--- a/peridotpath/ownership/ownership.go
+++ b/peridotpath/ownership/ownership.go
@@ -1,13 +1,12 @@
-// Package ownership computes which instance of a data centre looks after what:
-// endpoints, claim buckets, and the watch on the platform's configuration. The
-// owner of a key is the live instance with the highest rendezvous hash for it,
-// so every instance computes the same table from the same membership list and a
-// change of the list moves only the keys of the instances that changed.
+// Package ownership assigns endpoints, claim buckets and the watch on the platform's
+// configuration to the instances of a data centre by rendezvous hashing. The owner of a key is
+// the live instance with the highest hash for it, so every instance computes the same table
+// from the same membership list, and a change of the list moves only the keys of the instances
+// that were added or removed.
 //
-// Ownership is a hint. The membership list lags, so two instances may both
-// take themselves for the owner of a key, or none may. Nothing that must be
-// right rests on it: that comes from compare-and-swap, from a lease with a
-// fencing number, or from the endpoint's own refusal.
+// Ownership is a hint. The membership list lags, so a key may temporarily have two owners or
+// none. Correctness does not depend on it, but on compare-and-swap, on leases with fencing
+// tokens, or on the endpoint's own refusal.
 package ownership
 
 import (
@@ -21,54 +20,54 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Bucket numbers one of the parts that idempotency keys are spread over.
+// Bucket is the number of a claim bucket. Idempotency keys are hashed to buckets.
 type Bucket uint32
 
-// Kinds of key, hashed with it so that an instance that owns many endpoints by
-// chance does not own many buckets too.
+// Kinds of key. The kind is hashed together with the key, so that an instance that owns many
+// endpoints by chance does not also own many buckets.
 const (
-	kindEndpoint = "endpoint/"
-	kindBucket   = "bucket/"
-	kindReader   = "config-reader/"
+	keyKindEndpoint = "endpoint/"
+	keyKindBucket   = "bucket/"
+	keyKindReader   = "config-reader/"
 )
 
-// Table says who owns what. It is never changed.
+// Table is an immutable assignment of keys to instances.
 type Table struct {
 	self      peridotpath.InstanceID
-	live      []candidate // by id
+	live      []candidate // sorted by id
 	endpoints map[peridotpath.EndpointID]int32
 	buckets   []int32
 	readers   []peridotpath.Instance
 }
 
-// candidate is a live instance with its hash, computed once.
+// candidate is a live instance with the hash of its id.
 type candidate struct {
 	peridotpath.Instance
 	hash uint64
 }
 
-// Scope says what a Table covers.
+// Scope selects the instances and keys of a Table.
 type Scope struct {
 	Self peridotpath.InstanceID
-	// DataCentre limits the Table to one data centre; empty stands for all.
+	// DataCentre limits the Table to the instances of one data centre; empty selects all.
 	DataCentre peridotpath.DataCentre
 	// Buckets is the number of claim buckets.
 	Buckets int
-	// Readers is how many instances of the data centre watch the platform.
+	// Readers is the number of instances that watch the configuration on the platform.
 	Readers int
 }
 
-// wholeDomain is the largest number of live instances that make up one domain
-// in spite of the data centres that they stand in.
-const wholeDomain = 40
+// maxSingleDomainInstances is the largest number of live instances that form a single domain
+// across data centres.
+const maxSingleDomainInstances = 40
 
-// Domain returns the data centre that a Scope covers: none, which stands for
-// all of them, while the instances are few, and else one's own.
+// Domain returns the data centre that limits a Scope: empty, for all data centres, if there are
+// at most maxSingleDomainInstances live instances, else the instance's own.
 //
-// Two or three instances in each data centre, as the users have today, would
-// read each endpoint once for each data centre, and divide customers' limits
-// among too few. With many instances everyone's exchange with everyone costs
-// more than control may, so it ends at the data centre.
+// With two or three instances per data centre, as is common, one domain per data centre would
+// poll each endpoint once per data centre and divide customers' limits among too few
+// instances. With many instances an exchange between all pairs would exceed the budget for
+// control traffic, so exchanges are limited to the data centre.
 func Domain(own peridotpath.DataCentre, instances []peridotpath.Instance) peridotpath.DataCentre {
 	live := 0
 	for i := range instances {
@@ -76,46 +75,48 @@
 			live++
 		}
 	}
-	if live <= wholeDomain {
+	if live <= maxSingleDomainInstances {
 		return ""
 	}
 	return own
 }
 
-// New computes the table of a data centre for the endpoints and all buckets.
-// An instance that is leaving owns nothing: it hands over while it finishes.
+// New computes the Table of a Scope for the endpoints and all buckets. A leaving instance owns
+// nothing, so that its keys move to their new owners while it finishes its requests.
 func New(scope Scope, instances []peridotpath.Instance, endpoints []peridotpath.Endpoint) *Table {
-	table := &Table{self: scope.Self, live: candidates(scope.DataCentre, instances)}
+	table := &Table{self: scope.Self, live: liveCandidates(scope.DataCentre, instances)}
 	table.endpoints = make(map[peridotpath.EndpointID]int32, len(endpoints))
 	for i := range endpoints {
 		id := endpoints[i].ID
-		table.endpoints[id] = table.highest(hashOf(kindEndpoint, string(id)))
+		table.endpoints[id] = table.topRankedIndex(hashKey(keyKindEndpoint, string(id)))
 	}
 	table.buckets = make([]int32, scope.Buckets)
-	seed := hashOf(kindBucket, "")
+	seed := hashKey(keyKindBucket, "")
 	for bucket := range table.buckets {
-		table.buckets[bucket] = table.highest(mix(seed + uint64(bucket)))
+		table.buckets[bucket] = table.topRankedIndex(mix(seed + uint64(bucket)))
 	}
-	table.readers = table.highestFew(hashOf(kindReader, ""), scope.Readers)
+	table.readers = table.topRanked(hashKey(keyKindReader, ""), scope.Readers)
 	return table
 }
 
-// kindLease is the kind of key of the engines' leases.
-const kindLease = "lease/"
+// keyKindLease is the kind of key of the leases of engine groups.
+const keyKindLease = "lease/"
 
-// Candidates returns the live instances, count at the most, that try for the
-// lease of that name in a data centre: its own, or where it has none any, since
-// its engines would stay as they are for good.
+// Candidates returns at most count live instances that try to acquire the named lease of a data
+// centre. They are instances of the data centre or, if it has none, of any other, since its
+// engine groups would otherwise never change.
 func Candidates(instances []peridotpath.Instance, dataCentre peridotpath.DataCentre, name string, count int) []peridotpath.Instance {
-	live := candidates(dataCentre, instances)
+	live := liveCandidates(dataCentre, instances)
 	if len(live) == 0 {
-		live = candidates("", instances)
+		live = liveCandidates("", instances)
 	}
 	table := &Table{live: live}
-	return table.highestFew(hashOf(kindLease, string(dataCentre)+"/"+name), count)
+	return table.topRanked(hashKey(keyKindLease, string(dataCentre)+"/"+name), count)
 }
 
-func candidates(dataCentre peridotpath.DataCentre, instances []peridotpath.Instance) []candidate {
+// liveCandidates returns the live instances of a data centre, sorted by id and without
+// duplicates. An empty data centre selects all.
+func liveCandidates(dataCentre peridotpath.DataCentre, instances []peridotpath.Instance) []candidate {
 	var live []candidate
 	for _, instance := range instances {
 		covered := dataCentre == "" || instance.DataCentre == dataCentre
@@ -127,60 +128,62 @@
 	return slices.CompactFunc(live, func(a, b candidate) bool { return a.ID == b.ID })
 }
 
-func hashOf(kind, name string) uint64 {
+func hashKey(kind, name string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(kind)
 	_, _ = digest.WriteString(name)
 	return digest.Sum64()
 }
 
-// mix spreads a 64-bit value over all bits (the finaliser of splitmix64). With
-// it, a pair of hashes costs a few multiplications and no hashing of strings.
+// mix is the finaliser of splitmix64, in which each input bit affects all output bits. It
+// combines two hashes with a few multiplications, without hashing a string per pair.
 func mix(value uint64) uint64 {
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
 	value = (value ^ value>>27) * 0x94d049bb133111eb
 	return value ^ value>>31
 }
 
+// rank returns the rendezvous hash of an instance and a key.
 func rank(instance, key uint64) uint64 { return mix(instance ^ mix(key)) }
 
-// highest returns the index of the instance with the highest rank for the key,
-// the lowest id among equals; -1 when there is none.
-func (table *Table) highest(key uint64) int32 {
-	best, at := uint64(0), int32(-1)
+// topRankedIndex returns the index of the instance with the highest rank for the key, or -1 if
+// there is no live instance. The lowest id wins a tie.
+func (table *Table) topRankedIndex(key uint64) int32 {
+	bestRank, bestIndex := uint64(0), int32(-1)
 	for i := range table.live {
-		if value := rank(table.live[i].hash, key); at < 0 || value > best {
-			best, at = value, int32(i)
+		if value := rank(table.live[i].hash, key); bestIndex < 0 || value > bestRank {
+			bestRank, bestIndex = value, int32(i)
 		}
 	}
-	return at
+	return bestIndex
 }
 
-func (table *Table) highestFew(key uint64, count int) []peridotpath.Instance {
+// topRanked returns the count instances with the highest ranks for the key, highest first.
+func (table *Table) topRanked(key uint64, count int) []peridotpath.Instance {
 	ranked := slices.Clone(table.live)
 	slices.SortStableFunc(ranked, func(a, b candidate) int { return cmp.Compare(rank(b.hash, key), rank(a.hash, key)) })
-	few := make([]peridotpath.Instance, 0, count)
+	top := make([]peridotpath.Instance, 0, count)
 	for _, candidate := range ranked[:min(count, len(ranked))] {
-		few = append(few, candidate.Instance)
+		top = append(top, candidate.Instance)
 	}
-	return few
+	return top
 }
 
-func (table *Table) at(index int32) (peridotpath.Instance, bool) {
+func (table *Table) instanceAt(index int32) (peridotpath.Instance, bool) {
 	if index < 0 {
 		return peridotpath.Instance{}, false
 	}
 	return table.live[index].Instance, true
 }
 
-// Endpoint returns the owner of an endpoint; false when no instance is live.
-// An endpoint that the list did not have is computed on the spot.
+// Endpoint returns the owner of an endpoint, or false if no instance is live. The owner of an
+// endpoint that was not listed is computed in the call.
 func (table *Table) Endpoint(id peridotpath.EndpointID) (peridotpath.Instance, bool) {
 	index, known := table.endpoints[id]
 	if !known {
-		index = table.highest(hashOf(kindEndpoint, string(id)))
+		index = table.topRankedIndex(hashKey(keyKindEndpoint, string(id)))
 	}
-	return table.at(index)
+	return table.instanceAt(index)
 }
 
 // Owns reports whether this instance owns the endpoint.
@@ -194,27 +197,28 @@
 	return Bucket(xxhash.Sum64String(key) % uint64(max(len(table.buckets), 1)))
 }
 
-// Bucket returns the owner of a bucket; false when no instance is live.
+// Bucket returns the owner of a bucket, or false if no instance is live or the bucket does not
+// exist.
 func (table *Table) Bucket(bucket Bucket) (peridotpath.Instance, bool) {
 	if int(bucket) >= len(table.buckets) {
 		return peridotpath.Instance{}, false
 	}
-	return table.at(table.buckets[bucket])
+	return table.instanceAt(table.buckets[bucket])
 }
 
-// Readers returns the instances that watch the platform, highest rank first.
-// The slice is shared: do not change it.
+// Readers returns the instances that watch the configuration on the platform, highest rank
+// first. The slice is shared and must not be modified.
 func (table *Table) Readers() []peridotpath.Instance { return table.readers }
 
-// IsReader reports whether this instance watches the platform.
+// IsReader reports whether this instance watches the configuration on the platform.
 func (table *Table) IsReader() bool {
 	return slices.ContainsFunc(table.readers, func(reader peridotpath.Instance) bool { return reader.ID == table.self })
 }
 
-// Live returns how many instances take part.
+// Live returns the number of live instances in the Table.
 func (table *Table) Live() int { return len(table.live) }
 
-// Others returns the other instances that take part.
+// Others returns the live instances in the Table without this one.
 func (table *Table) Others() []peridotpath.Instance {
 	others := make([]peridotpath.Instance, 0, len(table.live))
 	for i := range table.live {
@@ -230,20 +234,20 @@
 	return slices.DeleteFunc(slices.Clone(table.readers), func(reader peridotpath.Instance) bool { return reader.ID == table.self })
 }
 
-// Owners holds the table in force. Read it from any goroutine.
+// Owners holds the active Table. Its methods are safe for concurrent use.
 type Owners struct {
-	// Scope's DataCentre is this instance's own; Set widens it by Domain.
+	// Scope has this instance's own data centre; Owners.Set extends it to all data centres
+	// according to Domain.
 	Scope Scope
 
 	table atomic.Pointer[Table]
 }
 
-// Set computes the table for a new reading of the membership list.
+// Set computes and activates the Table for a new membership list.
 //
-// A reading without any live instance after one that had some is not believed.
-// It is what a service says that was just restarted, and with it no endpoint
-// would have an owner, and every instance would take the watch on the platform
-// for its own.
+// A list without a live instance after one with live instances is ignored. A membership
+// service that has just restarted returns one, and with it no endpoint would have an owner and
+// every instance would watch the platform.
 func (owners *Owners) Set(instances []peridotpath.Instance, endpoints []peridotpath.Endpoint) {
 	scope := owners.Scope
 	scope.DataCentre = Domain(scope.DataCentre, instances)
@@ -255,7 +259,8 @@
 	owners.table.Store(table)
 }
 
-// Current returns the table in force, one without instances before the first Set.
+// Current returns the active Table. Before the first call of Owners.Set it is a Table without
+// instances.
 func (owners *Owners) Current() *Table {
 	if table := owners.table.Load(); table != nil {
 		return table
--- a/peridotpath/ownership/ownership_test.go
+++ b/peridotpath/ownership/ownership_test.go
@@ -14,7 +14,7 @@
 
 const (
 	buckets = 512
-	// seeds that CI tries each random property with, 100 cases each.
+	// seeds is the number of random seeds per property in CI, with 100 cases each.
 	seeds = 1
 )
 
@@ -35,41 +35,41 @@
 	return list
 }
 
-func tableOf(list []peridotpath.Instance, count int) *ownership.Table {
+func newTable(list []peridotpath.Instance, count int) *ownership.Table {
 	scope := ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", Buckets: buckets, Readers: 2}
 	return ownership.New(scope, list, endpoints(count))
 }
 
-// One instance of many dies. If tables were cut by position, nearly every
-// endpoint and bucket would change hands at once, each with a full poll and a
-// reading of its ledger, in the moment in which the fleet is weakest.
-func TestLossMovesOnlyWhatWasLost(t *testing.T) {
+// Guards against moving nearly all endpoints and buckets when one instance fails, as
+// partitioning by position would. Each move costs a full poll or a read of the bucket's ledger,
+// while the fleet has the least spare capacity.
+func TestRemovalMovesOnlyKeysOfRemovedInstance(t *testing.T) {
 	soak.Check(t, seeds, func(t *rapid.T) {
 		list := instances(rapid.IntRange(0, 1000).Draw(t, "first"), rapid.IntRange(2, 40).Draw(t, "count"))
-		lost := rapid.IntRange(0, len(list)-1).Draw(t, "lost")
-		before := tableOf(list, 200)
-		after := tableOf(append(list[:lost:lost], list[lost+1:]...), 200)
+		removed := rapid.IntRange(0, len(list)-1).Draw(t, "lost")
+		before := newTable(list, 200)
+		after := newTable(append(list[:removed:removed], list[removed+1:]...), 200)
 		for _, endpoint := range endpoints(200) {
 			had, _ := before.Endpoint(endpoint.ID)
 			has, _ := after.Endpoint(endpoint.ID)
-			if had.ID != list[lost].ID && had.ID != has.ID {
-				t.Fatalf("endpoint %s moved from %s to %s, lost %s", endpoint.ID, had.ID, has.ID, list[lost].ID)
+			if had.ID != list[removed].ID && had.ID != has.ID {
+				t.Fatalf("endpoint %s moved from %s to %s, removed %s", endpoint.ID, had.ID, has.ID, list[removed].ID)
 			}
 		}
 		for bucket := range ownership.Bucket(buckets) {
 			had, _ := before.Bucket(bucket)
 			has, _ := after.Bucket(bucket)
-			if had.ID != list[lost].ID && had.ID != has.ID {
+			if had.ID != list[removed].ID && had.ID != has.ID {
 				t.Fatalf("bucket %d moved from %s to %s", bucket, had.ID, has.ID)
 			}
 		}
 	})
 }
 
-func TestSpreadIsEven(t *testing.T) {
+func TestKeysAreEvenlyDistributed(t *testing.T) {
 	soak.Check(t, seeds, func(t *rapid.T) {
 		list := instances(rapid.IntRange(0, 1000).Draw(t, "first"), rapid.IntRange(2, 16).Draw(t, "count"))
-		table := tableOf(list, 0)
+		table := newTable(list, 0)
 		counts := map[peridotpath.InstanceID]int{}
 		const keys = 8000
 		for i := range keys {
@@ -78,7 +78,7 @@
 		}
 		mean := keys / len(list)
 		for id, count := range counts {
-			// Six standard deviations of a fair draw at the smallest mean.
+			// The bounds are six standard deviations of a uniform distribution at the smallest mean.
 			if count < mean*7/10 || count > mean*13/10 {
 				t.Fatalf("%s owns %d of %d, mean %d", id, count, keys, mean)
 			}
@@ -86,25 +86,25 @@
 	})
 }
 
-func TestOrderOfTheListDoesNotMatter(t *testing.T) {
+func TestTableIsIndependentOfListOrder(t *testing.T) {
 	soak.Check(t, seeds, func(t *rapid.T) {
 		list := instances(0, 12)
-		before := tableOf(list, 50)
-		after := tableOf(rapid.Permutation(list).Draw(t, "order"), 50)
+		before := newTable(list, 50)
+		after := newTable(rapid.Permutation(list).Draw(t, "order"), 50)
 		for _, endpoint := range endpoints(50) {
 			had, _ := before.Endpoint(endpoint.ID)
 			has, _ := after.Endpoint(endpoint.ID)
 			if had.ID != has.ID {
-				t.Fatalf("%s: %s or %s", endpoint.ID, had.ID, has.ID)
+				t.Fatalf("%s has owner %s or %s", endpoint.ID, had.ID, has.ID)
 			}
 		}
 		if before.Readers()[0].ID != after.Readers()[0].ID || before.Readers()[1].ID != after.Readers()[1].ID {
-			t.Fatalf("readers differ")
+			t.Fatalf("readers depend on the order of the list")
 		}
 	})
 }
 
-func TestWhoTakesPart(t *testing.T) {
+func TestParticipatingInstances(t *testing.T) {
 	leaving := instances(1, 1)
 	leaving[0].State = peridotpath.StateLeaving
 	elsewhere := instances(2, 40)
@@ -117,12 +117,12 @@
 		want peridotpath.InstanceID
 		live int
 	}{
-		{"nobody", nil, "", 0},
-		{"alone", instances(0, 1), "instance-0", 1},
-		{"leaving owns nothing", append(instances(0, 1), leaving...), "instance-0", 1},
-		{"another data centre owns nothing among many", append(instances(0, 1), elsewhere...), "instance-0", 1},
-		{"all data centres take part among few", append(instances(0, 1), elsewhere[:2]...), "instance-3", 3},
-		{"listed twice", append(instances(0, 1), instances(0, 1)...), "instance-0", 1},
+		{"no instances", nil, "", 0},
+		{"one instance", instances(0, 1), "instance-0", 1},
+		{"leaving instance owns nothing", append(instances(0, 1), leaving...), "instance-0", 1},
+		{"many instances: another data centre owns nothing", append(instances(0, 1), elsewhere...), "instance-0", 1},
+		{"few instances: all data centres participate", append(instances(0, 1), elsewhere[:2]...), "instance-3", 3},
+		{"instance listed twice", append(instances(0, 1), instances(0, 1)...), "instance-0", 1},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -149,10 +149,10 @@
 	}
 }
 
-// The membership service restarts and answers with an empty list for a while.
-// Every instance would then watch the platform, 530 calls at once that go on
-// waiting, and no endpoint would be read by an owner.
-func TestEmptyListIsNotBelieved(t *testing.T) {
+// Guards against acting on the empty list that a restarted membership service returns for a
+// while. Every instance would watch the platform, with 530 concurrent long polls, and no
+// endpoint would be polled by an owner.
+func TestEmptyMembershipListIsIgnored(t *testing.T) {
 	is := is.New(t)
 	owners := ownership.Owners{Scope: ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", Readers: 2}}
 	owners.Set(instances(0, 8), endpoints(3))
