--- a/peridotpath/membership/follower.go
+++ b/peridotpath/membership/follower.go
@@ -11,22 +11,22 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Follower keeps the newest reading of the membership list. Set the exported
-// fields before Run.
+// Follower polls the membership list and holds the newest one. Set the exported fields before
+// Run.
 type Follower struct {
 	Fetch    func(ctx context.Context) (*List, error)
 	Interval time.Duration
 	Log      zerolog.Logger
-	// Changed, when set, is called with each reading that differs in revision.
+	// Changed, if set, is called with each list whose revision differs from the last one's.
 	Changed func(*List)
 
 	current atomic.Pointer[List]
 }
 
-// Current returns the newest reading; nil before the first.
+// Current returns the newest list, or nil if none was fetched yet.
 func (follower *Follower) Current() *List { return follower.current.Load() }
 
-// Endpoint returns the endpoint with that id, if the list has it.
+// Endpoint returns the listed endpoint with the id, or false if there is none.
 func (follower *Follower) Endpoint(id peridotpath.EndpointID) (peridotpath.Endpoint, bool) {
 	list := follower.Current()
 	if list == nil {
@@ -40,8 +40,8 @@
 	return peridotpath.Endpoint{}, false
 }
 
-// Run reads the list until ctx ends. When a reading fails the last one stays:
-// the service is one more thing that may be down, and endpoints outlive it.
+// Run fetches the list periodically until ctx is done. If a fetch fails, the last list stays
+// active: an outage of the membership service does not mean that endpoints are down.
 func (follower *Follower) Run(ctx context.Context) error {
 	for {
 		list, err := follower.Fetch(ctx)
@@ -49,21 +49,21 @@
 			follower.Log.Warn().Err(err).Msg("membership_unread")
 		}
 		if err == nil {
-			follower.take(list)
+			follower.setCurrent(list)
 		}
-		// Jitter keeps many instances that started together apart.
-		wait := follower.Interval/2 + rand.N(follower.Interval)
+		// The jitter spreads the fetches of instances that started at the same time.
+		delay := follower.Interval/2 + rand.N(follower.Interval)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
 	}
 }
 
-func (follower *Follower) take(list *List) {
-	last := follower.current.Load()
-	if last != nil && last.Revision == list.Revision {
+func (follower *Follower) setCurrent(list *List) {
+	previous := follower.current.Load()
+	if previous != nil && previous.Revision == list.Revision {
 		return
 	}
 	follower.current.Store(list)
--- a/peridotpath/membership/membership.go
+++ b/peridotpath/membership/membership.go
@@ -1,5 +1,6 @@
-// Package membership speaks to the platform's membership list, which names the
-// live and leaving instances and endpoints and lags behind reality.
+// Package membership polls the platform's membership list over HTTP. The list contains the live
+// and the leaving instances and endpoints. It lags behind their actual state, and the last list
+// stays active while the membership service is unreachable.
 package membership
 
 import (
@@ -19,22 +20,22 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("membership")
 
-// Path is where the list is served.
+// Path is the URL path of the list.
 const Path = "/members"
 
 const (
 	fetchTimeout = 2 * time.Second
-	maxList      = 16 << 20
+	maxListBytes = 16 << 20
 )
 
-// List is one reading of the membership list.
+// List is a version of the membership list.
 type List struct {
 	Revision  uint64                 `json:"revision"`
 	Instances []peridotpath.Instance `json:"instances"`
 	Endpoints []peridotpath.Endpoint `json:"endpoints"`
 }
 
-// Fetch reads the list from the service at address.
+// Fetch fetches the list from the membership service at address.
 func Fetch(ctx context.Context, address netip.AddrPort) (*List, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -51,7 +52,7 @@
 		return nil, Error.New("fetch: status %d", response.StatusCode)
 	}
 	list := &List{}
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxList)).Decode(list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(list); err != nil {
 		return nil, Error.New("fetch: %v", err)
 	}
 	return list, nil
