--- a/peridotpath/fleet/poller.go
+++ b/peridotpath/fleet/poller.go
@@ -51,7 +51,7 @@
 	// Owns reports whether this instance owns the endpoint.
 	Owns func(id peridotpath.EndpointID) bool
 	// Interval is the minimum time between two polls of an endpoint; zero selects
-	// DefaultInterval. It is extended to keep the traffic within Poller.Budget.
+	// DefaultInterval. It is extended to keep the traffic within the budget.
 	Interval time.Duration
 	// Budget limits poll traffic in bytes per second; zero selects DefaultBudget.
 	Budget int
--- a/peridotpath/fleet/view.go
+++ b/peridotpath/fleet/view.go
@@ -124,7 +124,7 @@
 	view.publish(now)
 }
 
-// publish calls View.Publish with the endpoints and their states. The caller holds view.mu, so
+// publish calls the callback with the endpoints and their states. The caller holds view.mu, so
 // that the calls are in the order of the changes.
 func (view *View) publish(now time.Time) {
 	endpoints := make([]peridotpath.Endpoint, 0, len(view.order))
--- a/peridotpath/ownership/ownership.go
+++ b/peridotpath/ownership/ownership.go
@@ -236,8 +236,8 @@
 
 // Owners holds the active Table. Its methods are safe for concurrent use.
 type Owners struct {
-	// Scope has this instance's own data centre; Owners.Set extends it to all data centres
-	// according to Domain.
+	// Scope has this instance's own data centre; it is extended to all data centres
+	// if there are few instances.
 	Scope Scope
 
 	table atomic.Pointer[Table]
@@ -259,7 +259,7 @@
 	owners.table.Store(table)
 }
 
-// Current returns the active Table. Before the first call of Owners.Set it is a Table without
+// Current returns the active Table. Before the first membership list it is a Table without
 // instances.
 func (owners *Owners) Current() *Table {
 	if table := owners.table.Load(); table != nil {
--- a/peridotpath/peer/config_follower.go
+++ b/peridotpath/peer/config_follower.go
@@ -33,7 +33,7 @@
 	Readers func() []peridotpath.Instance
 	// Others returns all live instances without this one.
 	Others func() []peridotpath.Instance
-	// Changes sends a request to a peer; it is usually Client.Changes.
+	// Changes sends a request to a peer and returns the reply; see Client.Changes.
 	Changes func(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error)
 
 	mu             sync.Mutex
@@ -44,9 +44,8 @@
 	lastRequestHash uint64
 }
 
-// Peers returns the documents of other instances that are newer than have, for
-// config.Store.Peers. With a wait it long-polls one reader, without it polls several random
-// instances at once.
+// Peers returns the documents of other instances that are newer than have. If wait
+// is positive, it long-polls one reader, else it polls several random instances at once.
 func (relay *Relay) Peers(ctx context.Context, have config.Revisions, wait time.Duration) ([]config.Update, error) {
 	others := relay.Others()
 	if len(others) == 0 {
--- a/peridotpath/peer/exchange.go
+++ b/peridotpath/peer/exchange.go
@@ -312,8 +312,7 @@
 }
 
 // Remotes returns the customer demand at every peer that is listed or has recently sent a
-// digest, for
-// share.Limiter.Peers.
+// digest, for the division of customers' limits.
 func (exchanger *Exchanger) Remotes() []share.Peer {
 	exchanger.init()
 	exchanger.mu.Lock()
