--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -30,17 +30,17 @@
 	incarnation peridotpath.Incarnation
 	scheduler   *decide.Scheduler
 
-	follower  *membership.Follower
-	owners    *ownership.Owners
-	view      *fleet.View
-	poller    *fleet.Poller
-	digests   *digest.PublishedState
-	exchanger *peer.Exchanger
-	relay     *peer.Relay
-	service   *peer.Service
-	limiter   *share.Limiter
-	sweeper   *sweep.Sweeper
-	largestKV atomic.Pointer[map[peridotpath.Service]peridotpath.Tokens]
+	follower       *membership.Follower
+	owners         *ownership.Owners
+	view           *fleet.View
+	poller         *fleet.Poller
+	digests        *digest.PublishedState
+	exchanger      *peer.Exchanger
+	configFollower *peer.ConfigFollower
+	service        *peer.Service
+	limiter        *share.Limiter
+	sweeper        *sweep.Sweeper
+	largestKV      atomic.Pointer[map[peridotpath.Service]peridotpath.Tokens]
 }
 
 // newFleetTracker creates the fleet tracking and connects it to the daemon's other components.
@@ -55,25 +55,25 @@
 func (tracker *fleetTracker) initMembership(daemon *daemon) {
 	tracker.owners = &ownership.Owners{Scope: ownership.Scope{
 		Self: daemon.settings.InstanceID, DataCentre: daemon.settings.DataCentre,
-		Readers: daemon.settings.ConfigReaders,
+		ReaderCount: daemon.settings.ConfigReaders,
 	}}
 	tracker.follower = &membership.Follower{
 		Fetch: func(ctx context.Context) (*membership.List, error) {
 			return membership.Fetch(ctx, daemon.settings.MembershipAddress)
 		},
-		Interval: membershipInterval, Log: daemon.log, Changed: tracker.onMembersChanged,
+		Interval: membershipInterval, Log: daemon.log, OnChange: tracker.onMembersChanged,
 	}
 	tracker.view = &fleet.View{
-		Log: daemon.log, Publish: daemon.scheduler.SetEndpoints, Load: daemon.scheduler.ApplyReport,
-		Drained: daemon.isDrained,
+		Log: daemon.log, OnChange: daemon.scheduler.SetEndpoints, OnLoad: daemon.scheduler.ApplyReport,
+		IsDrained: daemon.isDrained,
 	}
 }
 
 func (tracker *fleetTracker) initLoadReports(daemon *daemon) {
 	tracker.digests = &digest.PublishedState{Epoch: uint64(daemon.incarnation)}
-	tracker.poller = &fleet.Poller{View: tracker.view, Book: tracker.digests, Load: daemon.engines.FetchLoad, Owns: tracker.ownsEndpoint}
+	tracker.poller = &fleet.Poller{View: tracker.view, Book: tracker.digests, FetchLoad: daemon.engines.FetchLoad, IsOwner: tracker.ownsEndpoint}
 	tracker.sweeper = &sweep.Sweeper{
-		Log: daemon.log, Engines: tracker.view.Engines, IsOwner: tracker.ownsEndpoint,
+		Log: daemon.log, Engines: tracker.view.ListedEngines, IsOwner: tracker.ownsEndpoint,
 		ListStreams: daemon.engines.ListStreams, CancelStream: daemon.engines.Cancel, ResumeWindow: resumeWindow,
 	}
 }
@@ -82,29 +82,29 @@
 	client := &peer.Client{}
 	tracker.exchanger = &peer.Exchanger{
 		Self: daemon.settings.InstanceID, Book: tracker.digests, Log: daemon.log,
-		Peers: tracker.peers, Call: client.Exchange, Report: tracker.view.Report,
+		Peers: tracker.peers, SendDigest: client.Exchange, OnReport: tracker.view.ApplyReport,
 	}
-	tracker.relay = &peer.Relay{Readers: tracker.readers, Others: tracker.peers, Changes: client.Changes}
-	tracker.service = &peer.Service{Exchanger: tracker.exchanger, Changes: daemon.config.WaitForUpdate}
-	daemon.config.FetchFromPeers = tracker.relay.Peers
+	tracker.configFollower = &peer.ConfigFollower{ConfigReaders: tracker.readers, OtherInstances: tracker.peers, FetchChanges: client.FetchChanges}
+	tracker.service = &peer.Service{Exchanger: tracker.exchanger, WaitForUpdate: daemon.config.WaitForUpdate}
+	daemon.config.FetchFromPeers = tracker.configFollower.FetchFromPeers
 	daemon.config.IsReader = tracker.isReader
-	daemon.config.OnSnapshot = func(*config.Snapshot) { tracker.view.Refresh(time.Now()) }
+	daemon.config.OnSnapshot = func(*config.Snapshot) { tracker.view.Republish(time.Now()) }
 	tracker.limiter = &share.Limiter{
-		Peers: tracker.exchanger.Remotes, Publish: tracker.digests.PutCustomer, RetainPublished: tracker.digests.RetainCustomers,
+		Peers: tracker.exchanger.PeerDemands, Publish: tracker.digests.PutCustomer, RetainPublished: tracker.digests.RetainCustomers,
 	}
 	daemon.scheduler.Allow = tracker.limiter.Allow
 }
 
 func (tracker *fleetTracker) onMembersChanged(list *membership.List) {
-	tracker.owners.Set(list.Instances, list.Endpoints)
-	tracker.scheduler.SetInstances(tracker.owners.Current().Live())
+	tracker.owners.Update(list.Instances, list.Endpoints)
+	tracker.scheduler.SetInstances(tracker.owners.Current().LiveCount())
 	largest := largestKVByService(list.Endpoints)
 	tracker.largestKV.Store(&largest)
 	tracker.view.SetMembers(time.Now(), list.Endpoints)
 }
 
 func (tracker *fleetTracker) ownsEndpoint(id peridotpath.EndpointID) bool {
-	return tracker.owners.Current().Owns(id)
+	return tracker.owners.Current().OwnsEndpoint(id)
 }
 
 // isReader reports whether this instance reads the configuration from the platform, as
@@ -112,12 +112,14 @@
 // follow.
 func (tracker *fleetTracker) isReader() bool {
 	table := tracker.owners.Current()
-	return table.Live() == 0 || table.IsReader()
+	return table.LiveCount() == 0 || table.IsReader()
 }
 
 // peers returns the other live instances in this instance's gossip domain: all data
 // centres if there are few instances, else its own data centre.
-func (tracker *fleetTracker) peers() []peridotpath.Instance { return tracker.owners.Current().Others() }
+func (tracker *fleetTracker) peers() []peridotpath.Instance {
+	return tracker.owners.Current().OtherInstances()
+}
 
 func (tracker *fleetTracker) readers() []peridotpath.Instance {
 	return tracker.owners.Current().OtherReaders()
@@ -134,7 +136,7 @@
 	}
 	for _, instance := range list.Instances {
 		if instance.ID == id {
-			return mayStillRun(incarnation, instance.Incarnation, peridotpath.Incarnation(tracker.exchanger.Epoch(id)))
+			return mayStillRun(incarnation, instance.Incarnation, peridotpath.Incarnation(tracker.exchanger.PeerEpoch(id)))
 		}
 	}
 	return false
--- a/peridotd/shift.go
+++ b/peridotd/shift.go
@@ -114,7 +114,7 @@
 			continue
 		}
 		seen = append(seen, next)
-		candidates := ownership.Candidates(list.Instances, next.dataCentre, string(next.service), candidatesPerLease)
+		candidates := ownership.LeaseCandidates(list.Instances, next.dataCentre, string(next.service), candidatesPerLease)
 		if slices.ContainsFunc(candidates, func(instance peridotpath.Instance) bool { return instance.ID == self }) {
 			sites = append(sites, next)
 		}
--- a/peridotpath/fleet/poller.go
+++ b/peridotpath/fleet/poller.go
@@ -20,8 +20,8 @@
 	// know of a leaving endpoint within two seconds; the interval, together with the poll
 	// itself, leaves one second for the exchange between instances.
 	DefaultInterval = 500 * time.Millisecond
-	// DefaultBudget is the default limit on poll traffic, in bytes per second.
-	DefaultBudget = 2500
+	// DefaultBytesPerSecond is the default limit on poll traffic, in bytes per second.
+	DefaultBytesPerSecond = 2500
 	// bytesPerPoll is the traffic of one poll, request and response together.
 	bytesPerPoll = 450
 	// pollTimeout bounds one poll. An endpoint that takes longer is published as unread, so
@@ -33,11 +33,11 @@
 	// counts as silent. It spans several exchanges, so that one slow exchange causes no
 	// fallback polls.
 	DefaultStaleAfter = 6 * time.Second
-	// FallbackPolls bounds the polls per round of endpoints that other instances own. When a
+	// MaxFallbackPolls bounds the polls per round of endpoints that other instances own. When a
 	// rack fails, the same endpoints become stale at every instance. If all instances polled
 	// all of them, the poll load of these endpoints would be multiplied by the number of
 	// instances during the outage.
-	FallbackPolls = 4
+	MaxFallbackPolls = 4
 )
 
 // Poller polls the load reports of the endpoints that this instance owns and publishes them to
@@ -46,15 +46,15 @@
 type Poller struct {
 	View *View
 	Book *digest.PublishedState
-	// Load fetches an endpoint's load report.
-	Load func(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error)
-	// Owns reports whether this instance owns the endpoint.
-	Owns func(id peridotpath.EndpointID) bool
+	// FetchLoad fetches an endpoint's load report.
+	FetchLoad func(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error)
+	// IsOwner reports whether this instance owns the endpoint.
+	IsOwner func(id peridotpath.EndpointID) bool
 	// Interval is the minimum time between two polls of an endpoint; zero selects
 	// DefaultInterval. It is extended to keep the traffic within the budget.
 	Interval time.Duration
-	// Budget limits poll traffic in bytes per second; zero selects DefaultBudget.
-	Budget int
+	// BytesPerSecond limits poll traffic in bytes per second; zero selects DefaultBytesPerSecond.
+	BytesPerSecond int
 	// StaleAfter is the age of a load after which the endpoint's owner counts as silent; zero
 	// selects DefaultStaleAfter.
 	StaleAfter time.Duration
@@ -85,8 +85,8 @@
 	if poller.Interval == 0 {
 		poller.Interval = DefaultInterval
 	}
-	if poller.Budget == 0 {
-		poller.Budget = DefaultBudget
+	if poller.BytesPerSecond == 0 {
+		poller.BytesPerSecond = DefaultBytesPerSecond
 	}
 	if poller.StaleAfter == 0 {
 		poller.StaleAfter = DefaultStaleAfter
@@ -100,7 +100,7 @@
 // stretchedInterval returns the poll interval for the number of owned endpoints, extended so
 // that the polls stay within the budget.
 func (poller *Poller) stretchedInterval(owned int) time.Duration {
-	return max(poller.Interval, time.Duration(owned*bytesPerPoll)*time.Second/time.Duration(poller.Budget))
+	return max(poller.Interval, time.Duration(owned*bytesPerPoll)*time.Second/time.Duration(poller.BytesPerSecond))
 }
 
 // startPolls starts one poll of each owned endpoint and of some stale ones, and returns the
@@ -108,15 +108,15 @@
 func (poller *Poller) startPolls(ctx context.Context, group *errgroup.Group) int {
 	now := time.Now()
 	var owned, stale []peridotpath.Endpoint
-	for _, endpoint := range poller.View.Engines() {
+	for _, endpoint := range poller.View.ListedEngines() {
 		switch {
-		case poller.Owns(endpoint.ID):
+		case poller.IsOwner(endpoint.ID):
 			owned = append(owned, endpoint)
-		case poller.View.Age(now, endpoint.ID) > poller.StaleAfter:
+		case poller.View.ReportAge(now, endpoint.ID) > poller.StaleAfter:
 			stale = append(stale, endpoint)
 		}
 	}
-	poller.Book.RetainEndpoints(poller.Owns)
+	poller.Book.RetainEndpoints(poller.IsOwner)
 	stale = poller.chooseFallbacks(stale)
 	metrics.GetOrCreateCounter(`peridotpath_fallback_polls_total`).Add(len(stale))
 	for _, endpoint := range append(owned, stale...) {
@@ -125,10 +125,10 @@
 	return len(owned)
 }
 
-// chooseFallbacks returns at most FallbackPolls random endpoints, so that instances with the
+// chooseFallbacks returns at most MaxFallbackPolls random endpoints, so that instances with the
 // same stale endpoints poll different ones.
 func (poller *Poller) chooseFallbacks(endpoints []peridotpath.Endpoint) []peridotpath.Endpoint {
-	count := min(len(endpoints), FallbackPolls)
+	count := min(len(endpoints), MaxFallbackPolls)
 	for i := range count {
 		j := i + int(poller.Random()*float64(len(endpoints)-i))
 		endpoints[i], endpoints[j] = endpoints[j], endpoints[i]
@@ -172,7 +172,7 @@
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	sentAt := time.Now()
-	load, err := poller.Load(ctx, endpoint.Address)
+	load, err := poller.FetchLoad(ctx, endpoint.Address)
 	if err != nil {
 		metrics.GetOrCreateCounter(`peridotpath_reports_unread_total`).Inc()
 		poller.Book.MarkUnreadable(endpoint.ID)
@@ -180,8 +180,8 @@
 	}
 	// The time before the call, since the report may not contain requests dispatched during it.
 	load.AsOf = sentAt
-	poller.View.Report(time.Now(), endpoint.ID, load)
-	if poller.Owns(endpoint.ID) {
+	poller.View.ApplyReport(time.Now(), endpoint.ID, load)
+	if poller.IsOwner(endpoint.ID) {
 		poller.Book.PutEndpoint(endpoint.ID, load)
 	}
 }
--- a/peridotpath/fleet/view.go
+++ b/peridotpath/fleet/view.go
@@ -28,13 +28,13 @@
 // before the first call of a method. Its methods are safe for concurrent use.
 type View struct {
 	Log zerolog.Logger
-	// Drained reports whether an operator has drained the endpoint; nil means that none is.
-	// Call View.Refresh when the result changes.
-	Drained func(id peridotpath.EndpointID) bool
-	// Publish is called with all endpoints after each change.
-	Publish func(now time.Time, endpoints []peridotpath.Endpoint)
-	// Load is called with each load report that is newer than the endpoint's last one.
-	Load func(now time.Time, id peridotpath.EndpointID, load peridotpath.Load)
+	// IsDrained reports whether an operator has drained the endpoint; nil means that none is.
+	// Call View.Republish when the result changes.
+	IsDrained func(id peridotpath.EndpointID) bool
+	// OnChange is called with all endpoints after each change.
+	OnChange func(now time.Time, endpoints []peridotpath.Endpoint)
+	// OnLoad is called with each load report that is newer than the endpoint's last one.
+	OnLoad func(now time.Time, id peridotpath.EndpointID, load peridotpath.Load)
 
 	mu      sync.Mutex
 	members map[peridotpath.EndpointID]*member
@@ -117,8 +117,8 @@
 	}
 }
 
-// Refresh publishes the endpoints again, after a change of View.Drained.
-func (view *View) Refresh(now time.Time) {
+// Republish publishes the endpoints again, after a change of View.IsDrained.
+func (view *View) Republish(now time.Time) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	view.publish(now)
@@ -136,16 +136,16 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	view.Publish(now, endpoints)
+	view.OnChange(now, endpoints)
 }
 
 func (view *View) takesNoWork(found *member) bool {
-	drained := view.Drained != nil && view.Drained(found.endpoint.ID)
+	drained := view.IsDrained != nil && view.IsDrained(found.endpoint.ID)
 	return drained || !found.leavingAsOf.IsZero() || !found.unlistedSince.IsZero()
 }
 
-// Report applies an endpoint's load report, whose AsOf is a time of this instance's clock.
-func (view *View) Report(now time.Time, id peridotpath.EndpointID, load peridotpath.Load) {
+// ApplyReport applies an endpoint's load report, whose AsOf is a time of this instance's clock.
+func (view *View) ApplyReport(now time.Time, id peridotpath.EndpointID, load peridotpath.Load) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	found := view.members[id]
@@ -153,7 +153,7 @@
 		return
 	}
 	found.newestReportAt = load.AsOf
-	view.Load(now, id, load)
+	view.OnLoad(now, id, load)
 	switch {
 	case load.Leaving && found.leavingAsOf.IsZero():
 		found.leavingAsOf = load.AsOf
@@ -168,10 +168,10 @@
 	}
 }
 
-// Refused records that the endpoint refused a request because it is leaving. It is published
+// RecordRefusal records that the endpoint refused a request because it is leaving. It is published
 // as leaving until a later load report of its own overrides the refusal. The membership list
 // does not override it, since the list lags.
-func (view *View) Refused(now time.Time, id peridotpath.EndpointID) {
+func (view *View) RecordRefusal(now time.Time, id peridotpath.EndpointID) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	found := view.members[id]
@@ -186,9 +186,9 @@
 	}
 }
 
-// Age returns the age of the endpoint's newest report, or the time since it was first listed if
+// ReportAge returns the age of the endpoint's newest report, or the time since it was first listed if
 // there is none.
-func (view *View) Age(now time.Time, id peridotpath.EndpointID) time.Duration {
+func (view *View) ReportAge(now time.Time, id peridotpath.EndpointID) time.Duration {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	if found := view.members[id]; found != nil {
@@ -197,9 +197,9 @@
 	return 0
 }
 
-// Engines returns the model engines on the membership list. Leaving engines are included, since
+// ListedEngines returns the model engines on the membership list. Leaving engines are included, since
 // they still execute requests and may return.
-func (view *View) Engines() []peridotpath.Endpoint {
+func (view *View) ListedEngines() []peridotpath.Endpoint {
 	view.mu.Lock()
 	defer view.mu.Unlock()
 	engines := make([]peridotpath.Endpoint, 0, len(view.order))
--- a/peridotpath/fleet/view_test.go
+++ b/peridotpath/fleet/view_test.go
@@ -33,14 +33,14 @@
 func newView(drained map[peridotpath.EndpointID]bool) (*fleet.View, *published) {
 	seen := &published{loads: map[peridotpath.EndpointID]int{}}
 	return &fleet.View{
-		Drained: func(id peridotpath.EndpointID) bool { return drained[id] },
-		Publish: func(_ time.Time, endpoints []peridotpath.Endpoint) {
+		IsDrained: func(id peridotpath.EndpointID) bool { return drained[id] },
+		OnChange: func(_ time.Time, endpoints []peridotpath.Endpoint) {
 			seen.states = map[peridotpath.EndpointID]peridotpath.State{}
 			for _, endpoint := range endpoints {
 				seen.states[endpoint.ID] = endpoint.State
 			}
 		},
-		Load: func(_ time.Time, id peridotpath.EndpointID, load peridotpath.Load) { seen.loads[id] = load.Running },
+		OnLoad: func(_ time.Time, id peridotpath.EndpointID, load peridotpath.Load) { seen.loads[id] = load.Running },
 	}, seen
 }
 
@@ -56,7 +56,7 @@
 	is.Equal(seen.states["engine-2"], peridotpath.StateLeaving) // no longer listed: no new work
 	view.SetMembers(start.Add(time.Minute), engines("engine-1"))
 	is.Equal(len(seen.states), 1)
-	is.Equal(len(view.Engines()), 1)
+	is.Equal(len(view.ListedEngines()), 1)
 }
 
 // Guards against sending requests to a leaving engine again. The engine refuses a request while
@@ -80,10 +80,10 @@
 			is := is.New(t)
 			view, seen := newView(nil)
 			view.SetMembers(start, engines("engine-1", "engine-2"))
-			view.Refused(at(10), "engine-1")
+			view.RecordRefusal(at(10), "engine-1")
 			is.Equal(seen.states["engine-1"], peridotpath.StateLeaving)
 			is.Equal(seen.states["engine-2"], peridotpath.StateLive)
-			view.Report(at(12), "engine-1", peridotpath.Load{AsOf: test.reported, Leaving: test.leaving})
+			view.ApplyReport(at(12), "engine-1", peridotpath.Load{AsOf: test.reported, Leaving: test.leaving})
 			is.Equal(seen.states["engine-1"], test.want)
 			view.SetMembers(at(13), engines("engine-1", "engine-2"))
 			is.Equal(seen.states["engine-1"], test.want) // the membership list does not override it
@@ -97,7 +97,7 @@
 	is := is.New(t)
 	view, seen := newView(nil)
 	view.SetMembers(start, engines("engine-1"))
-	view.Refused(start, "engine-1")
+	view.RecordRefusal(start, "engine-1")
 	next := engines("engine-1")
 	next[0].Address = netip.MustParseAddrPort("10.0.9.9:80")
 	view.SetMembers(start.Add(time.Second), next)
@@ -109,10 +109,10 @@
 	is := is.New(t)
 	view, seen := newView(nil)
 	view.SetMembers(start, engines("engine-1"))
-	view.Report(start.Add(3*time.Second), "engine-1", peridotpath.Load{Running: 7, AsOf: start.Add(2 * time.Second)})
-	view.Report(start.Add(3*time.Second), "engine-1", peridotpath.Load{Running: 1, AsOf: start.Add(time.Second)})
+	view.ApplyReport(start.Add(3*time.Second), "engine-1", peridotpath.Load{Running: 7, AsOf: start.Add(2 * time.Second)})
+	view.ApplyReport(start.Add(3*time.Second), "engine-1", peridotpath.Load{Running: 1, AsOf: start.Add(time.Second)})
 	is.Equal(seen.loads["engine-1"], 7)
-	is.Equal(view.Age(start.Add(3*time.Second), "engine-1"), time.Second)
+	is.Equal(view.ReportAge(start.Add(3*time.Second), "engine-1"), time.Second)
 }
 
 func TestDrainedEndpointIsPublishedAsLeaving(t *testing.T) {
@@ -121,9 +121,9 @@
 	view, seen := newView(drained)
 	view.SetMembers(start, engines("engine-1"))
 	drained["engine-1"] = true
-	view.Refresh(start)
+	view.Republish(start)
 	is.Equal(seen.states["engine-1"], peridotpath.StateLeaving)
 	delete(drained, "engine-1")
-	view.Refresh(start)
+	view.Republish(start)
 	is.Equal(seen.states["engine-1"], peridotpath.StateLive)
 }
--- a/peridotpath/membership/follower.go
+++ b/peridotpath/membership/follower.go
@@ -17,8 +17,8 @@
 	Fetch    func(ctx context.Context) (*List, error)
 	Interval time.Duration
 	Log      zerolog.Logger
-	// Changed, if set, is called with each list whose revision differs from the last one's.
-	Changed func(*List)
+	// OnChange, if set, is called with each list whose revision differs from the last one's.
+	OnChange func(*List)
 
 	current atomic.Pointer[List]
 }
@@ -67,7 +67,7 @@
 		return
 	}
 	follower.current.Store(list)
-	if follower.Changed != nil {
-		follower.Changed(list)
+	if follower.OnChange != nil {
+		follower.OnChange(list)
 	}
 }
--- a/peridotpath/ownership/example_test.go
+++ b/peridotpath/ownership/example_test.go
@@ -18,9 +18,9 @@
 	endpoints := []peridotpath.Endpoint{{ID: "engine-1"}, {ID: "engine-2"}}
 	ownerCount := 0
 	for _, self := range list {
-		owners := &ownership.Owners{Scope: ownership.Scope{Self: self.ID, DataCentre: self.DataCentre, Readers: 1}}
-		owners.Set(list, endpoints)
-		if owners.Current().Owns("engine-1") {
+		owners := &ownership.Owners{Scope: ownership.Scope{Self: self.ID, DataCentre: self.DataCentre, ReaderCount: 1}}
+		owners.Update(list, endpoints)
+		if owners.Current().OwnsEndpoint("engine-1") {
 			ownerCount++
 		}
 	}
--- a/peridotpath/ownership/ownership.go
+++ b/peridotpath/ownership/ownership.go
@@ -51,24 +51,24 @@
 	Self peridotpath.InstanceID
 	// DataCentre limits the Table to the instances of one data centre; empty selects all.
 	DataCentre peridotpath.DataCentre
-	// Buckets is the number of claim buckets.
-	Buckets int
-	// Readers is the number of instances that watch the configuration on the platform.
-	Readers int
+	// BucketCount is the number of claim buckets.
+	BucketCount int
+	// ReaderCount is the number of instances that watch the configuration on the platform.
+	ReaderCount int
 }
 
 // maxSingleDomainInstances is the largest number of live instances that form a single domain
 // across data centres.
 const maxSingleDomainInstances = 40
 
-// Domain returns the data centre that limits a Scope: empty, for all data centres, if there are
+// DomainDataCentre returns the data centre that limits a Scope: empty, for all data centres, if there are
 // at most maxSingleDomainInstances live instances, else the instance's own.
 //
 // With two or three instances per data centre, as is common, one domain per data centre would
 // poll each endpoint once per data centre and divide customers' limits among too few
 // instances. With many instances an exchange between all pairs would exceed the budget for
 // control traffic, so exchanges are limited to the data centre.
-func Domain(own peridotpath.DataCentre, instances []peridotpath.Instance) peridotpath.DataCentre {
+func DomainDataCentre(own peridotpath.DataCentre, instances []peridotpath.Instance) peridotpath.DataCentre {
 	live := 0
 	for i := range instances {
 		if instances[i].State == peridotpath.StateLive {
@@ -90,22 +90,22 @@
 		id := endpoints[i].ID
 		table.endpoints[id] = table.topRankedIndex(hashKey(keyKindEndpoint, string(id)))
 	}
-	table.buckets = make([]int32, scope.Buckets)
+	table.buckets = make([]int32, scope.BucketCount)
 	seed := hashKey(keyKindBucket, "")
 	for bucket := range table.buckets {
 		table.buckets[bucket] = table.topRankedIndex(mix(seed + uint64(bucket)))
 	}
-	table.readers = table.topRanked(hashKey(keyKindReader, ""), scope.Readers)
+	table.readers = table.topRanked(hashKey(keyKindReader, ""), scope.ReaderCount)
 	return table
 }
 
 // keyKindLease is the kind of key of the leases of engine groups.
 const keyKindLease = "lease/"
 
-// Candidates returns at most count live instances that try to acquire the named lease of a data
+// LeaseCandidates returns at most count live instances that try to acquire the named lease of a data
 // centre. They are instances of the data centre or, if it has none, of any other, since its
 // engine groups would otherwise never change.
-func Candidates(instances []peridotpath.Instance, dataCentre peridotpath.DataCentre, name string, count int) []peridotpath.Instance {
+func LeaseCandidates(instances []peridotpath.Instance, dataCentre peridotpath.DataCentre, name string, count int) []peridotpath.Instance {
 	live := liveCandidates(dataCentre, instances)
 	if len(live) == 0 {
 		live = liveCandidates("", instances)
@@ -176,9 +176,9 @@
 	return table.live[index].Instance, true
 }
 
-// Endpoint returns the owner of an endpoint, or false if no instance is live. The owner of an
+// EndpointOwner returns the owner of an endpoint, or false if no instance is live. The owner of an
 // endpoint that was not listed is computed in the call.
-func (table *Table) Endpoint(id peridotpath.EndpointID) (peridotpath.Instance, bool) {
+func (table *Table) EndpointOwner(id peridotpath.EndpointID) (peridotpath.Instance, bool) {
 	index, known := table.endpoints[id]
 	if !known {
 		index = table.topRankedIndex(hashKey(keyKindEndpoint, string(id)))
@@ -186,9 +186,9 @@
 	return table.instanceAt(index)
 }
 
-// Owns reports whether this instance owns the endpoint.
-func (table *Table) Owns(id peridotpath.EndpointID) bool {
-	owner, ok := table.Endpoint(id)
+// OwnsEndpoint reports whether this instance owns the endpoint.
+func (table *Table) OwnsEndpoint(id peridotpath.EndpointID) bool {
+	owner, ok := table.EndpointOwner(id)
 	return ok && owner.ID == table.self
 }
 
@@ -197,9 +197,9 @@
 	return Bucket(xxhash.Sum64String(key) % uint64(max(len(table.buckets), 1)))
 }
 
-// Bucket returns the owner of a bucket, or false if no instance is live or the bucket does not
+// BucketOwner returns the owner of a bucket, or false if no instance is live or the bucket does not
 // exist.
-func (table *Table) Bucket(bucket Bucket) (peridotpath.Instance, bool) {
+func (table *Table) BucketOwner(bucket Bucket) (peridotpath.Instance, bool) {
 	if int(bucket) >= len(table.buckets) {
 		return peridotpath.Instance{}, false
 	}
@@ -215,11 +215,11 @@
 	return slices.ContainsFunc(table.readers, func(reader peridotpath.Instance) bool { return reader.ID == table.self })
 }
 
-// Live returns the number of live instances in the Table.
-func (table *Table) Live() int { return len(table.live) }
+// LiveCount returns the number of live instances in the Table.
+func (table *Table) LiveCount() int { return len(table.live) }
 
-// Others returns the live instances in the Table without this one.
-func (table *Table) Others() []peridotpath.Instance {
+// OtherInstances returns the live instances in the Table without this one.
+func (table *Table) OtherInstances() []peridotpath.Instance {
 	others := make([]peridotpath.Instance, 0, len(table.live))
 	for i := range table.live {
 		if table.live[i].ID != table.self {
@@ -243,16 +243,16 @@
 	table atomic.Pointer[Table]
 }
 
-// Set computes and activates the Table for a new membership list.
+// Update computes and activates the Table for a new membership list.
 //
 // A list without a live instance after one with live instances is ignored. A membership
 // service that has just restarted returns one, and with it no endpoint would have an owner and
 // every instance would watch the platform.
-func (owners *Owners) Set(instances []peridotpath.Instance, endpoints []peridotpath.Endpoint) {
+func (owners *Owners) Update(instances []peridotpath.Instance, endpoints []peridotpath.Endpoint) {
 	scope := owners.Scope
-	scope.DataCentre = Domain(scope.DataCentre, instances)
+	scope.DataCentre = DomainDataCentre(scope.DataCentre, instances)
 	table := New(scope, instances, endpoints)
-	if table.Live() == 0 && owners.Current().Live() > 0 {
+	if table.LiveCount() == 0 && owners.Current().LiveCount() > 0 {
 		metrics.GetOrCreateCounter(`peridotpath_members_refused_total{reason="no_instances"}`).Inc()
 		return
 	}
--- a/peridotpath/ownership/ownership_test.go
+++ b/peridotpath/ownership/ownership_test.go
@@ -36,7 +36,7 @@
 }
 
 func newTable(list []peridotpath.Instance, count int) *ownership.Table {
-	scope := ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", Buckets: buckets, Readers: 2}
+	scope := ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", BucketCount: buckets, ReaderCount: 2}
 	return ownership.New(scope, list, endpoints(count))
 }
 
@@ -50,15 +50,15 @@
 		before := newTable(list, 200)
 		after := newTable(append(list[:removed:removed], list[removed+1:]...), 200)
 		for _, endpoint := range endpoints(200) {
-			had, _ := before.Endpoint(endpoint.ID)
-			has, _ := after.Endpoint(endpoint.ID)
+			had, _ := before.EndpointOwner(endpoint.ID)
+			has, _ := after.EndpointOwner(endpoint.ID)
 			if had.ID != list[removed].ID && had.ID != has.ID {
 				t.Fatalf("endpoint %s moved from %s to %s, removed %s", endpoint.ID, had.ID, has.ID, list[removed].ID)
 			}
 		}
 		for bucket := range ownership.Bucket(buckets) {
-			had, _ := before.Bucket(bucket)
-			has, _ := after.Bucket(bucket)
+			had, _ := before.BucketOwner(bucket)
+			has, _ := after.BucketOwner(bucket)
 			if had.ID != list[removed].ID && had.ID != has.ID {
 				t.Fatalf("bucket %d moved from %s to %s", bucket, had.ID, has.ID)
 			}
@@ -73,7 +73,7 @@
 		counts := map[peridotpath.InstanceID]int{}
 		const keys = 8000
 		for i := range keys {
-			owner, _ := table.Endpoint(peridotpath.EndpointID(fmt.Sprintf("engine-%d", i)))
+			owner, _ := table.EndpointOwner(peridotpath.EndpointID(fmt.Sprintf("engine-%d", i)))
 			counts[owner.ID]++
 		}
 		mean := keys / len(list)
@@ -92,8 +92,8 @@
 		before := newTable(list, 50)
 		after := newTable(rapid.Permutation(list).Draw(t, "order"), 50)
 		for _, endpoint := range endpoints(50) {
-			had, _ := before.Endpoint(endpoint.ID)
-			has, _ := after.Endpoint(endpoint.ID)
+			had, _ := before.EndpointOwner(endpoint.ID)
+			has, _ := after.EndpointOwner(endpoint.ID)
 			if had.ID != has.ID {
 				t.Fatalf("%s has owner %s or %s", endpoint.ID, had.ID, has.ID)
 			}
@@ -127,23 +127,23 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			owners := ownership.Owners{Scope: ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", Buckets: 4, Readers: 2}}
-			is.Equal(owners.Current().Live(), 0)
-			owners.Set(test.list, endpoints(3))
+			owners := ownership.Owners{Scope: ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", BucketCount: 4, ReaderCount: 2}}
+			is.Equal(owners.Current().LiveCount(), 0)
+			owners.Update(test.list, endpoints(3))
 			table := owners.Current()
-			have, ok := table.Endpoint("engine-1")
+			have, ok := table.EndpointOwner("engine-1")
 			is.Equal(have.ID, test.want)
 			is.Equal(ok, test.live > 0)
-			is.Equal(table.Live(), test.live)
-			is.Equal(len(table.Others()), max(test.live-1, 0))
-			owner, _ := table.Endpoint("not-listed")
-			is.Equal(table.Owns("not-listed"), owner.ID == "instance-0")
+			is.Equal(table.LiveCount(), test.live)
+			is.Equal(len(table.OtherInstances()), max(test.live-1, 0))
+			owner, _ := table.EndpointOwner("not-listed")
+			is.Equal(table.OwnsEndpoint("not-listed"), owner.ID == "instance-0")
 			readers := len(table.OtherReaders())
 			if table.IsReader() {
 				readers++
 			}
 			is.Equal(readers, min(test.live, 2))
-			_, ok = table.Bucket(table.BucketOf("claim-7"))
+			_, ok = table.BucketOwner(table.BucketOf("claim-7"))
 			is.Equal(ok, test.live > 0)
 		})
 	}
@@ -154,11 +154,11 @@
 // endpoint would be polled by an owner.
 func TestEmptyMembershipListIsIgnored(t *testing.T) {
 	is := is.New(t)
-	owners := ownership.Owners{Scope: ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", Readers: 2}}
-	owners.Set(instances(0, 8), endpoints(3))
+	owners := ownership.Owners{Scope: ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", ReaderCount: 2}}
+	owners.Update(instances(0, 8), endpoints(3))
 	before := owners.Current()
-	owners.Set(nil, nil)
+	owners.Update(nil, nil)
 	is.Equal(owners.Current(), before)
-	owners.Set(instances(0, 7), endpoints(3))
-	is.Equal(owners.Current().Live(), 7)
+	owners.Update(instances(0, 7), endpoints(3))
+	is.Equal(owners.Current().LiveCount(), 7)
 }
--- a/peridotpath/peer/config_follower.go
+++ b/peridotpath/peer/config_follower.go
@@ -25,16 +25,16 @@
 	unappliedRetryDelay = time.Second
 )
 
-// Relay fetches the configuration from other instances. Set the exported fields before the
+// ConfigFollower fetches the configuration from other instances. Set the exported fields before the
 // first call of a method.
-type Relay struct {
-	// Readers returns the instances that watch the configuration on the platform, without
+type ConfigFollower struct {
+	// ConfigReaders returns the instances that watch the configuration on the platform, without
 	// this one.
-	Readers func() []peridotpath.Instance
-	// Others returns all live instances without this one.
-	Others func() []peridotpath.Instance
-	// Changes sends a request to a peer and returns the reply; see Client.Changes.
-	Changes func(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error)
+	ConfigReaders func() []peridotpath.Instance
+	// OtherInstances returns all live instances without this one.
+	OtherInstances func() []peridotpath.Instance
+	// FetchChanges sends a request to a peer and returns the reply; see Client.FetchChanges.
+	FetchChanges func(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error)
 
 	mu             sync.Mutex
 	followedReader peridotpath.InstanceID
@@ -44,20 +44,20 @@
 	lastRequestHash uint64
 }
 
-// Peers returns the documents of other instances that are newer than have. If wait
+// FetchFromPeers returns the documents of other instances that are newer than have. If wait
 // is positive, it long-polls one reader, else it polls several random instances at once.
-func (relay *Relay) Peers(ctx context.Context, have config.Revisions, wait time.Duration) ([]config.Update, error) {
-	others := relay.Others()
+func (configFollower *ConfigFollower) FetchFromPeers(ctx context.Context, have config.Revisions, wait time.Duration) ([]config.Update, error) {
+	others := configFollower.OtherInstances()
 	if len(others) == 0 {
 		return nil, config.ErrNoPeers.New("")
 	}
 	if wait > 0 {
-		wait -= relay.delayIfUnapplied(ctx, hashRevisions(have))
-		update, err := relay.pollReader(ctx, have, max(wait, 0))
-		relay.recordUpdate(update)
+		wait -= configFollower.delayIfUnapplied(ctx, hashRevisions(have))
+		update, err := configFollower.pollReader(ctx, have, max(wait, 0))
+		configFollower.recordUpdate(update)
 		return []config.Update{update}, err
 	}
-	return relay.pollRandomPeers(ctx, have, others)
+	return configFollower.pollRandomPeers(ctx, have, others)
 }
 
 // delayIfUnapplied sleeps for unappliedRetryDelay if the last reply had documents and none of
@@ -65,11 +65,11 @@
 //
 // A newer version may write a document that this version rejects. The reader would then send
 // it again in reply to each request, and the two would loop without a pause.
-func (relay *Relay) delayIfUnapplied(ctx context.Context, have uint64) time.Duration {
-	relay.mu.Lock()
-	unapplied := relay.unappliedHash == have
-	relay.lastRequestHash = have
-	relay.mu.Unlock()
+func (configFollower *ConfigFollower) delayIfUnapplied(ctx context.Context, have uint64) time.Duration {
+	configFollower.mu.Lock()
+	unapplied := configFollower.unappliedHash == have
+	configFollower.lastRequestHash = have
+	configFollower.mu.Unlock()
 	if !unapplied {
 		return 0
 	}
@@ -78,41 +78,41 @@
 }
 
 // recordUpdate sets unappliedHash by the update.
-func (relay *Relay) recordUpdate(update config.Update) {
-	relay.mu.Lock()
-	defer relay.mu.Unlock()
-	relay.unappliedHash = 0
+func (configFollower *ConfigFollower) recordUpdate(update config.Update) {
+	configFollower.mu.Lock()
+	defer configFollower.mu.Unlock()
+	configFollower.unappliedHash = 0
 	if len(update.Documents) > 0 {
-		relay.unappliedHash = relay.lastRequestHash
+		configFollower.unappliedHash = configFollower.lastRequestHash
 	}
 }
 
 // pollReader polls the same reader as the last time, or a random one if that poll failed or
 // the instance is no longer a reader.
-func (relay *Relay) pollReader(ctx context.Context, have config.Revisions, wait time.Duration) (config.Update, error) {
-	readers := relay.Readers()
+func (configFollower *ConfigFollower) pollReader(ctx context.Context, have config.Revisions, wait time.Duration) (config.Update, error) {
+	readers := configFollower.ConfigReaders()
 	if len(readers) == 0 {
 		return config.Update{}, Error.New("no other live instance is a configuration reader")
 	}
-	relay.mu.Lock()
-	index := slices.IndexFunc(readers, func(reader peridotpath.Instance) bool { return reader.ID == relay.followedReader })
+	configFollower.mu.Lock()
+	index := slices.IndexFunc(readers, func(reader peridotpath.Instance) bool { return reader.ID == configFollower.followedReader })
 	if index < 0 {
 		index = rand.N(len(readers))
 	}
-	relay.followedReader = readers[index].ID
-	relay.mu.Unlock()
-	update, err := relay.fetchUpdate(ctx, readers[index], have, wait)
+	configFollower.followedReader = readers[index].ID
+	configFollower.mu.Unlock()
+	update, err := configFollower.fetchUpdate(ctx, readers[index], have, wait)
 	if err != nil {
-		relay.mu.Lock()
-		relay.followedReader = ""
-		relay.mu.Unlock()
+		configFollower.mu.Lock()
+		configFollower.followedReader = ""
+		configFollower.mu.Unlock()
 	}
 	return update, err
 }
 
 // pollRandomPeers polls up to maxStartPeers instances concurrently and returns the updates of
 // those that replied.
-func (relay *Relay) pollRandomPeers(ctx context.Context, have config.Revisions, others []peridotpath.Instance) ([]config.Update, error) {
+func (configFollower *ConfigFollower) pollRandomPeers(ctx context.Context, have config.Revisions, others []peridotpath.Instance) ([]config.Update, error) {
 	chosen := slices.Clone(others)
 	rand.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
 	chosen = chosen[:min(len(chosen), maxStartPeers)]
@@ -120,7 +120,7 @@
 	failures := make([]error, len(chosen))
 	var group sync.WaitGroup
 	for i, peer := range chosen {
-		group.Go(func() { updates[i], failures[i] = relay.fetchUpdate(ctx, peer, have, 0) })
+		group.Go(func() { updates[i], failures[i] = configFollower.fetchUpdate(ctx, peer, have, 0) })
 	}
 	group.Wait()
 	var answered []config.Update
@@ -137,18 +137,18 @@
 
 // fetchUpdate sends the hash of the revisions, and the revisions themselves if the peer does
 // not know the hash.
-func (relay *Relay) fetchUpdate(ctx context.Context, peer peridotpath.Instance, have config.Revisions, wait time.Duration) (config.Update, error) {
+func (configFollower *ConfigFollower) fetchUpdate(ctx context.Context, peer peridotpath.Instance, have config.Revisions, wait time.Duration) (config.Update, error) {
 	request := &wire.ChangesRequest{Version: digest.Version(), Have: hashRevisions(have), WaitMs: uint32(wait.Milliseconds())}
-	reply, err := relay.Changes(ctx, peer, request)
+	reply, err := configFollower.FetchChanges(ctx, peer, request)
 	if err == nil && reply.SendRevisions {
 		request.Revisions = encodeRevisions(have)
-		reply, err = relay.Changes(ctx, peer, request)
+		reply, err = configFollower.FetchChanges(ctx, peer, request)
 	}
 	if err != nil {
 		return config.Update{}, err
 	}
 	if !digest.IsReadable(reply.GetVersion()) {
-		return config.Update{}, ErrVersion.New("changes: protocol %d", reply.GetVersion().GetProtocol())
+		return config.Update{}, ErrUnreadableVersion.New("changes: protocol %d", reply.GetVersion().GetProtocol())
 	}
 	return decodeUpdate(reply)
 }
--- a/peridotpath/peer/config_follower_test.go
+++ b/peridotpath/peer/config_follower_test.go
@@ -38,7 +38,7 @@
 
 // newFollowerStore returns a Store that cannot reach the platform and fetches its documents
 // through configFollower.
-func newFollowerStore(configFollower *peer.Relay) *config.Store {
+func newFollowerStore(configFollower *peer.ConfigFollower) *config.Store {
 	fail := func() error { return keyvalue.ErrUnavailable.New("platform unreachable") }
 	return &config.Store{
 		KeyValue: &keyvalue.Store{
@@ -48,7 +48,7 @@
 			},
 		},
 		IsReader:       func() bool { return false },
-		FetchFromPeers: configFollower.Peers,
+		FetchFromPeers: configFollower.FetchFromPeers,
 	}
 }
 
@@ -74,15 +74,15 @@
 	book := &digest.PublishedState{Epoch: 5}
 	book.PutEndpoint("engine-1", peridotpath.Load{Running: 4, AsOf: time.Now()})
 	service := &peer.Service{
-		Changes:   source.WaitForUpdate,
-		Exchanger: &peer.Exchanger{Self: "instance-1", Book: book},
+		WaitForUpdate: source.WaitForUpdate,
+		Exchanger:     &peer.Exchanger{Self: "instance-1", Book: book},
 	}
 	server := httptest.NewServer(service.Handler())
 	defer server.Close()
 	instance := peridotpath.Instance{ID: "instance-1", Peer: netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))}
 	client := &peer.Client{}
 	others := func() []peridotpath.Instance { return []peridotpath.Instance{instance} }
-	follower := newFollowerStore(&peer.Relay{Readers: others, Others: others, Changes: client.Changes})
+	follower := newFollowerStore(&peer.ConfigFollower{ConfigReaders: others, OtherInstances: others, FetchChanges: client.FetchChanges})
 	snapshot, err := follower.Load(t.Context())
 	is.NoErr(err)
 	is.Equal(snapshot.Config.Profile("counter").Service, peridotpath.Service("claims-llm"))
@@ -91,25 +91,25 @@
 	is.NoErr(err)
 	is.Equal(answer.Endpoints[0].Endpoint, "engine-1")
 	_, err = client.Exchange(t.Context(), instance, &wire.Digest{Version: &wire.Version{Protocol: 9, ReadableBy: 9}})
-	is.True(peer.ErrVersion.Has(err)) // distinct from a failed call
-	_, err = client.Changes(t.Context(), instance, &wire.ChangesRequest{})
-	is.True(peer.ErrVersion.Has(err))
+	is.True(peer.ErrUnreadableVersion.Has(err)) // distinct from a failed call
+	_, err = client.FetchChanges(t.Context(), instance, &wire.ChangesRequest{})
+	is.True(peer.ErrUnreadableVersion.Has(err))
 }
 
 // requestCounter counts the requests of a follower, and those with all revisions.
 type requestCounter struct{ total, withRevisions int }
 
-func newConfigFollower(source *config.Store, requests *requestCounter) *peer.Relay {
-	service := &peer.Service{Changes: source.WaitForUpdate}
+func newConfigFollower(source *config.Store, requests *requestCounter) *peer.ConfigFollower {
+	service := &peer.Service{WaitForUpdate: source.WaitForUpdate}
 	others := func() []peridotpath.Instance { return []peridotpath.Instance{{ID: "instance-1"}} }
-	return &peer.Relay{
-		Readers: others, Others: others,
-		Changes: func(ctx context.Context, _ peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
+	return &peer.ConfigFollower{
+		ConfigReaders: others, OtherInstances: others,
+		FetchChanges: func(ctx context.Context, _ peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 			requests.total++
 			if len(request.Revisions) > 0 {
 				requests.withRevisions++
 			}
-			return service.Answer(ctx, request)
+			return service.HandleChanges(ctx, request)
 		},
 	}
 }
@@ -140,7 +140,7 @@
 		// A restarted reader does not know the hash. It requests the revisions once, and does
 		// not send the documents of 34,000 customers again.
 		afterRestart := &requestCounter{}
-		updates, err := newConfigFollower(source, afterRestart).Peers(ctx, follower.ActiveRevisions(), time.Second)
+		updates, err := newConfigFollower(source, afterRestart).FetchFromPeers(ctx, follower.ActiveRevisions(), time.Second)
 		is.NoErr(err)
 		is.Equal(len(updates[0].Documents), 0)
 		is.Equal(afterRestart.withRevisions, 1)
@@ -162,8 +162,8 @@
 		source, _ := newReaderStore(t, (&memory.Memory{}).Store())
 		requests := &requestCounter{}
 		configFollower := newConfigFollower(source, requests)
-		original := configFollower.Changes
-		configFollower.Changes = func(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
+		original := configFollower.FetchChanges
+		configFollower.FetchChanges = func(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 			time.Sleep(latency)
 			reply, err := original(ctx, peer, request)
 			for _, document := range reply.GetDocuments() {
@@ -174,7 +174,7 @@
 		follower := newFollowerStore(configFollower)
 		_, _ = follower.Load(ctx)
 		for ctx.Err() == nil {
-			_, _ = configFollower.Peers(ctx, follower.ActiveRevisions(), config.DefaultMaxPollWait)
+			_, _ = configFollower.FetchFromPeers(ctx, follower.ActiveRevisions(), config.DefaultMaxPollWait)
 		}
 		is.True(requests.total <= 62)
 	})
--- a/peridotpath/peer/exchange.go
+++ b/peridotpath/peer/exchange.go
@@ -29,21 +29,21 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("peer")
 
-// ErrVersion is the class of errors for messages of a protocol version that this instance
+// ErrUnreadableVersion is the class of errors for messages of a protocol version that this instance
 // cannot read.
-var ErrVersion = errs.Class("peer: version")
+var ErrUnreadableVersion = errs.Class("peer: version")
 
 const (
 	// DefaultInterval is the default time between two exchanges with one peer, if the
 	// budget allows it.
 	DefaultInterval = 500 * time.Millisecond
-	// DefaultBudget is the default limit on exchange traffic in bytes per second, for both
+	// DefaultBytesPerSecond is the default limit on exchange traffic in bytes per second, for both
 	// directions together. Control traffic may use 8 kB/s per instance; the exchanges, the
 	// polls of load reports and the stream sweeps leave a fifth of it to the configuration.
-	DefaultBudget = 3500
-	// MessageOverhead is the number of bytes that HTTP and TCP headers add to a message
+	DefaultBytesPerSecond = 3500
+	// MessageOverheadBytes is the number of bytes that HTTP and TCP headers add to a message
 	// and its reply.
-	MessageOverhead = 500
+	MessageOverheadBytes = 500
 	// dueCheckInterval is how often Exchanger.Run checks which exchanges are due.
 	dueCheckInterval = 50 * time.Millisecond
 	// exchangeTimeout bounds one exchange. Load that takes longer to arrive is too old for
@@ -71,14 +71,14 @@
 	Log  zerolog.Logger
 	// Peers returns the other instances to exchange digests with.
 	Peers func() []peridotpath.Instance
-	// Call sends a digest to a peer and returns the digest in its reply.
-	Call func(ctx context.Context, peer peridotpath.Instance, digest *wire.Digest) (*wire.Digest, error)
-	// Report is called with each load report that a peer's digest adds or confirms.
-	Report func(now time.Time, id peridotpath.EndpointID, load peridotpath.Load)
+	// SendDigest sends a digest to a peer and returns the digest in its reply.
+	SendDigest func(ctx context.Context, peer peridotpath.Instance, digest *wire.Digest) (*wire.Digest, error)
+	// OnReport is called with each load report that a peer's digest adds or confirms.
+	OnReport func(now time.Time, id peridotpath.EndpointID, load peridotpath.Load)
 	// Interval is the time between two exchanges with a peer; zero selects DefaultInterval.
 	Interval time.Duration
-	// Budget limits exchange traffic in bytes per second; zero selects DefaultBudget.
-	Budget int
+	// BytesPerSecond limits exchange traffic in bytes per second; zero selects DefaultBytesPerSecond.
+	BytesPerSecond int
 	// Random returns a number in [0, 1) for jitter; nil selects the global source.
 	Random func() float64
 
@@ -108,15 +108,15 @@
 		if exchanger.Interval == 0 {
 			exchanger.Interval = DefaultInterval
 		}
-		if exchanger.Budget == 0 {
-			exchanger.Budget = DefaultBudget
+		if exchanger.BytesPerSecond == 0 {
+			exchanger.BytesPerSecond = DefaultBytesPerSecond
 		}
 		if exchanger.Random == nil {
 			exchanger.Random = rand.Float64
 		}
 		// The burst of two seconds' worth of bytes keeps the limiter from delaying the first
 		// exchanges after a start, which carry the full state.
-		exchanger.limiter = rate.NewLimiter(rate.Limit(exchanger.Budget), 2*exchanger.Budget)
+		exchanger.limiter = rate.NewLimiter(rate.Limit(exchanger.BytesPerSecond), 2*exchanger.BytesPerSecond)
 		exchanger.peerStates = map[peridotpath.InstanceID]*peerState{}
 	})
 }
@@ -231,12 +231,12 @@
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	sent := exchanger.buildDigest(time.Now(), state)
-	received, err := exchanger.Call(ctx, peer, sent)
+	received, err := exchanger.SendDigest(ctx, peer, sent)
 	now := time.Now()
 	if err == nil {
 		err = exchanger.applyDigest(now, state, received)
 	}
-	exchanger.chargeBudget(now, proto.Size(sent)+proto.Size(received)+MessageOverhead)
+	exchanger.chargeBudget(now, proto.Size(sent)+proto.Size(received)+MessageOverheadBytes)
 	exchanger.recordOutcome(now, peer, state, err)
 }
 
@@ -255,11 +255,11 @@
 // applyDigest applies a peer's digest and forwards the load reports in it.
 func (exchanger *Exchanger) applyDigest(now time.Time, state *peerState, received *wire.Digest) error {
 	if !digest.IsReadable(received.GetVersion()) {
-		return ErrVersion.New("protocol %d, readable by %d", received.GetVersion().GetProtocol(), received.GetVersion().GetReadableBy())
+		return ErrUnreadableVersion.New("protocol %d, readable by %d", received.GetVersion().GetProtocol(), received.GetVersion().GetReadableBy())
 	}
 	for _, report := range state.mirror.Apply(now, received) {
 		if !report.IsUnreadable {
-			exchanger.Report(now, report.Endpoint, report.Load)
+			exchanger.OnReport(now, report.Endpoint, report.Load)
 		}
 	}
 	exchanger.mu.Lock()
@@ -295,9 +295,9 @@
 	state.nextExchange = now.Add(clock.Jitter(delay, exchanger.Random()))
 }
 
-// Answer applies a peer's digest and returns the reply for that peer. The peer need not be on
+// HandleDigest applies a peer's digest and returns the reply for that peer. The peer need not be on
 // the membership list yet.
-func (exchanger *Exchanger) Answer(now time.Time, received *wire.Digest) (*wire.Digest, error) {
+func (exchanger *Exchanger) HandleDigest(now time.Time, received *wire.Digest) (*wire.Digest, error) {
 	exchanger.init()
 	exchanger.mu.Lock()
 	state := exchanger.peerStateOf(now, peridotpath.InstanceID(received.Instance))
@@ -307,13 +307,13 @@
 		return nil, err
 	}
 	answer := exchanger.buildDigest(now, state)
-	exchanger.chargeBudget(now, proto.Size(received)+proto.Size(answer)+MessageOverhead)
+	exchanger.chargeBudget(now, proto.Size(received)+proto.Size(answer)+MessageOverheadBytes)
 	return answer, nil
 }
 
-// Remotes returns the customer demand at every peer that is listed or has recently sent a
+// PeerDemands returns the customer demand at every peer that is listed or has recently sent a
 // digest, for the division of customers' limits.
-func (exchanger *Exchanger) Remotes() []share.Peer {
+func (exchanger *Exchanger) PeerDemands() []share.Peer {
 	exchanger.init()
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
@@ -331,16 +331,16 @@
 )
 
 func countFailure(err error) {
-	if ErrVersion.Has(err) {
+	if ErrUnreadableVersion.Has(err) {
 		versionFailures.Inc()
 		return
 	}
 	noAnswerFailures.Inc()
 }
 
-// Epoch returns the epoch of a peer's digests as last received, or zero if none was received
+// PeerEpoch returns the epoch of a peer's digests as last received, or zero if none was received
 // yet. It identifies the peer's current run earlier than the membership list does.
-func (exchanger *Exchanger) Epoch(id peridotpath.InstanceID) uint64 {
+func (exchanger *Exchanger) PeerEpoch(id peridotpath.InstanceID) uint64 {
 	exchanger.init()
 	exchanger.mu.Lock()
 	state := exchanger.peerStates[id]
--- a/peridotpath/peer/exchange_test.go
+++ b/peridotpath/peer/exchange_test.go
@@ -86,7 +86,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		network := newNetwork(t, 8, 20)
-		owner, _ := network.nodes[0].owners.Current().Endpoint("engine-003")
+		owner, _ := network.nodes[0].owners.Current().EndpointOwner("engine-003")
 		defer network.start(t)()
 		time.Sleep(5 * time.Second)
 		for _, node := range network.nodes {
@@ -120,7 +120,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		network := newNetwork(t, 4, 8)
-		owner, _ := network.nodes[0].owners.Current().Endpoint("engine-003")
+		owner, _ := network.nodes[0].owners.Current().EndpointOwner("engine-003")
 		defer network.start(t)()
 		time.Sleep(5 * time.Second)
 		network.setPartitioned(string(owner.ID), "engine-003", true)
@@ -175,11 +175,11 @@
 			}
 		}
 		t.Logf("bytes per second: mean %d, max %d, budget %d; mean age of a load %v",
-			total/33/seconds, maxBytes/seconds, peer.DefaultBudget, age/33/750)
-		const burst = 2 * peer.DefaultBudget
-		is.True(total/33 <= peer.DefaultBudget*seconds+burst)
+			total/33/seconds, maxBytes/seconds, peer.DefaultBytesPerSecond, age/33/750)
+		const burst = 2 * peer.DefaultBytesPerSecond
+		is.True(total/33 <= peer.DefaultBytesPerSecond*seconds+burst)
 		// Exchanges that peers initiate are charged to the budget but cannot be refused.
-		is.True(maxBytes <= (peer.DefaultBudget*seconds+burst)*13/10)
+		is.True(maxBytes <= (peer.DefaultBytesPerSecond*seconds+burst)*13/10)
 	})
 }
 
@@ -189,7 +189,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		network := newNetwork(t, 3, 6)
-		owner, _ := network.nodes[0].owners.Current().Endpoint("engine-003")
+		owner, _ := network.nodes[0].owners.Current().EndpointOwner("engine-003")
 		network.unreadableVersion[owner.ID] = true
 		defer network.start(t)()
 		time.Sleep(10 * time.Second)
@@ -212,7 +212,7 @@
 		unlisted.setMembers(network.nodes, network.endpoints())
 		defer network.start(t)()
 		time.Sleep(4 * time.Second)
-		for _, demand := range unlisted.exchanger.Remotes() {
+		for _, demand := range unlisted.exchanger.PeerDemands() {
 			is.True(time.Since(demand.ReceivedAt) < 2*time.Second)
 		}
 		for _, engine := range network.engines {
--- a/peridotpath/peer/network_test.go
+++ b/peridotpath/peer/network_test.go
@@ -86,17 +86,17 @@
 		Instance: peridotpath.Instance{ID: peridotpath.InstanceID(id), DataCentre: "colombo-a", State: peridotpath.StateLive},
 		network:  network, loads: map[peridotpath.EndpointID]peridotpath.Load{},
 	}
-	created.owners.Scope = ownership.Scope{Self: created.ID, DataCentre: "colombo-a", Buckets: 16, Readers: 2}
+	created.owners.Scope = ownership.Scope{Self: created.ID, DataCentre: "colombo-a", BucketCount: 16, ReaderCount: 2}
 	created.book = &digest.PublishedState{Epoch: uint64(time.Now().UnixNano()) + uint64(len(network.nodes))}
-	created.view = &fleet.View{Publish: created.publish, Load: created.report}
+	created.view = &fleet.View{OnChange: created.publish, OnLoad: created.report}
 	created.random.Seed(uint64(len(network.nodes)), 7)
 	created.exchanger = &peer.Exchanger{
-		Self: created.ID, Book: created.book, Peers: created.peers, Call: created.sendDigest, Report: created.view.Report,
+		Self: created.ID, Book: created.book, Peers: created.peers, SendDigest: created.sendDigest, OnReport: created.view.ApplyReport,
 		Random: created.randomFloat,
 	}
 	created.poller = &fleet.Poller{
-		View: created.view, Book: created.book, Load: created.fetchLoad, Random: created.randomFloat,
-		Owns: func(id peridotpath.EndpointID) bool { return created.owners.Current().Owns(id) },
+		View: created.view, Book: created.book, FetchLoad: created.fetchLoad, Random: created.randomFloat,
+		IsOwner: func(id peridotpath.EndpointID) bool { return created.owners.Current().OwnsEndpoint(id) },
 	}
 	network.nodes = append(network.nodes, created)
 	return created
@@ -134,7 +134,7 @@
 	node.mu.Lock()
 	node.others = others
 	node.mu.Unlock()
-	node.owners.Set(all, endpoints)
+	node.owners.Update(all, endpoints)
 	node.view.SetMembers(time.Now(), endpoints)
 }
 
@@ -204,7 +204,7 @@
 		if callee.ID != other.ID {
 			continue
 		}
-		answer, err := callee.exchanger.Answer(time.Now(), sent)
+		answer, err := callee.exchanger.HandleDigest(time.Now(), sent)
 		if err != nil {
 			return nil, err
 		}
@@ -223,7 +223,7 @@
 func (node *node) countBytes(sent, answer *wire.Digest) {
 	node.mu.Lock()
 	defer node.mu.Unlock()
-	node.bytes += proto.Size(sent) + proto.Size(answer) + peer.MessageOverhead
+	node.bytes += proto.Size(sent) + proto.Size(answer) + peer.MessageOverheadBytes
 }
 
 func (node *node) fetchLoad(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error) {
--- a/peridotpath/peer/service.go
+++ b/peridotpath/peer/service.go
@@ -25,9 +25,9 @@
 // before the first call of a method.
 type Service struct {
 	Exchanger *Exchanger
-	// Changes returns the documents that are newer than have. If there is none, it waits for
+	// WaitForUpdate returns the documents that are newer than have. If there is none, it waits for
 	// one until wait has passed. It is usually the method of config.Store.
-	Changes func(ctx context.Context, have config.Revisions, wait time.Duration) (config.Update, error)
+	WaitForUpdate func(ctx context.Context, have config.Revisions, wait time.Duration) (config.Update, error)
 
 	revisions revisionCache
 	documents documentDeflater
@@ -44,7 +44,7 @@
 
 // Exchange implements wire.Peer.
 func (twirpServer *twirpServer) Exchange(_ context.Context, received *wire.Digest) (*wire.Digest, error) {
-	answer, err := twirpServer.service.Exchanger.Answer(time.Now(), received)
+	answer, err := twirpServer.service.Exchanger.HandleDigest(time.Now(), received)
 	if err != nil {
 		return nil, twirp.NewError(twirp.FailedPrecondition, err.Error())
 	}
@@ -53,29 +53,29 @@
 
 // Changes implements wire.Peer.
 func (twirpServer *twirpServer) Changes(ctx context.Context, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
-	reply, err := twirpServer.service.Answer(ctx, request)
+	reply, err := twirpServer.service.HandleChanges(ctx, request)
 	switch {
 	case err == nil:
 		return reply, nil
-	case ErrVersion.Has(err):
+	case ErrUnreadableVersion.Has(err):
 		return nil, twirp.NewError(twirp.FailedPrecondition, err.Error())
 	default:
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
 }
 
-// Answer handles another instance's request for configuration documents. If it does not
+// HandleChanges handles another instance's request for configuration documents. If it does not
 // know the revisions behind the hash in the request, the reply asks for them.
-func (service *Service) Answer(ctx context.Context, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
+func (service *Service) HandleChanges(ctx context.Context, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 	if !digest.IsReadable(request.GetVersion()) {
-		return nil, ErrVersion.New("changes: protocol %d", request.GetVersion().GetProtocol())
+		return nil, ErrUnreadableVersion.New("changes: protocol %d", request.GetVersion().GetProtocol())
 	}
 	have, known := service.revisions.resolve(request)
 	if !known {
 		return &wire.ChangesReply{Version: digest.Version(), SendRevisions: true}, nil
 	}
 	maxDelay := min(time.Duration(request.WaitMs)*time.Millisecond, maxLongPoll)
-	update, err := service.Changes(ctx, have, maxDelay)
+	update, err := service.WaitForUpdate(ctx, have, maxDelay)
 	if err != nil {
 		return nil, err
 	}
@@ -96,20 +96,20 @@
 	return answer, classifyError(err)
 }
 
-// Changes requests the configuration documents that are newer than those of the request,
+// FetchChanges requests the configuration documents that are newer than those of the request,
 // and waits for one as long as the request says.
-func (client *Client) Changes(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
+func (client *Client) FetchChanges(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 	reply, err := client.connect(peer.Peer).Changes(ctx, request)
 	return reply, classifyError(err)
 }
 
-// classifyError wraps a version mismatch in ErrVersion and any other error in Error.
+// classifyError wraps a version mismatch in ErrUnreadableVersion and any other error in Error.
 func classifyError(err error) error {
 	if err == nil {
 		return nil
 	}
 	if failure, ok := err.(twirp.Error); ok && failure.Code() == twirp.FailedPrecondition { //nolint:errorlint // twirp returns it unwrapped
-		return ErrVersion.Wrap(err)
+		return ErrUnreadableVersion.Wrap(err)
 	}
 	return Error.Wrap(err)
 }
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -151,15 +151,15 @@
 	scheduler := &decide.Scheduler{Seed: uint64(len(fleet.instances))}
 	engines := &engine.Client{Instance: id, Incarnation: 1, Do: fleet.network.Do}
 	services := &service.Client{Do: fleet.network.Do}
-	view := &endpoints.View{Log: logger, Publish: scheduler.SetEndpoints, Load: scheduler.ApplyReport}
+	view := &endpoints.View{Log: logger, OnChange: scheduler.SetEndpoints, OnLoad: scheduler.ApplyReport}
 	view.SetMembers(time.Now(), fleet.endpoints)
 	poller := &endpoints.Poller{
-		View: view, Book: &digest.PublishedState{Epoch: 1}, Load: engines.FetchLoad, Random: func() float64 { return 0.5 },
-		Owns: func(peridotpath.EndpointID) bool { return true },
+		View: view, Book: &digest.PublishedState{Epoch: 1}, FetchLoad: engines.FetchLoad, Random: func() float64 { return 0.5 },
+		IsOwner: func(peridotpath.EndpointID) bool { return true },
 	}
 	dispatcher := &dispatch.Dispatcher{
 		Scheduler: scheduler, Log: logger, ResumeWindow: 10 * time.Second,
-		Send: engines.Send, Resume: engines.Resume, Cancel: engines.Cancel, SendPlain: services.Send, OnEndpointDraining: view.Refused,
+		Send: engines.Send, Resume: engines.Resume, Cancel: engines.Cancel, SendPlain: services.Send, OnEndpointDraining: view.RecordRefusal,
 	}
 	ledger := &claim.Ledger{
 		Store: fleet.platform.Store(), Instance: id, Incarnation: 1, Logger: logger, Metrics: metrics.NewSet(),
--- a/peridotpath/shift/fixture_test.go
+++ b/peridotpath/shift/fixture_test.go
@@ -101,14 +101,14 @@
 	store := started.link.Store(&cell.keyValue)
 	scheduler := &decide.Scheduler{Seed: uint64(len(cell.instances) + 1)}
 	scheduler.SetInstances(2)
-	view := &fleet.View{Log: zerolog.Nop(), Publish: scheduler.SetEndpoints, Load: scheduler.ApplyReport}
+	view := &fleet.View{Log: zerolog.Nop(), OnChange: scheduler.SetEndpoints, OnLoad: scheduler.ApplyReport}
 	poller := &fleet.Poller{
-		View: view, Book: &digest.PublishedState{Epoch: 1}, Load: client.FetchLoad,
-		Owns: func(peridotpath.EndpointID) bool { return true },
+		View: view, Book: &digest.PublishedState{Epoch: 1}, FetchLoad: client.FetchLoad,
+		IsOwner: func(peridotpath.EndpointID) bool { return true },
 	}
 	started.dispatcher = &dispatch.Dispatcher{
 		Scheduler: scheduler, Log: zerolog.Nop(), ResumeWindow: 10 * time.Second,
-		Send: client.Send, Resume: client.Resume, Cancel: client.Cancel, OnEndpointDraining: view.Refused,
+		Send: client.Send, Resume: client.Resume, Cancel: client.Cancel, OnEndpointDraining: view.RecordRefusal,
 	}
 	started.counter = &shift.DemandCounter{Store: store, Interval: 2 * time.Second}
 	started.holder = &lease.Holder{
