--- a/measure/bench/baseline.go
+++ b/measure/bench/baseline.go
@@ -8,19 +8,19 @@
 	"peridotpath.example/peridotpath/decide"
 )
 
-// baseline places every request at once by a simple rule. It retries as often
-// as the profile allows, on another endpoint.
+// baseline places every request immediately by a simple rule, and retries on another
+// endpoint as often as the profile allows.
 type baseline struct {
-	endpoints []peridotpath.Endpoint
-	running   map[peridotpath.EndpointID]int
-	failed    map[*decide.Work][]peridotpath.EndpointID
-	priority  bool
-	turn      int
-	// pick returns the index of an endpoint, or -1; usable says which may be taken.
+	endpoints     []peridotpath.Endpoint
+	running       map[peridotpath.EndpointID]int
+	failed        map[*decide.Work][]peridotpath.EndpointID
+	sendsPriority bool
+	rotation      int
+	// pick returns the index of an endpoint for which usable is true, or -1.
 	pick func(work *decide.Work, usable func(int) bool) int
 }
 
-func makeBaseline() *baseline {
+func newBaseline() *baseline {
 	return &baseline{
 		running: map[peridotpath.EndpointID]int{},
 		failed:  map[*decide.Work][]peridotpath.EndpointID{},
@@ -47,7 +47,7 @@
 	work.Attempts++
 	work.Endpoint = endpoint.ID
 	decision := decide.Decision{Work: work, Verdict: decide.Place, Endpoint: endpoint}
-	if baseline.priority {
+	if baseline.sendsPriority {
 		decision.Priority = 2 * work.Profile.Priority
 	}
 	return decision
@@ -68,7 +68,7 @@
 	return baseline.submit(now, work)
 }
 
-// decider wraps the baseline; it queues nothing and reads no reports.
+// decider returns the baseline as a decider without a queue that ignores load reports.
 func (baseline *baseline) decider() *decider {
 	return &decider{
 		setEndpoints: func(_ time.Time, endpoints []peridotpath.Endpoint) { baseline.endpoints = endpoints },
@@ -83,16 +83,16 @@
 	}
 }
 
-// roundRobin takes the endpoints in turn.
+// roundRobin picks the endpoints in turn.
 func roundRobin(_ Deployment, _ uint64) func(int) *decider {
 	return func(instance int) *decider {
-		baseline := makeBaseline()
-		baseline.turn = instance
+		baseline := newBaseline()
+		baseline.rotation = instance
 		baseline.pick = func(_ *decide.Work, usable func(int) bool) int {
 			for range baseline.endpoints {
-				baseline.turn = (baseline.turn + 1) % len(baseline.endpoints)
-				if usable(baseline.turn) {
-					return baseline.turn
+				baseline.rotation = (baseline.rotation + 1) % len(baseline.endpoints)
+				if usable(baseline.rotation) {
+					return baseline.rotation
 				}
 			}
 			return -1
@@ -101,28 +101,29 @@
 	}
 }
 
-// leastInFlight takes the endpoint with the fewest of the Instance's own
-// requests; ties go round.
+// leastInFlight picks the endpoint with the fewest in-flight requests of the same
+// Instance, and rotates among ties.
 func leastInFlight(priority bool) func(Deployment, uint64) func(int) *decider {
 	return func(_ Deployment, _ uint64) func(int) *decider {
 		return func(instance int) *decider {
-			baseline := makeBaseline()
-			baseline.priority = priority
-			baseline.turn = instance
+			baseline := newBaseline()
+			baseline.sendsPriority = priority
+			baseline.rotation = instance
 			baseline.pick = func(_ *decide.Work, usable func(int) bool) int {
-				return baseline.least(0, len(baseline.endpoints), usable)
+				return baseline.leastLoaded(0, len(baseline.endpoints), usable)
 			}
 			return baseline.decider()
 		}
 	}
 }
 
-// least returns the endpoint from low up to high with the fewest running.
-func (baseline *baseline) least(low, high int, usable func(int) bool) int {
+// leastLoaded returns the index in [low, high) of the usable endpoint with the fewest
+// running requests, or -1.
+func (baseline *baseline) leastLoaded(low, high int, usable func(int) bool) int {
 	best := -1
-	baseline.turn++
+	baseline.rotation++
 	for i := range high - low {
-		index := low + (baseline.turn+i)%(high-low)
+		index := low + (baseline.rotation+i)%(high-low)
 		if !usable(index) {
 			continue
 		}
@@ -133,42 +134,42 @@
 	return best
 }
 
-// splitLong is the part of a split fleet that is set aside for long prompts:
-// their part of the mixed load's work.
-const splitLong = 0.3
+// longPromptShare is the share of a split fleet that is reserved for long prompts. It is
+// their share of the work of the mixed load.
+const longPromptShare = 0.3
 
-// splitFleets keeps long prompts on endpoints of their own.
+// splitFleets reserves some endpoints for long prompts.
 func splitFleets(deployment Deployment, _ uint64) func(int) *decider {
 	return func(instance int) *decider {
-		baseline := makeBaseline()
-		baseline.turn = instance
+		baseline := newBaseline()
+		baseline.rotation = instance
 		baseline.pick = func(work *decide.Work, usable func(int) bool) int {
-			long := max(int(float64(len(baseline.endpoints))*splitLong+0.5), 1)
+			long := max(int(float64(len(baseline.endpoints))*longPromptShare+0.5), 1)
 			if work.Class >= peridotpath.Long {
-				return baseline.least(0, long, usable)
+				return baseline.leastLoaded(0, long, usable)
 			}
-			return baseline.least(min(long, len(baseline.endpoints)-1), len(baseline.endpoints), usable)
+			return baseline.leastLoaded(min(long, len(baseline.endpoints)-1), len(baseline.endpoints), usable)
 		}
 		return baseline.decider()
 	}
 }
 
-// fifoSlots is how many requests one endpoint gets at a time from the FIFO.
-const fifoSlots = 16
+// maxFIFORunning bounds the running requests of an endpoint that the FIFO feeds.
+const maxFIFORunning = 16
 
-// fifo is one queue for the whole fleet. The instances share it without any
-// delay, which is better than real ones could.
-type fifo struct {
+// sharedFIFO is one queue for the whole fleet. The instances share it without delay,
+// which real instances cannot.
+type sharedFIFO struct {
 	waiting  []*decide.Work
 	baseline *baseline
 }
 
-// oneFIFO serves strictly in order of arrival.
+// oneFIFO dispatches requests strictly in order of arrival.
 func oneFIFO(_ Deployment, _ uint64) func(int) *decider {
-	shared := &fifo{baseline: makeBaseline()}
+	shared := &sharedFIFO{baseline: newBaseline()}
 	shared.baseline.pick = func(_ *decide.Work, usable func(int) bool) int {
-		return shared.baseline.least(0, len(shared.baseline.endpoints), func(index int) bool {
-			return usable(index) && shared.baseline.running[shared.baseline.endpoints[index].ID] < fifoSlots
+		return shared.baseline.leastLoaded(0, len(shared.baseline.endpoints), func(index int) bool {
+			return usable(index) && shared.baseline.running[shared.baseline.endpoints[index].ID] < maxFIFORunning
 		})
 	}
 	return func(int) *decider {
@@ -194,7 +195,7 @@
 	}
 }
 
-func (fifo *fifo) advance(now time.Time) []decide.Decision {
+func (fifo *sharedFIFO) advance(now time.Time) []decide.Decision {
 	var decisions []decide.Decision
 	for len(fifo.waiting) > 0 {
 		decision := fifo.baseline.submit(now, fifo.waiting[0])
--- a/measure/bench/clock.go
+++ b/measure/bench/clock.go
@@ -1,6 +1,9 @@
-// Package bench compares policies of placing requests on a small fake fleet,
-// on a clock of discrete events. The same seed gives the same figures on every
-// run and machine.
+// Package bench is a discrete-event simulation that compares load-balancing policies:
+// peridotpath's scheduler, the scheduler without single mechanisms, and baselines such as
+// round robin and least in flight. It simulates model engines with continuous batching,
+// limited KV cache memory and priorities, under mixed prompt lengths, overload, bursts,
+// skewed customers and failing engines, and reports time to first token and goodput. The
+// same seed gives the same figures on every run and machine.
 package bench
 
 import (
@@ -8,12 +11,12 @@
 	"time"
 )
 
-// clock runs events in the order of their times; events of one time run in
-// the order in which they were planned.
+// clock runs events in the order of their times. Events with the same time run in the
+// order in which they were scheduled.
 type clock struct {
-	now     time.Time
-	events  events
-	planned uint64
+	now       time.Time
+	events    events
+	scheduled uint64
 }
 
 type event struct {
@@ -22,18 +25,18 @@
 	run      func()
 }
 
-// after plans run for the given time from now.
-func (clock *clock) after(delay time.Duration, run func()) {
-	clock.at(clock.now.Add(delay), run)
+// runAfter schedules run after a delay.
+func (clock *clock) runAfter(delay time.Duration, run func()) {
+	clock.runAt(clock.now.Add(delay), run)
 }
 
-// at plans run.
-func (clock *clock) at(at time.Time, run func()) {
-	clock.planned++
-	heap.Push(&clock.events, &event{at: at.UnixNano(), sequence: clock.planned, run: run})
+// runAt schedules run at a time.
+func (clock *clock) runAt(at time.Time, run func()) {
+	clock.scheduled++
+	heap.Push(&clock.events, &event{at: at.UnixNano(), sequence: clock.scheduled, run: run})
 }
 
-// runUntil runs events up to the end.
+// runUntil runs the events up to and including end.
 func (clock *clock) runUntil(end time.Time) {
 	for len(clock.events) > 0 && clock.events[0].at <= end.UnixNano() {
 		next := heap.Pop(&clock.events).(*event)
--- a/measure/bench/cluster.go
+++ b/measure/bench/cluster.go
@@ -10,92 +10,94 @@
 
 const (
 	reportEvery = 250 * time.Millisecond
-	// membershipLag is how long the membership list shows a dead endpoint.
+	// membershipLag is the time for which the membership list still contains a dead
+	// endpoint.
 	membershipLag = 5 * time.Second
-	// faultAt is when endpoints and instances are lost.
-	faultAt = 150 * time.Second
-	// replaceAfter is when a lost instance is back, with no memory.
-	replaceAfter = 10 * time.Second
+	// faultDelay is the time from the start until endpoints and instances crash.
+	faultDelay = 150 * time.Second
+	// replaceDelay is the time until a crashed instance restarts without state.
+	replaceDelay = 10 * time.Second
 )
 
-// cluster is one run: instances that decide separately, and fake engines.
+// cluster is the state of one run: instances that decide separately, and simulated
+// engines.
 type cluster struct {
-	clock     clock
-	load      *Load
-	policy    Policy
-	engines   []*engine
-	byID      map[peridotpath.EndpointID]*engine
-	endpoints []peridotpath.Endpoint
-	instances []*instance
-	make      func(int) *decider
-	customers []*peridotpath.Customer
-	requests  []*request
-	capacity  float64 // of one engine, see Load.capacity
-	attempts  int
-	prefilled float64 // tokens, while arrivals were counted
-	imbalance float64 // sum over samples, see sample
-	samples   int
+	clock            clock
+	load             *Load
+	policy           Policy
+	engines          []*engine
+	byID             map[peridotpath.EndpointID]*engine
+	endpoints        []peridotpath.Endpoint
+	instances        []*instance
+	makeDecider      func(int) *decider
+	customers        []*peridotpath.Customer
+	requests         []*request
+	engineCapacity   float64 // see Load.engineCapacity
+	attempts         int
+	prefilledTokens  float64 // in the period whose arrivals are counted
+	imbalanceSum     float64 // see sampleImbalance
+	imbalanceSamples int
 }
 
-// instance is one decider with the requests it answers for.
+// instance is a simulated Instance: a decider and the requests that it received.
 type instance struct {
-	cluster *cluster
-	number  int
-	decider *decider
-	dead    bool
-	wake    time.Time
-	works   map[*decide.Work]*request
-	order   []*request // of arrival
+	cluster   *cluster
+	number    int
+	decider   *decider
+	isDead    bool
+	wakeAt    time.Time
+	works     map[*decide.Work]*request
+	byArrival []*request
 }
 
-// request is a caller's request and what became of it.
+// request is a caller's request and its outcome.
 type request struct {
-	arrival  *arrival
-	returned bool // this is the second coming of a refused one
-	begun    time.Time
-	work     *decide.Work
-	instance *instance
-	job      *job
-	waited   bool // admitted to a queue
-	placed   bool
-	final    bool
-	finished bool
-	code     peridotpath.Code
-	ttft     time.Duration
-	ended    time.Duration // since the beginning of the run
-	again    *request
+	arrival    *arrival
+	isReturn   bool // the caller's retry of a refused request
+	arrivedAt  time.Time
+	work       *decide.Work
+	instance   *instance
+	job        *job
+	isQueued   bool // was admitted to a queue
+	isPlaced   bool
+	hasEnded   bool
+	succeeded  bool
+	code       peridotpath.Code
+	ttft       time.Duration
+	endedAfter time.Duration // since the start of the run
+	retry      *request
 }
 
 var epoch = time.Unix(1_000_000, 0).UTC()
 
-// run runs arrivals through the policy.
+// run simulates the arrivals with the policy.
 func run(load *Load, policy Policy, arrivals []arrival, seed uint64) *cluster {
 	cluster := &cluster{load: load, policy: policy, byID: map[peridotpath.EndpointID]*engine{}}
 	cluster.clock.now = epoch
 	cluster.customers = load.customers()
-	cluster.make = policy.build(load.Deployment, seed)
+	cluster.makeDecider = policy.build(load.Deployment, seed)
 	cluster.addEngines()
 	for number := range load.Deployment.Instances {
-		cluster.instances = append(cluster.instances, cluster.start(number))
+		cluster.instances = append(cluster.instances, cluster.startInstance(number))
 	}
-	cluster.clock.after(0, func() { cluster.reports(1) })
-	cluster.planFaults()
-	cluster.planArrivals(arrivals)
-	cluster.clock.runUntil(epoch.Add(warmUp))
+	cluster.clock.runAfter(0, func() { cluster.sendReports(1) })
+	cluster.scheduleFaults()
+	cluster.scheduleArrivals(arrivals)
+	cluster.clock.runUntil(epoch.Add(warmUpPeriod))
 	before := cluster.totalPrefilled()
-	cluster.clock.runUntil(epoch.Add(arrivalsTime))
-	cluster.prefilled = cluster.totalPrefilled() - before
-	cluster.clock.runUntil(epoch.Add(arrivalsTime + drainTime))
+	cluster.clock.runUntil(epoch.Add(arrivalPeriod))
+	cluster.prefilledTokens = cluster.totalPrefilled() - before
+	cluster.clock.runUntil(epoch.Add(arrivalPeriod + drainPeriod))
 	return cluster
 }
 
-// planArrivals plans the first of the arrivals, which plans the next.
-func (cluster *cluster) planArrivals(arrivals []arrival) {
+// scheduleArrivals schedules the first arrival, which schedules the next.
+func (cluster *cluster) scheduleArrivals(arrivals []arrival) {
 	if len(arrivals) == 0 {
 		return
 	}
-	cluster.clock.at(epoch.Add(arrivals[0].at), func() {
-		cluster.planArrivals(arrivals[1:])
+	cluster.clock.runAt(epoch.Add(arrivals[0].at), func() {
+		cluster.scheduleArrivals(arrivals[1:])
 		cluster.arrive(&arrivals[0], nil)
 	})
 }
@@ -103,9 +105,9 @@
 func (cluster *cluster) addEngines() {
 	for i := range cluster.load.Deployment.Endpoints {
 		id := peridotpath.EndpointID(fmt.Sprintf("endpoint-%02d", i))
-		engine := &engine{clock: &cluster.clock, id: id, slow: 1}
+		engine := &engine{clock: &cluster.clock, id: id, slowFactor: 1}
 		if i == 0 && cluster.load.SlowFactor > 0 {
-			engine.slow = cluster.load.SlowFactor
+			engine.slowFactor = cluster.load.SlowFactor
 		}
 		engine.failFast = i == 1 && cluster.load.FailFast
 		cluster.engines = append(cluster.engines, engine)
@@ -119,40 +121,41 @@
 func (cluster *cluster) totalPrefilled() float64 {
 	var sum int64
 	for _, engine := range cluster.engines {
-		sum += engine.prefilled
+		sum += engine.prefilledTokens
 	}
 	return float64(sum)
 }
 
-func (cluster *cluster) start(number int) *instance {
+func (cluster *cluster) startInstance(number int) *instance {
 	instance := &instance{
-		cluster: cluster, number: number, decider: cluster.make(number), works: map[*decide.Work]*request{},
+		cluster: cluster, number: number, decider: cluster.makeDecider(number), works: map[*decide.Work]*request{},
 	}
 	instance.decider.setEndpoints(cluster.clock.now, cluster.endpoints)
 	return instance
 }
 
-// reports sends every engine's load to every instance, after the lag.
-func (cluster *cluster) reports(revision uint64) {
-	if cluster.clock.now.After(epoch.Add(arrivalsTime + drainTime)) {
+// sendReports sends the load reports of all engines to every instance after the lag, and
+// schedules the next reports.
+func (cluster *cluster) sendReports(revision uint64) {
+	if cluster.clock.now.After(epoch.Add(arrivalPeriod + drainPeriod)) {
 		return
 	}
 	loads := make([]peridotpath.Load, len(cluster.engines))
 	for i, engine := range cluster.engines {
-		loads[i] = engine.load(revision)
+		loads[i] = engine.report(revision)
 	}
-	cluster.sample(loads)
-	cluster.clock.after(cluster.load.ReportLag, func() { cluster.deliver(loads) })
-	cluster.clock.after(reportEvery, func() { cluster.reports(revision + 1) })
+	cluster.sampleImbalance(loads)
+	cluster.clock.runAfter(cluster.load.ReportLag, func() { cluster.deliverReports(loads) })
+	cluster.clock.runAfter(reportEvery, func() { cluster.sendReports(revision + 1) })
 }
 
-func (cluster *cluster) deliver(loads []peridotpath.Load) {
+func (cluster *cluster) deliverReports(loads []peridotpath.Load) {
 	for _, instance := range cluster.instances {
-		if instance.dead {
+		if instance.isDead {
 			continue
 		}
 		for i, load := range loads {
-			if !cluster.engines[i].dead {
+			if !cluster.engines[i].isDead {
 				instance.decider.report(cluster.clock.now, cluster.engines[i].id, load)
 			}
 		}
@@ -160,20 +163,20 @@
 	}
 }
 
-func (cluster *cluster) planFaults() {
+func (cluster *cluster) scheduleFaults() {
 	if cluster.load.LostShare > 0 {
-		cluster.clock.after(faultAt, cluster.loseEngines)
-		cluster.clock.after(faultAt+membershipLag, cluster.updateMembership)
+		cluster.clock.runAfter(faultDelay, cluster.killEngines)
+		cluster.clock.runAfter(faultDelay+membershipLag, cluster.updateMembership)
 	}
 	for number := range cluster.load.Replaced {
-		cluster.clock.after(faultAt, func() { cluster.instances[number].die() })
-		cluster.clock.after(faultAt+replaceAfter, func() { cluster.instances[number] = cluster.start(number) })
+		cluster.clock.runAfter(faultDelay, func() { cluster.instances[number].die() })
+		cluster.clock.runAfter(faultDelay+replaceDelay, func() { cluster.instances[number] = cluster.startInstance(number) })
 	}
 }
 
-func (cluster *cluster) loseEngines() {
-	lost := int(float64(len(cluster.engines)) * cluster.load.LostShare)
-	for _, engine := range cluster.engines[len(cluster.engines)-lost:] {
+func (cluster *cluster) killEngines() {
+	killed := int(float64(len(cluster.engines)) * cluster.load.LostShare)
+	for _, engine := range cluster.engines[len(cluster.engines)-killed:] {
 		engine.die()
 	}
 }
@@ -181,7 +184,7 @@
 func (cluster *cluster) updateMembership() {
 	var live []peridotpath.Endpoint
 	for _, endpoint := range cluster.endpoints {
-		if !cluster.byID[endpoint.ID].dead {
+		if !cluster.byID[endpoint.ID].isDead {
 			live = append(live, endpoint)
 		}
 	}
@@ -192,33 +195,34 @@
 	}
 }
 
-// arrive brings a request to the instance that the balancer picks.
-func (cluster *cluster) arrive(arrival *arrival, first *request) {
+// arrive submits a request to the instance that the balancer picks. For a retry, first is
+// the refused request.
+func (cluster *cluster) arrive(arrival *arrival, refused *request) {
 	var live []*instance
 	for _, instance := range cluster.instances {
-		if !instance.dead {
+		if !instance.isDead {
 			live = append(live, instance)
 		}
 	}
-	pick := arrival.balancer
-	if first != nil {
-		pick /= 1024
+	choice := arrival.instanceChoice
+	if refused != nil {
+		choice /= 1024
 	}
 	profile := profiles[arrival.class]
 	now := cluster.clock.now
-	request := &request{arrival: arrival, begun: now, instance: live[pick%uint64(len(live))], returned: first != nil}
+	request := &request{arrival: arrival, arrivedAt: now, instance: live[choice%uint64(len(live))], isReturn: refused != nil}
 	request.work = &decide.Work{
 		Customer: cluster.customers[arrival.customer],
 		Profile:  profile,
-		Class:    peridotpath.ClassOf(peridotpath.Tokens(arrival.estimate), 0),
-		Prompt:   peridotpath.Tokens(arrival.estimate),
-		Output:   peridotpath.Tokens(arrival.bound),
-		Prefixes: arrival.prefixes,
+		Class:    peridotpath.ClassOf(peridotpath.Tokens(arrival.estimatedPrompt), 0),
+		Prompt:   peridotpath.Tokens(arrival.estimatedPrompt),
+		Output:   peridotpath.Tokens(arrival.maxOutput),
+		Prefixes: arrival.prefixHashes,
 		Arrived:  now,
 		Deadline: now.Add(profile.DeadlineMS.Duration()),
 	}
-	if first != nil {
-		first.again = request
+	if refused != nil {
+		refused.retry = request
 	} else {
 		cluster.requests = append(cluster.requests, request)
 	}
@@ -227,15 +231,15 @@
 
 func (instance *instance) submit(request *request) {
 	instance.works[request.work] = request
-	instance.order = append(instance.order, request)
-	instance.cluster.clock.at(request.work.Deadline, func() { instance.timeOut(request) })
+	instance.byArrival = append(instance.byArrival, request)
+	instance.cluster.clock.runAt(request.work.Deadline, func() { instance.timeOut(request) })
 	instance.handle(instance.decider.submit(instance.cluster.clock.now, request.work))
 	instance.advance()
 }
 
-// advance asks for decisions about waiting work, and plans the next time.
+// advance applies the decisions on queued work, and schedules the next call.
 func (instance *instance) advance() {
-	if instance.dead {
+	if instance.isDead {
 		return
 	}
 	now := instance.cluster.clock.now
@@ -243,23 +247,23 @@
 		instance.cluster.handle(decision, instance)
 	}
 	next := instance.decider.next()
-	if next.IsZero() || next.Equal(instance.wake) {
+	if next.IsZero() || next.Equal(instance.wakeAt) {
 		return
 	}
-	instance.wake = next
-	instance.cluster.clock.at(next, func() {
-		if instance.wake.Equal(next) {
-			instance.wake = time.Time{}
+	instance.wakeAt = next
+	instance.cluster.clock.runAt(next, func() {
+		if instance.wakeAt.Equal(next) {
+			instance.wakeAt = time.Time{}
 			instance.advance()
 		}
 	})
 }
 
-// handle gives a decision to the instance that answers for the work, which
-// with a shared queue may be another one.
-func (cluster *cluster) handle(decision decide.Decision, by *instance) {
-	if by.works[decision.Work] != nil {
-		by.handle(decision)
+// handle passes a decision to the instance that received the work. With a shared queue
+// that may be another than the one that decided.
+func (cluster *cluster) handle(decision decide.Decision, decidedBy *instance) {
+	if decidedBy.works[decision.Work] != nil {
+		decidedBy.handle(decision)
 		return
 	}
 	for _, instance := range cluster.instances {
@@ -274,7 +278,7 @@
 	request := instance.works[decision.Work]
 	switch decision.Verdict {
 	case decide.Wait:
-		request.waited = true
+		request.isQueued = true
 	case decide.Refuse:
 		instance.refuse(request, decision.Result)
 	case decide.Place:
@@ -285,50 +289,51 @@
 func (instance *instance) refuse(request *request, result *peridotpath.Result) {
 	cluster := instance.cluster
 	request.finish(result.Code)
-	if cluster.load.Returning && !request.returned && result.RetryAfter > 0 {
-		cluster.clock.after(result.RetryAfter, func() { cluster.arrive(request.arrival, request) })
+	if cluster.load.Returning && !request.isReturn && result.RetryAfter > 0 {
+		cluster.clock.runAfter(result.RetryAfter, func() { cluster.arrive(request.arrival, request) })
 	}
 }
 
 func (request *request) finish(code peridotpath.Code) {
-	request.final = true
+	request.hasEnded = true
 	request.code = code
-	request.finished = code == peridotpath.CodeOK
-	request.ended = request.instance.cluster.clock.now.Sub(epoch)
+	request.succeeded = code == peridotpath.CodeOK
+	request.endedAfter = request.instance.cluster.clock.now.Sub(epoch)
 	delete(request.instance.works, request.work)
 }
 
-// dispatch sends the request over the network and takes its results back.
+// dispatch sends a request to its engine and receives the results, each after the network
+// latency.
 func (instance *instance) dispatch(request *request, decision decide.Decision) {
 	cluster := instance.cluster
 	cluster.attempts++
-	request.placed = true
+	request.isPlaced = true
 	latency := cluster.load.Deployment.Latency
 	engine := cluster.byID[decision.Endpoint.ID]
 	job := &job{
-		work:     request.work,
-		priority: decision.Priority,
-		prompt:   request.arrival.prompt,
-		output:   request.arrival.output,
+		work:         request.work,
+		priority:     decision.Priority,
+		promptTokens: request.arrival.promptTokens,
+		outputTokens: request.arrival.outputTokens,
 	}
-	job.first = func() { cluster.clock.after(latency, func() { instance.firstToken(request, job) }) }
-	job.ended = func(outcome decide.Outcome) {
-		cluster.clock.after(latency, func() { instance.ended(request, job, outcome) })
+	job.onFirstToken = func() { cluster.clock.runAfter(latency, func() { instance.firstToken(request, job) }) }
+	job.onEnd = func(outcome decide.Outcome) {
+		cluster.clock.runAfter(latency, func() { instance.attemptEnded(request, job, outcome) })
 	}
 	request.job = job
-	cluster.clock.after(latency, func() {
-		if !job.gone {
+	cluster.clock.runAfter(latency, func() {
+		if !job.removed {
 			engine.submit(job)
 		}
 	})
 }
 
 func (instance *instance) firstToken(request *request, job *job) {
-	if instance.dead || request.final || request.job != job {
+	if instance.isDead || request.hasEnded || request.job != job {
 		return
 	}
 	now := instance.cluster.clock.now
-	request.ttft = now.Sub(request.begun)
+	request.ttft = now.Sub(request.arrivedAt)
 	instance.decider.firstToken(now, request.work)
 }
 
@@ -339,36 +344,36 @@
 	decide.Failed:    peridotpath.CodeEndpointFailed,
 }
 
-func (instance *instance) ended(request *request, job *job, outcome decide.Outcome) {
-	if instance.dead || request.final || request.job != job {
+func (instance *instance) attemptEnded(request *request, job *job, outcome decide.Outcome) {
+	if instance.isDead || request.hasEnded || request.job != job {
 		return
 	}
 	now := instance.cluster.clock.now
 	request.job = nil
-	instance.decider.done(now, request.work, outcome, peridotpath.Tokens(job.decoded))
+	instance.decider.done(now, request.work, outcome, peridotpath.Tokens(job.decodedTokens))
 	if outcome == decide.Finished {
 		request.finish(peridotpath.CodeOK)
 		instance.advance()
 		return
 	}
 	request.ttft = 0
-	last := &peridotpath.Result{Code: attemptCodes[outcome]}
-	instance.handle(instance.decider.retry(now, request.work, last))
+	failure := &peridotpath.Result{Code: attemptCodes[outcome]}
+	instance.handle(instance.decider.retry(now, request.work, failure))
 	instance.advance()
 }
 
-// timeOut ends a request whose time is over.
+// timeOut ends a request at its deadline.
 func (instance *instance) timeOut(request *request) {
-	if instance.dead || request.final {
+	if instance.isDead || request.hasEnded {
 		return
 	}
-	instance.drop(request)
+	instance.abort(request)
 	request.finish(peridotpath.CodeDeadline)
 	instance.advance()
 }
 
-// drop takes an unfinished request off its engine or out of its queue.
-func (instance *instance) drop(request *request) {
+// abort cancels an unfinished request on its engine or in its queue.
+func (instance *instance) abort(request *request) {
 	now := instance.cluster.clock.now
 	if job := request.job; job != nil {
 		instance.cluster.byID[request.work.Endpoint].cancel(job)
@@ -378,15 +383,14 @@
 	instance.decider.cancel(now, request.work)
 }
 
-// die ends the instance: its callers' connections break, and the engines see
-// theirs break.
+// die crashes the instance: its connections to callers and engines break.
 func (instance *instance) die() {
-	instance.dead = true
-	for _, request := range instance.order {
-		if request.final {
+	instance.isDead = true
+	for _, request := range instance.byArrival {
+		if request.hasEnded {
 			continue
 		}
-		instance.drop(request)
+		instance.abort(request)
 		request.finish(peridotpath.CodeStreamCut)
 	}
 }
--- a/measure/bench/compare.go
+++ b/measure/bench/compare.go
@@ -12,21 +12,21 @@
 	"peridotpath.example/peridotpath/decide"
 )
 
-// OfferedPercents are the loads that are measured, in percent of capacity.
+// OfferedPercents are the offered loads of a comparison, in percent of capacity.
 var OfferedPercents = []int{60, 80, 95, 130}
 
-// Comparison is what is to be measured.
+// Comparison is a set of runs: each policy under each load and offered load.
 type Comparison struct {
 	Loads    []Load
 	Offered  []int
 	Policies []Policy
 	Seed     uint64
-	// Parallel is how many runs go at a time. It changes no figure.
+	// Parallel is the number of concurrent runs. It does not affect the figures.
 	Parallel int
 }
 
-// Run measures every policy under every load, in that order. All policies
-// meet the same arrivals.
+// Run measures every policy under every load, in that order, with the same arrivals for
+// all policies.
 func (comparison *Comparison) Run(ctx context.Context) ([]Figures, error) {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(comparison.Parallel, 1))
@@ -35,11 +35,11 @@
 	for l := range comparison.Loads {
 		for _, offered := range comparison.Offered {
 			for _, policy := range comparison.Policies {
-				into := &all[index]
+				result := &all[index]
 				index++
 				group.Go(func() error {
 					if ctx.Err() == nil {
-						*into = measure(&comparison.Loads[l], offered, policy, comparison.Seed)
+						*result = measure(&comparison.Loads[l], offered, policy, comparison.Seed)
 					}
 					return ctx.Err()
 				})
@@ -50,27 +50,27 @@
 	return all, err
 }
 
-// measure runs the policy with everybody, and again without the long prompts
-// or without the flooder to see what they cost the others.
+// measure runs the policy with all arrivals, and again without the long prompts and without
+// the heavy customer, to measure their interference with the others.
 func measure(load *Load, offered int, policy Policy, seed uint64) Figures {
 	arrivals := load.arrivals(float64(offered)/100, seed)
-	whole := run(load, policy, arrivals, seed)
-	whole.capacity = load.capacity(seed)
-	figures := whole.figures(offered)
-	short := func(*arrival) bool { return true }
+	all := run(load, policy, arrivals, seed)
+	all.engineCapacity = load.engineCapacity(seed)
+	figures := all.figures(offered)
+	everyone := func(*arrival) bool { return true }
 	if load.Shares[peridotpath.Short] > 0 {
-		alone := run(load, policy, without(arrivals, func(arrival *arrival) bool {
+		alone := run(load, policy, excludeArrivals(arrivals, func(arrival *arrival) bool {
 			return arrival.class == peridotpath.Long
 		}), seed)
-		figures.ShortSlowdown = ratio(whole.shortP99(short), alone.shortP99(short))
+		figures.ShortSlowdown = ratio(all.shortP99(everyone), alone.shortP99(everyone))
 	}
 	if load.Flooder > 0 {
 		others := func(arrival *arrival) bool { return arrival.customer != 0 }
-		alone := run(load, policy, without(arrivals, func(arrival *arrival) bool {
+		alone := run(load, policy, excludeArrivals(arrivals, func(arrival *arrival) bool {
 			return arrival.customer == 0
 		}), seed)
-		figures.OthersServed = whole.served(others)
-		figures.Unfair = ratio(whole.shortP99(others), alone.shortP99(others))
+		figures.OthersServed = all.servedShare(others)
+		figures.Unfair = ratio(all.shortP99(others), alone.shortP99(others))
 	}
 	return figures
 }
@@ -82,7 +82,7 @@
 	return a / b
 }
 
-func without(arrivals []arrival, drop func(*arrival) bool) []arrival {
+func excludeArrivals(arrivals []arrival, drop func(*arrival) bool) []arrival {
 	var kept []arrival
 	for i := range arrivals {
 		if !drop(&arrivals[i]) {
@@ -92,9 +92,9 @@
 	return kept
 }
 
-// Comparisons returns the whole report: all policies under all loads; then the
-// mixed load with each mechanism left out in turn; then mechanisms that are
-// made for a fault, each left out under that fault.
+// Comparisons returns the full report: all policies under all loads, the mixed load with
+// each mechanism left out in turn, and the loads with a fault without the mechanisms that
+// handle it.
 func Comparisons() []Comparison {
 	policies := append(Baselines(), Peridotpath("peridotpath", 0))
 	all := []Comparison{
@@ -102,26 +102,25 @@
 		{Loads: Loads()[:1], Offered: OfferedPercents, Policies: Ablations()},
 	}
 	for _, load := range Loads() {
-		if against := faultMechanisms[load.Name]; len(against) > 0 {
-			all = append(all, Comparison{Loads: []Load{load}, Offered: OfferedPercents, Policies: against})
+		if policies := faultMechanisms[load.Name]; len(policies) > 0 {
+			all = append(all, Comparison{Loads: []Load{load}, Offered: OfferedPercents, Policies: policies})
 		}
 	}
 	return all
 }
 
-// faultMechanisms are the mechanisms to leave out under the loads that they are
-// made for.
+// faultMechanisms are, for each load, the policies without the mechanisms that handle it.
 var faultMechanisms = map[string][]Policy{
-	"skewed":        {leftOut("fair_queue"), leftOut("demotion")},
-	"late_reports":  {leftOut("sent")},
-	"slow_endpoint": {leftOut("slowness")},
-	"fail_fast":     {leftOut("ejection"), leftOut("retry_budget"), leftOut("ejection", "retry_budget")},
-	"burst":         {leftOut("promise"), leftOut("prediction")},
-	"saturation":    {leftOut("promise"), leftOut("ageing"), leftOut("subset")},
+	"skewed":        {withoutMechanisms("fair_queue"), withoutMechanisms("demotion")},
+	"late_reports":  {withoutMechanisms("sent")},
+	"slow_endpoint": {withoutMechanisms("slowness")},
+	"fail_fast":     {withoutMechanisms("ejection"), withoutMechanisms("retry_budget"), withoutMechanisms("ejection", "retry_budget")},
+	"burst":         {withoutMechanisms("promise"), withoutMechanisms("prediction")},
+	"saturation":    {withoutMechanisms("promise"), withoutMechanisms("ageing"), withoutMechanisms("subset")},
 }
 
-// leftOut is peridotpath without the named mechanisms.
-func leftOut(names ...string) Policy {
+// withoutMechanisms returns peridotpath without the named mechanisms.
+func withoutMechanisms(names ...string) Policy {
 	var without decide.Mechanism
 	for _, name := range names {
 		without |= decide.Mechanisms()[name]
@@ -134,7 +133,7 @@
 	var policies []Policy
 	mechanisms := decide.Mechanisms()
 	for _, name := range slices.Sorted(maps.Keys(mechanisms)) {
-		policies = append(policies, leftOut(name))
+		policies = append(policies, withoutMechanisms(name))
 	}
 	return policies
 }
--- a/measure/bench/engine.go
+++ b/measure/bench/engine.go
@@ -8,99 +8,99 @@
 	"peridotpath.example/peridotpath/decide"
 )
 
-// The fake engine's speed. One iteration prefills up to chunk tokens and gives
-// each decoding request one token, as engines with continuous batching do.
+// The simulated engine uses continuous batching with chunked prefill: one iteration
+// prefills up to maxPrefillChunk tokens and decodes one token of each decoding request.
 const (
-	chunkTokens   = 2048
-	prefillPerS   = 40_000 // within an iteration
-	iterationBase = 10 * time.Millisecond
-	perDecode     = 50 * time.Microsecond
-	perContext    = 10 * time.Nanosecond // per KV token that is held
-	engineKV      = 480_000
-	cacheTokens   = 200_000
-	// rejectWaiting is the length of the engine's own queue at which it refuses.
-	rejectWaiting = 256
+	maxPrefillChunk      = 2048
+	iterationPrefillPerS = 40_000 // within an iteration
+	iterationOverhead    = 10 * time.Millisecond
+	timePerDecode        = 50 * time.Microsecond
+	timePerContextToken  = 10 * time.Nanosecond // per KV token in use
+	engineKV             = 480_000
+	prefixCacheTokens    = 200_000
+	// maxEngineQueue is the length of the engine's queue from which it rejects requests.
+	maxEngineQueue = 256
 )
 
-// fullPrefillPerS is the prefill rate of a busy engine, iterations included.
-const fullPrefillPerS = float64(chunkTokens) / (float64(chunkTokens)/prefillPerS + 0.010)
+// busyPrefillPerS is the prefill rate of a busy engine, including iteration overhead.
+const busyPrefillPerS = float64(maxPrefillChunk) / (float64(maxPrefillChunk)/iterationPrefillPerS + 0.010)
 
-// reportedPrefill is what an engine claims of itself, in tokens per second.
-var reportedPrefill = fullPrefillPerS
+// reportedPrefillPerS is the prefill rate that an engine reports, in tokens per second.
+var reportedPrefillPerS = busyPrefillPerS
 
 // job is one request on an engine.
 type job struct {
-	work     *decide.Work
-	priority int
-	sequence uint64
-	prompt   int64 // true tokens
-	output   int64
-	prefill  int64 // tokens still to be prefilled
-	decoded  int64
-	held     int64
-	gone     bool
+	work             *decide.Work
+	priority         int
+	sequence         uint64
+	promptTokens     int64 // actual length, not the estimate
+	outputTokens     int64
+	remainingPrefill int64 // tokens
+	decodedTokens    int64
+	reservedKV       int64
+	removed          bool
 
-	first func()
-	ended func(outcome decide.Outcome)
+	onFirstToken func()
+	onEnd        func(outcome decide.Outcome)
 }
 
-// engine is a small fake of a model engine: continuous batching, limited KV
-// memory, priorities, a prefix cache.
+// engine simulates a model engine with continuous batching, limited KV memory, priorities
+// and a prefix cache.
 type engine struct {
-	clock    *clock
-	id       peridotpath.EndpointID
-	slow     float64 // factor on the time of every iteration
-	failFast bool
-	dead     bool
+	clock      *clock
+	id         peridotpath.EndpointID
+	slowFactor float64 // multiplies the time of every iteration
+	failFast   bool
+	isDead     bool
 
-	waiting   []*job // by priority, then arrival
-	running   []*job // by priority, then arrival
-	held      int64
-	cache     prefixCache
-	busy      bool
-	arrived   uint64
-	lastStep  time.Duration
-	prefilled int64 // tokens so far
+	waiting         []*job // by priority, then arrival
+	running         []*job // by priority, then arrival
+	usedKV          int64
+	cache           prefixCache
+	isBusy          bool
+	lastSequence    uint64
+	lastIteration   time.Duration
+	prefilledTokens int64 // since the start
 }
 
-func (engine *engine) before(a, b *job) int {
+func (engine *engine) compareJobs(a, b *job) int {
 	if a.priority != b.priority {
 		return b.priority - a.priority
 	}
 	return int(int64(a.sequence) - int64(b.sequence))
 }
 
-// submit takes a request in; its result comes through the job's functions.
+// submit queues a job, and calls its functions on the first token and the end.
 func (engine *engine) submit(job *job) {
 	switch {
-	case engine.dead:
-		job.ended(decide.Unreached)
+	case engine.isDead:
+		job.onEnd(decide.Unreached)
 		return
 	case engine.failFast:
-		job.ended(decide.Failed)
+		job.onEnd(decide.Failed)
 		return
-	case job.prompt+job.output > engineKV, len(engine.waiting) >= rejectWaiting:
-		job.ended(decide.Rejected)
+	case job.promptTokens+job.outputTokens > engineKV, len(engine.waiting) >= maxEngineQueue:
+		job.onEnd(decide.Rejected)
 		return
 	}
-	engine.arrived++
-	job.sequence = engine.arrived
-	job.held = job.prompt + job.output
+	engine.lastSequence++
+	job.sequence = engine.lastSequence
+	job.reservedKV = job.promptTokens + job.outputTokens
 	engine.waiting = engine.insert(engine.waiting, job)
-	engine.step()
+	engine.startIteration()
 }
 
 func (engine *engine) insert(jobs []*job, added *job) []*job {
-	index, _ := slices.BinarySearchFunc(jobs, added, engine.before)
+	index, _ := slices.BinarySearchFunc(jobs, added, engine.compareJobs)
 	return slices.Insert(jobs, index, added)
 }
 
-// cancel drops a request and frees its memory.
+// cancel removes a job and frees its memory.
 func (engine *engine) cancel(job *job) {
-	if job.gone {
+	if job.removed {
 		return
 	}
-	job.gone = true
+	job.removed = true
 	if index := slices.Index(engine.waiting, job); index >= 0 {
 		engine.waiting = slices.Delete(engine.waiting, index, index+1)
 		return
@@ -111,142 +111,142 @@
 func (engine *engine) release(job *job) {
 	if index := slices.Index(engine.running, job); index >= 0 {
 		engine.running = slices.Delete(engine.running, index, index+1)
-		engine.held -= job.held
+		engine.usedKV -= job.reservedKV
 	}
 }
 
-// die fails everything the engine holds.
+// die fails all jobs of the engine.
 func (engine *engine) die() {
-	engine.dead = true
-	lost := append(slices.Clone(engine.running), engine.waiting...)
-	engine.running, engine.waiting, engine.held = nil, nil, 0
-	for _, job := range lost {
-		job.gone = true
-		job.ended(decide.Failed)
+	engine.isDead = true
+	failed := append(slices.Clone(engine.running), engine.waiting...)
+	engine.running, engine.waiting, engine.usedKV = nil, nil, 0
+	for _, job := range failed {
+		job.removed = true
+		job.onEnd(decide.Failed)
 	}
 }
 
-// step runs one iteration and plans the next.
-func (engine *engine) step() {
-	if engine.busy || engine.dead {
+// startIteration starts an iteration if the engine is idle, and schedules its end.
+func (engine *engine) startIteration() {
+	if engine.isBusy || engine.isDead {
 		return
 	}
 	engine.admit()
 	if len(engine.running) == 0 {
 		return
 	}
-	prefilled, batch := engine.fill()
+	prefilled, prefillDone := engine.fillBatch()
 	decoding := 0
 	for _, job := range engine.running {
-		if job.prefill == 0 && !slices.Contains(batch, job) {
+		if job.remainingPrefill == 0 && !slices.Contains(prefillDone, job) {
 			decoding++
 		}
 	}
-	took := iterationBase + time.Duration(prefilled)*time.Second/prefillPerS
-	took += time.Duration(decoding)*perDecode + time.Duration(engine.held)*perContext
-	took = time.Duration(float64(took) * engine.slow)
-	engine.busy = true
-	engine.lastStep = took
-	engine.prefilled += prefilled
-	engine.clock.after(took, engine.finish)
+	duration := iterationOverhead + time.Duration(prefilled)*time.Second/iterationPrefillPerS
+	duration += time.Duration(decoding)*timePerDecode + time.Duration(engine.usedKV)*timePerContextToken
+	duration = time.Duration(float64(duration) * engine.slowFactor)
+	engine.isBusy = true
+	engine.lastIteration = duration
+	engine.prefilledTokens += prefilled
+	engine.clock.runAfter(duration, engine.finishIteration)
 }
 
-// admit starts waiting requests while they fit, in order: what does not fit
-// holds up what stands behind it.
+// admit starts waiting jobs in order while their memory fits. A job that does not fit
+// blocks those behind it (head-of-line blocking).
 func (engine *engine) admit() {
 	for len(engine.waiting) > 0 {
 		job := engine.waiting[0]
-		if engine.held+job.held > engineKV {
+		if engine.usedKV+job.reservedKV > engineKV {
 			return
 		}
 		engine.waiting = engine.waiting[1:]
-		cached := min(engine.cache.find(job.work.Prefixes), job.prompt-1)
-		job.prefill = job.prompt - max(cached, 0)
-		engine.held += job.held
+		cached := min(engine.cache.longestHit(job.work.Prefixes), job.promptTokens-1)
+		job.remainingPrefill = job.promptTokens - max(cached, 0)
+		engine.usedKV += job.reservedKV
 		engine.running = engine.insert(engine.running, job)
 	}
 }
 
-// fill takes prefill work for one iteration; it returns the tokens and the
-// requests whose prompt will be done.
-func (engine *engine) fill() (int64, []*job) {
-	left := int64(chunkTokens)
-	var batch []*job
+// fillBatch takes prefill work for one iteration. It returns the number of tokens and the
+// jobs whose prefill completes.
+func (engine *engine) fillBatch() (int64, []*job) {
+	left := int64(maxPrefillChunk)
+	var completed []*job
 	for _, job := range engine.running {
-		if job.prefill == 0 {
+		if job.remainingPrefill == 0 {
 			continue
 		}
-		part := min(job.prefill, left)
-		job.prefill -= part
-		left -= part
-		if job.prefill == 0 {
-			batch = append(batch, job)
+		tokens := min(job.remainingPrefill, left)
+		job.remainingPrefill -= tokens
+		left -= tokens
+		if job.remainingPrefill == 0 {
+			completed = append(completed, job)
 		}
 		if left == 0 {
 			break
 		}
 	}
-	return chunkTokens - left, batch
+	return maxPrefillChunk - left, completed
 }
 
-// finish ends an iteration: each request past its prompt has one more token.
-func (engine *engine) finish() {
-	engine.busy = false
-	if engine.dead {
+// finishIteration ends an iteration: each job whose prefill is complete gets one token.
+func (engine *engine) finishIteration() {
+	engine.isBusy = false
+	if engine.isDead {
 		return
 	}
 	for _, job := range slices.Clone(engine.running) {
-		if job.prefill > 0 || job.gone {
+		if job.remainingPrefill > 0 || job.removed {
 			continue
 		}
-		job.decoded++
-		if job.decoded == 1 {
-			job.first()
+		job.decodedTokens++
+		if job.decodedTokens == 1 {
+			job.onFirstToken()
 		}
-		if job.decoded >= job.output {
-			job.gone = true
+		if job.decodedTokens >= job.outputTokens {
+			job.removed = true
 			engine.release(job)
 			engine.cache.add(job.work.Prefixes)
-			job.ended(decide.Finished)
+			job.onEnd(decide.Finished)
 		}
 	}
-	engine.step()
+	engine.startIteration()
 }
 
-// load is the engine's report about itself. A slow engine does not know it.
-func (engine *engine) load(revision uint64) peridotpath.Load {
-	var ahead int64
+// report returns the engine's load report. It does not show slowFactor in the prefill rate.
+func (engine *engine) report(revision uint64) peridotpath.Load {
+	var backlog int64
 	for _, job := range engine.running {
-		ahead += job.prefill
+		backlog += job.remainingPrefill
 	}
 	for _, job := range engine.waiting {
-		ahead += job.prompt
+		backlog += job.promptTokens
 	}
-	step := max(engine.lastStep, iterationBase)
+	iteration := max(engine.lastIteration, iterationOverhead)
 	return peridotpath.Load{
 		AsOf:          engine.clock.now,
 		Running:       len(engine.running),
 		Waiting:       len(engine.waiting),
-		PrefillTokens: peridotpath.Tokens(ahead),
-		KVUsed:        peridotpath.Tokens(engine.held),
+		PrefillTokens: peridotpath.Tokens(backlog),
+		KVUsed:        peridotpath.Tokens(engine.usedKV),
 		KVTokens:      engineKV,
-		PrefillPerS:   peridotpath.Tokens(reportedPrefill),
-		DecodePerS:    peridotpath.Tokens(float64(time.Second) / float64(step)),
+		PrefillPerS:   peridotpath.Tokens(reportedPrefillPerS),
+		DecodePerS:    peridotpath.Tokens(float64(time.Second) / float64(iteration)),
 		Revision:      revision,
 	}
 }
 
-// prefixCache holds the most recently used prefixes up to cacheTokens.
+// prefixCache is an LRU cache of prefixes with up to prefixCacheTokens tokens.
 type prefixCache struct {
-	order []uint64 // oldest first
-	held  map[uint64]int64
-	total int64
+	byLastUse   []uint64 // oldest first
+	tokens      map[uint64]int64
+	totalTokens int64
 }
 
-// find returns the length of the longest prefix that is held.
-func (cache *prefixCache) find(prefixes []uint64) int64 {
+// longestHit returns the length in tokens of the longest cached prefix.
+func (cache *prefixCache) longestHit(prefixes []uint64) int64 {
 	for i := len(prefixes) - 1; i >= 0; i-- {
-		if _, ok := cache.held[prefixes[i]]; ok {
+		if _, ok := cache.tokens[prefixes[i]]; ok {
 			cache.touch(prefixes[i])
 			return int64(decide.PrefixBlock) << i
 		}
@@ -255,31 +255,31 @@
 }
 
 func (cache *prefixCache) touch(hash uint64) {
-	index := slices.Index(cache.order, hash)
-	cache.order = append(slices.Delete(cache.order, index, index+1), hash)
+	index := slices.Index(cache.byLastUse, hash)
+	cache.byLastUse = append(slices.Delete(cache.byLastUse, index, index+1), hash)
 }
 
-// add holds prefixes; the longer one shares its memory with the shorter.
+// add caches prefixes. Each one shares the memory of the shorter ones.
 func (cache *prefixCache) add(prefixes []uint64) {
-	if cache.held == nil {
-		cache.held = map[uint64]int64{}
+	if cache.tokens == nil {
+		cache.tokens = map[uint64]int64{}
 	}
-	var below int64
+	var sharedTokens int64
 	for i, hash := range prefixes {
 		length := int64(decide.PrefixBlock) << i
-		if _, ok := cache.held[hash]; ok {
+		if _, ok := cache.tokens[hash]; ok {
 			cache.touch(hash)
 		} else {
-			cache.held[hash] = length - below
-			cache.total += length - below
-			cache.order = append(cache.order, hash)
+			cache.tokens[hash] = length - sharedTokens
+			cache.totalTokens += length - sharedTokens
+			cache.byLastUse = append(cache.byLastUse, hash)
 		}
-		below = length
+		sharedTokens = length
 	}
-	for cache.total > cacheTokens && len(cache.order) > 0 {
-		oldest := cache.order[0]
-		cache.order = cache.order[1:]
-		cache.total -= cache.held[oldest]
-		delete(cache.held, oldest)
+	for cache.totalTokens > prefixCacheTokens && len(cache.byLastUse) > 0 {
+		oldest := cache.byLastUse[0]
+		cache.byLastUse = cache.byLastUse[1:]
+		cache.totalTokens -= cache.tokens[oldest]
+		delete(cache.tokens, oldest)
 	}
 }
--- a/measure/bench/figures.go
+++ b/measure/bench/figures.go
@@ -11,42 +11,45 @@
 	"peridotpath.example/peridotpath"
 )
 
-// Figures is what a run did for its callers.
+// Figures are the results of a run.
 type Figures struct {
 	Policy  string
 	Load    string
 	Offered int // percent of capacity
 
-	// TTFT in milliseconds by class and percentile; a request that was refused
-	// or failed counts with its whole deadline.
+	// Percentiles of the time to first token (TTFT) in milliseconds, by length class. A
+	// refused or failed request counts with its whole deadline.
 	P50, P95, P99 [3]float64
-	// LongAdmittedP99 leaves out the refused.
+	// LongAdmittedP99 is the 99th percentile of the TTFT of admitted long requests.
 	LongAdmittedP99 float64
-	// Stretch is the 99th percentile, over all lengths, of time to first token
-	// over the prompt's own prefill time.
+	// Stretch is the 99th percentile, over all lengths, of the ratio of the TTFT to the
+	// prefill time of the prompt alone.
 	Stretch float64
-	// ShortSlowdown is the short p99 over the same without long prompts.
+	// ShortSlowdown is the ratio of the 99th percentile of short requests to the same
+	// without long requests in the load.
 	ShortSlowdown float64
 	// LongInTime is the share of admitted long requests that finished in time.
 	LongInTime float64
 	// InTime is the share of all admitted requests that finished in time.
 	InTime float64
-	// Goodput is the work that was finished in time while arrivals were counted,
-	// in percent of Load.capacity. What is finished after the last arrival is not in it.
+	// Goodput is the work that finished in time within the period whose arrivals are
+	// counted, in percent of Load.engineCapacity. It excludes work that finished later.
 	Goodput float64
-	// Unfair is the other customers' short p99 over the same without the flooder.
+	// Unfair is the ratio of the 99th percentile of the other customers' short requests
+	// to the same without the heavy customer.
 	Unfair float64
-	// OthersServed is the share of the other customers' requests that finished
-	// in time while the flooder flooded.
+	// OthersServed is the share of the other customers' requests that finished in time
+	// under the load of the heavy customer.
 	OthersServed float64
-	// Amplification is attempts over requests that were tried.
+	// Amplification is the ratio of attempts to requests with at least one attempt.
 	Amplification float64
-	// ReturnedAdmitted is the share of returning callers that were admitted.
+	// ReturnedAdmitted is the share of the retries after a refusal that succeeded.
 	ReturnedAdmitted float64
 	Returned         int
 	Requests         int
 	Refused          map[peridotpath.Code]int
-	// Utilisation is prefill done over what busy engines could have done.
+	// Utilisation is the ratio of the prefilled tokens to those that always busy engines
+	// prefill.
 	Utilisation float64
 	Finished    [3]int
 }
@@ -59,66 +62,66 @@
 	return float64(values.ValueAtQuantile(percent)) / 1000
 }
 
-// latency is what the caller saw until the first token, or its whole deadline.
+// latency is the time to first token, or the whole deadline of a failed request.
 func (request *request) latency() time.Duration {
-	if !request.finished {
+	if !request.succeeded {
 		return request.work.Profile.DeadlineMS.Duration()
 	}
 	return request.ttft
 }
 
-// counted reports whether the request belongs into the figures: it came after
-// the warm-up, and one engine can hold it.
-func (request *request) counted() bool {
-	return request.arrival.at >= warmUp && !request.arrival.oversize()
+// isCounted reports whether the figures include the request: it arrived after the warm-up
+// and fits into the memory of one engine.
+func (request *request) isCounted() bool {
+	return request.arrival.at >= warmUpPeriod && !request.arrival.isOversize()
 }
 
-// figures sums up a run.
+// figures returns the figures of a run.
 func (cluster *cluster) figures(offered int) Figures {
 	figures := Figures{
 		Policy: cluster.policy.Name, Load: cluster.load.Name, Offered: offered, Refused: map[peridotpath.Code]int{},
 	}
 	byClass := [3]*hdrhistogram.Histogram{histogram(), histogram(), histogram()}
 	admitted, stretch := histogram(), hdrhistogram.New(1, 1e9, 3)
-	var longs, longsInTime, tried, inTime, triedAll int
-	var good float64
+	var longAdmitted, longInTime, admittedCount, inTime, attempted int
+	var goodput float64
 	for _, request := range cluster.requests {
-		if request.placed {
-			triedAll++
+		if request.isPlaced {
+			attempted++
 		}
-		if request.again != nil && request.again.placed {
-			triedAll++
+		if request.retry != nil && request.retry.isPlaced {
+			attempted++
 		}
-		good += request.goodWork()
-		if request.again != nil {
-			good += request.again.goodWork()
+		goodput += request.goodput()
+		if request.retry != nil {
+			goodput += request.retry.goodput()
 		}
-		if !request.counted() {
+		if !request.isCounted() {
 			continue
 		}
 		figures.Requests++
 		class := request.arrival.class
 		latency := request.latency()
 		_ = byClass[class].RecordValue(latency.Microseconds())
-		own := float64(request.arrival.prompt)/fullPrefillPerS + iterationBase.Seconds()
-		_ = stretch.RecordValue(int64(1000 * latency.Seconds() / own))
-		if request.finished {
+		ownPrefill := float64(request.arrival.promptTokens)/busyPrefillPerS + iterationOverhead.Seconds()
+		_ = stretch.RecordValue(int64(1000 * latency.Seconds() / ownPrefill))
+		if request.succeeded {
 			figures.Finished[class]++
 		} else {
 			figures.Refused[request.code]++
 		}
-		if request.waited || request.placed {
-			tried++
-			inTime += count(request.finished)
+		if request.isQueued || request.isPlaced {
+			admittedCount++
+			inTime += boolToInt(request.succeeded)
 			if class == peridotpath.Long {
-				longs++
-				longsInTime += count(request.finished)
+				longAdmitted++
+				longInTime += boolToInt(request.succeeded)
 				_ = admitted.RecordValue(latency.Microseconds())
 			}
 		}
-		if request.again != nil {
+		if request.retry != nil {
 			figures.Returned++
-			figures.ReturnedAdmitted += float64(count(request.again.finished))
+			figures.ReturnedAdmitted += float64(boolToInt(request.retry.succeeded))
 		}
 	}
 	for class, values := range byClass {
@@ -128,66 +131,67 @@
 	}
 	figures.LongAdmittedP99 = quantile(admitted, 99)
 	figures.Stretch = float64(stretch.ValueAtQuantile(99)) / 1000
-	figures.LongInTime = share(longsInTime, longs)
-	figures.InTime = share(inTime, tried)
+	figures.LongInTime = share(longInTime, longAdmitted)
+	figures.InTime = share(inTime, admittedCount)
 	figures.ReturnedAdmitted = share(int(figures.ReturnedAdmitted), figures.Returned)
-	figures.Amplification = float64(cluster.attempts) / float64(max(triedAll, 1))
-	engineSeconds := float64(len(cluster.engines)) * (arrivalsTime - warmUp).Seconds()
-	figures.Goodput = 100 * good / engineSeconds / cluster.capacity
-	figures.Utilisation = cluster.prefilled / fullPrefillPerS / engineSeconds
+	figures.Amplification = float64(cluster.attempts) / float64(max(attempted, 1))
+	engineSeconds := float64(len(cluster.engines)) * (arrivalPeriod - warmUpPeriod).Seconds()
+	figures.Goodput = 100 * goodput / engineSeconds / cluster.engineCapacity
+	figures.Utilisation = cluster.prefilledTokens / busyPrefillPerS / engineSeconds
 	return figures
 }
 
-// goodWork is the work of a request that finished in time while arrivals were
-// counted, in seconds of an engine.
-func (request *request) goodWork() float64 {
-	if !request.finished || request.ended < warmUp || request.ended >= arrivalsTime {
+// goodput is the work of a request, in seconds of an engine, if it finished in time within
+// the period whose arrivals are counted, else zero.
+func (request *request) goodput() float64 {
+	if !request.succeeded || request.endedAfter < warmUpPeriod || request.endedAfter >= arrivalPeriod {
 		return 0
 	}
-	return request.arrival.cost()
+	return request.arrival.engineTime()
 }
 
-func count(yes bool) int {
+func boolToInt(yes bool) int {
 	if yes {
 		return 1
 	}
 	return 0
 }
 
-func share(part, whole int) float64 {
-	if whole == 0 {
+func share(part, total int) float64 {
+	if total == 0 {
 		return 1
 	}
-	return float64(part) / float64(whole)
+	return float64(part) / float64(total)
 }
 
-// served is the share of the requests that keep says yes to which finished in
-// time.
-func (cluster *cluster) served(keep func(*arrival) bool) float64 {
+// servedShare is the share of the counted requests that pass the filter keep and finished
+// in time.
+func (cluster *cluster) servedShare(keep func(*arrival) bool) float64 {
 	served, all := 0, 0
 	for _, request := range cluster.requests {
-		if request.counted() && keep(request.arrival) {
+		if request.isCounted() && keep(request.arrival) {
 			all++
-			served += count(request.finished)
+			served += boolToInt(request.succeeded)
 		}
 	}
 	return share(served, all)
 }
 
-// shortP99 is the short p99 of the requests that keep says yes to.
+// shortP99 is the 99th percentile of the latency of short requests that pass the filter
+// keep.
 func (cluster *cluster) shortP99(keep func(*arrival) bool) float64 {
 	values := histogram()
 	for _, request := range cluster.requests {
-		if request.counted() && request.arrival.class == peridotpath.Short && keep(request.arrival) {
+		if request.isCounted() && request.arrival.class == peridotpath.Short && keep(request.arrival) {
 			_ = values.RecordValue(request.latency().Microseconds())
 		}
 	}
 	return quantile(values, 99)
 }
 
-// Scores weigh the two deployments' wishes into one number, lower is better:
-// the claims desk weighs time to first token over all lengths, the
-// transcribers the slowdown of short requests.
+// Scores returns a weighted score for each of the two deployments; lower is better. The
+// claims desk gives more weight to the time to first token over all lengths, the
+// transcribers to the slowdown of short requests.
 func (figures *Figures) Scores() (claims, transcribers float64) {
 	const heavy, light = 0.7, 0.3
 	claims = heavy*figures.Stretch + light*figures.ShortSlowdown
@@ -195,7 +199,7 @@
 	return claims, transcribers
 }
 
-// Line writes the figures as key=value pairs.
+// Line returns the figures as key=value pairs.
 func (figures *Figures) Line() string {
 	var line strings.Builder
 	add := func(key, format string, value any) {
--- a/measure/bench/joint.go
+++ b/measure/bench/joint.go
@@ -9,25 +9,27 @@
 	"peridotpath.example/peridotpath"
 )
 
-// JointEndpoints is the fleet's size where instances decide jointly.
+// JointEndpoints is the number of endpoints in the runs of Joints.
 const JointEndpoints = 32
 
-// Joint is one size and report lag at which instances decide jointly.
+// Joint is a run with a number of instances that share the endpoints, and the lag of
+// their load reports.
 type Joint struct {
 	Instances int
 	Lag       time.Duration
 	Offered   int // percent of capacity
-	// Replaced instances die in the middle and come back empty.
+	// Replaced is the number of instances that crash during the run and restart without
+	// state.
 	Replaced int
 	Figures  Figures
-	// Imbalance is the mean over time of the prompt work that the busiest
-	// endpoint has ahead of it, less the mean of all, in milliseconds.
+	// Imbalance is the mean over time of the difference between the prefill backlog of
+	// the busiest endpoint and the mean of all, in milliseconds.
 	Imbalance float64
 }
 
-// Joints returns what is to be measured: one instance that knows all it sent
-// first, then several that know of one another by reports alone, at last 32 of
-// which half are replaced at once.
+// Joints returns the runs: one instance that knows all requests, then several instances
+// that see each other's requests only in load reports, and last 32 instances of which half
+// are replaced at once.
 func Joints(offered int) []Joint {
 	joints := []Joint{{Instances: 1, Lag: 300 * time.Millisecond, Offered: offered}}
 	for _, lag := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 9 * time.Second} {
@@ -38,7 +40,7 @@
 	return append(joints, Joint{Instances: 32, Lag: time.Second, Offered: offered, Replaced: 16})
 }
 
-// RunJoints measures all, on the same arrivals.
+// RunJoints runs all joints with the same arrivals.
 func RunJoints(ctx context.Context, joints []Joint, seed uint64, parallel int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(parallel)
@@ -59,16 +61,16 @@
 		Deployment: Deployment{Name: "joint", Endpoints: JointEndpoints, Instances: joint.Instances, Latency: time.Millisecond},
 	}
 	arrivals := load.arrivals(float64(joint.Offered)/100, seed)
-	whole := run(load, Peridotpath("peridotpath", 0), arrivals, seed)
-	whole.capacity = load.capacity(seed)
-	joint.Figures = whole.figures(joint.Offered)
-	joint.Imbalance = whole.imbalance / float64(max(whole.samples, 1))
+	cluster := run(load, Peridotpath("peridotpath", 0), arrivals, seed)
+	cluster.engineCapacity = load.engineCapacity(seed)
+	joint.Figures = cluster.figures(joint.Offered)
+	joint.Imbalance = cluster.imbalanceSum / float64(max(cluster.imbalanceSamples, 1))
 }
 
-// sample notes how unevenly the prompt work lies on the endpoints.
-func (cluster *cluster) sample(loads []peridotpath.Load) {
+// sampleImbalance records the imbalance of the prefill backlog between endpoints.
+func (cluster *cluster) sampleImbalance(loads []peridotpath.Load) {
 	since := cluster.clock.now.Sub(epoch)
-	if since < warmUp || since > arrivalsTime {
+	if since < warmUpPeriod || since > arrivalPeriod {
 		return
 	}
 	var most, sum float64
@@ -76,6 +78,6 @@
 		most = max(most, float64(load.PrefillTokens))
 		sum += float64(load.PrefillTokens)
 	}
-	cluster.imbalance += (most - sum/float64(len(loads))) / fullPrefillPerS * 1000
-	cluster.samples++
+	cluster.imbalanceSum += (most - sum/float64(len(loads))) / busyPrefillPerS * 1000
+	cluster.imbalanceSamples++
 }
--- a/measure/bench/load.go
+++ b/measure/bench/load.go
@@ -10,14 +10,14 @@
 	"peridotpath.example/peridotpath/decide"
 )
 
-// Times of a run. Arrivals before warmUp are run and not counted.
+// The periods of a run. Arrivals before warmUpPeriod are simulated and not counted.
 const (
-	warmUp       = 60 * time.Second
-	arrivalsTime = 300 * time.Second
-	drainTime    = 320 * time.Second
+	warmUpPeriod  = 60 * time.Second
+	arrivalPeriod = 300 * time.Second
+	drainPeriod   = 320 * time.Second
 )
 
-// Deployment is a fleet's size.
+// Deployment is the size of a fleet and its network latency.
 type Deployment struct {
 	Name      string
 	Endpoints int
@@ -25,41 +25,44 @@
 	Latency   time.Duration // one way, instance to endpoint
 }
 
-// The deployments of today.
+// The simulated deployments.
 var (
 	Claims      = Deployment{Name: "claims", Endpoints: 14, Instances: 8, Latency: time.Millisecond}
 	Manuscripts = Deployment{Name: "manuscripts", Endpoints: 20, Instances: 6, Latency: 1500 * time.Microsecond}
 )
 
-// Load is a pattern of arrivals and of what goes wrong meanwhile.
+// Load is a pattern of arrivals and of faults.
 type Load struct {
 	Name       string
 	Deployment Deployment
-	// Shares of short, medium and long prompts.
+	// Shares are the shares of short, medium and long prompts.
 	Shares [3]float64
-	// Burst multiplies the arrivals for a minute.
+	// Burst multiplies the rate of arrivals for a minute; zero for none.
 	Burst float64
-	// Flooder is the share of the first customer; zero for ordinary shares.
+	// Flooder is the share of arrivals of the first, heavy customer; zero for the ordinary
+	// shares.
 	Flooder float64
-	// SlowFactor stretches the first endpoint's work; zero for none.
+	// SlowFactor multiplies the iteration time of the first endpoint; zero for none.
 	SlowFactor float64
-	// FailFast makes the second endpoint fail every request at once.
+	// FailFast makes the second endpoint fail every request immediately.
 	FailFast bool
-	// LostShare of the endpoints dies in the middle.
+	// LostShare is the share of the endpoints that crash during the run.
 	LostShare float64
-	// Replaced instances die in the middle and come back empty.
+	// Replaced is the number of instances that crash during the run and restart without
+	// state.
 	Replaced int
-	// ReportLag is how old load reports are on arrival.
+	// ReportLag is the age of load reports on arrival.
 	ReportLag time.Duration
-	// EstimateError is the largest factor by which prompt estimates are off.
+	// EstimateError is the largest ratio of an estimated prompt length to the actual one
+	// and of the actual one to the estimate.
 	EstimateError float64
-	// Returning callers come back once, at Retry-After.
+	// Returning makes refused callers retry once, after their Retry-After.
 	Returning bool
 }
 
 var mixedShares = [3]float64{0.80, 0.18, 0.02}
 
-// Loads returns every load, in the order of the report.
+// Loads returns all loads, in the order of the report.
 func Loads() []Load {
 	mixed := Load{Name: "mixed", Deployment: Claims, Shares: mixedShares, ReportLag: 300 * time.Millisecond, EstimateError: 1.1}
 	with := func(name string, change func(*Load)) Load {
@@ -84,14 +87,14 @@
 	}
 }
 
-// Bounds of the prompt lengths of each class, in tokens, and of the answers.
-// Short prompts end a tenth below the next class, so that the ordinary error of
-// estimates does not move them there; the load with wrong estimates does.
+// Bounds of the lengths of prompts and answers of each class, in tokens. The longest short
+// prompt is a tenth shorter than the next class, so that the ordinary error of estimates
+// does not move it there. The error of the load wrong_estimates does.
 var (
-	promptLow  = [3]float64{1_000, 8_000, 100_000}
-	promptHigh = [3]float64{7_200, 100_000, 1_000_000}
-	outputLow  = [3]int64{32, 64, 128}
-	outputHigh = [3]int64{256, 512, 512}
+	minPrompt = [3]float64{1_000, 8_000, 100_000}
+	maxPrompt = [3]float64{7_200, 100_000, 1_000_000}
+	minOutput = [3]int64{32, 64, 128}
+	maxOutput = [3]int64{256, 512, 512}
 )
 
 // The profiles, one for each class of work.
@@ -101,134 +104,135 @@
 	{Name: "volume", Service: "model", Idempotent: true, Priority: 0, DeadlineMS: 120_000, MaxAttempts: 3, MaxQueueMS: 60_000, MaxQueued: 100},
 }
 
-// customerShares are the customers' parts of the arrivals, and their weights.
+// customerShares are the customers' shares of the arrivals, and their weights.
 var customerShares = []float64{0.25, 0.20, 0.15, 0.10, 0.08, 0.06, 0.05, 0.05, 0.03, 0.03}
 
-// arrival is one request before any policy has seen it.
+// arrival is a generated request, the same for all policies.
 type arrival struct {
-	at       time.Duration
-	class    peridotpath.LengthClass
-	customer int
-	prompt   int64
-	estimate int64
-	output   int64
-	bound    int64
-	prefixes []uint64
-	balancer uint64
+	at              time.Duration
+	class           peridotpath.LengthClass
+	customer        int
+	promptTokens    int64
+	estimatedPrompt int64
+	outputTokens    int64
+	maxOutput       int64
+	prefixHashes    []uint64
+	instanceChoice  uint64
 }
 
-// cost is the time one engine needs for the request, alone.
-func (arrival *arrival) cost() float64 {
-	if arrival.oversize() {
+// engineTime is the time in seconds that an engine takes for the request alone.
+func (arrival *arrival) engineTime() float64 {
+	if arrival.isOversize() {
 		return 0
 	}
-	return float64(arrival.prompt)/fullPrefillPerS + float64(arrival.output)*perDecode.Seconds()
+	return float64(arrival.promptTokens)/busyPrefillPerS + float64(arrival.outputTokens)*timePerDecode.Seconds()
 }
 
-func (arrival *arrival) oversize() bool { return arrival.prompt+arrival.bound > engineKV }
+func (arrival *arrival) isOversize() bool { return arrival.promptTokens+arrival.maxOutput > engineKV }
 
-// drawer draws arrivals of one load.
-type drawer struct {
+// generator generates the random arrivals of a load.
+type generator struct {
 	load   *Load
 	random *rand.Rand
 }
 
-// capacity is the work that one engine finishes in a second when it is fed in
-// order from a line that never ends, in seconds of prefill. It is less than one:
-// decoding requests hold memory that the next prompt waits for.
-func (load *Load) capacity(seed uint64) float64 {
+// engineCapacity is the work, in seconds of engineTime, that one engine finishes in a
+// second with a queue that is never empty. It is less than one, because the next prompt
+// waits for memory that decoding requests hold.
+func (load *Load) engineCapacity(seed uint64) float64 {
 	clock := &clock{now: epoch}
-	engine := &engine{clock: clock, slow: 1}
-	drawer := &drawer{load: load, random: rand.New(rand.NewPCG(seed, 3))}
-	var finished float64
-	var feed func()
-	feed = func() {
-		for len(engine.waiting) < calibrationLine {
-			next := drawer.draw()
-			if next.oversize() {
+	engine := &engine{clock: clock, slowFactor: 1}
+	generator := &generator{load: load, random: rand.New(rand.NewPCG(seed, 3))}
+	var finishedWork float64
+	var fillQueue func()
+	fillQueue = func() {
+		for len(engine.waiting) < calibrationQueue {
+			next := generator.next()
+			if next.isOversize() {
 				continue
 			}
 			engine.submit(&job{
-				work:   &decide.Work{Prefixes: next.prefixes},
-				prompt: next.prompt,
-				output: next.output,
-				first:  func() {},
-				ended:  func(decide.Outcome) { finished += next.cost(); clock.after(0, feed) },
+				work:         &decide.Work{Prefixes: next.prefixHashes},
+				promptTokens: next.promptTokens,
+				outputTokens: next.outputTokens,
+				onFirstToken: func() {},
+				onEnd:        func(decide.Outcome) { finishedWork += next.engineTime(); clock.runAfter(0, fillQueue) },
 			})
 		}
 	}
-	feed()
+	fillQueue()
 	clock.runUntil(epoch.Add(calibrationTime))
-	return finished / calibrationTime.Seconds()
+	return finishedWork / calibrationTime.Seconds()
 }
 
 const (
-	calibrationLine = 20
-	calibrationTime = 30 * time.Minute
+	calibrationQueue = 20
+	calibrationTime  = 30 * time.Minute
 )
 
-// arrivals draws the requests of a run at offered times the fleet's capacity.
+// arrivals generates the requests of a run. The offered load is a factor of the fleet's
+// capacity.
 func (load *Load) arrivals(offered float64, seed uint64) []arrival {
-	drawer := &drawer{load: load, random: rand.New(rand.NewPCG(seed, 1))}
+	generator := &generator{load: load, random: rand.New(rand.NewPCG(seed, 1))}
 	var cost float64
 	const trials = 20_000
 	for range trials {
-		trial := drawer.draw()
-		cost += trial.cost()
+		trial := generator.next()
+		cost += trial.engineTime()
 	}
-	perSecond := offered * load.capacity(seed) * float64(load.Deployment.Endpoints) * trials / cost
-	drawer.random = rand.New(rand.NewPCG(seed, 2))
+	meanRate := offered * load.engineCapacity(seed) * float64(load.Deployment.Endpoints) * trials / cost
+	generator.random = rand.New(rand.NewPCG(seed, 2))
 	var all []arrival
 	for at := 0.0; ; {
-		rate := perSecond * load.factor(at)
-		at += drawer.random.ExpFloat64() / rate
-		if at >= arrivalsTime.Seconds() {
+		rate := meanRate * load.rateFactor(at)
+		at += generator.random.ExpFloat64() / rate
+		if at >= arrivalPeriod.Seconds() {
 			return all
 		}
-		next := drawer.draw()
+		next := generator.next()
 		next.at = time.Duration(at * float64(time.Second))
 		all = append(all, next)
 	}
 }
 
-// burstBase is the share of the offered load that a burst rises from.
-const burstBase = 0.25
+// burstBaseRate is the rate before and after a burst, as a share of the offered load.
+const burstBaseRate = 0.25
 
-// factor is the rate at a time relative to the load's mean.
-func (load *Load) factor(at float64) float64 {
+// rateFactor is the rate of arrivals at a time, relative to the offered load.
+func (load *Load) rateFactor(at float64) float64 {
 	switch {
 	case load.Burst == 0:
 		return 1
 	case at >= 70 && at < 130:
-		return burstBase * load.Burst
+		return burstBaseRate * load.Burst
 	default:
-		return burstBase
+		return burstBaseRate
 	}
 }
 
-func (drawer *drawer) draw() arrival {
-	random := drawer.random
-	class := drawer.class()
-	low, high := math.Log(promptLow[class]), math.Log(promptHigh[class])
+func (generator *generator) next() arrival {
+	random := generator.random
+	class := generator.drawClass()
+	low, high := math.Log(minPrompt[class]), math.Log(maxPrompt[class])
 	prompt := int64(math.Exp(low + random.Float64()*(high-low)))
-	bound := outputLow[class] + random.Int64N(outputHigh[class]-outputLow[class])
-	wrong := math.Log(drawer.load.EstimateError)
-	drawn := arrival{
-		class:    class,
-		customer: drawer.customer(),
-		prompt:   prompt,
-		estimate: int64(float64(prompt) * math.Exp(wrong*(2*random.Float64()-1))),
-		bound:    bound,
-		output:   max(int64(float64(bound)*(0.3+0.7*random.Float64())), 1),
-		balancer: random.Uint64(),
+	outputLimit := minOutput[class] + random.Int64N(maxOutput[class]-minOutput[class])
+	maxLogError := math.Log(generator.load.EstimateError)
+	generated := arrival{
+		class:           class,
+		customer:        generator.drawCustomer(),
+		promptTokens:    prompt,
+		estimatedPrompt: int64(float64(prompt) * math.Exp(maxLogError*(2*random.Float64()-1))),
+		maxOutput:       outputLimit,
+		outputTokens:    max(int64(float64(outputLimit)*(0.3+0.7*random.Float64())), 1),
+		instanceChoice:  random.Uint64(),
 	}
-	drawn.prefixes = drawer.prefixes(&drawn)
-	return drawn
+	generated.prefixHashes = generator.drawPrefixes(&generated)
+	return generated
 }
 
-func (drawer *drawer) class() peridotpath.LengthClass {
-	at := drawer.random.Float64()
-	for class, share := range drawer.load.Shares {
+func (generator *generator) drawClass() peridotpath.LengthClass {
+	at := generator.random.Float64()
+	for class, share := range generator.load.Shares {
 		if at < share {
 			return peridotpath.LengthClass(class)
 		}
@@ -237,13 +241,13 @@
 	return peridotpath.Long
 }
 
-func (drawer *drawer) customer() int {
-	at := drawer.random.Float64()
-	if flooder := drawer.load.Flooder; flooder > 0 {
+func (generator *generator) drawCustomer() int {
+	at := generator.random.Float64()
+	if flooder := generator.load.Flooder; flooder > 0 {
 		if at < flooder {
 			return 0
 		}
-		return 1 + drawer.random.IntN(len(customerShares)-1)
+		return 1 + generator.random.IntN(len(customerShares)-1)
 	}
 	for i, share := range customerShares {
 		if at < share {
@@ -255,24 +259,26 @@
 }
 
 const (
-	// documents is how many texts the prompts that share a prefix come from, and
-	// documentSkew how much more often the first of them are asked about.
-	documents    = 200
-	documentSkew = 1.2
-	// sharedPart of the prompts share their first half with others.
-	sharedPart = 0.4
+	// documentCount is the number of documents that the shared prefixes of prompts come
+	// from, and documentSkew the exponent of the Zipf distribution of their popularity.
+	documentCount = 200
+	documentSkew  = 1.2
+	// sharedPromptShare is the share of the prompts that share their first half with
+	// others.
+	sharedPromptShare = 0.4
 )
 
-// prefixes gives some prompts the first half of a known text.
-func (drawer *drawer) prefixes(drawn *arrival) []uint64 {
-	random := drawer.random
-	shared := random.Float64() < sharedPart
-	document := rand.NewZipf(random, documentSkew, 1, documents-1).Uint64()
+// drawPrefixes returns the hashes of the prompt's prefixes. Some prompts share their first
+// half with other prompts about the same document.
+func (generator *generator) drawPrefixes(generated *arrival) []uint64 {
+	random := generator.random
+	shared := random.Float64() < sharedPromptShare
+	document := rand.NewZipf(random, documentSkew, 1, documentCount-1).Uint64()
 	unique := random.Uint64()
 	var hashes []uint64
-	for i := 0; int64(1024)<<i <= drawn.prompt; i++ {
-		if shared && int64(1024)<<i <= drawn.prompt/2 {
-			hashes = append(hashes, (document+1)*0x9e3779b97f4a7c15+uint64(drawn.class)<<8+uint64(i))
+	for i := 0; int64(1024)<<i <= generated.promptTokens; i++ {
+		if shared && int64(1024)<<i <= generated.promptTokens/2 {
+			hashes = append(hashes, (document+1)*0x9e3779b97f4a7c15+uint64(generated.class)<<8+uint64(i))
 		} else {
 			hashes = append(hashes, unique+uint64(i))
 		}
@@ -280,7 +286,7 @@
 	return hashes
 }
 
-// customers returns the customers of the load with their weights.
+// customers returns the customers of the load with their weights and limits.
 func (load *Load) customers() []*peridotpath.Customer {
 	var all []*peridotpath.Customer
 	for i, share := range customerShares {
--- a/measure/bench/outcome_test.go
+++ b/measure/bench/outcome_test.go
@@ -10,35 +10,35 @@
 	"peridotpath.example/peridotpath/decide"
 )
 
-// policy is what the tests of outcomes run.
-var policy = Peridotpath("peridotpath", 0)
+// testedPolicy is the policy under test.
+var testedPolicy = Peridotpath("peridotpath", 0)
 
-// alone measures one load without the runs that it is compared with.
-func alone(t *testing.T, name string, offered int) Figures {
+// measureAlone measures a load without the reference runs of measure.
+func measureAlone(t *testing.T, name string, offered int) Figures {
 	t.Helper()
-	load := loadOf(name)
-	cluster := run(load, policy, load.arrivals(float64(offered)/100, 1), 1)
-	cluster.capacity = load.capacity(1)
+	load := loadByName(name)
+	cluster := run(load, testedPolicy, load.arrivals(float64(offered)/100, 1), 1)
+	cluster.engineCapacity = load.engineCapacity(1)
 	return cluster.figures(offered)
 }
 
-func loadOf(name string) *Load {
+func loadByName(name string) *Load {
 	loads := Loads()
 	return &loads[slices.IndexFunc(loads, func(load Load) bool { return load.Name == name })]
 }
 
-// of measures one load. Runs take a second or two of real time, and every
-// figure is the same each time.
-func of(t *testing.T, name string, offered int) Figures {
+// measureCompared measures a load and its reference runs. A run takes a second or two of
+// real time, and its figures are deterministic.
+func measureCompared(t *testing.T, name string, offered int) Figures {
 	t.Helper()
-	return measure(loadOf(name), offered, policy, 1)
+	return measure(loadByName(name), offered, testedPolicy, 1)
 }
 
-// The golden rule of the harness: the same seed, the same figures.
-func TestRunsRepeat(t *testing.T) {
+// The same seed gives the same figures, also with concurrent runs.
+func TestRunsAreDeterministic(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	comparison := &Comparison{Loads: Loads()[:1], Offered: []int{60}, Policies: []Policy{policy, Baselines()[1]}, Seed: 7, Parallel: 2}
+	comparison := &Comparison{Loads: Loads()[:1], Offered: []int{60}, Policies: []Policy{testedPolicy, Baselines()[1]}, Seed: 7, Parallel: 2}
 	first, err := comparison.Run(t.Context())
 	is.NoErr(err)
 	second, err := comparison.Run(t.Context())
@@ -48,27 +48,26 @@
 	}
 }
 
-// A volunteer asks for one line while a scholar's volume is read on the same
-// fleet. The line comes as promptly as without the volume, and the volume is
-// finished in its time.
+// Long prompts on the same fleet may hardly delay short ones (head-of-line blocking), and
+// still finish by their deadlines.
 func TestMixedLengths(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	busy := of(t, "mixed", 80)
+	busy := measureCompared(t, "mixed", 80)
 	is.True(busy.ShortSlowdown <= 1.2)
 	is.Equal(busy.LongInTime, 1.0)
-	nearly := of(t, "mixed", 95)
-	is.True(nearly.ShortSlowdown <= 1.5)
-	is.Equal(nearly.LongInTime, 1.0)
+	nearSaturation := measureCompared(t, "mixed", 95)
+	is.True(nearSaturation.ShortSlowdown <= 1.5)
+	is.Equal(nearSaturation.LongInTime, 1.0)
 }
 
-// More comes than the fleet can do, for minutes. Short requests are still
-// answered promptly; what cannot finish is refused at once, and of what was
-// admitted next to nothing is left to die.
+// Minutes of load above the fleet's capacity. Short requests are still answered promptly,
+// requests that cannot finish are refused immediately, and nearly all admitted ones finish
+// in time.
 func TestSaturation(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	figures := alone(t, "mixed", 130)
+	figures := measureAlone(t, "mixed", 130)
 	is.True(figures.Goodput >= 98)
 	is.True(figures.InTime >= 0.99)
 	is.True(figures.LongInTime >= 0.99)
@@ -76,90 +75,89 @@
 	is.True(figures.Refused[peridotpath.CodeCannotFinish] > 10*figures.Refused[peridotpath.CodeQueueTimeout])
 }
 
-// A monsoon diversion: ten times the claims in a minute. Callers are refused
-// with a time to return, do so at that time, and most of them are served then;
-// they do not make a second wave.
-func TestBurst(t *testing.T) {
+// A burst of ten times the arrivals for a minute. Refused callers retry at their
+// Retry-After, most of them are then served, and the retries do not form a second burst.
+func TestBurstRetries(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	figures := alone(t, "burst", 80)
+	figures := measureAlone(t, "burst", 80)
 	is.True(figures.Returned > 100)
 	is.True(figures.ReturnedAdmitted >= 0.85)
 	is.True(figures.InTime >= 0.98)
 	is.Equal(figures.LongInTime, 1.0)
 }
 
-// One customer sends seventy in a hundred requests, together more than the
-// fleet can do. The others hardly notice.
+// One customer sends 70 % of a load above the fleet's capacity. The other customers'
+// requests are hardly affected.
 func TestSkewedCustomers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	figures := of(t, "skewed", 130)
+	figures := measureCompared(t, "skewed", 130)
 	is.True(figures.OthersServed >= 0.95)
 	is.True(figures.Unfair <= 1.6)
 	var sum float64
 	for seed := range uint64(3) {
-		busy := measure(loadOf("skewed"), 80, policy, seed+1)
+		busy := measure(loadByName("skewed"), 80, testedPolicy, seed+1)
 		sum += busy.Unfair
 	}
 	is.True(sum/3 <= 1.25)
 }
 
-// One engine is five times slower than it says. Its work goes elsewhere, and
-// hardly a request is lost to it.
+// One engine is five times slower than it reports. Its work moves to other engines, and
+// hardly any request misses its deadline.
 func TestSlowEndpoint(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	figures := alone(t, "slow_endpoint", 80)
+	figures := measureAlone(t, "slow_endpoint", 80)
 	is.True(figures.Refused[peridotpath.CodeDeadline] <= 10)
 	is.True(figures.P99[peridotpath.Short] <= 1_000) // milliseconds
 	is.Equal(figures.LongInTime, 1.0)
 }
 
-// An engine fails everything at once, and a third of the engines dies: callers
-// see next to none of it, and retries stay below one in ten requests.
+// One engine fails every request immediately, or a third of the engines crash. Hardly any
+// caller gets an error, and retries stay below one in ten requests.
 func TestFailingEndpoints(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	for _, load := range []string{"fail_fast", "third_lost"} {
 		for _, offered := range OfferedPercents {
-			figures := alone(t, load, offered)
+			figures := measureAlone(t, load, offered)
 			is.True(figures.Amplification <= 1.1)
 			is.True(figures.Refused[peridotpath.CodeEndpointFailed] <= 10)
 		}
 	}
 }
 
-// Load reports are five seconds old. Between two of them an instance still
-// knows what it sent itself.
-func TestLateReports(t *testing.T) {
+// Load reports are five seconds old. An instance adds the requests that it sent since the
+// last one.
+func TestStaleReports(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	figures := of(t, "late_reports", 80)
+	figures := measureCompared(t, "late_reports", 80)
 	is.True(figures.ShortSlowdown <= 1.3)
 	is.Equal(figures.LongInTime, 1.0)
 }
 
-// The fake engine keeps to its memory and its order: a higher priority goes
-// first, and what does not fit waits.
+// The simulated engine keeps to its memory limit and serves a higher priority first. A job
+// that does not fit waits.
 func TestEngineKeepsMemoryAndPriority(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	clock := &clock{now: epoch}
-	engine := &engine{clock: clock, slow: 1}
+	engine := &engine{clock: clock, slowFactor: 1}
 	var order []string
 	submit := func(name string, priority int, prompt int64) {
 		engine.submit(&job{
-			work: &decide.Work{}, priority: priority, prompt: prompt, output: 2,
-			first: func() { order = append(order, name) },
-			ended: func(outcome decide.Outcome) { is.Equal(outcome, decide.Finished) },
+			work: &decide.Work{}, priority: priority, promptTokens: prompt, outputTokens: 2,
+			onFirstToken: func() { order = append(order, name) },
+			onEnd:        func(outcome decide.Outcome) { is.Equal(outcome, decide.Finished) },
 		})
-		is.True(engine.held <= engineKV)
+		is.True(engine.usedKV <= engineKV)
 	}
 	submit("volume", 0, 400_000)
 	submit("second volume", 0, 400_000)
 	submit("line", 8, 2_000)
-	clock.runUntil(epoch.Add(arrivalsTime))
+	clock.runUntil(epoch.Add(arrivalPeriod))
 	is.Equal(order, []string{"line", "volume", "second volume"})
-	is.Equal(engine.held, int64(0))
+	is.Equal(engine.usedKV, int64(0))
 }
--- a/measure/bench/policy.go
+++ b/measure/bench/policy.go
@@ -7,8 +7,7 @@
 	"peridotpath.example/peridotpath/decide"
 )
 
-// decider is one Instance's policy: the methods of decide.Scheduler as
-// functions.
+// decider is the policy of one Instance: the methods of decide.Scheduler as functions.
 type decider struct {
 	setEndpoints func(now time.Time, endpoints []peridotpath.Endpoint)
 	report       func(now time.Time, id peridotpath.EndpointID, load peridotpath.Load)
@@ -21,14 +20,15 @@
 	retry        func(now time.Time, work *decide.Work, last *peridotpath.Result) decide.Decision
 }
 
-// Policy makes the deciders of a fleet's instances.
+// Policy creates the deciders of a fleet's instances.
 type Policy struct {
 	Name string
-	// build returns a maker of deciders for one run; what they share lives in it.
+	// build returns the constructor of the deciders of one run, which holds their shared
+	// state.
 	build func(deployment Deployment, seed uint64) func(instance int) *decider
 }
 
-// Peridotpath is the policy under test, without the given mechanisms.
+// Peridotpath returns the policy under test with the given mechanisms disabled.
 func Peridotpath(name string, without decide.Mechanism) Policy {
 	return Policy{Name: name, build: func(deployment Deployment, seed uint64) func(int) *decider {
 		return func(instance int) *decider {
@@ -49,7 +49,7 @@
 	}}
 }
 
-// Baselines returns the simple policies.
+// Baselines returns the baseline policies.
 func Baselines() []Policy {
 	return []Policy{
 		{Name: "round_robin", build: roundRobin},
