--- a/measure/ablation/ablation.go
+++ b/measure/ablation/ablation.go
@@ -1,6 +1,7 @@
-// Package ablation measures what single mechanisms are worth: it switches each off
-// in a copy of the sources, by a patch, and has the users' bench play the same days
-// on both. Nothing of it is in a production build.
+// Package ablation measures the effect of single mechanisms in an ablation study: it
+// disables each one by a patch to a copy of the sources, runs the users' benchmark with
+// the same days and seeds on the patched and the unpatched copy, and compares the pairs.
+// Production builds do not include it.
 package ablation
 
 import (
@@ -20,17 +21,17 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("ablation")
 
-// Play is one day of one deployment with one seed.
+// Play is one run of the benchmark: a day of a deployment with a seed.
 type Play struct {
 	Site, Day, Seed string
 }
 
-// Result is what the bench reports of a play.
+// Result is the benchmark's report on a play.
 type Result struct {
-	// Worth is the day's, Unserved the share of requests that never got an answer.
+	// Worth is the score of the day, and Unserved the share of requests without an answer.
 	Worth    float64 `json:"G"`
 	Unserved float64 `json:"unserved"`
-	// Breaks are the rules that were broken, by name.
+	// Breaks are the violated rules, by name.
 	Breaks map[string]json.RawMessage `json:"breaks"`
 	All    struct {
 		Requests int `json:"n"`
@@ -39,16 +40,16 @@
 	} `json:"all"`
 }
 
-// Bench runs the users' program.
+// Bench runs the users' benchmark program.
 type Bench struct {
-	// Program is its path, Jobs how many days are played at once.
+	// Program is its path, and Jobs the number of concurrent runs.
 	Program string
 	Jobs    int
-	// Why is noted with each run.
+	// Why is the reason that the program records with each run.
 	Why string
 }
 
-// Build builds the sources in the folder, so that plays side by side need not.
+// Build builds the sources in the folder once, before concurrent runs.
 func (bench *Bench) Build(ctx context.Context, folder string) error {
 	command := exec.CommandContext(ctx, bench.Program, "build")
 	command.Dir = folder
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// Play plays all days on the sources in the folder. A play that was given up or
-// that failed has no result.
+// Play runs all plays on the sources in the folder. Plays that failed or were cancelled
+// have no result.
 func (bench *Bench) Play(ctx context.Context, folder string, plays []Play) (map[Play]*Result, error) {
 	reports, err := os.MkdirTemp("", "ablation")
 	if err != nil {
@@ -68,27 +69,27 @@
 	defer os.RemoveAll(reports)
 	results := make([]*Result, len(plays))
 	failures := make([]error, len(plays))
-	free := make(chan struct{}, max(bench.Jobs, 1))
-	var all sync.WaitGroup
+	slots := make(chan struct{}, max(bench.Jobs, 1))
+	var group sync.WaitGroup
 	for i, play := range plays {
-		all.Go(func() {
-			free <- struct{}{}
-			defer func() { <-free }()
+		group.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			report := filepath.Join(reports, filepath.Base(play.Site)+"."+play.Day+"."+play.Seed+".json")
-			results[i], failures[i] = bench.one(ctx, folder, report, play)
+			results[i], failures[i] = bench.playOne(ctx, folder, report, play)
 		})
 	}
-	all.Wait()
-	found := map[Play]*Result{}
+	group.Wait()
+	resultByPlay := map[Play]*Result{}
 	for i, play := range plays {
 		if results[i] != nil {
-			found[play] = results[i]
+			resultByPlay[play] = results[i]
 		}
 	}
-	return found, errors.Join(failures...)
+	return resultByPlay, errors.Join(failures...)
 }
 
-func (bench *Bench) one(ctx context.Context, folder, report string, play Play) (*Result, error) {
+func (bench *Bench) playOne(ctx context.Context, folder, report string, play Play) (*Result, error) {
 	command := exec.CommandContext(ctx, bench.Program, "run", play.Site, play.Day, "--seed", play.Seed, "--no-cpu",
 		"--report", report, "--why", bench.Why)
 	command.Dir = folder
@@ -104,7 +105,7 @@
 	return result, nil
 }
 
-// DecodeResult reads the report of a play, as JSON.
+// DecodeResult decodes the JSON report of a play.
 func DecodeResult(encoded []byte) (*Result, error) {
 	result := &Result{}
 	if err := json.Unmarshal(encoded, result); err != nil {
@@ -113,8 +114,8 @@
 	return result, nil
 }
 
-// Copy clones the repository into the folder and applies the patch; an empty patch
-// changes nothing.
+// Copy clones the repository into the folder and applies the patch, unless its path is
+// empty.
 func Copy(ctx context.Context, repository, folder, patch string) error {
 	clone := exec.CommandContext(ctx, "git", "clone", "--quiet", repository, folder)
 	if output, err := clone.CombinedOutput(); err != nil {
@@ -131,8 +132,8 @@
 	return nil
 }
 
-// KeepJournal copies the entries that plays left in a copy of the sources to the
-// repository: those of trials are kept as well.
+// KeepJournal copies the journal entries that plays wrote in a copy of the sources to the
+// repository. Existing entries are not overwritten.
 func KeepJournal(folder, repository string) error {
 	const journal = "journal"
 	entries := os.DirFS(filepath.Join(folder, journal))
@@ -155,21 +156,22 @@
 	})
 }
 
-// Difference is what a mechanism is worth on one deployment, from pairs of plays
-// with it and without it.
+// Difference is the effect of a mechanism on one deployment, from pairs of plays with and
+// without it.
 type Difference struct {
 	Pairs int
-	// Worth is the mean of worth with the mechanism less worth without, Error that
-	// mean's standard error.
+	// Worth is the mean of the worth with the mechanism minus the worth without it, and
+	// Error the standard error of that mean.
 	Worth, Error float64
-	// Unserved, Late and Refused are by how much the shares of requests are larger
-	// without it.
+	// Unserved, Late and Refused are the mean increases of the shares of requests
+	// without the mechanism.
 	Unserved, Late, Refused float64
-	// Breaks counts rules broken without it.
+	// Breaks counts the rules that are violated without it.
 	Breaks int
 }
 
-// Compare compares the plays of one site that both have.
+// Compare compares the plays of one site that have a result both with and without the
+// mechanism.
 func Compare(site string, with, without map[Play]*Result) Difference {
 	difference := Difference{}
 	var gains []float64
@@ -192,7 +194,7 @@
 	difference.Unserved /= count
 	difference.Late /= count
 	difference.Refused /= count
-	difference.Worth, difference.Error = meanError(gains)
+	difference.Worth, difference.Error = meanAndStandardError(gains)
 	return difference
 }
 
@@ -203,8 +205,8 @@
 	return float64(part) / float64(all)
 }
 
-// meanError returns the mean of the values and its standard error.
-func meanError(values []float64) (mean, failure float64) {
+// meanAndStandardError returns the mean of the values and its standard error.
+func meanAndStandardError(values []float64) (mean, standardError float64) {
 	count := float64(len(values))
 	for _, value := range values {
 		mean += value / count
--- a/measure/ablation/ablation_test.go
+++ b/measure/ablation/ablation_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// A patch that no longer fits the sources would leave its mechanism unmeasured.
+// The mechanism of a patch that no longer applies to the sources cannot be measured.
 func TestPatchesApply(t *testing.T) {
 	patches, err := filepath.Glob("patches/*.patch")
 	if err != nil || len(patches) == 0 {
--- a/measure/chart/chart.go
+++ b/measure/chart/chart.go
@@ -1,4 +1,5 @@
-// Package chart draws figures of the bench as SVG.
+// Package chart plots the figures of package bench as SVG: latency percentiles of each
+// policy by offered load, and the effect of leaving out each mechanism.
 package chart
 
 import (
@@ -22,12 +23,12 @@
 const (
 	width  = 9 * vg.Inch
 	height = 5 * vg.Inch
-	// legendRoom stretches the axis so that the legend covers no line.
-	legendRoom = 10
+	// legendHeadroom is the factor that extends the y axis so that the legend covers no line.
+	legendHeadroom = 10
 )
 
-// Latency draws, for one length class, the 95th percentile of the time to first
-// token against the offered load, a line for each policy.
+// Latency plots, for one length class, the 95th percentile of the time to first token
+// against the offered load, with a line for each policy.
 func Latency(folder string, class peridotpath.LengthClass, all []bench.Figures) error {
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("Time to first token, %s prompts, 95th percentile", class)
@@ -37,7 +38,7 @@
 	chart.Y.Tick.Marker = plot.LogTicks{Prec: -1}
 	chart.Legend.Top = true
 	chart.Legend.Left = true
-	names, lines := byPolicy(all, func(figures *bench.Figures) float64 { return figures.P95[class] })
+	names, lines := linesByPolicy(all, func(figures *bench.Figures) float64 { return figures.P95[class] })
 	var series []any
 	for _, name := range names {
 		series = append(series, name, lines[name])
@@ -45,12 +46,12 @@
 	if err := plotutil.AddLinePoints(chart, series...); err != nil {
 		return Error.Wrap(err)
 	}
-	chart.Y.Max *= legendRoom
+	chart.Y.Max *= legendHeadroom
 	return save(chart, folder, "ttft_"+class.String())
 }
 
-// byPolicy returns a line for each policy, and their names in order.
-func byPolicy(all []bench.Figures, value func(*bench.Figures) float64) ([]string, map[string]plotter.XYs) {
+// linesByPolicy returns the policies' names in order and the line of each.
+func linesByPolicy(all []bench.Figures, value func(*bench.Figures) float64) ([]string, map[string]plotter.XYs) {
 	var names []string
 	lines := map[string]plotter.XYs{}
 	for i := range all {
@@ -64,18 +65,18 @@
 	return names, lines
 }
 
-// labelSpace keeps labels clear of the axis where the viewer's font is wider
-// than the one that their space was reckoned with.
-var labelSpace = vg.Points(12)
+// labelPadding keeps labels clear of the axis if the viewer's font is wider than the one
+// that the layout was computed with.
+var labelPadding = vg.Points(12)
 
-// Effect is what one figure becomes without a mechanism.
+// Effect is a figure that is compared between ablations.
 type Effect struct {
 	Name  string
 	Title string
 	Value func(*bench.Figures) float64
 }
 
-// Effects are the figures that are drawn.
+// Effects returns the figures that are plotted.
 func Effects() []Effect {
 	return []Effect{
 		{"mechanism_short_p99", "Short prompts: time to first token, 99th percentile, milliseconds", func(figures *bench.Figures) float64 {
@@ -93,8 +94,8 @@
 	}
 }
 
-// Mechanisms draws one effect as bars: everything on, then each mechanism left
-// out, at one offered load.
+// Mechanisms plots one effect at one offered load as bars: all mechanisms on, then each
+// one left out in turn.
 func Mechanisms(folder string, effect Effect, offered int, all []bench.Figures) error {
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("Each mechanism left out in turn, at %d %% load", offered)
@@ -103,7 +104,7 @@
 	var values plotter.Values
 	for i := range all {
 		if all[i].Offered == offered {
-			names = append(names, label(all[i].Policy))
+			names = append(names, barLabel(all[i].Policy))
 			values = append(values, effect.Value(&all[i]))
 		}
 	}
@@ -115,16 +116,16 @@
 	bars.Color = plotutil.Color(2)
 	chart.Add(bars)
 	chart.NominalY(names...)
-	chart.Y.Padding = labelSpace
+	chart.Y.Padding = labelPadding
 	return save(chart, folder, effect.Name)
 }
 
-func label(policy string) string {
-	short, found := strings.CutPrefix(policy, "peridotpath_without_")
+func barLabel(policy string) string {
+	mechanism, found := strings.CutPrefix(policy, "peridotpath_without_")
 	if !found {
 		return "all on"
 	}
-	return short
+	return mechanism
 }
 
 func save(chart *plot.Plot, folder, name string) error {
--- a/measure/chart/chart_test.go
+++ b/measure/chart/chart_test.go
@@ -12,8 +12,8 @@
 	"peridotpath.example/peridotpath"
 )
 
-// The files are SVG and name what they compare.
-func TestChartsNameWhatTheyCompare(t *testing.T) {
+// The files are SVG and contain the names of the policies.
+func TestChartsLabelPolicies(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
 	all := []bench.Figures{
@@ -26,9 +26,9 @@
 	effect := Effects()[0]
 	is.NoErr(Mechanisms(folder, effect, 80, all))
 	for name, want := range map[string]string{"ttft_short": ">round_robin<", effect.Name: ">memory<"} {
-		drawn, err := os.ReadFile(filepath.Join(folder, name+".svg"))
+		svg, err := os.ReadFile(filepath.Join(folder, name+".svg"))
 		is.NoErr(err)
-		is.True(strings.Contains(string(drawn), "<svg"))
-		is.True(strings.Contains(string(drawn), want))
+		is.True(strings.Contains(string(svg), "<svg"))
+		is.True(strings.Contains(string(svg), want))
 	}
 }
