--- a/measure/ablation.go
+++ b/measure/ablation.go
@@ -21,7 +21,7 @@
 
 `
 
-// ablationCommand measures what single mechanisms are worth.
+// ablationCommand measures the effect of single mechanisms.
 type ablationCommand struct {
 	bench       ablation.Bench
 	repository  string
@@ -64,18 +64,18 @@
 }
 
 func (command *ablationCommand) run(ctx context.Context, names []string) error {
-	patches, err := command.find(names)
+	patches, err := command.findPatches(names)
 	if err != nil {
 		return err
 	}
-	with, err := command.play(ctx, "")
+	with, err := command.playDays(ctx, "")
 	if err != nil {
 		return err
 	}
 	fmt.Println("| mechanism | deployment | pairs | worth | error | late | refused | never served | rules broken without |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|")
 	for _, patch := range patches {
-		without, err := command.play(ctx, patch)
+		without, err := command.playDays(ctx, patch)
 		if err != nil {
 			return err
 		}
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// find returns the patches with those names, by absolute path; all without names.
-func (command *ablationCommand) find(names []string) ([]string, error) {
+// findPatches returns the absolute paths of the named patches, or of all if names is empty.
+func (command *ablationCommand) findPatches(names []string) ([]string, error) {
 	folder, err := filepath.Abs(command.patches)
 	if err != nil {
 		return nil, err
@@ -106,8 +106,8 @@
 	return patches, nil
 }
 
-// play plays all days on a copy of the sources with the patch.
-func (command *ablationCommand) play(ctx context.Context, patch string) (map[ablation.Play]*ablation.Result, error) {
+// playDays runs all days on a copy of the sources with the patch applied.
+func (command *ablationCommand) playDays(ctx context.Context, patch string) (map[ablation.Play]*ablation.Result, error) {
 	folder, err := os.MkdirTemp("", "sources")
 	if err != nil {
 		return nil, err
--- a/measure/figures.go
+++ b/measure/figures.go
@@ -44,7 +44,7 @@
 	for _, comparison := range bench.Comparisons() {
 		comparison.Seed = command.seed
 		comparison.Parallel = command.parallel
-		command.narrow(&comparison)
+		command.filter(&comparison)
 		all, err := comparison.Run(ctx)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
@@ -57,20 +57,20 @@
 	return subcommands.ExitSuccess
 }
 
-// narrow keeps what the flags name.
-func (command *figuresCommand) narrow(comparison *bench.Comparison) {
+// filter restricts the comparison to the loads and policies that the flags name.
+func (command *figuresCommand) filter(comparison *bench.Comparison) {
 	if command.offered > 0 {
 		comparison.Offered = []int{command.offered}
 	}
 	var loads []bench.Load
 	for _, load := range comparison.Loads {
-		if named(command.loads, load.Name) {
+		if isListed(command.loads, load.Name) {
 			loads = append(loads, load)
 		}
 	}
 	var policies []bench.Policy
 	for _, policy := range comparison.Policies {
-		if named(command.policies, policy.Name) {
+		if isListed(command.policies, policy.Name) {
 			policies = append(policies, policy)
 		}
 	}
@@ -78,7 +78,7 @@
 	comparison.Policies = policies
 }
 
-func named(list, name string) bool {
+func isListed(list, name string) bool {
 	if list == "" {
 		return true
 	}
--- a/measure/joint.go
+++ b/measure/joint.go
@@ -11,7 +11,8 @@
 	"peridotpath.example/measure/bench"
 )
 
-// jointCommand compares instances that decide jointly with one that knows all.
+// jointCommand compares many instances with partial knowledge of each other's requests
+// with one that knows all requests.
 type jointCommand struct {
 	offered  int
 	seed     uint64
--- a/measure/main.go
+++ b/measure/main.go
@@ -1,5 +1,6 @@
-// Command measure compares the decisions under load with simple policies, on
-// a fake fleet and a fake clock.
+// Command measure compares the scheduler's placement and admission control with baseline
+// load-balancing policies in a discrete-event simulation, and measures the effect of each
+// mechanism by ablation.
 package main
 
 import (
--- a/measure/plots.go
+++ b/measure/plots.go
@@ -13,10 +13,10 @@
 	"peridotpath.example/peridotpath"
 )
 
-// mechanismLoad is the offered load, in percent, at which mechanisms are drawn.
-const mechanismLoad = 130
+// mechanismOfferedPercent is the offered load of the plots that compare mechanisms.
+const mechanismOfferedPercent = 130
 
-// plotsCommand draws the mixed load.
+// plotsCommand plots the figures of the mixed load.
 type plotsCommand struct {
 	folder   string
 	seed     uint64
@@ -41,19 +41,19 @@
 
 // Execute implements subcommands.Command.
 func (command *plotsCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	if err := command.draw(ctx); err != nil {
+	if err := command.drawAll(ctx); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-func (command *plotsCommand) draw(ctx context.Context) error {
+func (command *plotsCommand) drawAll(ctx context.Context) error {
 	if err := os.MkdirAll(command.folder, 0o755); err != nil {
 		return err
 	}
-	ours := bench.Peridotpath("peridotpath", 0)
-	policies, err := command.mixed(ctx, append(bench.Baselines(), ours))
+	tested := bench.Peridotpath("peridotpath", 0)
+	policies, err := command.runMixedLoad(ctx, append(bench.Baselines(), tested))
 	if err != nil {
 		return err
 	}
@@ -62,20 +62,20 @@
 			return err
 		}
 	}
-	mechanisms, err := command.mixed(ctx, append([]bench.Policy{ours}, bench.Ablations()...))
+	mechanisms, err := command.runMixedLoad(ctx, append([]bench.Policy{tested}, bench.Ablations()...))
 	if err != nil {
 		return err
 	}
 	for _, effect := range chart.Effects() {
-		if err := chart.Mechanisms(command.folder, effect, mechanismLoad, mechanisms); err != nil {
+		if err := chart.Mechanisms(command.folder, effect, mechanismOfferedPercent, mechanisms); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// mixed runs policies under the mixed load.
-func (command *plotsCommand) mixed(ctx context.Context, policies []bench.Policy) ([]bench.Figures, error) {
+// runMixedLoad runs policies under the mixed load.
+func (command *plotsCommand) runMixedLoad(ctx context.Context, policies []bench.Policy) ([]bench.Figures, error) {
 	comparison := &bench.Comparison{
 		Loads: bench.Loads()[:1], Offered: bench.OfferedPercents, Policies: policies,
 		Seed: command.seed, Parallel: command.parallel,
