--- a/standin/load/audit.go
+++ b/standin/load/audit.go
@@ -9,68 +9,67 @@
 	"peridotpath.example/peridotpath/engine"
 )
 
-// counts adds up what the endpoints ran, by request.
-func counts(ctx context.Context, target *Target) (map[string]engine.Count, error) {
-	sum := map[string]engine.Count{}
+// fetchCounts returns the endpoints' counts of runs, summed up by request ID.
+func fetchCounts(ctx context.Context, target *Target) (map[string]engine.Count, error) {
+	totals := map[string]engine.Count{}
 	for _, address := range target.Endpoints {
-		counted, err := countsOf(ctx, target, address)
+		counts, err := fetchEndpointCounts(ctx, target, address)
 		if err != nil {
 			return nil, fmt.Errorf("counts of %s: %w", address, err)
 		}
-		for id, one := range counted.Requests {
-			total := sum[id]
-			total.Runs += one.Runs
-			total.Finished += one.Finished
-			total.Cancelled += one.Cancelled
-			total.Refused += one.Refused
-			sum[id] = total
+		for id, count := range counts.Requests {
+			total := totals[id]
+			total.Runs += count.Runs
+			total.Finished += count.Finished
+			total.Cancelled += count.Cancelled
+			total.Refused += count.Refused
+			totals[id] = total
 		}
 	}
-	return sum, nil
+	return totals, nil
 }
 
-func countsOf(ctx context.Context, target *Target, address netip.AddrPort) (*engine.Counts, error) {
+func fetchEndpointCounts(ctx context.Context, target *Target, address netip.AddrPort) (*engine.Counts, error) {
 	response, err := target.get(ctx, address, engine.PathCounts)
 	if err != nil {
 		return nil, err
 	}
 	defer response.Body.Close()
-	counted := &engine.Counts{}
-	return counted, json.NewDecoder(response.Body).Decode(counted)
+	counts := &engine.Counts{}
+	return counts, json.NewDecoder(response.Body).Decode(counts)
 }
 
-// Audit holds what callers were told against what the endpoints did.
+// Audit counts the requests whose replies contradict what the endpoints ran.
 type Audit struct {
-	// Lost had neither an answer nor a failure within their time.
+	// Lost got neither an answer nor an error by their deadline.
 	Lost int
-	// Twice are not idempotent and ran more than once.
+	// Twice are not idempotent, and ran more than once.
 	Twice int
-	// CutOff began to be answered and broke off for good.
+	// CutOff got a part of an answer that broke off and could not be resumed.
 	CutOff int
-	// Wrong got an answer that was not whole or not their own.
+	// Wrong got an incomplete answer or that of another request.
 	Wrong int
-	// NotRunButRan were told in each of their copies only that they were not run,
-	// and ran.
+	// NotRunButRan ran, although the replies to all copies report that they did not.
 	NotRunButRan int
-	// Unfinished were answered though no endpoint finished them.
+	// Unfinished got an answer, although no endpoint finished them.
 	Unfinished int
-	// Unknown were told that they may have run; no fault, if it is the truth.
+	// Unknown got a reply that they may have run, which is not a fault.
 	Unknown int
 }
 
-// Clean reports whether nothing is held against the system.
+// Clean reports whether the audit found no fault.
 func (audit *Audit) Clean() bool {
 	return audit.Lost+audit.Twice+audit.CutOff+audit.Wrong+audit.NotRunButRan+audit.Unfinished == 0
 }
 
-func auditOf(endings []*ending, counted map[string]engine.Count) *Audit {
+func newAudit(results []*result, counts map[string]engine.Count) *Audit {
 	audit := &Audit{}
-	toldNotRun := map[string]bool{}
-	for _, ending := range endings {
-		told, seen := toldNotRun[ending.request.id]
-		toldNotRun[ending.request.id] = ending.onlyNotRun && (told || !seen)
-		count := counted[ending.request.id]
-		switch ending.verdict {
+	reportedNotRun := map[string]bool{}
+	for _, result := range results {
+		notRun, seen := reportedNotRun[result.request.id]
+		reportedNotRun[result.request.id] = result.onlyNotRun && (notRun || !seen)
+		count := counts[result.request.id]
+		switch result.verdict {
 		case lost:
 			audit.Lost++
 		case cutOff:
@@ -84,12 +83,12 @@
 				audit.Unfinished++
 			}
 		}
-		if !ending.request.work.Idempotent && count.Runs > 1 {
+		if !result.request.work.Idempotent && count.Runs > 1 {
 			audit.Twice++
 		}
 	}
-	for id, told := range toldNotRun {
-		if told && counted[id].Runs > 0 {
+	for id, notRun := range reportedNotRun {
+		if notRun && counts[id].Runs > 0 {
 			audit.NotRunButRan++
 		}
 	}
--- a/standin/load/balancer.go
+++ b/standin/load/balancer.go
@@ -14,8 +14,8 @@
 	probeTimeout  = time.Second
 )
 
-// balancer plays the platform's: round robin over the instances whose ready
-// probe answered last time.
+// balancer simulates the platform's load balancer: round robin over the instances whose
+// last readiness probe succeeded.
 type balancer struct {
 	target *Target
 	ready  []atomic.Bool
@@ -26,7 +26,7 @@
 	return &balancer{target: target, ready: make([]atomic.Bool, len(target.Instances))}
 }
 
-// run probes until ctx ends.
+// run probes all instances every probeInterval until ctx ends.
 func (balancer *balancer) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		balancer.probeAll(ctx)
@@ -77,8 +77,8 @@
 	}
 }
 
-// pick returns the next ready instance, other than the one to avoid if there is
-// another; without any ready one it returns the next of all.
+// pick returns the next ready instance, and one other than avoid if possible. If none is
+// ready, it returns the next of all instances.
 func (balancer *balancer) pick(avoid netip.AddrPort) netip.AddrPort {
 	count := uint64(len(balancer.target.Instances))
 	start := balancer.next.Add(1)
--- a/standin/load/call.go
+++ b/standin/load/call.go
@@ -20,132 +20,133 @@
 )
 
 const (
-	// patience is how much later than its time an answer may come: the way to
-	// the caller and the scheduling of a busy machine.
-	patience = 5 * time.Second
-	// brokenPause is the wait before a caller goes to another instance.
-	brokenPause = 50 * time.Millisecond
-	// longestWait bounds what is waited on a Retry-After.
-	longestWait = 5 * time.Second
-	maxTries    = 40
-	// keyRunning says that another instance runs a request with the same key.
+	// replyGrace is the time after the deadline in which a reply still counts. It allows
+	// for network latency and scheduling delays on a busy machine.
+	replyGrace = 5 * time.Second
+	// reconnectDelay is the pause after a broken connection before the next attempt.
+	reconnectDelay = 50 * time.Millisecond
+	// maxRetryAfter bounds the pause that a refusal asks for.
+	maxRetryAfter = 5 * time.Second
+	maxAttempts   = 40
+	// keyRunning is the error code for a key whose request still runs on another instance.
 	keyRunning = "key_running"
 )
 
-// verdict is how a request ended for its caller.
+// verdict is the final outcome of a request for its caller.
 type verdict string
 
 const (
-	// answered: the whole answer, and its own.
+	// answered: the complete answer to this request.
 	answered verdict = "answered"
-	// refused: told that it was not run, until its time was over.
+	// refused: every reply until the deadline reports that it was not run.
 	refused verdict = "refused"
-	// failed: told that it failed, with a code.
+	// failed: an error with a code.
 	failed verdict = "failed"
-	// unknown: told that it may have run, or not sent again for that reason.
+	// unknown: it may have run, according to the reply or because the connection broke
+	// and a retry is not safe.
 	unknown verdict = "unknown"
-	// lost: neither an answer nor a failure came within its time.
+	// lost: neither an answer nor an error by the deadline.
 	lost verdict = "lost"
-	// cutOff: the answer began and broke off for good.
+	// cutOff: the answer broke off and could not be resumed.
 	cutOff verdict = "cut_off"
-	// wrong: an answer that is not whole or not its own.
+	// wrong: an incomplete answer or that of another request.
 	wrong verdict = "wrong"
 )
 
-// ending is a request's end, with what the caller saw on the way.
-type ending struct {
+// result is the outcome of a request, with statistics of its attempts.
+type result struct {
 	request *request
 	verdict verdict
-	// code names the last failure.
+	// code is the error code of the last attempt.
 	code string
-	// refusals counts the codes of answers that said "not run".
+	// refusals counts the replies that report "not run", by code.
 	refusals map[string]int
-	// onlyNotRun says that no try may have run, as far as the caller was told.
-	onlyNotRun bool
-	resumed    int
-	broken     int
-	firstToken time.Duration
-	total      time.Duration
+	// onlyNotRun is true while no attempt may have run, according to the replies.
+	onlyNotRun        bool
+	resumptions       int
+	brokenConnections int
+	firstToken        time.Duration
+	total             time.Duration
 }
 
-// try is what one call came to.
-type try struct {
-	verdict verdict
-	code    string
-	wait    time.Duration
-	// broke says that the connection ended before the answer did; sent that the
-	// call may have arrived.
-	broke bool
-	sent  bool
+// attempt is the outcome of one HTTP call.
+type attempt struct {
+	verdict    verdict
+	code       string
+	retryAfter time.Duration
+	// connectionBroke is true if the connection ended before the answer did, and
+	// mayHaveArrived if an instance may have received the call.
+	connectionBroke bool
+	mayHaveArrived  bool
 }
 
-// call is one request while it runs.
+// call is a request in flight, with all its attempts.
 type call struct {
-	*ending
-	balancer    *balancer
-	repeatKeyed bool
-	body        []byte
-	want        string
-	began       time.Time
-	// text is the part of the answer that is there, last the id of its last event.
-	text strings.Builder
-	last string
+	*result
+	balancer       *balancer
+	retriesKeyed   bool
+	body           []byte
+	expectedAnswer string
+	startedAt      time.Time
+	// received is the received part of the answer, and lastEventID the ID of its last event.
+	received    strings.Builder
+	lastEventID string
 }
 
-// do sends the request until it ends one way or another.
-func do(ctx context.Context, balancer *balancer, request *request, repeatKeyed bool) *ending {
-	call := &call{repeatKeyed: repeatKeyed, ending: &ending{request: request, refusals: map[string]int{}, onlyNotRun: true}, balancer: balancer, began: time.Now()}
-	sent, err := request.body()
+// runRequest sends a request, with retries, and returns its result.
+func runRequest(ctx context.Context, balancer *balancer, request *request, retriesKeyed bool) *result {
+	call := &call{retriesKeyed: retriesKeyed, result: &result{request: request, refusals: map[string]int{}, onlyNotRun: true}, balancer: balancer, startedAt: time.Now()}
+	body, err := request.body()
 	if err != nil {
 		call.verdict, call.code = lost, err.Error()
-		return call.ending
+		return call.result
 	}
-	call.body, call.want = sent, request.want(sent)
-	ctx, cancel := context.WithTimeout(ctx, request.work.DeadlineMS.Duration()+patience)
+	call.body, call.expectedAnswer = body, request.expectedAnswer(body)
+	ctx, cancel := context.WithTimeout(ctx, request.work.DeadlineMS.Duration()+replyGrace)
 	defer cancel()
-	call.run(ctx)
-	call.total = time.Since(call.began)
-	return call.ending
+	call.attemptUntilDone(ctx)
+	call.total = time.Since(call.startedAt)
+	return call.result
 }
 
-func (call *call) run(ctx context.Context) {
+func (call *call) attemptUntilDone(ctx context.Context) {
 	instance := netip.AddrPort{}
-	for range maxTries {
+	for range maxAttempts {
 		instance = call.balancer.pick(instance)
-		try := call.try(ctx, instance)
-		call.verdict, call.code = try.verdict, try.code
-		if try.verdict == refused {
-			call.refusals[try.code]++
-		} else if try.sent {
+		attempt := call.attempt(ctx, instance)
+		call.verdict, call.code = attempt.verdict, attempt.code
+		if attempt.verdict == refused {
+			call.refusals[attempt.code]++
+		} else if attempt.mayHaveArrived {
 			call.onlyNotRun = false
 		}
-		if try.broke {
-			call.broken++
+		if attempt.connectionBroke {
+			call.brokenConnections++
 		}
-		if !call.again(try) || !pause(ctx, try.wait) {
+		if !call.shouldRetry(attempt) || !sleep(ctx, attempt.retryAfter) {
 			return
 		}
 	}
 }
 
-// again says whether the caller tries once more. A refusal may be repeated when
-// it says when; a call without an answer if it is idempotent, if it certainly
-// never arrived, or if its key keeps it from running twice.
-func (call *call) again(try try) bool {
-	over := time.Since(call.began)+try.wait >= call.request.work.DeadlineMS.Duration()
+// shouldRetry reports whether the caller retries. It retries a refusal with a retry time,
+// and a call with a broken connection if the request is idempotent, if the call certainly
+// did not arrive, or if its idempotency key prevents a second run.
+func (call *call) shouldRetry(attempt attempt) bool {
+	isPastDeadline := time.Since(call.startedAt)+attempt.retryAfter >= call.request.work.DeadlineMS.Duration()
 	switch {
-	case over:
+	case isPastDeadline:
 		return false
-	case try.verdict == refused || try.code == keyRunning:
-		return try.wait > 0
-	case !try.broke:
+	case attempt.verdict == refused || attempt.code == keyRunning:
+		return attempt.retryAfter > 0
+	case !attempt.connectionBroke:
 		return false
 	default:
-		return call.request.work.Idempotent || !try.sent || call.repeatKeyed
+		return call.request.work.Idempotent || !attempt.mayHaveArrived || call.retriesKeyed
 	}
 }
 
-func pause(ctx context.Context, span time.Duration) bool {
+func sleep(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-time.After(span):
 		return true
@@ -154,148 +155,148 @@
 	}
 }
 
-// onceReader keeps the transport from sending a body again by itself.
-type onceReader struct{ io.Reader }
+// singleUseReader hides the type of the body, so that the HTTP transport cannot replay it.
+type singleUseReader struct{ io.Reader }
 
-func (call *call) prepare(ctx context.Context, instance netip.AddrPort) (*http.Request, error) {
+func (call *call) newHTTPRequest(ctx context.Context, instance netip.AddrPort) (*http.Request, error) {
 	work := call.request.work
 	path := work.Path
 	if work.Plain {
 		path = caller.ServicePrefix + string(work.Profile) + path
 	}
-	made, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+instance.String()+path, onceReader{bytes.NewReader(call.body)})
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+instance.String()+path, singleUseReader{bytes.NewReader(call.body)})
 	if err != nil {
 		return nil, err
 	}
-	made.ContentLength = int64(len(call.body))
-	made.Header.Set("Authorization", "Bearer "+call.request.key)
-	made.Header.Set("Content-Type", "application/json")
-	made.Header.Set(caller.HeaderRequestID, call.request.id)
-	left := work.DeadlineMS.Duration() - time.Since(call.began)
-	made.Header.Set(caller.HeaderDeadlineMS, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+	httpRequest.ContentLength = int64(len(call.body))
+	httpRequest.Header.Set("Authorization", "Bearer "+call.request.key)
+	httpRequest.Header.Set("Content-Type", "application/json")
+	httpRequest.Header.Set(caller.HeaderRequestID, call.request.id)
+	remaining := work.DeadlineMS.Duration() - time.Since(call.startedAt)
+	httpRequest.Header.Set(caller.HeaderDeadlineMS, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 	if !work.Idempotent {
-		made.Header.Set(caller.HeaderIdempotencyKey, call.request.id)
+		httpRequest.Header.Set(caller.HeaderIdempotencyKey, call.request.id)
 	}
-	if call.last != "" {
-		made.Header.Set(caller.HeaderLastEventID, call.last)
+	if call.lastEventID != "" {
+		httpRequest.Header.Set(caller.HeaderLastEventID, call.lastEventID)
 	}
-	return made, nil
+	return httpRequest, nil
 }
 
-// try makes one call.
-func (call *call) try(ctx context.Context, instance netip.AddrPort) try {
-	made, err := call.prepare(ctx, instance)
+// attempt makes one HTTP call.
+func (call *call) attempt(ctx context.Context, instance netip.AddrPort) attempt {
+	httpRequest, err := call.newHTTPRequest(ctx, instance)
 	if err != nil {
-		return try{verdict: lost, code: err.Error()}
+		return attempt{verdict: lost, code: err.Error()}
 	}
-	if call.last != "" {
-		call.resumed++
+	if call.lastEventID != "" {
+		call.resumptions++
 	}
-	response, err := call.balancer.target.do(made)
+	response, err := call.balancer.target.do(httpRequest)
 	if err != nil {
-		return call.broke(ctx, err, !outbound.ErrNotSent.Has(err))
+		return call.classifyBroken(ctx, err, !outbound.ErrNotSent.Has(err))
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return call.failure(ctx, response)
+		return call.readFailure(ctx, response)
 	}
 	if call.request.stream {
 		return call.readStream(ctx, response)
 	}
-	return call.readWhole(ctx, response)
+	return call.readAnswer(ctx, response)
 }
 
-// broke sorts a call whose connection ended early.
-func (call *call) broke(ctx context.Context, err error, sent bool) try {
-	result := try{verdict: lost, code: "connection", wait: brokenPause, broke: true, sent: sent}
+// classifyBroken returns the outcome of a call whose connection broke.
+func (call *call) classifyBroken(ctx context.Context, err error, mayHaveArrived bool) attempt {
+	result := attempt{verdict: lost, code: "connection", retryAfter: reconnectDelay, connectionBroke: true, mayHaveArrived: mayHaveArrived}
 	switch {
 	case ctx.Err() != nil:
-		return try{verdict: lost, code: "no answer in time", sent: sent}
-	case call.last != "":
+		return attempt{verdict: lost, code: "no answer in time", mayHaveArrived: mayHaveArrived}
+	case call.lastEventID != "":
 		result.verdict = cutOff
-	case sent && !call.request.work.Idempotent:
-		// The key makes it safe to ask again: it runs once at most.
+	case mayHaveArrived && !call.request.work.Idempotent:
+		// The idempotency key makes a retry safe: the request runs at most once.
 		result.verdict = unknown
 	}
 	if errors.Is(err, context.Canceled) {
-		result.broke = false
+		result.connectionBroke = false
 	}
 	return result
 }
 
-// errUnframed is the class of answers that are not what the interface says.
-var errUnframed = errs.Class("load: not an error object")
+// errMalformed is the class of replies that violate the interface.
+var errMalformed = errs.Class("load: not an error object")
 
-func (call *call) failure(ctx context.Context, response *http.Response) try {
+func (call *call) readFailure(ctx context.Context, response *http.Response) attempt {
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return call.broke(ctx, err, true)
+		return call.classifyBroken(ctx, err, true)
 	}
-	return call.failureOf(text)
+	return call.classifyFailure(text)
 }
 
-// failureOf sorts an error object.
-func (call *call) failureOf(text []byte) try {
+// classifyFailure returns the outcome of a call with an error object.
+func (call *call) classifyFailure(text []byte) attempt {
 	fields := gjson.GetManyBytes(text, "error.code", "error.not_run", "error.retry_after_ms")
-	code, wait := fields[0].String(), min(time.Duration(fields[2].Int())*time.Millisecond, longestWait)
+	code, wait := fields[0].String(), min(time.Duration(fields[2].Int())*time.Millisecond, maxRetryAfter)
 	switch {
 	case code == "":
-		return try{verdict: wrong, code: errUnframed.New("%.80q", text).Error(), sent: true}
-	case fields[1].Bool() && call.last == "":
-		return try{verdict: refused, code: code, wait: wait}
+		return attempt{verdict: wrong, code: errMalformed.New("%.80q", text).Error(), mayHaveArrived: true}
+	case fields[1].Bool() && call.lastEventID == "":
+		return attempt{verdict: refused, code: code, retryAfter: wait}
 	case code == keyRunning:
-		return try{verdict: unknown, code: code, wait: wait, sent: true}
+		return attempt{verdict: unknown, code: code, retryAfter: wait, mayHaveArrived: true}
 	case code == "outcome_unknown" || code == "answer_gone":
-		return try{verdict: unknown, code: code, sent: true}
-	case call.last != "":
-		return try{verdict: cutOff, code: code, sent: true}
+		return attempt{verdict: unknown, code: code, mayHaveArrived: true}
+	case call.lastEventID != "":
+		return attempt{verdict: cutOff, code: code, mayHaveArrived: true}
 	default:
-		return try{verdict: failed, code: code, sent: true}
+		return attempt{verdict: failed, code: code, mayHaveArrived: true}
 	}
 }
 
-func (call *call) readWhole(ctx context.Context, response *http.Response) try {
+func (call *call) readAnswer(ctx context.Context, response *http.Response) attempt {
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return call.broke(ctx, err, true)
+		return call.classifyBroken(ctx, err, true)
 	}
 	fields := gjson.GetManyBytes(text, "choices.0.text", "choices.0.message.content", "body")
-	got := fields[0].String() + fields[1].String()
+	answer := fields[0].String() + fields[1].String()
 	if call.request.work.Plain {
-		got = fields[2].String()
+		answer = fields[2].String()
 	}
-	return call.check(got)
+	return call.checkAnswer(answer)
 }
 
-func (call *call) check(got string) try {
-	if got != call.want {
-		return try{verdict: wrong, code: "answer has " + strconv.Itoa(len(got)) + " bytes of " + strconv.Itoa(len(call.want)), sent: true}
+func (call *call) checkAnswer(answer string) attempt {
+	if answer != call.expectedAnswer {
+		return attempt{verdict: wrong, code: "answer has " + strconv.Itoa(len(answer)) + " bytes of " + strconv.Itoa(len(call.expectedAnswer)), mayHaveArrived: true}
 	}
-	return try{verdict: answered, sent: true}
+	return attempt{verdict: answered, mayHaveArrived: true}
 }
 
-// readStream reads events until the end mark. What is there is kept, so that a
-// stream that breaks off is resumed after its last event.
-func (call *call) readStream(ctx context.Context, response *http.Response) try {
-	events := readEvents(response.Body)
+// readStream reads events until the end mark. It keeps the received part, so that the next
+// attempt resumes a broken stream after its last event.
+func (call *call) readStream(ctx context.Context, response *http.Response) attempt {
+	events := newEventReader(response.Body)
 	for {
 		event, err := events.next()
 		if err != nil {
-			return call.broke(ctx, err, true)
+			return call.classifyBroken(ctx, err, true)
 		}
 		if event.kind == "error" {
-			return call.failureOf(event.data)
+			return call.classifyFailure(event.data)
 		}
 		if string(event.data) == engine.Done {
-			return call.check(call.text.String())
+			return call.checkAnswer(call.received.String())
 		}
-		part := gjson.GetBytes(event.data, "choices.0.text").String() + gjson.GetBytes(event.data, "choices.0.delta.content").String()
-		if part != "" && call.firstToken == 0 {
-			call.firstToken = time.Since(call.began)
+		text := gjson.GetBytes(event.data, "choices.0.text").String() + gjson.GetBytes(event.data, "choices.0.delta.content").String()
+		if text != "" && call.firstToken == 0 {
+			call.firstToken = time.Since(call.startedAt)
 		}
-		call.text.WriteString(part)
+		call.received.WriteString(text)
 		if event.id != "" {
-			call.last = event.id
+			call.lastEventID = event.id
 		}
 	}
 }
--- a/standin/load/events.go
+++ b/standin/load/events.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	eventBuffer = 16 << 10
-	maxLine     = 4 << 20
+	initialBufferBytes = 16 << 10
+	maxLineBytes       = 4 << 20
 )
 
-// event is one server-sent event as a caller sees it.
+// event is a server-sent event.
 type event struct {
 	id   string
 	kind string
 	data []byte
 }
 
-// events reads server-sent events.
-type events struct {
+// eventReader parses a stream of server-sent events.
+type eventReader struct {
 	scanner *bufio.Scanner
 }
 
-func readEvents(stream io.Reader) *events {
+func newEventReader(stream io.Reader) *eventReader {
 	scanner := bufio.NewScanner(stream)
-	scanner.Buffer(make([]byte, eventBuffer), maxLine)
-	return &events{scanner}
+	scanner.Buffer(make([]byte, initialBufferBytes), maxLineBytes)
+	return &eventReader{scanner}
 }
 
-// next returns the next event; one that the end cuts off is dropped.
-func (events *events) next() (event, error) {
+// next returns the next event. It drops an incomplete one at the end of the stream.
+func (events *eventReader) next() (event, error) {
 	var next event
 	for events.scanner.Scan() {
 		line := events.scanner.Bytes()
--- a/standin/load/plan.go
+++ b/standin/load/plan.go
@@ -1,7 +1,7 @@
-// Package load plays callers: a seeded mix of prompts and calls to plain
-// services against several instances, with the retries and resumptions of a
-// well-behaved client. It checks that each answer is whole and its caller's
-// own, and holds the system to what the endpoints counted.
+// Package load is an open-loop load generator. It sends a seeded mix of prompts and calls
+// to plain services to several instances with Poisson arrivals, with the retries and stream
+// resumptions of a well-behaved client. It checks that each answer is complete and belongs
+// to its request, and audits the replies against the runs that the endpoints counted.
 package load
 
 import (
@@ -15,58 +15,59 @@
 	"peridotpath.example/peridotpath/strictjson"
 )
 
-// Plan says what is sent.
+// Plan describes the load.
 type Plan struct {
-	// Seed decides arrivals and prompts; the same seed sends the same.
+	// Seed determines arrivals and prompts.
 	Seed uint64 `json:"seed"`
-	// Requests is how many are sent in all.
+	// Requests is the number of requests.
 	Requests int `json:"requests"`
 	// RatePerS is the mean rate of arrivals.
 	RatePerS float64 `json:"rate_per_s"`
-	// EngineHolds is the KV memory of the fleet's largest engine, from which on a
-	// prompt is reported as oversize.
+	// EngineHolds is the KV memory of the fleet's largest engine. Longer prompts are
+	// reported as oversize.
 	EngineHolds peridotpath.Tokens `json:"engine_holds_tokens"`
-	// Keys are the callers' API keys, one drawn for each request.
+	// Keys are the callers' API keys. Each request uses a random one.
 	Keys []string `json:"keys"`
-	// RepeatKeyed says that a keyed call whose answer was lost is sent again.
+	// RepeatKeyed enables retries of calls with an idempotency key after a broken
+	// connection.
 	RepeatKeyed bool `json:"repeat_keyed"`
-	// Work lists the kinds of request.
+	// Work are the kinds of request.
 	Work []Work `json:"work"`
 }
 
 // Work is one kind of request.
 type Work struct {
 	Name string `json:"name"`
-	// Share is its part of all requests, against the sum of all shares.
+	// Share is its weight among all requests, relative to the sum of all shares.
 	Share   int                     `json:"share"`
 	Profile peridotpath.ProfileName `json:"profile"`
-	// Path is a completion path, or with Plain what comes after the profile.
+	// Path is a completion path, or for a plain service the path after the profile.
 	Path string `json:"path"`
-	// Plain says that it goes to a plain service.
+	// Plain marks calls to a plain service.
 	Plain bool `json:"plain,omitempty"`
-	// Idempotent work may be sent again when no answer came. Other work carries
+	// Idempotent requests may be retried after a broken connection. Other requests carry
 	// an Idempotency-Key.
 	Idempotent bool `json:"idempotent"`
-	// MinTokens and MaxTokens bound the length; a plain call's body has four
-	// bytes a token.
+	// MinTokens and MaxTokens bound the length. The body of a call to a plain service has
+	// four bytes per token.
 	MinTokens peridotpath.Tokens `json:"min_tokens"`
 	MaxTokens peridotpath.Tokens `json:"max_tokens"`
 	// OutputTokens is the length of the answer.
 	OutputTokens peridotpath.Tokens `json:"output_tokens,omitempty"`
-	// StreamPercent is how many in a hundred are streamed.
+	// StreamPercent is the percentage of streamed requests.
 	StreamPercent int `json:"stream_percent,omitempty"`
-	// SharedPercent is how many in a hundred begin with the same half.
+	// SharedPercent is the percentage of requests whose first half is the same.
 	SharedPercent int `json:"shared_percent,omitempty"`
-	// DuplicatePercent is how many in a hundred are sent twice at the same time,
-	// with the same key, as a desk that presses a button twice does.
+	// DuplicatePercent is the percentage of requests that are sent twice at the same time
+	// with the same key, as by a double click.
 	DuplicatePercent int `json:"duplicate_percent,omitempty"`
-	// DeadlineMS is the profile's; an answer or a failure later than this is lost.
+	// DeadlineMS is the profile's deadline. A request without a reply by then is lost.
 	DeadlineMS peridotpath.Millis `json:"deadline_ms"`
-	// First sends one of these at the very beginning, whatever Share says.
+	// First sends one such request at the start, regardless of Share.
 	First bool `json:"first,omitempty"`
 }
 
-// ParsePlan reads a plan and returns every fault.
+// ParsePlan parses a plan and returns all its faults.
 func ParsePlan(text []byte) (*Plan, peridotpath.Faults) {
 	plan := &Plan{}
 	faults := strictjson.Decode(text, plan, strictjson.Complete)
@@ -95,13 +96,13 @@
 	return plan, faults
 }
 
-// Target is where a plan is sent and who is asked what ran.
+// Target is the system under test.
 type Target struct {
-	// Instances take the requests.
+	// Instances receive the requests.
 	Instances []netip.AddrPort
-	// Endpoints are asked for their counts afterwards.
+	// Endpoints report their counts after the run.
 	Endpoints []netip.AddrPort
-	// Do makes an HTTP call; nil stands for outbound.Do.
+	// Do makes an HTTP call; nil means outbound.Do.
 	Do func(request *http.Request) (*http.Response, error)
 }
 
@@ -112,7 +113,7 @@
 	return outbound.Do(request)
 }
 
-// get makes one GET call.
+// get makes a GET call.
 func (target *Target) get(ctx context.Context, address netip.AddrPort, path string) (*http.Response, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+path, nil)
 	if err != nil {
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -10,76 +10,76 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// longestMS is the longest time that the histograms tell apart.
-const longestMS = 6 * 60 * 60 * 1000
+// maxRecordedMS is the largest value of the histograms. Longer times count as this.
+const maxRecordedMS = 6 * 60 * 60 * 1000
 
-// row is the report's line on one class of requests.
-type row struct {
+// classRow holds the statistics of one class of requests.
+type classRow struct {
 	requests   int
 	verdicts   map[verdict]int
 	firstToken *hdrhistogram.Histogram
 	total      *hdrhistogram.Histogram
 }
 
-func newRow() *row {
-	return &row{
+func newClassRow() *classRow {
+	return &classRow{
 		verdicts:   map[verdict]int{},
-		firstToken: hdrhistogram.New(1, longestMS, 3),
-		total:      hdrhistogram.New(1, longestMS, 3),
+		firstToken: hdrhistogram.New(1, maxRecordedMS, 3),
+		total:      hdrhistogram.New(1, maxRecordedMS, 3),
 	}
 }
 
-// Report is what a run came to.
+// Report holds the results of a run.
 type Report struct {
 	Audit *Audit
 
-	rows     map[string]*row
-	refusals map[string]int
-	failures map[string]int
-	resumed  int
-	broken   int
-	endings  []*ending
+	rows              map[string]*classRow
+	refusals          map[string]int
+	failures          map[string]int
+	resumptions       int
+	brokenConnections int
+	results           []*result
 }
 
-func newReport(endings []*ending, audit *Audit) *Report {
-	report := &Report{Audit: audit, rows: map[string]*row{}, refusals: map[string]int{}, failures: map[string]int{}, endings: endings}
-	for _, ending := range endings {
-		report.add(ending)
+func newReport(results []*result, audit *Audit) *Report {
+	report := &Report{Audit: audit, rows: map[string]*classRow{}, refusals: map[string]int{}, failures: map[string]int{}, results: results}
+	for _, result := range results {
+		report.add(result)
 	}
 	return report
 }
 
-func (report *Report) add(ending *ending) {
-	name := ending.request.name()
+func (report *Report) add(result *result) {
+	name := result.request.reportName()
 	if report.rows[name] == nil {
-		report.rows[name] = newRow()
+		report.rows[name] = newClassRow()
 	}
 	row := report.rows[name]
 	row.requests++
-	row.verdicts[ending.verdict]++
-	record(row.total, ending.total)
-	// A stream that never began counts with all the time that it cost, so that
-	// refusing does not make the tail look better.
-	if ending.request.stream && ending.firstToken == 0 {
-		record(row.firstToken, ending.total)
-	} else if ending.request.stream {
-		record(row.firstToken, ending.firstToken)
+	row.verdicts[result.verdict]++
+	recordDuration(row.total, result.total)
+	// A stream without a first token counts with its total time, so that refusals do not
+	// improve the tail latency.
+	if result.request.stream && result.firstToken == 0 {
+		recordDuration(row.firstToken, result.total)
+	} else if result.request.stream {
+		recordDuration(row.firstToken, result.firstToken)
 	}
-	for code, count := range ending.refusals {
+	for code, count := range result.refusals {
 		report.refusals[code] += count
 	}
-	if ending.verdict != answered && ending.verdict != refused {
-		report.failures[string(ending.verdict)+" "+ending.code]++
+	if result.verdict != answered && result.verdict != refused {
+		report.failures[string(result.verdict)+" "+result.code]++
 	}
-	report.resumed += ending.resumed
-	report.broken += ending.broken
+	report.resumptions += result.resumptions
+	report.brokenConnections += result.brokenConnections
 }
 
-func record(histogram *hdrhistogram.Histogram, span time.Duration) {
-	_ = histogram.RecordValue(min(max(span.Milliseconds(), 1), longestMS))
+func recordDuration(histogram *hdrhistogram.Histogram, span time.Duration) {
+	_ = histogram.RecordValue(min(max(span.Milliseconds(), 1), maxRecordedMS))
 }
 
-// Print writes the report, one key=value line for each thing.
+// Print writes the report as lines of key=value pairs.
 func (report *Report) Print(writer io.Writer) {
 	for _, name := range slices.Sorted(maps.Keys(report.rows)) {
 		row := report.rows[name]
@@ -97,20 +97,20 @@
 	for _, what := range slices.Sorted(maps.Keys(report.failures)) {
 		fmt.Fprintf(writer, "event=failure reason=%q count=%d\n", what, report.failures[what])
 	}
-	fmt.Fprintf(writer, "event=callers connections_broken=%d resumed=%d\n", report.broken, report.resumed)
+	fmt.Fprintf(writer, "event=callers connections_broken=%d resumed=%d\n", report.brokenConnections, report.resumptions)
 	audit := report.Audit
 	fmt.Fprintf(writer, "event=audit wrong=%d not_run_but_ran=%d answered_but_unfinished=%d unknown=%d\n",
 		audit.Wrong, audit.NotRunButRan, audit.Unfinished, audit.Unknown)
 	fmt.Fprintf(writer, "event=result lost=%d twice=%d cut_off=%d\n", audit.Lost, audit.Twice, audit.CutOff)
 }
 
-// PrintBad writes a line on each request that is held against the system.
+// PrintBad writes a line for each request that was lost, cut off or answered wrongly.
 func (report *Report) PrintBad(writer io.Writer) {
-	for _, ending := range report.endings {
-		switch ending.verdict {
+	for _, result := range report.results {
+		switch result.verdict {
 		case lost, cutOff, wrong:
-			fmt.Fprintf(writer, "event=bad request=%s work=%s verdict=%s code=%q total_ms=%d tokens=%d stream=%t\n", ending.request.id,
-				ending.request.work.Name, ending.verdict, ending.code, ending.total.Milliseconds(), ending.request.tokens, ending.request.stream)
+			fmt.Fprintf(writer, "event=bad request=%s work=%s verdict=%s code=%q total_ms=%d tokens=%d stream=%t\n", result.request.id,
+				result.request.work.Name, result.verdict, result.code, result.total.Milliseconds(), result.request.tokens, result.request.stream)
 		}
 	}
 }
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -9,63 +9,63 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Run sends the plan and returns the report. Progress, if not nil, gets a line
-// when the arrivals begin and end.
+// Run sends the requests of the plan and returns the report. It writes a line to progress,
+// unless nil, when the arrivals begin and end.
 func Run(ctx context.Context, plan *Plan, target *Target, progress io.Writer) (*Report, error) {
 	balancer := newBalancer(target)
 	if err := balancer.awaitReady(ctx, len(target.Instances)); err != nil {
 		return nil, err
 	}
 	probing, stop := context.WithCancel(ctx)
-	probed := make(chan struct{})
+	probingEnded := make(chan struct{})
 	go func() {
-		defer close(probed)
+		defer close(probingEnded)
 		balancer.run(probing)
 	}()
-	endings := send(ctx, balancer, plan, progress)
+	results := sendAll(ctx, balancer, plan, progress)
 	stop()
-	<-probed
-	counted, err := counts(ctx, target)
+	<-probingEnded
+	counts, err := fetchCounts(ctx, target)
 	if err != nil {
 		return nil, err
 	}
-	return newReport(endings, auditOf(endings, counted)), nil
+	return newReport(results, newAudit(results, counts)), nil
 }
 
-// send sends each request at its time and waits for all.
-func send(ctx context.Context, balancer *balancer, plan *Plan, progress io.Writer) []*ending {
-	all := requests(plan)
+// sendAll sends each request at its arrival time and waits for all results.
+func sendAll(ctx context.Context, balancer *balancer, plan *Plan, progress io.Writer) []*result {
+	requests := newRequests(plan)
 	began := time.Now()
-	ended := make(chan *ending, len(all))
-	var endings []*ending
+	finished := make(chan *result, len(requests))
+	var results []*result
 	collected := make(chan struct{})
 	go func() {
 		defer close(collected)
-		for ending := range ended {
-			endings = append(endings, ending)
+		for result := range finished {
+			results = append(results, result)
 		}
 	}()
 	var group errgroup.Group
-	note(progress, "event=sending requests=%d seconds=%.0f\n", len(all), all[len(all)-1].at.Seconds())
-	for _, request := range all {
-		if !pause(ctx, time.Until(began.Add(request.at))) {
+	printProgress(progress, "event=sending requests=%d seconds=%.0f\n", len(requests), requests[len(requests)-1].arrivesAt.Seconds())
+	for _, request := range requests {
+		if !sleep(ctx, time.Until(began.Add(request.arrivesAt))) {
 			break
 		}
 		for range request.copies {
 			group.Go(func() error {
-				ended <- do(ctx, balancer, request, plan.RepeatKeyed)
+				finished <- runRequest(ctx, balancer, request, plan.RepeatKeyed)
 				return nil
 			})
 		}
 	}
-	note(progress, "event=sent\n")
+	printProgress(progress, "event=sent\n")
 	_ = group.Wait()
-	close(ended)
+	close(finished)
 	<-collected
-	return endings
+	return results
 }
 
-func note(progress io.Writer, format string, args ...any) {
+func printProgress(progress io.Writer, format string, args ...any) {
 	if progress != nil {
 		fmt.Fprintf(progress, format, args...)
 	}
--- a/standin/load/run_test.go
+++ b/standin/load/run_test.go
@@ -26,15 +26,15 @@
 	endpoint = netip.MustParseAddrPort("10.0.0.3:1")
 )
 
-// system is what a test puts in the place of the instances.
+// system replaces the instances in a test.
 type system struct {
 	engine  *enginetest.Engine
 	service *servicetest.Service
 	network *enginetest.Network
 }
 
-// pass gives the request to the engine or the plain service.
-func (system *system) pass(writer http.ResponseWriter, request *http.Request) {
+// forward passes the request to the engine or the plain service.
+func (system *system) forward(writer http.ResponseWriter, request *http.Request) {
 	if strings.HasPrefix(request.URL.Path, "/services/") {
 		system.service.Handler().ServeHTTP(writer, request)
 		return
@@ -46,7 +46,7 @@
 	if request.URL.Path == "/health/ready" {
 		return
 	}
-	system.pass(writer, request)
+	system.forward(writer, request)
 }
 
 const plan = `{"seed":1,"requests":20,"rate_per_s":10,"engine_holds_tokens":1000,"keys":["k"],"repeat_keyed":true,"work":[
@@ -55,8 +55,8 @@
 
 const notRun = `{"error":{"code":"queue_full","not_run":true}}`
 
-// run sends the plan through handler, where it is not nil.
-func run(t *testing.T, handle func(system *system, writer http.ResponseWriter, request *http.Request)) (audit *load.Audit, text string) {
+// runPlan sends the plan to instances that run handle, or that forward if it is nil.
+func runPlan(t *testing.T, handle func(system *system, writer http.ResponseWriter, request *http.Request)) (audit *load.Audit, text string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -95,15 +95,15 @@
 	return audit, text
 }
 
-func TestHonestSystemIsClean(t *testing.T) {
+func TestCorrectSystemPassesAudit(t *testing.T) {
 	is := is.New(t)
-	audit, text := run(t, nil)
+	audit, text := runPlan(t, nil)
 	is.Equal(*audit, load.Audit{})
 	is.True(strings.Contains(text, "event=result lost=0 twice=0 cut_off=0"))
 }
 
-// body returns the request with a body that can be read twice.
-func body(request *http.Request) []byte {
+// readBody returns the body of the request, and leaves the request readable again.
+func readBody(request *http.Request) []byte {
 	text, err := io.ReadAll(request.Body)
 	if err != nil {
 		panic(err)
@@ -112,15 +112,15 @@
 	return text
 }
 
-// discard takes an answer that nobody sees.
-type discard struct{ header http.Header }
+// discardWriter drops the response.
+type discardWriter struct{ header http.Header }
 
-func (discard *discard) Header() http.Header            { return discard.header }
-func (discard *discard) Write(data []byte) (int, error) { return len(data), nil }
-func (discard *discard) WriteHeader(int)                {}
-func (discard *discard) Flush()                         {}
+func (discard *discardWriter) Header() http.Header            { return discard.header }
+func (discard *discardWriter) Write(data []byte) (int, error) { return len(data), nil }
+func (discard *discardWriter) WriteHeader(int)                {}
+func (discard *discardWriter) Flush()                         {}
 
-func isPlain(request *http.Request) bool {
+func isPlainServiceCall(request *http.Request) bool {
 	return strings.HasPrefix(request.URL.Path, "/services/")
 }
 
@@ -135,22 +135,22 @@
 	return made
 }
 
-// Each system below wrongs its callers in one way; the audit must name it.
-func TestAuditNamesEachWrong(t *testing.T) {
+// Each system below has one fault; the audit must count it.
+func TestAuditFindsEachViolation(t *testing.T) {
 	tests := []struct {
 		name   string
 		handle func(system *system, writer http.ResponseWriter, request *http.Request)
 		wrong  func(audit *load.Audit) int
 	}{
 		{"runs a keyed call twice", func(system *system, writer http.ResponseWriter, request *http.Request) {
-			text := body(request)
-			if isPlain(request) {
-				system.pass(&discard{http.Header{}}, withBody(request, text))
+			text := readBody(request)
+			if isPlainServiceCall(request) {
+				system.forward(&discardWriter{http.Header{}}, withBody(request, text))
 			}
-			system.pass(writer, withBody(request, text))
+			system.forward(writer, withBody(request, text))
 		}, func(audit *load.Audit) int { return audit.Twice }},
 		{"says not run of what ran", func(system *system, writer http.ResponseWriter, request *http.Request) {
-			system.pass(&discard{http.Header{}}, request)
+			system.forward(&discardWriter{http.Header{}}, request)
 			refuse(writer, notRun)
 		}, func(audit *load.Audit) int { return audit.NotRunButRan }},
 		{"never answers", func(_ *system, _ http.ResponseWriter, request *http.Request) {
@@ -158,18 +158,18 @@
 			panic(http.ErrAbortHandler)
 		}, func(audit *load.Audit) int { return audit.Lost }},
 		{"gives the answer to another prompt", func(system *system, writer http.ResponseWriter, request *http.Request) {
-			system.pass(writer, withBody(request, bytes.ReplaceAll(body(request), []byte("a"), []byte("e"))))
+			system.forward(writer, withBody(request, bytes.ReplaceAll(readBody(request), []byte("a"), []byte("e"))))
 		}, func(audit *load.Audit) int { return audit.Wrong }},
 		{"ends streams early", func(system *system, writer http.ResponseWriter, request *http.Request) {
-			if gjson.GetBytes(body(request), "stream").Bool() {
+			if gjson.GetBytes(readBody(request), "stream").Bool() {
 				fmt.Fprint(writer, "id: x.0\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n")
 				fmt.Fprint(writer, "event: error\ndata: {\"error\":{\"code\":\"stream_cut\"}}\n\n")
 				return
 			}
-			system.pass(writer, request)
+			system.forward(writer, request)
 		}, func(audit *load.Audit) int { return audit.CutOff }},
 		{"answers by itself", func(_ *system, writer http.ResponseWriter, request *http.Request) {
-			if text := body(request); isPlain(request) {
+			if text := readBody(request); isPlainServiceCall(request) {
 				fmt.Fprintf(writer, `{"body":%q}`, servicetest.BodySum(text))
 				return
 			}
@@ -179,24 +179,24 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			is := is.New(t)
-			audit, text := run(t, test.handle)
+			audit, text := runPlan(t, test.handle)
 			t.Log(text)
-			is.True(test.wrong(audit) > 0) // the wrong was not seen
+			is.True(test.wrong(audit) > 0) // the audit did not count the fault
 			is.True(!audit.Clean())
 		})
 	}
 }
 
-// A caller that is refused comes back when it was told to.
-func TestCallerComesBack(t *testing.T) {
+// A refused caller retries after the time in the refusal.
+func TestClientRetriesAfterRefusal(t *testing.T) {
 	is := is.New(t)
 	var refusedOnce sync.Map
-	audit, text := run(t, func(system *system, writer http.ResponseWriter, request *http.Request) {
+	audit, text := runPlan(t, func(system *system, writer http.ResponseWriter, request *http.Request) {
 		if _, before := refusedOnce.LoadOrStore(request.Header.Get("X-Request-Id"), true); !before {
 			refuse(writer, `{"error":{"code":"queue_full","not_run":true,"retry_after_ms":100}}`)
 			return
 		}
-		system.pass(writer, request)
+		system.forward(writer, request)
 	})
 	is.True(audit.Clean())
 	is.True(strings.Contains(text, "event=refusal reason=queue_full count=20"))
