--- a/standin/engine.go
+++ b/standin/engine.go
@@ -28,7 +28,7 @@
 func (*engineCommand) Synopsis() string { return "plays a model engine" }
 func (*engineCommand) Usage() string    { return engineUsage }
 
-// tokensFlag defines a flag in tokens.
+// tokensFlag defines a flag whose value is a number of tokens.
 func tokensFlag(flags *flag.FlagSet, tokens *peridotpath.Tokens, name string, value int64, usage string) {
 	flags.Int64Var((*int64)(tokens), name, value, usage)
 }
--- a/standin/examples_test.go
+++ b/standin/examples_test.go
@@ -22,12 +22,12 @@
 
 var deployments = []string{"claims", "transcription"}
 
-func example(t *testing.T, deployment, name string) string {
+func examplePath(t *testing.T, deployment, name string) string {
 	t.Helper()
 	return filepath.Join("..", "examples", deployment, name)
 }
 
-func text(t *testing.T, path string) []byte {
+func readFile(t *testing.T, path string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -36,20 +36,20 @@
 	return text
 }
 
-// The example files are what the demo runs by and what operators start from:
-// each is in the form that its reader takes, and they agree with one another.
+// The demo and operators' first deployments use the example files: each must be accepted
+// by the code that reads it, and the files must be consistent.
 func TestExamples(t *testing.T) {
 	for _, deployment := range deployments {
 		t.Run(deployment, func(t *testing.T) {
 			is := is.New(t)
 			store := (&memory.Memory{}).Store()
-			is.NoErr(configure(t.Context(), store, example(t, deployment, "config.json")))
+			is.NoErr(writeConfig(t.Context(), store, examplePath(t, deployment, "config.json")))
 			reader := &config.Store{KeyValue: store}
 			snapshot, err := reader.Load(t.Context())
 			is.NoErr(err)
 
 			var list membership.List
-			decoder := json.NewDecoder(bytes.NewReader(text(t, example(t, deployment, "fleet.json"))))
+			decoder := json.NewDecoder(bytes.NewReader(readFile(t, examplePath(t, deployment, "fleet.json"))))
 			decoder.DisallowUnknownFields()
 			is.NoErr(decoder.Decode(&list))
 			services := map[string]bool{}
@@ -60,20 +60,20 @@
 				is.True(services[string(profile.Service)]) // a profile's service is in the fleet
 			}
 			for i, instance := range list.Instances {
-				read, err := settings.Read(example(t, deployment, "instance-"+string(rune('1'+i))+".json"))
+				read, err := settings.Read(examplePath(t, deployment, "instance-"+string(rune('1'+i))+".json"))
 				is.NoErr(err)
 				is.Equal(read.InstanceID, instance.ID)
 				is.Equal(read.DataCentre, instance.DataCentre)
 				is.Equal(read.CallerAddress, instance.Caller)
 				is.Equal(read.PeerAddress, instance.Peer)
 			}
-			plans, err := filepath.Glob(example(t, deployment, "*.json"))
+			plans, err := filepath.Glob(examplePath(t, deployment, "*.json"))
 			is.NoErr(err)
 			for _, path := range plans {
-				if !gjson.GetBytes(text(t, path), "work").Exists() {
+				if !gjson.GetBytes(readFile(t, path), "work").Exists() {
 					continue
 				}
-				plan, faults := load.ParsePlan(text(t, path))
+				plan, faults := load.ParsePlan(readFile(t, path))
 				is.NoErr(faults.OrNil())
 				for _, key := range plan.Keys {
 					is.True(snapshot.Config.CustomerByKey(key) != nil) // a key of the plan is a customer's
@@ -89,11 +89,11 @@
 	}
 }
 
-// An outage lets no write through; a lost answer leaves the write in force.
+// An outage rejects writes; a lost reply leaves the write applied.
 func TestKeyValueFaults(t *testing.T) {
 	is := is.New(t)
 	command := &keyValueCommand{}
-	store := (&memory.Memory{Fault: command.fault}).Store()
+	store := (&memory.Memory{Fault: command.injectFault}).Store()
 	write := func(key string) error {
 		_, err := store.Swap(context.Background(), key, 0, []byte("v"), keyvalue.LeaseID{})
 		return err
@@ -109,5 +109,5 @@
 	is.Equal(version("a"), keyvalue.Version(0)) // a write got through the outage
 	command.faults.Set(faults.Fault{Kind: faults.Close, Count: 1})
 	is.True(write("b") != nil)
-	is.True(version("b") > 0) // the write whose answer was lost did not stand
+	is.True(version("b") > 0) // the write whose reply was lost was not applied
 }
--- a/standin/key_value.go
+++ b/standin/key_value.go
@@ -49,12 +49,12 @@
 		fmt.Fprint(os.Stderr, keyValueUsage)
 		return subcommands.ExitUsageError
 	}
-	service := &memory.Memory{Fault: command.fault}
-	if err := seed(ctx, service.Store(), command.seed); err != nil {
+	service := &memory.Memory{Fault: command.injectFault}
+	if err := writeSeed(ctx, service.Store(), command.seed); err != nil {
 		fmt.Fprintf(os.Stderr, "standin key-value: %v\n", err)
 		return subcommands.ExitFailure
 	}
-	if err := configure(ctx, service.Store(), command.config); err != nil {
+	if err := writeConfig(ctx, service.Store(), command.config); err != nil {
 		fmt.Fprintf(os.Stderr, "standin key-value: %v\n", err)
 		return subcommands.ExitFailure
 	}
@@ -67,12 +67,12 @@
 	return serve(ctx, command.Name(), command.address, mux)
 }
 
-// errFault is the class of failures that were switched on.
+// errFault is the class of injected failures.
 var errFault = errs.Class("fault")
 
-// fault plays the faults that are on: before a call is applied an outage or a
-// delay, after it the loss of its answer.
-func (command *keyValueCommand) fault(ctx context.Context, _, _ string, applied bool) error {
+// injectFault applies the active faults: an outage or a delay before a call is applied, or
+// the loss of its reply afterwards.
+func (command *keyValueCommand) injectFault(ctx context.Context, _, _ string, applied bool) error {
 	if applied {
 		if command.faults.First(faults.Close) != "" {
 			return errFault.New("answer lost")
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// seed writes the entries of a file.
-func seed(ctx context.Context, store *keyvalue.Store, file string) error {
+// writeSeed writes the entries of a seed file to the store.
+func writeSeed(ctx context.Context, store *keyvalue.Store, file string) error {
 	if file == "" {
 		return nil
 	}
@@ -107,14 +107,15 @@
 	return nil
 }
 
-// configuration is what a -config file holds, each item as operators write it.
-type configuration struct {
+// configFile is the content of a -config file, with each item in the form that operators
+// write.
+type configFile struct {
 	Profiles  []json.RawMessage `json:"profiles"`
 	Customers []json.RawMessage `json:"customers"`
 }
 
-// configure writes the profiles and customers of a file.
-func configure(ctx context.Context, store *keyvalue.Store, file string) error {
+// writeConfig writes the profiles and customers of a -config file to the store.
+func writeConfig(ctx context.Context, store *keyvalue.Store, file string) error {
 	if file == "" {
 		return nil
 	}
@@ -122,28 +123,28 @@
 	if err != nil {
 		return err
 	}
-	var all configuration
-	if err := json.Unmarshal(text, &all); err != nil {
+	var content configFile
+	if err := json.Unmarshal(text, &content); err != nil {
 		return fmt.Errorf("%s: %w", file, err)
 	}
 	writer := &config.Store{KeyValue: store, Log: zerolog.Nop()}
 	if _, err := writer.Load(ctx); err != nil {
 		return err
 	}
-	for _, item := range all.Profiles {
-		if err := put(ctx, writer, config.KindProfile, gjson.GetBytes(item, "name").String(), item); err != nil {
+	for _, item := range content.Profiles {
+		if err := writeItem(ctx, writer, config.KindProfile, gjson.GetBytes(item, "name").String(), item); err != nil {
 			return err
 		}
 	}
-	for _, item := range all.Customers {
-		if err := put(ctx, writer, config.KindCustomer, gjson.GetBytes(item, "id").String(), item); err != nil {
+	for _, item := range content.Customers {
+		if err := writeItem(ctx, writer, config.KindCustomer, gjson.GetBytes(item, "id").String(), item); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func put(ctx context.Context, writer *config.Store, kind config.Kind, name string, item json.RawMessage) error {
+func writeItem(ctx context.Context, writer *config.Store, kind config.Kind, name string, item json.RawMessage) error {
 	_, err := writer.Change(ctx, config.Change{
 		ID: config.ChangeID("standin-" + string(kind) + "-" + name), Who: "standin", Kind: kind, Name: name, Value: item,
 	})
--- a/standin/load.go
+++ b/standin/load.go
@@ -59,23 +59,23 @@
 		return nil, fmt.Errorf("%s:\n%w", command.plan, err)
 	}
 	target := &load.Target{}
-	if target.Instances, err = addresses(command.instances); err != nil {
+	if target.Instances, err = parseAddresses(command.instances); err != nil {
 		return nil, err
 	}
-	if target.Endpoints, err = addresses(command.endpoints); err != nil {
+	if target.Endpoints, err = parseAddresses(command.endpoints); err != nil {
 		return nil, err
 	}
 	return load.Run(ctx, plan, target, os.Stdout)
 }
 
-func addresses(list string) ([]netip.AddrPort, error) {
-	var parsed []netip.AddrPort
+func parseAddresses(list string) ([]netip.AddrPort, error) {
+	var addresses []netip.AddrPort
 	for _, text := range strings.Split(list, ",") {
 		address, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, err
 		}
-		parsed = append(parsed, address)
+		addresses = append(addresses, address)
 	}
-	return parsed, nil
+	return addresses, nil
 }
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,6 +1,6 @@
-// Command standin plays the outside systems that peridotpath meets: model
-// engines, plain services, the key-value service, the membership list, and the
-// callers. It is made for trials and tests, never for real work.
+// Command standin simulates the systems around peridotpath for tests and demos: model
+// engines, plain services, the key-value service, the membership list, and a load generator
+// for callers. It is not for production use.
 package main
 
 import (
--- a/standin/members.go
+++ b/standin/members.go
@@ -44,102 +44,103 @@
 		fmt.Fprintf(os.Stderr, "standin members: %v\n", err)
 		return subcommands.ExitFailure
 	}
-	members := &members{lag: command.lag}
-	if err := json.Unmarshal(text, &members.list); err != nil {
+	memberList := &memberList{readLag: command.lag}
+	if err := json.Unmarshal(text, &memberList.list); err != nil {
 		fmt.Fprintf(os.Stderr, "standin members: %s: %v\n", command.fleet, err)
 		return subcommands.ExitFailure
 	}
-	members.seen = []reading{{list: members.list}}
+	memberList.versions = []listVersion{{list: memberList.list}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+membership.Path, members.get)
-	mux.HandleFunc("POST "+membership.Path+"/state", members.setState)
-	mux.HandleFunc("POST "+membership.Path+"/flap", members.flap)
+	mux.HandleFunc("GET "+membership.Path, memberList.get)
+	mux.HandleFunc("POST "+membership.Path+"/state", memberList.setState)
+	mux.HandleFunc("POST "+membership.Path+"/flap", memberList.flap)
 	return serve(ctx, command.Name(), command.address, mux)
 }
 
-// members is the list, changed by hand. Readers see it late.
-type members struct {
-	lag time.Duration
+// memberList is the membership list. Readers see changes after readLag.
+type memberList struct {
+	readLag time.Duration
 
 	mu   sync.Mutex
 	list membership.List
-	// seen holds the readings that are still to be shown, oldest first.
-	seen []reading
+	// versions holds the versions that readers may still see, oldest first.
+	versions []listVersion
 }
 
-// reading is the list from one moment on.
-type reading struct {
-	list membership.List
-	at   time.Time
+// listVersion is the list as of a change.
+type listVersion struct {
+	list      membership.List
+	changedAt time.Time
 }
 
-func (members *members) get(writer http.ResponseWriter, _ *http.Request) {
-	members.mu.Lock()
-	defer members.mu.Unlock()
-	until := time.Now().Add(-members.lag)
-	for len(members.seen) > 1 && !members.seen[1].at.After(until) {
-		members.seen = members.seen[1:]
+func (memberList *memberList) get(writer http.ResponseWriter, _ *http.Request) {
+	memberList.mu.Lock()
+	defer memberList.mu.Unlock()
+	until := time.Now().Add(-memberList.readLag)
+	for len(memberList.versions) > 1 && !memberList.versions[1].changedAt.After(until) {
+		memberList.versions = memberList.versions[1:]
 	}
-	_ = json.NewEncoder(writer).Encode(&members.seen[0].list)
+	_ = json.NewEncoder(writer).Encode(&memberList.versions[0].list)
 }
 
-// stateGone takes a member off the list.
-const stateGone = "gone"
+// stateRemoved removes a member from the list.
+const stateRemoved = "gone"
 
 type stateChange struct {
 	ID    string            `json:"id"`
 	State peridotpath.State `json:"state"`
 }
 
-func (members *members) setState(writer http.ResponseWriter, request *http.Request) {
+func (memberList *memberList) setState(writer http.ResponseWriter, request *http.Request) {
 	var change stateChange
 	if err := json.NewDecoder(request.Body).Decode(&change); err != nil {
 		http.Error(writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	members.mu.Lock()
-	defer members.mu.Unlock()
-	members.change(change)
+	memberList.mu.Lock()
+	defer memberList.mu.Unlock()
+	memberList.change(change)
 }
 
-// change makes a new list; readings that are still to be shown share nothing with it.
-func (members *members) change(change stateChange) {
-	members.list.Revision++
-	members.list.Endpoints = changed(members.list.Endpoints, func(endpoint *peridotpath.Endpoint) (string, *peridotpath.State) {
+// change creates a new version of the list, which shares no memory with earlier ones.
+func (memberList *memberList) change(change stateChange) {
+	memberList.list.Revision++
+	memberList.list.Endpoints = withChange(memberList.list.Endpoints, func(endpoint *peridotpath.Endpoint) (string, *peridotpath.State) {
 		return string(endpoint.ID), &endpoint.State
 	}, change)
-	members.list.Instances = changed(members.list.Instances, func(instance *peridotpath.Instance) (string, *peridotpath.State) {
+	memberList.list.Instances = withChange(memberList.list.Instances, func(instance *peridotpath.Instance) (string, *peridotpath.State) {
 		return string(instance.ID), &instance.State
 	}, change)
-	members.seen = append(members.seen, reading{list: members.list, at: time.Now()})
+	memberList.versions = append(memberList.versions, listVersion{list: memberList.list, changedAt: time.Now()})
 }
 
-// changed returns a copy of the list with the change made and what is gone left
-// out. part names a member and says where its state is.
-func changed[M any](list []M, part func(*M) (id string, state *peridotpath.State), change stateChange) []M {
-	var kept []M
+// withChange returns a copy of the list with the change applied and removed members left
+// out. fields returns the ID and the state of a member.
+func withChange[M any](list []M, fields func(*M) (id string, state *peridotpath.State), change stateChange) []M {
+	var remaining []M
 	for _, member := range list {
-		id, state := part(&member)
+		id, state := fields(&member)
 		if id == change.ID {
 			*state = change.State
 		}
-		if *state != stateGone {
-			kept = append(kept, member)
+		if *state != stateRemoved {
+			remaining = append(remaining, member)
 		}
 	}
-	return kept
+	return remaining
 }
 
-// flapping asks for a member whose state changes all the time.
-type flapping struct {
+// flapRequest is a request to toggle a member's state repeatedly.
+type flapRequest struct {
 	ID      string             `json:"id"`
 	EveryMS peridotpath.Millis `json:"every_ms"`
 	Times   int                `json:"times"`
 }
 
-// flap has a member leave and come back Times times, or until the call ends.
-func (members *members) flap(writer http.ResponseWriter, request *http.Request) {
-	var flapping flapping
+// flap makes a member leave and return the given number of times, or until the request
+// ends.
+func (memberList *memberList) flap(writer http.ResponseWriter, request *http.Request) {
+	var flapping flapRequest
 	if err := json.NewDecoder(request.Body).Decode(&flapping); err != nil || flapping.EveryMS <= 0 {
 		http.Error(writer, "not a flapping", http.StatusBadRequest)
 		return
@@ -148,9 +149,9 @@
 	defer ticker.Stop()
 	states := [...]peridotpath.State{peridotpath.StateLeaving, peridotpath.StateLive}
 	for i := range 2 * flapping.Times {
-		members.mu.Lock()
-		members.change(stateChange{ID: flapping.ID, State: states[i%len(states)]})
-		members.mu.Unlock()
+		memberList.mu.Lock()
+		memberList.change(stateChange{ID: flapping.ID, State: states[i%len(states)]})
+		memberList.mu.Unlock()
 		select {
 		case <-ticker.C:
 		case <-request.Context().Done():
--- a/standin/members_test.go
+++ b/standin/members_test.go
@@ -15,8 +15,8 @@
 	"peridotpath.example/peridotpath/membership"
 )
 
-// state reads the list as an instance does.
-func state(t *testing.T, members *members) peridotpath.State {
+// visibleState returns the state of the endpoint in the list that readers see.
+func visibleState(t *testing.T, members *memberList) peridotpath.State {
 	t.Helper()
 	recorder := httptest.NewRecorder()
 	members.get(recorder, httptest.NewRequest(http.MethodGet, membership.Path, nil))
@@ -25,18 +25,17 @@
 		t.Fatal(err)
 	}
 	if len(list.Endpoints) == 0 {
-		return stateGone
+		return stateRemoved
 	}
 	return list.Endpoints[0].State
 }
 
-func newMembers() *members {
+func newMembers() *memberList {
 	list := membership.List{Endpoints: []peridotpath.Endpoint{{ID: "e1", State: peridotpath.StateLive}}}
-	return &members{lag: 500 * time.Millisecond, list: list, seen: []reading{{list: list}}}
+	return &memberList{readLag: 500 * time.Millisecond, list: list, versions: []listVersion{{list: list}}}
 }
 
-// A change shows itself after the lag and not before, and changes in a row in
-// their order.
+// A change becomes visible after the lag and not before, and changes in their order.
 func TestMembersLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -48,15 +47,15 @@
 		change("leaving")
 		time.Sleep(300 * time.Millisecond)
 		change("gone")
-		is.Equal(state(t, members), peridotpath.StateLive)
+		is.Equal(visibleState(t, members), peridotpath.StateLive)
 		time.Sleep(200 * time.Millisecond)
-		is.Equal(state(t, members), peridotpath.StateLeaving)
+		is.Equal(visibleState(t, members), peridotpath.StateLeaving)
 		time.Sleep(300 * time.Millisecond)
-		is.Equal(state(t, members), peridotpath.State(stateGone))
+		is.Equal(visibleState(t, members), peridotpath.State(stateRemoved))
 	})
 }
 
-// A flapping member comes and goes and ends as it began.
+// A flapping member alternates between leaving and live, and ends live.
 func TestMembersFlap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -70,7 +69,7 @@
 		var seen []string
 		for range 5 {
 			time.Sleep(750 * time.Millisecond)
-			seen = append(seen, string(state(t, members)))
+			seen = append(seen, string(visibleState(t, members)))
 			time.Sleep(250 * time.Millisecond)
 		}
 		<-ended
