--- a/measure/ablation/ablation.go
+++ b/measure/ablation/ablation.go
@@ -160,8 +160,8 @@
 // without it.
 type Difference struct {
 	Pairs int
-	// Worth is the mean of the worth with the mechanism minus the worth without it, and
-	// Error the standard error of that mean.
+	// Worth is the mean of the worth with the mechanism minus the worth without it,
+	// followed by the standard error of that mean.
 	Worth, Error float64
 	// Unserved, Late and Refused are the mean increases of the shares of requests
 	// without the mechanism.
