--- a/measure/ablation.go
+++ b/measure/ablation.go
@@ -83,8 +83,8 @@
 		for site := range strings.SplitSeq(command.sites, ",") {
 			difference := ablation.Compare(site, with, without)
 			fmt.Printf("| %s | %s | %d | %+.4f | %.4f | %+.4f | %+.4f | %+.4f | %d |\n",
-				name, strings.TrimSuffix(filepath.Base(site), ".toml"), difference.Pairs, difference.Worth, difference.Error,
-				difference.Late, difference.Refused, difference.Unserved, difference.Breaks)
+				name, strings.TrimSuffix(filepath.Base(site), ".toml"), difference.Pairs, difference.Worth, difference.StandardError,
+				difference.Late, difference.Refused, difference.Unserved, difference.BrokenRules)
 		}
 	}
 	return nil
@@ -113,7 +113,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(folder)
-	if err := ablation.Copy(ctx, command.repository, folder, patch); err != nil {
+	if err := ablation.ClonePatched(ctx, command.repository, folder, patch); err != nil {
 		return nil, err
 	}
 	if err := command.bench.Build(ctx, folder); err != nil {
@@ -128,5 +128,5 @@
 		}
 	}
 	results, err := command.bench.Play(ctx, folder, plays)
-	return results, errors.Join(err, ablation.KeepJournal(folder, command.repository))
+	return results, errors.Join(err, ablation.CopyJournal(folder, command.repository))
 }
--- a/measure/ablation/ablation.go
+++ b/measure/ablation/ablation.go
@@ -31,9 +31,9 @@
 	// Worth is the score of the day, and Unserved the share of requests without an answer.
 	Worth    float64 `json:"G"`
 	Unserved float64 `json:"unserved"`
-	// Breaks are the violated rules, by name.
-	Breaks map[string]json.RawMessage `json:"breaks"`
-	All    struct {
+	// BrokenRules are the violated rules, by name.
+	BrokenRules map[string]json.RawMessage `json:"breaks"`
+	All         struct {
 		Requests int `json:"n"`
 		Late     int `json:"late"`
 		Refused  int `json:"refused"`
@@ -45,8 +45,8 @@
 	// Program is its path, and Jobs the number of concurrent runs.
 	Program string
 	Jobs    int
-	// Why is the reason that the program records with each run.
-	Why string
+	// Reason is the reason that the program records with each run.
+	Reason string
 }
 
 // Build builds the sources in the folder once, before concurrent runs.
@@ -91,7 +91,7 @@
 
 func (bench *Bench) playOne(ctx context.Context, folder, report string, play Play) (*Result, error) {
 	command := exec.CommandContext(ctx, bench.Program, "run", play.Site, play.Day, "--seed", play.Seed, "--no-cpu",
-		"--report", report, "--why", bench.Why)
+		"--report", report, "--why", bench.Reason)
 	command.Dir = folder
 	output, runErr := command.CombinedOutput()
 	encoded, err := os.ReadFile(report)
@@ -114,9 +114,9 @@
 	return result, nil
 }
 
-// Copy clones the repository into the folder and applies the patch, unless its path is
+// ClonePatched clones the repository into the folder and applies the patch, unless its path is
 // empty.
-func Copy(ctx context.Context, repository, folder, patch string) error {
+func ClonePatched(ctx context.Context, repository, folder, patch string) error {
 	clone := exec.CommandContext(ctx, "git", "clone", "--quiet", repository, folder)
 	if output, err := clone.CombinedOutput(); err != nil {
 		return Error.New("clone %s: %v: %s", repository, err, output)
@@ -132,9 +132,9 @@
 	return nil
 }
 
-// KeepJournal copies the journal entries that plays wrote in a copy of the sources to the
+// CopyJournal copies the journal entries that plays wrote in a copy of the sources to the
 // repository. Existing entries are not overwritten.
-func KeepJournal(folder, repository string) error {
+func CopyJournal(folder, repository string) error {
 	const journal = "journal"
 	entries := os.DirFS(filepath.Join(folder, journal))
 	return fs.WalkDir(entries, ".", func(path string, entry fs.DirEntry, err error) error {
@@ -162,12 +162,12 @@
 	Pairs int
 	// Worth is the mean of the worth with the mechanism minus the worth without it,
 	// followed by the standard error of that mean.
-	Worth, Error float64
+	Worth, StandardError float64
 	// Unserved, Late and Refused are the mean increases of the shares of requests
 	// without the mechanism.
 	Unserved, Late, Refused float64
-	// Breaks counts the rules that are violated without it.
-	Breaks int
+	// BrokenRules counts the rules that are violated without it.
+	BrokenRules int
 }
 
 // Compare compares the plays of one site that have a result both with and without the
@@ -184,7 +184,7 @@
 		difference.Unserved += other.Unserved - base.Unserved
 		difference.Late += share(other.All.Late, other.All.Requests) - share(base.All.Late, base.All.Requests)
 		difference.Refused += share(other.All.Refused, other.All.Requests) - share(base.All.Refused, base.All.Requests)
-		difference.Breaks += len(other.Breaks)
+		difference.BrokenRules += len(other.BrokenRules)
 	}
 	difference.Pairs = len(gains)
 	if difference.Pairs == 0 {
@@ -194,7 +194,7 @@
 	difference.Unserved /= count
 	difference.Late /= count
 	difference.Refused /= count
-	difference.Worth, difference.Error = meanAndStandardError(gains)
+	difference.Worth, difference.StandardError = meanAndStandardError(gains)
 	return difference
 }
 
--- a/measure/ablation/ablation_test.go
+++ b/measure/ablation/ablation_test.go
@@ -26,7 +26,7 @@
 	difference := ablation.Compare("a", with, without)
 	is.Equal(difference.Pairs, 2) // only what both have, of that site
 	is.True(math.Abs(difference.Worth-0.2) < 1e-9)
-	is.True(math.Abs(difference.Error-0.1) < 1e-9) // 0.1 and 0.3 about 0.2
+	is.True(math.Abs(difference.StandardError-0.1) < 1e-9) // 0.1 and 0.3 about 0.2
 	is.True(math.Abs(difference.Late-0.06) < 1e-9)
 	is.Equal(ablation.Compare("c", with, without).Pairs, 0)
 }
@@ -37,7 +37,7 @@
 	is.NoErr(err)
 	is.Equal(result.Worth, 0.619)
 	is.Equal(result.All.Late, 330)
-	is.Equal(len(result.Breaks), 1)
+	is.Equal(len(result.BrokenRules), 1)
 }
 
 func TestKeepJournal(t *testing.T) {
@@ -52,7 +52,7 @@
 	write(folder, "blobs/b", "blob")
 	write(folder, "old.json", "other")
 	write(repository, "old.json", "as written")
-	is.NoErr(ablation.KeepJournal(folder, repository))
+	is.NoErr(ablation.CopyJournal(folder, repository))
 	for name, want := range map[string]string{"new.json": "new", "blobs/b": "blob", "old.json": "as written"} {
 		have, err := os.ReadFile(filepath.Join(repository, "journal", name))
 		is.NoErr(err)
--- a/measure/bench/cluster.go
+++ b/measure/bench/cluster.go
@@ -109,7 +109,7 @@
 		if i == 0 && cluster.load.SlowFactor > 0 {
 			engine.slowFactor = cluster.load.SlowFactor
 		}
-		engine.failFast = i == 1 && cluster.load.FailFast
+		engine.failFast = i == 1 && cluster.load.FailsFast
 		cluster.engines = append(cluster.engines, engine)
 		cluster.byID[id] = engine
 		cluster.endpoints = append(cluster.endpoints, peridotpath.Endpoint{
@@ -164,18 +164,18 @@
 }
 
 func (cluster *cluster) scheduleFaults() {
-	if cluster.load.LostShare > 0 {
+	if cluster.load.KilledShare > 0 {
 		cluster.clock.runAfter(faultDelay, cluster.killEngines)
 		cluster.clock.runAfter(faultDelay+membershipLag, cluster.updateMembership)
 	}
-	for number := range cluster.load.Replaced {
+	for number := range cluster.load.ReplacedInstances {
 		cluster.clock.runAfter(faultDelay, func() { cluster.instances[number].die() })
 		cluster.clock.runAfter(faultDelay+replaceDelay, func() { cluster.instances[number] = cluster.startInstance(number) })
 	}
 }
 
 func (cluster *cluster) killEngines() {
-	killed := int(float64(len(cluster.engines)) * cluster.load.LostShare)
+	killed := int(float64(len(cluster.engines)) * cluster.load.KilledShare)
 	for _, engine := range cluster.engines[len(cluster.engines)-killed:] {
 		engine.die()
 	}
@@ -289,7 +289,7 @@
 func (instance *instance) refuse(request *request, result *peridotpath.Result) {
 	cluster := instance.cluster
 	request.finish(result.Code)
-	if cluster.load.Returning && !request.isReturn && result.RetryAfter > 0 {
+	if cluster.load.CallersRetry && !request.isReturn && result.RetryAfter > 0 {
 		cluster.clock.runAfter(result.RetryAfter, func() { cluster.arrive(request.arrival, request) })
 	}
 }
--- a/measure/bench/compare.go
+++ b/measure/bench/compare.go
@@ -17,10 +17,10 @@
 
 // Comparison is a set of runs: each policy under each load and offered load.
 type Comparison struct {
-	Loads    []Load
-	Offered  []int
-	Policies []Policy
-	Seed     uint64
+	Loads           []Load
+	OfferedPercents []int
+	Policies        []Policy
+	Seed            uint64
 	// Parallel is the number of concurrent runs. It does not affect the figures.
 	Parallel int
 }
@@ -30,10 +30,10 @@
 func (comparison *Comparison) Run(ctx context.Context) ([]Figures, error) {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(comparison.Parallel, 1))
-	all := make([]Figures, len(comparison.Loads)*len(comparison.Offered)*len(comparison.Policies))
+	all := make([]Figures, len(comparison.Loads)*len(comparison.OfferedPercents)*len(comparison.Policies))
 	index := 0
 	for l := range comparison.Loads {
-		for _, offered := range comparison.Offered {
+		for _, offered := range comparison.OfferedPercents {
 			for _, policy := range comparison.Policies {
 				result := &all[index]
 				index++
@@ -58,19 +58,19 @@
 	all.engineCapacity = load.engineCapacity(seed)
 	figures := all.figures(offered)
 	everyone := func(*arrival) bool { return true }
-	if load.Shares[peridotpath.Short] > 0 {
+	if load.LengthShares[peridotpath.Short] > 0 {
 		alone := run(load, policy, excludeArrivals(arrivals, func(arrival *arrival) bool {
 			return arrival.class == peridotpath.Long
 		}), seed)
 		figures.ShortSlowdown = ratio(all.shortP99(everyone), alone.shortP99(everyone))
 	}
-	if load.Flooder > 0 {
+	if load.HeavyCustomerShare > 0 {
 		others := func(arrival *arrival) bool { return arrival.customer != 0 }
 		alone := run(load, policy, excludeArrivals(arrivals, func(arrival *arrival) bool {
 			return arrival.customer == 0
 		}), seed)
-		figures.OthersServed = all.servedShare(others)
-		figures.Unfair = ratio(all.shortP99(others), alone.shortP99(others))
+		figures.OthersServedShare = all.servedShare(others)
+		figures.Unfairness = ratio(all.shortP99(others), alone.shortP99(others))
 	}
 	return figures
 }
@@ -96,14 +96,14 @@
 // each mechanism left out in turn, and the loads with a fault without the mechanisms that
 // handle it.
 func Comparisons() []Comparison {
-	policies := append(Baselines(), Peridotpath("peridotpath", 0))
+	policies := append(Baselines(), NewPeridotpath("peridotpath", 0))
 	all := []Comparison{
-		{Loads: Loads(), Offered: OfferedPercents, Policies: policies},
-		{Loads: Loads()[:1], Offered: OfferedPercents, Policies: Ablations()},
+		{Loads: Loads(), OfferedPercents: OfferedPercents, Policies: policies},
+		{Loads: Loads()[:1], OfferedPercents: OfferedPercents, Policies: Ablations()},
 	}
 	for _, load := range Loads() {
 		if policies := faultMechanisms[load.Name]; len(policies) > 0 {
-			all = append(all, Comparison{Loads: []Load{load}, Offered: OfferedPercents, Policies: policies})
+			all = append(all, Comparison{Loads: []Load{load}, OfferedPercents: OfferedPercents, Policies: policies})
 		}
 	}
 	return all
@@ -125,7 +125,7 @@
 	for _, name := range names {
 		without |= decide.Mechanisms()[name]
 	}
-	return Peridotpath("peridotpath_without_"+strings.Join(names, "_and_"), without)
+	return NewPeridotpath("peridotpath_without_"+strings.Join(names, "_and_"), without)
 }
 
 // Ablations returns peridotpath without each mechanism in turn.
--- a/measure/bench/figures.go
+++ b/measure/bench/figures.go
@@ -13,41 +13,41 @@
 
 // Figures are the results of a run.
 type Figures struct {
-	Policy  string
-	Load    string
-	Offered int // percent of capacity
+	Policy         string
+	Load           string
+	OfferedPercent int // percent of capacity
 
 	// Percentiles of the time to first token (TTFT) in milliseconds, by length class. A
 	// refused or failed request counts with its whole deadline.
 	P50, P95, P99 [3]float64
 	// LongAdmittedP99 is the 99th percentile of the TTFT of admitted long requests.
 	LongAdmittedP99 float64
-	// Stretch is the 99th percentile, over all lengths, of the ratio of the TTFT to the
+	// StretchP99 is the 99th percentile, over all lengths, of the ratio of the TTFT to the
 	// prefill time of the prompt alone.
-	Stretch float64
+	StretchP99 float64
 	// ShortSlowdown is the ratio of the 99th percentile of short requests to the same
 	// without long requests in the load.
 	ShortSlowdown float64
-	// LongInTime is the share of admitted long requests that finished in time.
-	LongInTime float64
-	// InTime is the share of all admitted requests that finished in time.
-	InTime float64
-	// Goodput is the work that finished in time within the period whose arrivals are
+	// LongInTimeShare is the share of admitted long requests that finished in time.
+	LongInTimeShare float64
+	// InTimeShare is the share of all admitted requests that finished in time.
+	InTimeShare float64
+	// GoodputPercent is the work that finished in time within the period whose arrivals are
 	// counted, in percent of Load.engineCapacity. It excludes work that finished later.
-	Goodput float64
-	// Unfair is the ratio of the 99th percentile of the other customers' short requests
+	GoodputPercent float64
+	// Unfairness is the ratio of the 99th percentile of the other customers' short requests
 	// to the same without the heavy customer.
-	Unfair float64
-	// OthersServed is the share of the other customers' requests that finished in time
+	Unfairness float64
+	// OthersServedShare is the share of the other customers' requests that finished in time
 	// under the load of the heavy customer.
-	OthersServed float64
+	OthersServedShare float64
 	// Amplification is the ratio of attempts to requests with at least one attempt.
 	Amplification float64
-	// ReturnedAdmitted is the share of the retries after a refusal that succeeded.
-	ReturnedAdmitted float64
-	Returned         int
-	Requests         int
-	Refused          map[peridotpath.Code]int
+	// RetriesServedShare is the share of the retries after a refusal that succeeded.
+	RetriesServedShare float64
+	Retries            int
+	Requests           int
+	Refused            map[peridotpath.Code]int
 	// Utilisation is the ratio of the prefilled tokens to those that always busy engines
 	// prefill.
 	Utilisation float64
@@ -79,7 +79,7 @@
 // figures returns the figures of a run.
 func (cluster *cluster) figures(offered int) Figures {
 	figures := Figures{
-		Policy: cluster.policy.Name, Load: cluster.load.Name, Offered: offered, Refused: map[peridotpath.Code]int{},
+		Policy: cluster.policy.Name, Load: cluster.load.Name, OfferedPercent: offered, Refused: map[peridotpath.Code]int{},
 	}
 	byClass := [3]*hdrhistogram.Histogram{histogram(), histogram(), histogram()}
 	admitted, stretch := histogram(), hdrhistogram.New(1, 1e9, 3)
@@ -120,8 +120,8 @@
 			}
 		}
 		if request.retry != nil {
-			figures.Returned++
-			figures.ReturnedAdmitted += float64(boolToInt(request.retry.succeeded))
+			figures.Retries++
+			figures.RetriesServedShare += float64(boolToInt(request.retry.succeeded))
 		}
 	}
 	for class, values := range byClass {
@@ -130,13 +130,13 @@
 		figures.P99[class] = quantile(values, 99)
 	}
 	figures.LongAdmittedP99 = quantile(admitted, 99)
-	figures.Stretch = float64(stretch.ValueAtQuantile(99)) / 1000
-	figures.LongInTime = share(longInTime, longAdmitted)
-	figures.InTime = share(inTime, admittedCount)
-	figures.ReturnedAdmitted = share(int(figures.ReturnedAdmitted), figures.Returned)
+	figures.StretchP99 = float64(stretch.ValueAtQuantile(99)) / 1000
+	figures.LongInTimeShare = share(longInTime, longAdmitted)
+	figures.InTimeShare = share(inTime, admittedCount)
+	figures.RetriesServedShare = share(int(figures.RetriesServedShare), figures.Retries)
 	figures.Amplification = float64(cluster.attempts) / float64(max(attempted, 1))
 	engineSeconds := float64(len(cluster.engines)) * (arrivalPeriod - warmUpPeriod).Seconds()
-	figures.Goodput = 100 * goodput / engineSeconds / cluster.engineCapacity
+	figures.GoodputPercent = 100 * goodput / engineSeconds / cluster.engineCapacity
 	figures.Utilisation = cluster.prefilledTokens / busyPrefillPerS / engineSeconds
 	return figures
 }
@@ -194,8 +194,8 @@
 // transcribers to the slowdown of short requests.
 func (figures *Figures) Scores() (claims, transcribers float64) {
 	const heavy, light = 0.7, 0.3
-	claims = heavy*figures.Stretch + light*figures.ShortSlowdown
-	transcribers = heavy*figures.ShortSlowdown + light*figures.Stretch
+	claims = heavy*figures.StretchP99 + light*figures.ShortSlowdown
+	transcribers = heavy*figures.ShortSlowdown + light*figures.StretchP99
 	return claims, transcribers
 }
 
@@ -205,23 +205,23 @@
 	add := func(key, format string, value any) {
 		fmt.Fprintf(&line, " %s="+format, key, value)
 	}
-	fmt.Fprintf(&line, "policy=%s load=%s offered_pct=%d", figures.Policy, figures.Load, figures.Offered)
+	fmt.Fprintf(&line, "policy=%s load=%s offered_pct=%d", figures.Policy, figures.Load, figures.OfferedPercent)
 	for class, name := range []string{"short", "medium", "long"} {
 		add("ttft_"+name+"_p50_ms", "%.0f", figures.P50[class])
 		add("ttft_"+name+"_p95_ms", "%.0f", figures.P95[class])
 		add("ttft_"+name+"_p99_ms", "%.0f", figures.P99[class])
 	}
 	add("ttft_long_admitted_p99_ms", "%.0f", figures.LongAdmittedP99)
-	add("ttft_stretch_p99", "%.2f", figures.Stretch)
+	add("ttft_stretch_p99", "%.2f", figures.StretchP99)
 	add("short_slowdown", "%.3f", figures.ShortSlowdown)
-	add("long_in_time", "%.4f", figures.LongInTime)
-	add("admitted_in_time", "%.4f", figures.InTime)
-	add("goodput_pct", "%.1f", figures.Goodput)
-	add("unfair", "%.3f", figures.Unfair)
-	add("others_served", "%.4f", figures.OthersServed)
+	add("long_in_time", "%.4f", figures.LongInTimeShare)
+	add("admitted_in_time", "%.4f", figures.InTimeShare)
+	add("goodput_pct", "%.1f", figures.GoodputPercent)
+	add("unfair", "%.3f", figures.Unfairness)
+	add("others_served", "%.4f", figures.OthersServedShare)
 	add("amplification", "%.4f", figures.Amplification)
-	add("returned", "%d", figures.Returned)
-	add("returned_admitted", "%.4f", figures.ReturnedAdmitted)
+	add("returned", "%d", figures.Retries)
+	add("returned_admitted", "%.4f", figures.RetriesServedShare)
 	claims, transcribers := figures.Scores()
 	add("score_claims", "%.2f", claims)
 	add("score_transcribers", "%.2f", transcribers)
--- a/measure/bench/joint.go
+++ b/measure/bench/joint.go
@@ -15,13 +15,13 @@
 // Joint is a run with a number of instances that share the endpoints, and the lag of
 // their load reports.
 type Joint struct {
-	Instances int
-	Lag       time.Duration
-	Offered   int // percent of capacity
-	// Replaced is the number of instances that crash during the run and restart without
+	Instances      int
+	ReportLag      time.Duration
+	OfferedPercent int // percent of capacity
+	// ReplacedInstances is the number of instances that crash during the run and restart without
 	// state.
-	Replaced int
-	Figures  Figures
+	ReplacedInstances int
+	Figures           Figures
 	// Imbalance is the mean over time of the difference between the prefill backlog of
 	// the busiest endpoint and the mean of all, in milliseconds.
 	Imbalance float64
@@ -31,13 +31,13 @@
 // that see each other's requests only in load reports, and last 32 instances of which half
 // are replaced at once.
 func Joints(offered int) []Joint {
-	joints := []Joint{{Instances: 1, Lag: 300 * time.Millisecond, Offered: offered}}
+	joints := []Joint{{Instances: 1, ReportLag: 300 * time.Millisecond, OfferedPercent: offered}}
 	for _, lag := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 9 * time.Second} {
 		for _, instances := range []int{2, 8, 32, 64} {
-			joints = append(joints, Joint{Instances: instances, Lag: lag, Offered: offered})
+			joints = append(joints, Joint{Instances: instances, ReportLag: lag, OfferedPercent: offered})
 		}
 	}
-	return append(joints, Joint{Instances: 32, Lag: time.Second, Offered: offered, Replaced: 16})
+	return append(joints, Joint{Instances: 32, ReportLag: time.Second, OfferedPercent: offered, ReplacedInstances: 16})
 }
 
 // RunJoints runs all joints with the same arrivals.
@@ -57,13 +57,13 @@
 
 func (joint *Joint) run(seed uint64) {
 	load := &Load{
-		Name: "joint", Shares: mixedShares, ReportLag: joint.Lag, EstimateError: 1.1, Replaced: joint.Replaced,
+		Name: "joint", LengthShares: mixedShares, ReportLag: joint.ReportLag, MaxEstimateError: 1.1, ReplacedInstances: joint.ReplacedInstances,
 		Deployment: Deployment{Name: "joint", Endpoints: JointEndpoints, Instances: joint.Instances, Latency: time.Millisecond},
 	}
-	arrivals := load.arrivals(float64(joint.Offered)/100, seed)
-	cluster := run(load, Peridotpath("peridotpath", 0), arrivals, seed)
+	arrivals := load.arrivals(float64(joint.OfferedPercent)/100, seed)
+	cluster := run(load, NewPeridotpath("peridotpath", 0), arrivals, seed)
 	cluster.engineCapacity = load.engineCapacity(seed)
-	joint.Figures = cluster.figures(joint.Offered)
+	joint.Figures = cluster.figures(joint.OfferedPercent)
 	joint.Imbalance = cluster.imbalanceSum / float64(max(cluster.imbalanceSamples, 1))
 }
 
--- a/measure/bench/load.go
+++ b/measure/bench/load.go
@@ -35,36 +35,36 @@
 type Load struct {
 	Name       string
 	Deployment Deployment
-	// Shares are the shares of short, medium and long prompts.
-	Shares [3]float64
-	// Burst multiplies the rate of arrivals for a minute; zero for none.
-	Burst float64
-	// Flooder is the share of arrivals of the first, heavy customer; zero for the ordinary
+	// LengthShares are the shares of short, medium and long prompts.
+	LengthShares [3]float64
+	// BurstFactor multiplies the rate of arrivals for a minute; zero for none.
+	BurstFactor float64
+	// HeavyCustomerShare is the share of arrivals of the first, heavy customer; zero for the ordinary
 	// shares.
-	Flooder float64
+	HeavyCustomerShare float64
 	// SlowFactor multiplies the iteration time of the first endpoint; zero for none.
 	SlowFactor float64
-	// FailFast makes the second endpoint fail every request immediately.
-	FailFast bool
-	// LostShare is the share of the endpoints that crash during the run.
-	LostShare float64
-	// Replaced is the number of instances that crash during the run and restart without
+	// FailsFast makes the second endpoint fail every request immediately.
+	FailsFast bool
+	// KilledShare is the share of the endpoints that crash during the run.
+	KilledShare float64
+	// ReplacedInstances is the number of instances that crash during the run and restart without
 	// state.
-	Replaced int
+	ReplacedInstances int
 	// ReportLag is the age of load reports on arrival.
 	ReportLag time.Duration
-	// EstimateError is the largest ratio of an estimated prompt length to the actual one
+	// MaxEstimateError is the largest ratio of an estimated prompt length to the actual one
 	// and of the actual one to the estimate.
-	EstimateError float64
-	// Returning makes refused callers retry once, after their Retry-After.
-	Returning bool
+	MaxEstimateError float64
+	// CallersRetry makes refused callers retry once, after their Retry-After.
+	CallersRetry bool
 }
 
 var mixedShares = [3]float64{0.80, 0.18, 0.02}
 
 // Loads returns all loads, in the order of the report.
 func Loads() []Load {
-	mixed := Load{Name: "mixed", Deployment: Claims, Shares: mixedShares, ReportLag: 300 * time.Millisecond, EstimateError: 1.1}
+	mixed := Load{Name: "mixed", Deployment: Claims, LengthShares: mixedShares, ReportLag: 300 * time.Millisecond, MaxEstimateError: 1.1}
 	with := func(name string, change func(*Load)) Load {
 		load := mixed
 		load.Name = name
@@ -74,16 +74,16 @@
 	return []Load{
 		mixed,
 		with("mixed_manuscripts", func(load *Load) { load.Deployment = Manuscripts }),
-		with("burst", func(load *Load) { load.Burst = 10; load.Returning = true }),
-		with("skewed", func(load *Load) { load.Flooder = 0.7 }),
+		with("burst", func(load *Load) { load.BurstFactor = 10; load.CallersRetry = true }),
+		with("skewed", func(load *Load) { load.HeavyCustomerShare = 0.7 }),
 		with("slow_endpoint", func(load *Load) { load.SlowFactor = 5 }),
-		with("fail_fast", func(load *Load) { load.FailFast = true }),
-		with("only_long", func(load *Load) { load.Shares = [3]float64{0, 0, 1} }),
-		with("saturation", func(load *Load) { load.Returning = true; load.Shares = [3]float64{0.9, 0.09, 0.01} }),
-		with("third_lost", func(load *Load) { load.LostShare = 1.0 / 3 }),
-		with("instances_replaced", func(load *Load) { load.Replaced = 2 }),
+		with("fail_fast", func(load *Load) { load.FailsFast = true }),
+		with("only_long", func(load *Load) { load.LengthShares = [3]float64{0, 0, 1} }),
+		with("saturation", func(load *Load) { load.CallersRetry = true; load.LengthShares = [3]float64{0.9, 0.09, 0.01} }),
+		with("third_lost", func(load *Load) { load.KilledShare = 1.0 / 3 }),
+		with("instances_replaced", func(load *Load) { load.ReplacedInstances = 2 }),
 		with("late_reports", func(load *Load) { load.ReportLag = 5 * time.Second }),
-		with("wrong_estimates", func(load *Load) { load.EstimateError = 2 }),
+		with("wrong_estimates", func(load *Load) { load.MaxEstimateError = 2 }),
 	}
 }
 
@@ -201,10 +201,10 @@
 // rateFactor is the rate of arrivals at a time, relative to the offered load.
 func (load *Load) rateFactor(at float64) float64 {
 	switch {
-	case load.Burst == 0:
+	case load.BurstFactor == 0:
 		return 1
 	case at >= 70 && at < 130:
-		return burstBaseRate * load.Burst
+		return burstBaseRate * load.BurstFactor
 	default:
 		return burstBaseRate
 	}
@@ -216,7 +216,7 @@
 	low, high := math.Log(minPrompt[class]), math.Log(maxPrompt[class])
 	prompt := int64(math.Exp(low + random.Float64()*(high-low)))
 	outputLimit := minOutput[class] + random.Int64N(maxOutput[class]-minOutput[class])
-	maxLogError := math.Log(generator.load.EstimateError)
+	maxLogError := math.Log(generator.load.MaxEstimateError)
 	generated := arrival{
 		class:           class,
 		customer:        generator.drawCustomer(),
@@ -232,7 +232,7 @@
 
 func (generator *generator) drawClass() peridotpath.LengthClass {
 	at := generator.random.Float64()
-	for class, share := range generator.load.Shares {
+	for class, share := range generator.load.LengthShares {
 		if at < share {
 			return peridotpath.LengthClass(class)
 		}
@@ -243,7 +243,7 @@
 
 func (generator *generator) drawCustomer() int {
 	at := generator.random.Float64()
-	if flooder := generator.load.Flooder; flooder > 0 {
+	if flooder := generator.load.HeavyCustomerShare; flooder > 0 {
 		if at < flooder {
 			return 0
 		}
@@ -291,7 +291,7 @@
 	var all []*peridotpath.Customer
 	for i, share := range customerShares {
 		weight := int(share * 100)
-		if load.Flooder > 0 {
+		if load.HeavyCustomerShare > 0 {
 			weight = 1
 		}
 		all = append(all, &peridotpath.Customer{
--- a/measure/bench/outcome_test.go
+++ b/measure/bench/outcome_test.go
@@ -11,7 +11,7 @@
 )
 
 // testedPolicy is the policy under test.
-var testedPolicy = Peridotpath("peridotpath", 0)
+var testedPolicy = NewPeridotpath("peridotpath", 0)
 
 // measureAlone measures a load without the reference runs of measure.
 func measureAlone(t *testing.T, name string, offered int) Figures {
@@ -38,7 +38,7 @@
 func TestRunsAreDeterministic(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	comparison := &Comparison{Loads: Loads()[:1], Offered: []int{60}, Policies: []Policy{testedPolicy, Baselines()[1]}, Seed: 7, Parallel: 2}
+	comparison := &Comparison{Loads: Loads()[:1], OfferedPercents: []int{60}, Policies: []Policy{testedPolicy, Baselines()[1]}, Seed: 7, Parallel: 2}
 	first, err := comparison.Run(t.Context())
 	is.NoErr(err)
 	second, err := comparison.Run(t.Context())
@@ -55,10 +55,10 @@
 	is := is.New(t)
 	busy := measureCompared(t, "mixed", 80)
 	is.True(busy.ShortSlowdown <= 1.2)
-	is.Equal(busy.LongInTime, 1.0)
+	is.Equal(busy.LongInTimeShare, 1.0)
 	nearSaturation := measureCompared(t, "mixed", 95)
 	is.True(nearSaturation.ShortSlowdown <= 1.5)
-	is.Equal(nearSaturation.LongInTime, 1.0)
+	is.Equal(nearSaturation.LongInTimeShare, 1.0)
 }
 
 // Minutes of load above the fleet's capacity. Short requests are still answered promptly,
@@ -68,9 +68,9 @@
 	t.Parallel()
 	is := is.New(t)
 	figures := measureAlone(t, "mixed", 130)
-	is.True(figures.Goodput >= 98)
-	is.True(figures.InTime >= 0.99)
-	is.True(figures.LongInTime >= 0.99)
+	is.True(figures.GoodputPercent >= 98)
+	is.True(figures.InTimeShare >= 0.99)
+	is.True(figures.LongInTimeShare >= 0.99)
 	is.True(figures.P99[peridotpath.Short] <= 2_000) // milliseconds
 	is.True(figures.Refused[peridotpath.CodeCannotFinish] > 10*figures.Refused[peridotpath.CodeQueueTimeout])
 }
@@ -81,10 +81,10 @@
 	t.Parallel()
 	is := is.New(t)
 	figures := measureAlone(t, "burst", 80)
-	is.True(figures.Returned > 100)
-	is.True(figures.ReturnedAdmitted >= 0.85)
-	is.True(figures.InTime >= 0.98)
-	is.Equal(figures.LongInTime, 1.0)
+	is.True(figures.Retries > 100)
+	is.True(figures.RetriesServedShare >= 0.85)
+	is.True(figures.InTimeShare >= 0.98)
+	is.Equal(figures.LongInTimeShare, 1.0)
 }
 
 // One customer sends 70 % of a load above the fleet's capacity. The other customers'
@@ -93,12 +93,12 @@
 	t.Parallel()
 	is := is.New(t)
 	figures := measureCompared(t, "skewed", 130)
-	is.True(figures.OthersServed >= 0.95)
-	is.True(figures.Unfair <= 1.6)
+	is.True(figures.OthersServedShare >= 0.95)
+	is.True(figures.Unfairness <= 1.6)
 	var sum float64
 	for seed := range uint64(3) {
 		busy := measure(loadByName("skewed"), 80, testedPolicy, seed+1)
-		sum += busy.Unfair
+		sum += busy.Unfairness
 	}
 	is.True(sum/3 <= 1.25)
 }
@@ -111,7 +111,7 @@
 	figures := measureAlone(t, "slow_endpoint", 80)
 	is.True(figures.Refused[peridotpath.CodeDeadline] <= 10)
 	is.True(figures.P99[peridotpath.Short] <= 1_000) // milliseconds
-	is.Equal(figures.LongInTime, 1.0)
+	is.Equal(figures.LongInTimeShare, 1.0)
 }
 
 // One engine fails every request immediately, or a third of the engines crash. Hardly any
@@ -135,7 +135,7 @@
 	is := is.New(t)
 	figures := measureCompared(t, "late_reports", 80)
 	is.True(figures.ShortSlowdown <= 1.3)
-	is.Equal(figures.LongInTime, 1.0)
+	is.Equal(figures.LongInTimeShare, 1.0)
 }
 
 // The simulated engine keeps to its memory limit and serves a higher priority first. A job
--- a/measure/bench/policy.go
+++ b/measure/bench/policy.go
@@ -28,8 +28,8 @@
 	build func(deployment Deployment, seed uint64) func(instance int) *decider
 }
 
-// Peridotpath returns the policy under test with the given mechanisms disabled.
-func Peridotpath(name string, without decide.Mechanism) Policy {
+// NewPeridotpath returns the policy under test with the given mechanisms disabled.
+func NewPeridotpath(name string, without decide.Mechanism) Policy {
 	return Policy{Name: name, build: func(deployment Deployment, seed uint64) func(int) *decider {
 		return func(instance int) *decider {
 			scheduler := &decide.Scheduler{Seed: seed*1000 + uint64(instance), Disabled: without}
--- a/measure/chart/chart.go
+++ b/measure/chart/chart.go
@@ -27,9 +27,9 @@
 	legendHeadroom = 10
 )
 
-// Latency plots, for one length class, the 95th percentile of the time to first token
+// DrawLatency plots, for one length class, the 95th percentile of the time to first token
 // against the offered load, with a line for each policy.
-func Latency(folder string, class peridotpath.LengthClass, all []bench.Figures) error {
+func DrawLatency(folder string, class peridotpath.LengthClass, all []bench.Figures) error {
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("Time to first token, %s prompts, 95th percentile", class)
 	chart.X.Label.Text = "offered load, percent of capacity"
@@ -59,7 +59,7 @@
 		if lines[figures.Policy] == nil {
 			names = append(names, figures.Policy)
 		}
-		point := plotter.XY{X: float64(figures.Offered), Y: value(figures)}
+		point := plotter.XY{X: float64(figures.OfferedPercent), Y: value(figures)}
 		lines[figures.Policy] = append(lines[figures.Policy], point)
 	}
 	return names, lines
@@ -83,27 +83,27 @@
 			return figures.P99[peridotpath.Short]
 		}},
 		{"mechanism_in_time", "Admitted requests that missed their deadline, percent", func(figures *bench.Figures) float64 {
-			return 100 * (1 - figures.InTime)
+			return 100 * (1 - figures.InTimeShare)
 		}},
 		{"mechanism_long_in_time", "Admitted long requests that missed their deadline, percent", func(figures *bench.Figures) float64 {
-			return 100 * (1 - figures.LongInTime)
+			return 100 * (1 - figures.LongInTimeShare)
 		}},
 		{"mechanism_goodput", "Work finished in time, percent of capacity", func(figures *bench.Figures) float64 {
-			return figures.Goodput
+			return figures.GoodputPercent
 		}},
 	}
 }
 
-// Mechanisms plots one effect at one offered load as bars: all mechanisms on, then each
+// DrawMechanisms plots one effect at one offered load as bars: all mechanisms on, then each
 // one left out in turn.
-func Mechanisms(folder string, effect Effect, offered int, all []bench.Figures) error {
+func DrawMechanisms(folder string, effect Effect, offered int, all []bench.Figures) error {
 	chart := plot.New()
 	chart.Title.Text = fmt.Sprintf("Each mechanism left out in turn, at %d %% load", offered)
 	chart.X.Label.Text = effect.Title
 	var names []string
 	var values plotter.Values
 	for i := range all {
-		if all[i].Offered == offered {
+		if all[i].OfferedPercent == offered {
 			names = append(names, barLabel(all[i].Policy))
 			values = append(values, effect.Value(&all[i]))
 		}
--- a/measure/chart/chart_test.go
+++ b/measure/chart/chart_test.go
@@ -17,14 +17,14 @@
 	is := is.New(t)
 	folder := t.TempDir()
 	all := []bench.Figures{
-		{Policy: "round_robin", Offered: 60, P95: [3]float64{900, 1, 1}},
-		{Policy: "round_robin", Offered: 80, P95: [3]float64{1_900, 1, 1}},
-		{Policy: "peridotpath_without_memory", Offered: 60, P95: [3]float64{90, 1, 1}},
-		{Policy: "peridotpath_without_memory", Offered: 80, P95: [3]float64{190, 1, 1}},
+		{Policy: "round_robin", OfferedPercent: 60, P95: [3]float64{900, 1, 1}},
+		{Policy: "round_robin", OfferedPercent: 80, P95: [3]float64{1_900, 1, 1}},
+		{Policy: "peridotpath_without_memory", OfferedPercent: 60, P95: [3]float64{90, 1, 1}},
+		{Policy: "peridotpath_without_memory", OfferedPercent: 80, P95: [3]float64{190, 1, 1}},
 	}
-	is.NoErr(Latency(folder, peridotpath.Short, all))
+	is.NoErr(DrawLatency(folder, peridotpath.Short, all))
 	effect := Effects()[0]
-	is.NoErr(Mechanisms(folder, effect, 80, all))
+	is.NoErr(DrawMechanisms(folder, effect, 80, all))
 	for name, want := range map[string]string{"ttft_short": ">round_robin<", effect.Name: ">memory<"} {
 		svg, err := os.ReadFile(filepath.Join(folder, name+".svg"))
 		is.NoErr(err)
--- a/measure/figures.go
+++ b/measure/figures.go
@@ -60,7 +60,7 @@
 // filter restricts the comparison to the loads and policies that the flags name.
 func (command *figuresCommand) filter(comparison *bench.Comparison) {
 	if command.offered > 0 {
-		comparison.Offered = []int{command.offered}
+		comparison.OfferedPercents = []int{command.offered}
 	}
 	var loads []bench.Load
 	for _, load := range comparison.Loads {
--- a/measure/joint.go
+++ b/measure/joint.go
@@ -51,7 +51,7 @@
 			refused += count
 		}
 		fmt.Printf("| %d | %d | %.1f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %d of %d | %.0f |\n",
-			joint.Instances, joint.Replaced, joint.Lag.Seconds(), figures.P50[0], figures.P95[0], figures.P99[0], figures.P50[1], figures.P95[1], figures.P99[1],
+			joint.Instances, joint.ReplacedInstances, joint.ReportLag.Seconds(), figures.P50[0], figures.P95[0], figures.P99[0], figures.P50[1], figures.P95[1], figures.P99[1],
 			figures.P50[2], figures.P95[2], refused, figures.Requests, joint.Imbalance)
 	}
 	return subcommands.ExitSuccess
--- a/measure/plots.go
+++ b/measure/plots.go
@@ -52,13 +52,13 @@
 	if err := os.MkdirAll(command.folder, 0o755); err != nil {
 		return err
 	}
-	tested := bench.Peridotpath("peridotpath", 0)
+	tested := bench.NewPeridotpath("peridotpath", 0)
 	policies, err := command.runMixedLoad(ctx, append(bench.Baselines(), tested))
 	if err != nil {
 		return err
 	}
 	for class := range peridotpath.Oversize {
-		if err := chart.Latency(command.folder, class, policies); err != nil {
+		if err := chart.DrawLatency(command.folder, class, policies); err != nil {
 			return err
 		}
 	}
@@ -67,7 +67,7 @@
 		return err
 	}
 	for _, effect := range chart.Effects() {
-		if err := chart.Mechanisms(command.folder, effect, mechanismOfferedPercent, mechanisms); err != nil {
+		if err := chart.DrawMechanisms(command.folder, effect, mechanismOfferedPercent, mechanisms); err != nil {
 			return err
 		}
 	}
@@ -77,7 +77,7 @@
 // runMixedLoad runs policies under the mixed load.
 func (command *plotsCommand) runMixedLoad(ctx context.Context, policies []bench.Policy) ([]bench.Figures, error) {
 	comparison := &bench.Comparison{
-		Loads: bench.Loads()[:1], Offered: bench.OfferedPercents, Policies: policies,
+		Loads: bench.Loads()[:1], OfferedPercents: bench.OfferedPercents, Policies: policies,
 		Seed: command.seed, Parallel: command.parallel,
 	}
 	return comparison.Run(ctx)
--- a/soak/check.go
+++ b/soak/check.go
@@ -42,7 +42,7 @@
 	standin.Request
 	Customer peridotpath.CustomerID
 	Instance *instance
-	Sent     time.Time
+	SentAt   time.Time
 }
 
 func newChecker() *checker {
@@ -84,12 +84,12 @@
 	if run.Body != sent.Body || run.Customer != sent.Customer {
 		checker.addViolation("%s runs %s as %q of %q, sent as %q of %q", endpoint, run.RequestID, run.Body, run.Customer, sent.Body, sent.Customer)
 	}
-	if revokedAt, ok := checker.revokedAt[sent.Key]; ok && sent.Sent.After(revokedAt.Add(standin.MaxRevocationDelay+schedulingSlack)) {
-		checker.addViolation("%s runs %s, sent %v after its key was taken away", endpoint, run.RequestID, sent.Sent.Sub(revokedAt))
+	if revokedAt, ok := checker.revokedAt[sent.Key]; ok && sent.SentAt.After(revokedAt.Add(standin.MaxRevocationDelay+schedulingSlack)) {
+		checker.addViolation("%s runs %s, sent %v after its key was taken away", endpoint, run.RequestID, sent.SentAt.Sub(revokedAt))
 	}
-	if leavingSince, ok := checker.leavingSince[endpoint]; ok && sent.Sent.After(leavingSince.Add(standin.MaxPropagationDelay+schedulingSlack)) &&
+	if leavingSince, ok := checker.leavingSince[endpoint]; ok && sent.SentAt.After(leavingSince.Add(standin.MaxPropagationDelay+schedulingSlack)) &&
 		time.Since(checker.disturbedAt) > settleTime && leavingSince.After(checker.disturbedAt.Add(settleTime)) {
-		checker.addViolation("%s runs %s, sent %v after it began to leave", endpoint, run.RequestID, sent.Sent.Sub(leavingSince))
+		checker.addViolation("%s runs %s, sent %v after it began to leave", endpoint, run.RequestID, sent.SentAt.Sub(leavingSince))
 	}
 	if isFatal(run.Body) {
 		checker.recordCrash(sent, run)
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -49,9 +49,9 @@
 			request := request
 			request.ID = peridotpath.RequestID(fmt.Sprintf("%s-%d", strings.ReplaceAll(body, " ", "-"), count))
 			instance := fleet.instances[instanceRandom.IntN(len(fleet.instances))]
-			fleet.checker.recordSent(sentRequest{Request: request, Customer: customer, Instance: instance, Sent: time.Now()})
+			fleet.checker.recordSent(sentRequest{Request: request, Customer: customer, Instance: instance, SentAt: time.Now()})
 			fleet.goBackground(func() {
-				reply, err := standin.Send(context.Background(), &http.Client{Timeout: clientTimeout}, instance.Callers, request)
+				reply, err := standin.Send(context.Background(), &http.Client{Timeout: clientTimeout}, instance.IngressAddress, request)
 				if err != nil {
 					reply = nil
 				}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -47,7 +47,7 @@
 		return func() { fleet.store.SetFault(standin.StoreHealthy) }
 	}},
 	{"store_link", func(fleet *fleet, random *rand.Rand) func() {
-		proxy := fleet.instances[random.IntN(len(fleet.instances))].Store
+		proxy := fleet.instances[random.IntN(len(fleet.instances))].StoreProxy
 		proxy.setLink(randomLinkFault(random))
 		return func() { proxy.setLink(linkHealthy) }
 	}},
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -172,7 +172,7 @@
 		return err
 	}
 	instance := &instance{
-		ID: id, Binary: binary, Folder: folder, Callers: loopback(first), Ready: loopback(first + 1), Peers: first + 2, Store: store,
+		ID: id, Binary: binary, Folder: folder, IngressAddress: loopback(first), ReadinessAddress: loopback(first + 1), FirstPeerPort: first + 2, StoreProxy: store,
 	}
 	fleet.instances = append(fleet.instances, instance)
 	fleet.storeProxyAddresses = append(fleet.storeProxyAddresses, at)
--- a/soak/process.go
+++ b/soak/process.go
@@ -18,14 +18,14 @@
 
 // instance is one peridotd process.
 type instance struct {
-	ID      peridotpath.InstanceID
-	Binary  string
-	Folder  string
-	Callers netip.AddrPort
-	Ready   netip.AddrPort
-	Peers   uint16
-	// Store is the proxy between the process and the store.
-	Store *proxy
+	ID               peridotpath.InstanceID
+	Binary           string
+	Folder           string
+	IngressAddress   netip.AddrPort
+	ReadinessAddress netip.AddrPort
+	FirstPeerPort    uint16
+	// StoreProxy is the proxy between the process and the store.
+	StoreProxy *proxy
 
 	mutex   sync.Mutex
 	command *exec.Cmd
@@ -74,7 +74,7 @@
 // start starts a new process.
 func (instance *instance) start(store netip.AddrPort) error {
 	settings := filepath.Join(instance.Folder, string(instance.ID)+".toml")
-	text := standin.Settings(instance.ID, instance.Callers, instance.Ready, store, instance.Peers)
+	text := standin.Settings(instance.ID, instance.IngressAddress, instance.ReadinessAddress, store, instance.FirstPeerPort)
 	if err := os.WriteFile(settings, []byte(text), 0o600); err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 // isReady queries the readiness probe.
 func (instance *instance) isReady() bool {
 	client := http.Client{Timeout: 500 * time.Millisecond}
-	response, err := client.Get("http://" + instance.Ready.String() + standin.ReadyPath)
+	response, err := client.Get("http://" + instance.ReadinessAddress.String() + standin.ReadyPath)
 	if err != nil {
 		return false
 	}
--- a/standin/load.go
+++ b/standin/load.go
@@ -41,9 +41,9 @@
 		fmt.Fprintf(os.Stderr, "standin load: %v\n", err)
 		return subcommands.ExitFailure
 	}
-	report.PrintBad(os.Stdout)
+	report.PrintFailures(os.Stdout)
 	report.Print(os.Stdout)
-	if !report.Audit.Clean() {
+	if !report.Audit.IsClean() {
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
--- a/standin/load/audit.go
+++ b/standin/load/audit.go
@@ -43,23 +43,23 @@
 type Audit struct {
 	// Lost got neither an answer nor an error by their deadline.
 	Lost int
-	// Twice are not idempotent, and ran more than once.
-	Twice int
+	// RanTwice are not idempotent, and ran more than once.
+	RanTwice int
 	// CutOff got a part of an answer that broke off and could not be resumed.
 	CutOff int
-	// Wrong got an incomplete answer or that of another request.
-	Wrong int
+	// WrongAnswer got an incomplete answer or that of another request.
+	WrongAnswer int
 	// NotRunButRan ran, although the replies to all copies report that they did not.
 	NotRunButRan int
-	// Unfinished got an answer, although no endpoint finished them.
-	Unfinished int
-	// Unknown got a reply that they may have run, which is not a fault.
-	Unknown int
+	// AnsweredUnfinished got an answer, although no endpoint finished them.
+	AnsweredUnfinished int
+	// OutcomeUnknown got a reply that they may have run, which is not a fault.
+	OutcomeUnknown int
 }
 
-// Clean reports whether the audit found no fault.
-func (audit *Audit) Clean() bool {
-	return audit.Lost+audit.Twice+audit.CutOff+audit.Wrong+audit.NotRunButRan+audit.Unfinished == 0
+// IsClean reports whether the audit found no fault.
+func (audit *Audit) IsClean() bool {
+	return audit.Lost+audit.RanTwice+audit.CutOff+audit.WrongAnswer+audit.NotRunButRan+audit.AnsweredUnfinished == 0
 }
 
 func newAudit(results []*result, counts map[string]engine.Count) *Audit {
@@ -75,16 +75,16 @@
 		case cutOff:
 			audit.CutOff++
 		case wrong:
-			audit.Wrong++
+			audit.WrongAnswer++
 		case unknown:
-			audit.Unknown++
+			audit.OutcomeUnknown++
 		case answered:
 			if count.Finished == 0 {
-				audit.Unfinished++
+				audit.AnsweredUnfinished++
 			}
 		}
 		if !result.request.work.Idempotent && count.Runs > 1 {
-			audit.Twice++
+			audit.RanTwice++
 		}
 	}
 	for id, notRun := range reportedNotRun {
--- a/standin/load/call.go
+++ b/standin/load/call.go
@@ -161,7 +161,7 @@
 func (call *call) newHTTPRequest(ctx context.Context, instance netip.AddrPort) (*http.Request, error) {
 	work := call.request.work
 	path := work.Path
-	if work.Plain {
+	if work.IsPlainService {
 		path = caller.ServicePrefix + string(work.Profile) + path
 	}
 	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+instance.String()+path, singleUseReader{bytes.NewReader(call.body)})
@@ -262,7 +262,7 @@
 	}
 	fields := gjson.GetManyBytes(text, "choices.0.text", "choices.0.message.content", "body")
 	answer := fields[0].String() + fields[1].String()
-	if call.request.work.Plain {
+	if call.request.work.IsPlainService {
 		answer = fields[2].String()
 	}
 	return call.checkAnswer(answer)
--- a/standin/load/plan.go
+++ b/standin/load/plan.go
@@ -23,14 +23,14 @@
 	Requests int `json:"requests"`
 	// RatePerS is the mean rate of arrivals.
 	RatePerS float64 `json:"rate_per_s"`
-	// EngineHolds is the KV memory of the fleet's largest engine. Longer prompts are
+	// MaxEngineKV is the KV memory of the fleet's largest engine. Longer prompts are
 	// reported as oversize.
-	EngineHolds peridotpath.Tokens `json:"engine_holds_tokens"`
+	MaxEngineKV peridotpath.Tokens `json:"engine_holds_tokens"`
 	// Keys are the callers' API keys. Each request uses a random one.
 	Keys []string `json:"keys"`
-	// RepeatKeyed enables retries of calls with an idempotency key after a broken
+	// RetriesKeyed enables retries of calls with an idempotency key after a broken
 	// connection.
-	RepeatKeyed bool `json:"repeat_keyed"`
+	RetriesKeyed bool `json:"repeat_keyed"`
 	// Work are the kinds of request.
 	Work []Work `json:"work"`
 }
@@ -43,8 +43,8 @@
 	Profile peridotpath.ProfileName `json:"profile"`
 	// Path is a completion path, or for a plain service the path after the profile.
 	Path string `json:"path"`
-	// Plain marks calls to a plain service.
-	Plain bool `json:"plain,omitempty"`
+	// IsPlainService marks calls to a plain service.
+	IsPlainService bool `json:"plain,omitempty"`
 	// Idempotent requests may be retried after a broken connection. Other requests carry
 	// an Idempotency-Key.
 	Idempotent bool `json:"idempotent"`
@@ -63,8 +63,8 @@
 	DuplicatePercent int `json:"duplicate_percent,omitempty"`
 	// DeadlineMS is the profile's deadline. A request without a reply by then is lost.
 	DeadlineMS peridotpath.Millis `json:"deadline_ms"`
-	// First sends one such request at the start, regardless of Share.
-	First bool `json:"first,omitempty"`
+	// SendsFirst sends one such request at the start, regardless of Share.
+	SendsFirst bool `json:"first,omitempty"`
 }
 
 // ParsePlan parses a plan and returns all its faults.
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -100,12 +100,12 @@
 	fmt.Fprintf(writer, "event=callers connections_broken=%d resumed=%d\n", report.brokenConnections, report.resumptions)
 	audit := report.Audit
 	fmt.Fprintf(writer, "event=audit wrong=%d not_run_but_ran=%d answered_but_unfinished=%d unknown=%d\n",
-		audit.Wrong, audit.NotRunButRan, audit.Unfinished, audit.Unknown)
-	fmt.Fprintf(writer, "event=result lost=%d twice=%d cut_off=%d\n", audit.Lost, audit.Twice, audit.CutOff)
+		audit.WrongAnswer, audit.NotRunButRan, audit.AnsweredUnfinished, audit.OutcomeUnknown)
+	fmt.Fprintf(writer, "event=result lost=%d twice=%d cut_off=%d\n", audit.Lost, audit.RanTwice, audit.CutOff)
 }
 
-// PrintBad writes a line for each request that was lost, cut off or answered wrongly.
-func (report *Report) PrintBad(writer io.Writer) {
+// PrintFailures writes a line for each request that was lost, cut off or answered wrongly.
+func (report *Report) PrintFailures(writer io.Writer) {
 	for _, result := range report.results {
 		switch result.verdict {
 		case lost, cutOff, wrong:
--- a/standin/load/request.go
+++ b/standin/load/request.go
@@ -38,7 +38,7 @@
 	}
 	var requests []*request
 	for i := range plan.Work {
-		if plan.Work[i].First {
+		if plan.Work[i].SendsFirst {
 			requests = append(requests, newRequest(plan, &plan.Work[i], random, len(requests), 0))
 		}
 	}
@@ -68,14 +68,14 @@
 	return &request{
 		copies: copies, id: fmt.Sprintf("load-%d-%d", plan.Seed, number), work: work, arrivesAt: arrivesAt, tokens: tokens,
 		key: plan.Keys[random.IntN(len(plan.Keys))], stream: random.IntN(100) < work.StreamPercent,
-		lengthClass: peridotpath.ClassOf(tokens+work.OutputTokens, plan.EngineHolds), seed: random.Uint64(),
+		lengthClass: peridotpath.ClassOf(tokens+work.OutputTokens, plan.MaxEngineKV), seed: random.Uint64(),
 	}
 }
 
 // reportName is the class of the request in the report: its length class, or the name of
 // its work for a plain service.
 func (request *request) reportName() string {
-	if request.work.Plain {
+	if request.work.IsPlainService {
 		return request.work.Name
 	}
 	return request.lengthClass.String()
@@ -122,7 +122,7 @@
 
 // body returns the request body.
 func (request *request) body() ([]byte, error) {
-	if request.work.Plain {
+	if request.work.IsPlainService {
 		return []byte(request.prompt()), nil
 	}
 	body := requestBody{Model: string(request.work.Profile), MaxTokens: request.work.OutputTokens, Stream: request.stream}
@@ -136,7 +136,7 @@
 
 // expectedAnswer returns the complete answer to this request.
 func (request *request) expectedAnswer(body []byte) string {
-	if request.work.Plain {
+	if request.work.IsPlainService {
 		return servicetest.BodySum(body)
 	}
 	return enginetest.Answer(enginetest.AnswerSeed(body), int(request.work.OutputTokens))
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -53,7 +53,7 @@
 		}
 		for range request.copies {
 			group.Go(func() error {
-				finished <- runRequest(ctx, balancer, request, plan.RepeatKeyed)
+				finished <- runRequest(ctx, balancer, request, plan.RetriesKeyed)
 				return nil
 			})
 		}
--- a/standin/load/run_test.go
+++ b/standin/load/run_test.go
@@ -148,7 +148,7 @@
 				system.forward(&discardWriter{http.Header{}}, withBody(request, text))
 			}
 			system.forward(writer, withBody(request, text))
-		}, func(audit *load.Audit) int { return audit.Twice }},
+		}, func(audit *load.Audit) int { return audit.RanTwice }},
 		{"says not run of what ran", func(system *system, writer http.ResponseWriter, request *http.Request) {
 			system.forward(&discardWriter{http.Header{}}, request)
 			refuse(writer, notRun)
@@ -159,7 +159,7 @@
 		}, func(audit *load.Audit) int { return audit.Lost }},
 		{"gives the answer to another prompt", func(system *system, writer http.ResponseWriter, request *http.Request) {
 			system.forward(writer, withBody(request, bytes.ReplaceAll(readBody(request), []byte("a"), []byte("e"))))
-		}, func(audit *load.Audit) int { return audit.Wrong }},
+		}, func(audit *load.Audit) int { return audit.WrongAnswer }},
 		{"ends streams early", func(system *system, writer http.ResponseWriter, request *http.Request) {
 			if gjson.GetBytes(readBody(request), "stream").Bool() {
 				fmt.Fprint(writer, "id: x.0\ndata: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n")
@@ -174,7 +174,7 @@
 				return
 			}
 			refuse(writer, notRun)
-		}, func(audit *load.Audit) int { return audit.Unfinished }},
+		}, func(audit *load.Audit) int { return audit.AnsweredUnfinished }},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -182,7 +182,7 @@
 			audit, text := runPlan(t, test.handle)
 			t.Log(text)
 			is.True(test.wrong(audit) > 0) // the audit did not count the fault
-			is.True(!audit.Clean())
+			is.True(!audit.IsClean())
 		})
 	}
 }
@@ -198,6 +198,6 @@
 		}
 		system.forward(writer, request)
 	})
-	is.True(audit.Clean())
+	is.True(audit.IsClean())
 	is.True(strings.Contains(text, "event=refusal reason=queue_full count=20"))
 }
