--- a/peridotpath/placement/cost.go
+++ b/peridotpath/placement/cost.go
@@ -84,16 +84,16 @@
 	return cost
 }
 
-// helperOvertakingCost is the value that prompts lose which wait for prefill on the
-// engine that also decodes them: engines prefill helper parts of other prompts first.
+// helperOvertakingCost is the value that prompts with this engine as primary lose when a
+// helper part of the given prefill time is added: engines prefill helper parts of other
+// prompts first.
 func helperOvertakingCost(at *engine, prefill time.Duration) float64 {
 	return overtakingCost * prefill.Seconds() * at.load.prefillingValue
 }
 
-// confidence is how far the snapshot can be relied on, from 0 to 1. It is 1 where no
-// peer dispatches a request before this instance receives its report, 1/2 where one
-// does, near 0 where two do, and it grows from 0 while this instance starts to receive
-// reports.
+// confidence is how far the snapshot can be relied on, from 0 to 1. It is 1 if no request
+// of a peer is estimated to be in flight but unreported, 1/2 for one such request and near
+// 0 for two. After a start it grows from 0 while the first reports arrive.
 //
 // It matters in a burst of short prompts at hundreds of instances, and when all clients
 // reconnect after all instances have restarted. Each instance then places requests by
@@ -104,10 +104,10 @@
 	return snapshot.observedShare / (1 + square*square)
 }
 
-// engineCost is the cost of an engine as the primary, apart from latency. Occupancy, the
-// first decoding request and the rank are scaled by the confidence in the snapshot, the
-// second by at least minIdleEngineConfidence. As confidence falls, jitter takes over and
-// keeps instances from choosing the same engine.
+// engineCost is the cost of an engine as the primary, apart from latency. The costs of
+// rank, free slots and an idle engine are scaled by the confidence in the snapshot, that
+// of an idle engine by at least minIdleEngineConfidence. The lower the confidence, the
+// larger the jitter, which keeps instances from choosing the same engine.
 func engineCost(work Work, primary *engine) float64 {
 	cost := rankCost*primary.confidence*primary.rank + jitterCost*(1-primary.confidence)*primary.jitter
 	if primary.Endpoint.DataCentre != work.DataCentre {
--- a/peridotpath/placement/ejection.go
+++ b/peridotpath/placement/ejection.go
@@ -24,13 +24,13 @@
 type ejectionState struct {
 	until    time.Time
 	failures int
-	// gossiped is set when peers receive the ejection. A full endpoint reports its
-	// state to each instance itself.
+	// gossiped is set when the ejection is sent to peers. That of a full endpoint is
+	// not: the endpoint reports to each instance itself that it is full.
 	gossiped bool
 }
 
 // EjectFailed ejects an endpoint after a failure: no connection, no answer, or a malformed
-// one. Peers receive the ejection, so that they need not fail there as well.
+// one. Peers receive the ejection, so that their requests do not fail there as well.
 func (tracker *LoadTracker) EjectFailed(key peridotpath.EndpointKey, now time.Time) {
 	tracker.mutex.Lock()
 	ejection := tracker.ejections[key]
@@ -53,7 +53,8 @@
 	tracker.setEjection(key, ejection)
 }
 
-// ClearEjection ends an endpoint's ejection after a valid answer, unless it was only full.
+// ClearEjection ends an endpoint's ejection after a valid answer, unless the endpoint was
+// ejected only because it is full.
 func (tracker *LoadTracker) ClearEjection(key peridotpath.EndpointKey) {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
--- a/peridotpath/placement/headroom.go
+++ b/peridotpath/placement/headroom.go
@@ -45,8 +45,8 @@
 //
 // It matters after all instances have restarted, when no request is decoding and all
 // clients reconnect. A long prompt then interferes with no request. Without this cost
-// it was split across all engines and delayed the short prompts that arrived next,
-// although half as many engines were enough to meet its target.
+// it is split across all engines and delays the short prompts that arrive next, although
+// half as many engines are enough to meet its target.
 //
 // A slot counts as the value 1, that of a short prompt of the usual length.
 func (plan *Plan) addCrowdingCost(shortValuePerSecond float64, remaining headroom) {
--- a/peridotpath/placement/load.go
+++ b/peridotpath/placement/load.go
@@ -52,8 +52,8 @@
 	isPrimary bool
 }
 
-// slowed returns the time that the endpoint takes for what takes the given time at its
-// published rates.
+// slowed converts a duration at the endpoint's published rates to one at its reported
+// slowdown.
 func (load *Load) slowed(duration time.Duration) time.Duration {
 	return time.Duration(float64(duration) * load.ReportedSlowdown)
 }
@@ -61,8 +61,9 @@
 // RequestCount returns the number of requests at the endpoint.
 func (load *Load) RequestCount() int { return load.Decoding + load.Prefilling }
 
-// overduePrefillShare is the remaining share of a prefill that has exceeded its predicted
-// time without a first event. How much longer it will take is unknown.
+// overduePrefillShare is the share of its predicted time that a prefill is assumed to take
+// still when it has exceeded that time without a first event. The actual remaining time is
+// unknown.
 const overduePrefillShare = 0.125
 
 // LoadSnapshot is the load of every endpoint at one moment.
@@ -125,8 +126,8 @@
 	return snapshot
 }
 
-// UnreportedRequests returns the estimated number of peers' requests that are in flight but not
-// yet reported here.
+// UnreportedRequests returns the estimated number of peers' requests that are in flight
+// but not yet reported here.
 func (snapshot LoadSnapshot) UnreportedRequests() float64 { return snapshot.unreported }
 
 // All returns the endpoints that have any load.
@@ -134,7 +135,8 @@
 	return maps.All(snapshot.loads)
 }
 
-// At returns the load of an endpoint, which is zero for an unknown one.
+// At returns the load of an endpoint; one that is not in the snapshot has no load and no
+// slowdown.
 func (snapshot LoadSnapshot) At(key peridotpath.EndpointKey) *Load {
 	if load := snapshot.loads[key]; load != nil {
 		return load
--- a/peridotpath/placement/load_tracker.go
+++ b/peridotpath/placement/load_tracker.go
@@ -56,7 +56,8 @@
 	startedAt  time.Time
 	lastNumber InFlightNumber
 	local      map[InFlightNumber]*InFlight
-	// queued are this instance's requests in the prefill queue.
+	// queued are this instance's requests in the prefill queue, lastQueued is the number
+	// of the one that was added last.
 	lastQueued QueuedPromptNumber
 	queued     map[QueuedPromptNumber]*QueuedPrompt
 	peers      map[peridotpath.InstanceID]*peerLoad
--- a/peridotpath/placement/memory.go
+++ b/peridotpath/placement/memory.go
@@ -29,7 +29,8 @@
 }
 
 // splitKV divides the KV cache of a prompt that fits on no engine into equal parts, on
-// the primary and the fewest helpers that have room. It reports whether they have.
+// the primary and the fewest helpers that have room for them. It returns false where the
+// helpers have too little.
 func (plan *Plan) splitKV(model Model, work Work, primary *engine, engines []*engine) bool {
 	total := work.PromptTokens + work.AnswerTokens
 	var helpers []*engine
--- a/peridotpath/placement/model.go
+++ b/peridotpath/placement/model.go
@@ -23,7 +23,7 @@
 	Rates *peridotpath.EngineRates
 }
 
-const pairsPerMillion = 1e6
+const million = 1e6
 
 // PrefillTime returns the prefill time of a prompt on one idle engine. It grows
 // with the square of the prompt's length.
@@ -31,7 +31,7 @@
 	rates := model.Rates
 	tokens := float64(prompt)
 	linear := tokens / rates.PrefillPerSecond * float64(time.Second)
-	quadratic := tokens * tokens / 2 / pairsPerMillion * float64(rates.PerMillionPairs)
+	quadratic := tokens * tokens / 2 / million * float64(rates.PerMillionPairs)
 	steps := math.Ceil(tokens/float64(rates.Chunk)) * float64(rates.Step)
 	return time.Duration(linear + quadratic + steps)
 }
@@ -55,8 +55,8 @@
 }
 
 // valueUnitTokens is the prompt length whose answer has the value 1. valueExponent is
-// how value grows with length. An equal value for all lengths (0) would starve long
-// prompts, and a value per token (1) would starve short ones.
+// how value grows with length. An equal value for all lengths (exponent 0) would starve
+// long prompts, and a value per token (exponent 1) would starve short ones.
 const (
 	valueUnitTokens = 5000
 	valueExponent   = 0.75
--- a/peridotpath/placement/plan.go
+++ b/peridotpath/placement/plan.go
@@ -17,9 +17,9 @@
 	PromptTokens peridotpath.Tokens
 	// AnswerTokens is the expected length of the answer.
 	AnswerTokens peridotpath.Tokens
-	// TTFTTarget is the TTFT target.
+	// TTFTTarget is the target for the time to first token, from the request's arrival.
 	TTFTTarget time.Duration
-	// ITLTarget is the ITL target.
+	// ITLTarget is the target for the inter-token latency; zero for none.
 	ITLTarget time.Duration
 	// Waited is the time since the request's arrival.
 	Waited time.Duration
@@ -28,7 +28,7 @@
 	// ClientTimeout is the time until the client times out if no event arrives; zero
 	// where that is not known.
 	ClientTimeout time.Duration
-	// DataCentre is the instance's own.
+	// DataCentre is the data centre of this instance.
 	DataCentre peridotpath.DataCentre
 }
 
@@ -44,7 +44,8 @@
 type Candidate struct {
 	Endpoint *peridotpath.Endpoint
 	Key      peridotpath.EndpointKey
-	// IsEjected is set while the endpoint is ejected. It is used only when no other can be.
+	// IsEjected is set while the endpoint is ejected. An ejected endpoint is used only
+	// when no other can be.
 	IsEjected bool
 }
 
@@ -90,8 +91,8 @@
 	// maxHelpers bounds the helpers that prefill parts of one prompt.
 	maxHelpers = 16
 	// maxPrimaries bounds the engines that are tried as the primary of a split prompt,
-	// in order of cost. Each one takes a plan per number of helpers, and a queued prompt
-	// is planned a hundred times a second.
+	// in order of cost. For each one, a plan is computed per number of helpers, and a
+	// queued prompt is planned a hundred times a second.
 	maxPrimaries = 16
 	// ejectedPenaltySeconds ranks ejected engines behind all others.
 	ejectedPenaltySeconds = 60
@@ -99,8 +100,8 @@
 	// fits between two events of the requests that decode on the same engine.
 	minSplitPrefill = 100 * time.Millisecond
 	// minDecodeShare is the share of the estimated decode time that must remain before
-	// the deadline. The estimate uses the answer length that the client expects, whose
-	// median is right, but which is often twice too long.
+	// the deadline. The estimate uses the answer length that the client expects, which
+	// is right in the median but often twice the actual length.
 	minDecodeShare = 0.5
 )
 
@@ -109,7 +110,8 @@
 	Candidate
 	load *Load
 	// slots is the engine's maximum batch size.
-	slots     int
+	slots int
+	// iteration is the duration of an iteration without prefill.
 	iteration time.Duration
 	// prefillDelay is the time until the engine can start a new prefill.
 	prefillDelay time.Duration
@@ -169,8 +171,8 @@
 
 // isFeasible reports whether the plan's answer begins before the client times out and
 // can end before the deadline. A prompt that already misses its target costs little more
-// when it is later still. Without the first check all such prompts went to the few
-// engines where they interfered with no other request, and most clients timed out.
+// when it is later still. Without the first check all such prompts go to the few engines
+// where they interfere with no other request, and most of their clients time out.
 func isFeasible(plan Plan, work Work, decode time.Duration) bool {
 	if work.ClientTimeout > 0 && plan.TimeToFirstEvent > work.ClientTimeout {
 		return false
@@ -178,9 +180,9 @@
 	return plan.TimeToFirstEvent+time.Duration(minDecodeShare*float64(decode)) <= work.TimeLeft
 }
 
-// sortByPrefillCost returns the engines in the order in which they are used for a part
-// of the prompt. The cost is that of a part of a third of the prompt: the time until it
-// starts plus the value that others lose by it. Ejected engines come last.
+// sortByPrefillCost returns the engines in ascending order of the cost to prefill a third
+// of the prompt: the delay until it starts and the extra time on a slow engine, in seconds,
+// plus the value that other requests lose by it. Ejected engines come last.
 func sortByPrefillCost(engines []engine, prefill time.Duration) []*engine {
 	sorted := make([]*engine, len(engines))
 	for i := range engines {
@@ -240,12 +242,12 @@
 type fleetState struct {
 	// shortValuePerSecond is the value of the short prompts that arrive in a second.
 	shortValuePerSecond float64
-	// engines are all engines, in the order in which they are used for a part.
+	// engines are all engines, in ascending order of prefillCost.
 	engines []*engine
 }
 
-// bestPlan returns the plan with the lowest cost for that primary, with no helper or
-// with any number of them up to maxHelpers.
+// bestPlan returns the plan with the lowest cost for that primary, among those with 0 to
+// maxHelpers helpers.
 func bestPlan(model Model, work Work, prefill time.Duration, primary *engine, fleet fleetState) Plan {
 	best := newPlan(model, work, prefill, primary, nil)
 	if prefill < minSplitPrefill {
--- a/peridotpath/placement/plan_test.go
+++ b/peridotpath/placement/plan_test.go
@@ -55,14 +55,14 @@
 }
 
 // addPrefilling adds a long prompt whose prefill is pending at a candidate.
-func addPrefilling(tracker *placement.LoadTracker, at placement.Candidate, span time.Duration) {
+func addPrefilling(tracker *placement.LoadTracker, at placement.Candidate, prefill time.Duration) {
 	tracker.AddInFlight(placement.InFlight{
-		Parts:        []placement.PrefillPart{{Endpoint: at.Key, PrefillTime: span, ReservedKV: 200_000}},
+		Parts:        []placement.PrefillPart{{Endpoint: at.Key, PrefillTime: prefill, ReservedKV: 200_000}},
 		PromptTokens: 200_000, ITLTarget: 800 * time.Millisecond, SentAt: time.Now(),
 	})
 }
 
-func TestReadTime(t *testing.T) {
+func TestPrefillAndIterationTime(t *testing.T) {
 	tests := []struct {
 		prompt peridotpath.Tokens
 		want   time.Duration
@@ -72,14 +72,14 @@
 	}
 	for _, test := range tests {
 		if have := model.PrefillTime(test.prompt); have.Round(time.Millisecond) != test.want {
-			t.Errorf("ReadTime(%d): have %v, want %v", test.prompt, have, test.want)
+			t.Errorf("PrefillTime(%d): have %v, want %v", test.prompt, have, test.want)
 		}
 	}
 	if have := model.IterationTime(0, 0); have != 0 {
-		t.Errorf("Pass without decoding requests: %v", have)
+		t.Errorf("IterationTime without decoding requests: %v", have)
 	}
 	if have := model.IterationTime(10, 60_000).Round(time.Millisecond); have != 52*time.Millisecond {
-		t.Errorf("Pass of ten decoding requests: %v", have)
+		t.Errorf("IterationTime of ten decoding requests: %v", have)
 	}
 }
 
@@ -153,9 +153,9 @@
 	plan, found := placement.PlanPrompt(model, work, all, tracker.Snapshot(time.Now()))
 	is.True(found)
 	held := plan.PrimaryKV
-	for i, need := range plan.HelperReservations {
-		is.Equal(need.Endpoint, plan.Helpers[i])
-		held += need.Tokens
+	for i, helperKV := range plan.HelperReservations {
+		is.Equal(helperKV.Endpoint, plan.Helpers[i])
+		held += helperKV.Tokens
 	}
 	is.True(held >= work.PromptTokens+work.AnswerTokens)
 	is.True(plan.PrimaryKV <= rates.KVTokens)
@@ -227,7 +227,7 @@
 		now := time.Unix(1000, 0)
 		ids := []peridotpath.InstanceID{"a", "b", "c"}
 		trackers := map[peridotpath.InstanceID]*placement.LoadTracker{}
-		var own = map[peridotpath.InstanceID][]placement.QueuedPromptNumber{}
+		var numbers = map[peridotpath.InstanceID][]placement.QueuedPromptNumber{}
 		for _, id := range ids {
 			trackers[id] = &placement.LoadTracker{}
 			for range rapid.IntRange(0, 4).Draw(random, "count") {
@@ -235,7 +235,7 @@
 				due := now.Add(time.Duration(rapid.IntRange(0, 50).Draw(random, "due")) * 10 * time.Millisecond)
 				number := trackers[id].Join(placement.QueuedPrompt{Due: due, PrefillTime: time.Second})
 				trackers[id].UpdateQueued(number, rapid.Bool().Draw(random, "late"), false)
-				own[id] = append(own[id], number)
+				numbers[id] = append(numbers[id], number)
 			}
 		}
 		for _, id := range ids {
@@ -245,17 +245,17 @@
 				}
 			}
 		}
-		first, all := 0, 0
+		heads, all := 0, 0
 		for _, id := range ids {
-			for _, number := range own[id] {
+			for _, number := range numbers[id] {
 				all++
 				if ahead, _ := trackers[id].QueuedAhead(number, id, now); ahead == 0 {
-					first++
+					heads++
 				}
 			}
 		}
-		if all > 0 && first != 1 {
-			random.Errorf("%d of %d are at the head", first, all)
+		if all > 0 && heads != 1 {
+			random.Errorf("%d of %d are at the head", heads, all)
 		}
 	})
 }
@@ -274,8 +274,8 @@
 		}
 		// Summed independently of the snapshot that the plans are based on.
 		held := map[peridotpath.EndpointKey]peridotpath.Tokens{}
-		for _, flight := range tracker.LocalInFlight() {
-			for _, part := range flight.Parts {
+		for _, request := range tracker.LocalInFlight() {
+			for _, part := range request.Parts {
 				held[part.Endpoint] += part.ReservedKV
 			}
 		}
@@ -308,9 +308,9 @@
 }
 
 // All clients reconnect at once after a power failure. On most engines one more prompt
-// costs a decoding request its ITL target; on one engine it costs nothing. Prompts that
-// already missed their target were all queued on that engine, and their clients timed
-// out after two seconds without an answer.
+// makes a decoding request miss its ITL target; on one engine it has no cost. Guards
+// against plans that queue all prompts which already miss their target on that one
+// engine, where their clients time out after two seconds without an answer.
 func TestPlanStartsBeforeClientTimeout(t *testing.T) {
 	is := is.New(t)
 	all := candidates(2)
@@ -332,9 +332,10 @@
 	is.True(!found)
 }
 
-// Ten short requests decode on one engine and two on another. The next one was placed
-// on the engine with fewer, whose iterations are slightly shorter. All engines then had
-// decoding requests, and any prefill of a long prompt exceeded an ITL target.
+// Ten short requests decode on one engine and two on another. Guards against a placement
+// of the next one on the engine with fewer, because its iterations are slightly shorter:
+// all engines then have decoding requests, and any prefill of a long prompt exceeds an
+// ITL target.
 func TestDecodingRequestsFillEngines(t *testing.T) {
 	is := is.New(t)
 	all := candidates(3)
@@ -358,10 +359,10 @@
 }
 
 // All instances have restarted, no request is decoding, and all clients reconnect, one
-// of them with a long prompt. It interfered with no decoding request, so its prefill was
-// split across all engines and delayed the next hundred short prompts by 0.7 s. Fewer
-// engines are enough for its target; the others must keep slots for the short prompts
-// that arrive during the prefill.
+// of them with a long prompt, which interferes with no decoding request. Guards against
+// a plan that splits its prefill across all engines and delays the next hundred short
+// prompts by 0.7 s. Fewer engines are enough for its target; the others must keep slots
+// for the short prompts that arrive during the prefill.
 func TestLongPromptLeavesSlotsForShortOnes(t *testing.T) {
 	is := is.New(t)
 	all := candidates(15)
@@ -397,9 +398,9 @@
 }
 
 // All clients reconnect at once and sixteen requests take an engine's slots. None ends
-// before the decode time on a full engine, two seconds. A seventeenth was sent as if a
-// slot were free after 100 ms, and its client timed out before the first event. It must
-// be rejected at once with the time of the next free slot.
+// before the decode time on a full engine, two seconds. Guards against a plan that sends
+// a seventeenth as if a slot were free after 100 ms: its client times out before the first
+// event. It must be rejected at once with the time until the next free slot.
 func TestPlanPredictsFreeSlots(t *testing.T) {
 	tests := map[string]struct {
 		age   time.Duration
@@ -434,8 +435,8 @@
 	}
 }
 
-// A service may not publish its batch size. The slot wait divides by it, and the second
-// request caused a panic.
+// A service may not publish its batch size. Guards against a panic at the second request,
+// since the slot wait divides by the batch size.
 func TestUnknownBatchSize(t *testing.T) {
 	is := is.New(t)
 	unknown := rates
--- a/peridotpath/placement/prefill_queue.go
+++ b/peridotpath/placement/prefill_queue.go
@@ -61,12 +61,12 @@
 }
 
 // UpdateQueued updates whether a queued prompt misses its target or is blocked.
-func (tracker *LoadTracker) UpdateQueued(number QueuedPromptNumber, late, blocked bool) {
+func (tracker *LoadTracker) UpdateQueued(number QueuedPromptNumber, missesTarget, blocked bool) {
 	tracker.mutex.Lock()
 	prompt := tracker.queued[number]
-	changed := prompt != nil && (prompt.MissesTarget != late || prompt.Blocked != blocked)
+	changed := prompt != nil && (prompt.MissesTarget != missesTarget || prompt.Blocked != blocked)
 	if changed {
-		prompt.MissesTarget, prompt.Blocked = late, blocked
+		prompt.MissesTarget, prompt.Blocked = missesTarget, blocked
 	}
 	tracker.mutex.Unlock()
 	if changed {
@@ -86,12 +86,12 @@
 }
 
 // QueuedAhead returns how many unblocked prompts of all instances precede one of this
-// instance's in the queue, and their prefill time on a single engine.
+// instance's in the queue, and their total prefill time on a single engine.
 func (tracker *LoadTracker) QueuedAhead(number QueuedPromptNumber, instance peridotpath.InstanceID, now time.Time) (count int, prefill time.Duration) {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
-	own := tracker.queued[number]
-	if own == nil {
+	prompt := tracker.queued[number]
+	if prompt == nil {
 		return 0, 0
 	}
 	countIf := func(other *QueuedPrompt, precedes bool) {
@@ -101,17 +101,18 @@
 		}
 	}
 	for _, other := range tracker.queued {
-		countIf(other, other.Number != number && other.precedes(own, other.Number < number))
+		countIf(other, other.Number != number && other.precedes(prompt, other.Number < number))
 	}
 	for id, peer := range tracker.unexpiredPeers(now) {
 		for i := range peer.queued {
-			countIf(&peer.queued[i], peer.queued[i].precedes(own, id < instance))
+			countIf(&peer.queued[i], peer.queued[i].precedes(prompt, id < instance))
 		}
 	}
 	return count, prefill
 }
 
-// precedes reports whether prompt is dispatched before other; tieBreak decides between equals.
+// precedes reports whether prompt is dispatched before other; it returns tieBreak where
+// their order is equal.
 func (prompt *QueuedPrompt) precedes(other *QueuedPrompt, tieBreak bool) bool {
 	if prompt.MissesTarget != other.MissesTarget {
 		return other.MissesTarget
--- a/peridotpath/placement/slots.go
+++ b/peridotpath/placement/slots.go
@@ -13,9 +13,9 @@
 // the answers in progress have the same length as the request's own.
 //
 // It matters when all clients reconnect at once. All slots are then taken by requests
-// that have just started, and none ends for a whole decode time. A prediction that slots
-// free up continuously sent several times as many requests as there are slots, and their
-// clients disconnected before the first event.
+// that have just started, and none ends for a whole decode time. Under the prediction that
+// slots free up continuously, several times as many requests are sent as there are slots,
+// and their clients disconnect before the first event.
 func (engine *engine) slotWait(model Model, work Work) time.Duration {
 	excess := engine.load.RequestCount() + 1 - engine.slots
 	if excess <= 0 || engine.slots <= 0 {
