--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -21,10 +21,10 @@
 	// route's ITL target (inter-token latency).
 	firstEventStallFactor = 3
 	nextEventStallFactor  = 3
-	// stallMargin is added to Relay.EngineStallTime. A shorter timeout would abandon, and
-	// prefill anew, every prompt on each engine that shared one with the unreachable
-	// engine. Callers abandon a stream after two seconds, half a second after such a
-	// stall ends.
+	// stallMargin is added to Relay.EngineStallTime, for which every engine stalls that
+	// shares a prompt with an unreachable one. A shorter timeout would cancel all requests
+	// at these engines and prefill them again elsewhere. Client timeouts of two seconds
+	// expire half a second after such a stall ends.
 	stallMargin = 200 * time.Millisecond
 )
 
@@ -47,22 +47,22 @@
 		return outcomeUnsent, errKeysExpired
 	}
 	exchange.sentAt, exchange.decodingSince, exchange.survivalRecorded = now, time.Time{}, false
-	tickets, err := exchange.reserveMemory(ctx)
+	reservations, err := exchange.reserveMemory(ctx)
 	if err != nil {
 		return outcomeNoMemory, err
 	}
-	defer relay.Keeper.ReleaseAsync(tickets)
+	defer relay.Keeper.ReleaseAsync(reservations)
 	watch := exchange.watchStall(cancel)
 	defer watch.Stop()
-	if overdue := exchange.watchFirstEvent(); overdue != nil {
-		defer overdue.Stop()
+	if overdueTimer := exchange.watchFirstEvent(); overdueTimer != nil {
+		defer overdueTimer.Stop()
 	}
-	if exchange.canFailOver() || len(tickets) > 0 {
+	if exchange.canFailOver() || len(reservations) > 0 {
 		probe := exchange.startLivenessProbe(ctx, cancel)
 		defer probe.Close()
 		watch.probe = probe
 	}
-	answer, err := relay.Send(ctx, exchange.newCall(now, tickets))
+	answer, err := relay.Send(ctx, exchange.newCall(now, reservations))
 	if err != nil {
 		if outbound.ErrNotSent.Has(err) {
 			return outcomeUnsent, err
@@ -73,7 +73,7 @@
 	exchange.recordRateLimit(answer)
 	switch {
 	case answer.Misdirected:
-		return outcomeElsewhere, nil
+		return outcomeMisdirected, nil
 	case answer.NotRun:
 		exchange.retryAfter, exchange.blamedHelper = answer.RetryAfter, answer.BlamedHelper
 		return outcomeRefused, nil
@@ -100,23 +100,23 @@
 	if len(exchange.plan.HelperReservations) == 0 {
 		return nil, nil
 	}
-	tickets, err := exchange.relay.Keeper.Acquire(ctx, exchange.plan.HelperReservations)
-	var notFree *reservation.ReserveError
-	if errors.As(err, &notFree) {
-		exchange.relay.LoadTracker.EjectFull(notFree.Endpoint, time.Now())
+	reservations, err := exchange.relay.Keeper.Acquire(ctx, exchange.plan.HelperReservations)
+	var reserveError *reservation.ReserveError
+	if errors.As(err, &reserveError) {
+		exchange.relay.LoadTracker.EjectFull(reserveError.Endpoint, time.Now())
 	}
-	return tickets, err
+	return reservations, err
 }
 
-func (exchange *exchange) newCall(now time.Time, tickets []*reservation.Reservation) *Call {
+func (exchange *exchange) newCall(now time.Time, reservations []*reservation.Reservation) *Call {
 	call := &Call{
 		Request: exchange.request, Endpoint: exchange.plan.Writer, Customer: exchange.customer,
 		TimeLeft: exchange.deadline.Sub(now), Priority: enginePriority(exchange.route, exchange.priority), LastEventID: exchange.lastEventID,
 	}
 	for i, endpoint := range exchange.plan.Helpers {
 		helper := Helper{Endpoint: endpoint}
-		if i < len(tickets) {
-			helper.ReservationID = tickets[i].ID
+		if i < len(reservations) {
+			helper.ReservationID = reservations[i].ID
 		}
 		call.Helpers = append(call.Helpers, helper)
 	}
@@ -135,15 +135,15 @@
 	neutralRank, lowestPriority = 1, 9
 )
 
-func enginePriority(route *peridotpath.Route, priority int) int {
-	engine := relaxedPriority
+func enginePriority(route *peridotpath.Route, rank int) int {
+	base := relaxedPriority
 	switch {
 	case route.TTFTTarget <= urgentTTFT:
-		engine = urgentPriority
+		base = urgentPriority
 	case route.TTFTTarget <= ordinaryTTFT:
-		engine = ordinaryPriority
+		base = ordinaryPriority
 	}
-	return min(max(engine+priority-neutralRank, 0), lowestPriority)
+	return min(max(base+rank-neutralRank, 0), lowestPriority)
 }
 
 // stallWatch cancels an attempt whose events stop arriving.
@@ -162,9 +162,9 @@
 		return &stallWatch{}
 	}
 	stall := exchange.relay.EngineStallTime + stallMargin
-	first := firstEventStallFactor*exchange.plan.TimeToFirstEvent + stall
-	span := max(stall, nextEventStallFactor*exchange.route.ITLTarget)
-	return &stallWatch{timer: time.AfterFunc(first, func() { cancel(errStalled) }), nextEventTimeout: span}
+	firstEventTimeout := firstEventStallFactor*exchange.plan.TimeToFirstEvent + stall
+	nextEventTimeout := max(stall, nextEventStallFactor*exchange.route.ITLTarget)
+	return &stallWatch{timer: time.AfterFunc(firstEventTimeout, func() { cancel(errStalled) }), nextEventTimeout: nextEventTimeout}
 }
 
 const (
@@ -174,15 +174,16 @@
 	overdueMargin = 150 * time.Millisecond
 )
 
-// watchFirstEvent calls Relay.OnOverdueFirstEvent with the attempt's engines when the first event is overdue.
+// watchFirstEvent calls Relay.OnOverdueFirstEvent with the attempt's engines when the
+// first event is overdue.
 func (exchange *exchange) watchFirstEvent() *time.Timer {
 	if exchange.relay.OnOverdueFirstEvent == nil || exchange.spec.Engine == nil {
 		return nil
 	}
-	plan, flight := exchange.plan, exchange.inFlight
-	overdue := time.Duration(overdueFactor*float64(plan.TimeToFirstEvent)) + overdueMargin
-	return time.AfterFunc(overdue, func() {
-		if exchange.relay.LoadTracker.AwaitsFirstEvent(flight) {
+	plan, inFlight := exchange.plan, exchange.inFlight
+	overdueAfter := time.Duration(overdueFactor*float64(plan.TimeToFirstEvent)) + overdueMargin
+	return time.AfterFunc(overdueAfter, func() {
+		if exchange.relay.LoadTracker.AwaitsFirstEvent(inFlight) {
 			exchange.relay.OnOverdueFirstEvent(append([]*peridotpath.Endpoint{plan.Writer}, plan.Helpers...)...)
 		}
 	})
@@ -192,7 +193,7 @@
 // another endpoint.
 func (exchange *exchange) canFailOver() bool {
 	route := exchange.route
-	return route.Streaming && route.Repeatable() && exchange.sent+1 < route.MaxAttempts
+	return route.Streaming && route.Repeatable() && exchange.sentCount+1 < route.MaxAttempts
 }
 
 func (watch *stallWatch) recordEvent() {
@@ -215,10 +216,10 @@
 // its partial data is dropped, so that the stream can resume on another endpoint.
 func (exchange *exchange) relayStream(ctx context.Context, answer *Answer, watch *stallWatch) (outcome, error) {
 	events := newEventReader(answer.Body)
-	seen := 0
+	received := 0
 	for {
 		raw, id, err := events.next()
-		if errors.Is(err, io.EOF) && seen > 0 {
+		if errors.Is(err, io.EOF) && received > 0 {
 			exchange.beginStream(answer)
 			exchange.caller.End()
 			exchange.relay.LoadTracker.ClearEjection(exchange.plan.Writer.Key())
@@ -228,11 +229,11 @@
 			return connectionOutcome(ctx), errors.Join(err, context.Cause(ctx))
 		}
 		watch.recordEvent()
-		if seen == 0 {
+		if received == 0 {
 			exchange.recordFirstEvent()
 			exchange.relay.LoadTracker.MarkDecoding(exchange.inFlight)
 		}
-		seen++
+		received++
 		exchange.beginStream(answer)
 		if err := exchange.caller.Event(raw); err != nil {
 			return outcomeFailed, err
--- a/peridotpath/relay/budget.go
+++ b/peridotpath/relay/budget.go
@@ -11,8 +11,8 @@
 // each uses its share. Without it, the retries after an outage of some endpoints
 // overload all others.
 type RetryBudget struct {
-	// Ratio is the number of retries allowed per request, and RetryBudget.Slack the number
-	// allowed beyond that, per window.
+	// Ratio is the number of retries allowed per request, and Slack the number allowed
+	// beyond that, per Window.
 	Ratio  float64
 	Slack  int
 	Window time.Duration
--- a/peridotpath/relay/budget_machine_test.go
+++ b/peridotpath/relay/budget_machine_test.go
@@ -65,10 +65,10 @@
 // check compares the retries of all instances in a window with the requests of that
 // window and the one before it, which also count for the window's first retries.
 func (machine *budgetMachine) check(random *rapid.T) {
-	repeats := dropBefore(machine.retries, machine.now.Add(-machineWindow))
+	retries := dropBefore(machine.retries, machine.now.Add(-machineWindow))
 	requests := dropBefore(machine.requests, machine.now.Add(-2*machineWindow))
-	if allowed := machineRatio*float64(requests) + machineSlack; float64(repeats) > allowed {
-		random.Fatalf("%d repeats in %s, allowed are %.1f for %d requests", repeats, machineWindow, allowed, requests)
+	if allowed := machineRatio*float64(requests) + machineSlack; float64(retries) > allowed {
+		random.Fatalf("%d retries in %s, allowed are %.1f for %d requests", retries, machineWindow, allowed, requests)
 	}
 }
 
--- a/peridotpath/relay/burst_test.go
+++ b/peridotpath/relay/burst_test.go
@@ -28,14 +28,14 @@
 }
 
 // poisson returns the arrivals of a Poisson process.
-func poisson(random *rand.Rand, from, until time.Duration, perSecond float64, make func(at time.Duration) arrival) []arrival {
+func poisson(random *rand.Rand, from, until time.Duration, perSecond float64, arrivalAt func(at time.Duration) arrival) []arrival {
 	var all []arrival
 	for at := from; ; {
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		if at >= until {
 			return all
 		}
-		all = append(all, make(at))
+		all = append(all, arrivalAt(at))
 	}
 }
 
@@ -58,8 +58,8 @@
 	virtual.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		engines, endpoints := newFakeEngines(ctx, &testRates, engineCount)
-		one := newFixture(engines.Send, &testRates, endpoints...)
-		sendAll(ctx, load, outcomes, func() *fixture { return one })
+		instance := newFixture(engines.Send, &testRates, endpoints...)
+		sendAll(ctx, load, outcomes, func() *fixture { return instance })
 		cancel()
 	})
 	return outcomes
@@ -71,10 +71,10 @@
 	began := time.Now()
 	var all sync.WaitGroup
 	for i, arrival := range load {
-		one := pick()
+		fixture := pick()
 		all.Go(func() {
 			time.Sleep(arrival.at - time.Since(began))
-			outcomes[i] = one.send(ctx, arrival.route, func(request *relay.Request) {
+			outcomes[i] = fixture.send(ctx, arrival.route, func(request *relay.Request) {
 				request.PromptTokens, request.MaxAnswerTokens = arrival.prompt, arrival.answer
 				request.Timeout = 15 * time.Second
 			})
@@ -83,19 +83,19 @@
 	all.Wait()
 }
 
-// onTimeShare returns the share of a route's requests that met their TTFT and ITL targets.
-func onTimeShare(load []arrival, outcomes []*outcome, route string, first, pause time.Duration) float64 {
-	asked, good := 0, 0
+// metTargetsShare returns the share of a route's requests that met their TTFT and ITL targets.
+func metTargetsShare(load []arrival, outcomes []*outcome, route string, ttft, itl time.Duration) float64 {
+	total, met := 0, 0
 	for i, outcome := range outcomes {
 		if load[i].route != route {
 			continue
 		}
-		asked++
-		if outcome.ended && outcome.status == http.StatusOK && outcome.first <= first && outcome.maxPause <= pause {
-			good++
+		total++
+		if outcome.ended && outcome.status == http.StatusOK && outcome.timeToFirstEvent <= ttft && outcome.maxPause <= itl {
+			met++
 		}
 	}
-	return float64(good) / float64(asked)
+	return float64(met) / float64(total)
 }
 
 // A dozen long prompts arrive within two seconds beside a load of short ones. Dispatched
@@ -106,8 +106,8 @@
 	load := poisson(random, 0, 8*time.Second, 12, shortAt(random))
 	load = append(load, poisson(random, 2*time.Second, 4*time.Second, 6, longAt(random))...)
 	outcomes := runWorkload(t, 14, load)
-	short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
-	long := onTimeShare(load, outcomes, "long", 3*time.Second, 800*time.Millisecond)
+	short := metTargetsShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
+	long := metTargetsShare(load, outcomes, "long", 3*time.Second, 800*time.Millisecond)
 	t.Logf("in time: short %.3f, long %.3f", short, long)
 	if short < 0.9 {
 		t.Errorf("short prompts in time: %.3f, want 0.9", short)
@@ -123,7 +123,7 @@
 	random := rand.New(rand.NewPCG(2, 2))
 	load := poisson(random, 0, 8*time.Second, 74, shortAt(random))
 	outcomes := runWorkload(t, 14, load)
-	short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
+	short := metTargetsShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
 	t.Logf("in time: short %.3f", short)
 	if short < 0.9 {
 		t.Errorf("short prompts in time: %.3f, want 0.9", short)
@@ -137,8 +137,8 @@
 	load := poisson(random, 0, 12*time.Second, 11, shortAt(random))
 	load = append(load, poisson(random, 0, 12*time.Second, 2.6, longAt(random))...)
 	outcomes := runWorkload(t, 14, load)
-	short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
-	long := onTimeShare(load, outcomes, "long", 3*time.Second, 800*time.Millisecond)
+	short := metTargetsShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
+	long := metTargetsShare(load, outcomes, "long", 3*time.Second, 800*time.Millisecond)
 	t.Logf("in time: short %.3f, long %.3f", short, long)
 	if short < 0.9 || long < 0.6 {
 		t.Errorf("in time: short %.3f, want 0.9; long %.3f, want 0.6", short, long)
@@ -153,7 +153,7 @@
 	load := poisson(random, 0, 10*time.Second, 11, shortAt(random))
 	load = append(load, poisson(random, 0, 10*time.Second, 6, longAt(random))...)
 	outcomes := runWorkload(t, 14, load)
-	short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
+	short := metTargetsShare(load, outcomes, "short", 300*time.Millisecond, 200*time.Millisecond)
 	served, refused := 0, 0
 	for i, outcome := range outcomes {
 		switch {
--- a/peridotpath/relay/client_timeout_test.go
+++ b/peridotpath/relay/client_timeout_test.go
@@ -22,8 +22,8 @@
 	})...)
 	outcomes := runWorkload(t, 14, load)
 	for i, outcome := range outcomes {
-		if load[i].route == "short" && (!outcome.ended || outcome.first > clientTimeout) {
-			t.Errorf("short prompt at %v: status %d, first event after %v", load[i].at, outcome.status, outcome.first)
+		if load[i].route == "short" && (!outcome.ended || outcome.timeToFirstEvent > clientTimeout) {
+			t.Errorf("short prompt at %v: status %d, first event after %v", load[i].at, outcome.status, outcome.timeToFirstEvent)
 		}
 	}
 }
@@ -41,10 +41,10 @@
 	served := 0
 	for i, outcome := range outcomes {
 		switch {
-		case outcome.ended && outcome.first <= clientTimeout:
+		case outcome.ended && outcome.timeToFirstEvent <= clientTimeout:
 			served++
 		case outcome.status == http.StatusOK:
-			t.Errorf("request at %v: first event after %v", load[i].at, outcome.first)
+			t.Errorf("request at %v: first event after %v", load[i].at, outcome.timeToFirstEvent)
 		case !outcome.result.Code.NotRun() || outcome.result.RetryAfter <= 0:
 			t.Errorf("request at %v ended with %v", load[i].at, outcome.result)
 		}
--- a/peridotpath/relay/crash.go
+++ b/peridotpath/relay/crash.go
@@ -10,13 +10,13 @@
 	"peridotpath.example/peridotpath"
 )
 
-// ErrEndpointGone is the class of errors that prove an endpoint's end: its address refuses
-// connections, or belongs to another endpoint now.
+// ErrEndpointGone is the class of errors that prove that an endpoint's process has ended:
+// its address refuses connections, or belongs to another endpoint now.
 var ErrEndpointGone = errs.Class("endpoint gone")
 
 // crashProbeTimeout bounds the probe of an endpoint that broke a connection. A machine
 // whose process has ended refuses the connection at once, and a running endpoint
-// answers probes while it works.
+// answers probes also while it runs requests.
 const crashProbeTimeout = 200 * time.Millisecond
 
 // hasCrashed probes an endpoint whose connection failed and reports whether its process
--- a/peridotpath/relay/engine_test.go
+++ b/peridotpath/relay/engine_test.go
@@ -32,8 +32,8 @@
 	sent []relay.Call
 }
 
-// fakeEngine simulates continuous batching. An iteration prefills parts for other engines
-// first, then the prompts of its own requests in the order of their arrival; it has 46
+// fakeEngine simulates continuous batching. An iteration prefills parts for other primaries
+// first, then the prompts that the engine decodes, in the order of their arrival; it has 46
 // steps while any request decodes. A request beyond the batch size waits until one of the
 // batch has ended.
 type fakeEngine struct {
@@ -46,13 +46,16 @@
 }
 
 type fakePrefill struct {
-	left    time.Duration
-	own     bool
-	request *fakeRequest
+	left      time.Duration
+	isPrimary bool
+	request   *fakeRequest
 }
 
-// waitsForBatch reports whether the part belongs to an own request outside the batch.
-func (prefill *fakePrefill) waitsForBatch() bool { return prefill.own && !prefill.request.admitted }
+// waitsForBatch reports whether the part is at the primary of a request that is outside
+// the batch.
+func (prefill *fakePrefill) waitsForBatch() bool {
+	return prefill.isPrimary && !prefill.request.admitted
+}
 
 type fakeRequest struct {
 	// primary is the engine that decodes the answer.
@@ -92,7 +95,7 @@
 	events := int(call.Request.MaxAnswerTokens) / engine.model.Rates.StepsPerIteration
 	request := &fakeRequest{primary: engine, prompt: call.Request.PromptTokens, pendingPrefills: count, left: max(events, 1), events: make(chan struct{}, 10_000), cancelled: ctx.Done()}
 	engine.requests = append(engine.requests, request)
-	engine.add(&fakePrefill{left: share, own: true, request: request})
+	engine.add(&fakePrefill{left: share, isPrimary: true, request: request})
 	for _, helper := range call.Helpers {
 		engines.engines[helper.Endpoint.ID].add(&fakePrefill{left: share, request: request})
 	}
@@ -117,9 +120,9 @@
 func (engine *fakeEngine) run(ctx context.Context, engines *fakeEngines) {
 	for {
 		engines.mutex.Lock()
-		span := engine.iterate()
+		duration := engine.iterate()
 		engines.mutex.Unlock()
-		if span == 0 {
+		if duration == 0 {
 			select {
 			case <-ctx.Done():
 				return
@@ -130,7 +133,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(span):
+		case <-time.After(duration):
 		}
 		engines.mutex.Lock()
 		engine.emitEvents()
@@ -149,19 +152,19 @@
 	step := rates.Step + time.Duration(decodingCount)*rates.StepPerSequence +
 		time.Duration(float64(context)/1000*float64(rates.StepPerContextK))
 	perStep := time.Duration(float64(rates.Chunk) / rates.PrefillPerSecond * float64(time.Second))
-	span := time.Duration(0)
+	duration := time.Duration(0)
 	for range steps {
 		part := engine.nextPrefill()
 		if part == nil && decodingCount == 0 {
 			break
 		}
-		span += step
+		duration += step
 		if part != nil {
 			// A part's time includes its attention cost, which is spread evenly over
 			// its chunks here.
 			worked := min(part.left, perStep)
 			part.left -= worked
-			span += worked
+			duration += worked
 			if part.left <= 0 {
 				part.request.pendingPrefills--
 				// The primary may be idle until the last part is prefilled.
@@ -170,22 +173,22 @@
 		}
 	}
 	if engine.slowdown > 0 {
-		span = time.Duration(float64(span) * engine.slowdown)
+		duration = time.Duration(float64(duration) * engine.slowdown)
 	}
-	return span
+	return duration
 }
 
 // setSlow slows the first count engines down.
-func (engines *fakeEngines) setSlow(count int, slow float64) {
+func (engines *fakeEngines) setSlow(count int, slowdown float64) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
 	for i := range count {
-		engines.engines[testEndpoint(i).ID].slowdown = slow
+		engines.engines[testEndpoint(i).ID].slowdown = slowdown
 	}
 }
 
-// pace returns the pace that an engine reports.
-func (engines *fakeEngines) pace(_ context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error) {
+// fetchSlowdown returns the slowdown that an engine reports.
+func (engines *fakeEngines) fetchSlowdown(_ context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
 	return pace.Slowdown(max(engines.engines[endpoint.ID].slowdown, 1)), nil
@@ -217,7 +220,7 @@
 }
 
 func (engine *fakeEngine) nextPrefill() *fakePrefill {
-	var own *fakePrefill
+	var primaryPart *fakePrefill
 	kept := engine.prefills[:0]
 	for _, part := range engine.prefills {
 		if part.left > 0 {
@@ -226,14 +229,14 @@
 	}
 	engine.prefills = kept
 	for _, part := range engine.prefills {
-		if !part.own {
+		if !part.isPrimary {
 			return part
 		}
-		if own == nil && !part.waitsForBatch() {
-			own = part
+		if primaryPart == nil && !part.waitsForBatch() {
+			primaryPart = part
 		}
 	}
-	return own
+	return primaryPart
 }
 
 func (engine *fakeEngine) emitEvents() {
--- a/peridotpath/relay/exchange.go
+++ b/peridotpath/relay/exchange.go
@@ -17,8 +17,8 @@
 	service  peridotpath.Service
 	spec     peridotpath.ServiceSpec
 	customer peridotpath.CustomerID
-	// engineCount is the number of the service's endpoints at the last placement, prefillTime
-	// the prefill time of the prompt on one engine.
+	// engineCount is the number of the service's endpoints at the last placement,
+	// prefillTime the prefill time of the prompt on one engine.
 	engineCount int
 	prefillTime time.Duration
 	// contentFingerprint is the request's fingerprint; valid if hasFingerprint is true.
@@ -36,8 +36,8 @@
 	trialWaitSince time.Time
 	// decodingSince is when the attempt's first event arrived; zero before it.
 	decodingSince time.Time
-	// survivalRecorded reports that the attempt's endpoint was recorded as running the request
-	// without a crash.
+	// survivalRecorded reports that the attempt was recorded as one that did not crash
+	// its endpoint.
 	survivalRecorded bool
 
 	plan             placement.Plan
@@ -52,8 +52,8 @@
 
 // attemptHistory is the history of a request's attempts, which decides about retries.
 type attemptHistory struct {
-	// tries counts all attempts, sent those that reached an endpoint.
-	tries, sent int
+	// attemptCount counts all attempts, sentCount those that reached an endpoint.
+	attemptCount, sentCount int
 	// mayHaveRun reports that an attempt was sent and the endpoint did not guarantee
 	// that it had not run the request.
 	mayHaveRun bool
@@ -103,7 +103,7 @@
 			exchange.fail(*result)
 			return
 		}
-		exchange.tries++
+		exchange.attemptCount++
 		outcome, err := exchange.attempt(ctx)
 		if outcome == outcomeDone {
 			exchange.recordSurvival()
@@ -137,14 +137,14 @@
 	}
 	for {
 		now := time.Now()
-		candidates, view := exchange.candidates(now), exchange.relay.LoadTracker.Snapshot(now)
+		candidates, snapshot := exchange.candidates(now), exchange.relay.LoadTracker.Snapshot(now)
 		if len(candidates) == 0 {
 			return exchange.noEndpointRefusal()
 		}
 		work := exchange.placementWork(now)
-		plan, found := placement.PlanPrompt(model, work, candidates, view)
+		plan, found := placement.PlanPrompt(model, work, candidates, snapshot)
 		if !found {
-			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortRetryAfter, placement.TimeToFreeSlot(model, work, candidates, view)))
+			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortRetryAfter, placement.TimeToFreeSlot(model, work, candidates, snapshot)))
 		}
 		if exchange.beginInFlight(plan, now) {
 			return nil
@@ -169,8 +169,8 @@
 	}
 }
 
-// beginInFlight records the plan as in flight, so that later plans count its load. It returns
-// false if other requests have exhausted an endpoint's rate limit in the meantime.
+// beginInFlight records the plan as in flight, so that later plans count its load. It
+// returns false if other requests have exhausted an endpoint's rate limit in the meantime.
 func (exchange *exchange) beginInFlight(plan placement.Plan, now time.Time) bool {
 	if !exchange.takeRateLimits(&plan, now) {
 		return false
@@ -181,10 +181,10 @@
 }
 
 func (exchange *exchange) placementWork(now time.Time) placement.Work {
-	left := exchange.deadline.Sub(now)
+	timeLeft := exchange.deadline.Sub(now)
 	answer := exchange.request.MaxAnswerTokens
-	if hint := exchange.request.ExpectedAnswerTokens; hint > 0 {
-		answer = min(answer, hint)
+	if expected := exchange.request.ExpectedAnswerTokens; expected > 0 {
+		answer = min(answer, expected)
 	}
 	if exchange.lastEventID != "" {
 		// A resumed answer may be nearly complete.
@@ -192,23 +192,23 @@
 	}
 	if exchange.streamBegun {
 		// A stream that has begun is continued after its deadline rather than cut.
-		left = time.Hour
+		timeLeft = time.Hour
 	}
 	return placement.Work{
 		PromptTokens: exchange.request.PromptTokens, AnswerTokens: answer,
 		TTFTTarget: exchange.route.TTFTTarget, ITLTarget: exchange.route.ITLTarget,
-		Waited: now.Sub(exchange.request.ArrivedAt), TimeLeft: left, ClientTimeout: exchange.untilClientTimeout(now), DataCentre: exchange.relay.DataCentre,
+		Waited: now.Sub(exchange.request.ArrivedAt), TimeLeft: timeLeft, ClientTimeout: exchange.untilClientTimeout(now), DataCentre: exchange.relay.DataCentre,
 	}
 }
 
-// untilClientTimeout returns the time until the client timeout for the first event; zero if the
-// route sets none or the stream has begun.
+// untilClientTimeout returns the time until the client times out if no event arrives; zero
+// if the route sets no client timeout or the stream has begun.
 func (exchange *exchange) untilClientTimeout(now time.Time) time.Duration {
-	silence := exchange.route.ClientIdleTimeout
-	if silence == 0 || exchange.streamBegun {
+	idleTimeout := exchange.route.ClientIdleTimeout
+	if idleTimeout == 0 || exchange.streamBegun {
 		return 0
 	}
-	return max(silence-now.Sub(exchange.request.ArrivedAt), 1)
+	return max(idleTimeout-now.Sub(exchange.request.ArrivedAt), 1)
 }
 
 // fingerprint returns the hash of the request's content, computed on first use.
--- a/peridotpath/relay/fatal_test.go
+++ b/peridotpath/relay/fatal_test.go
@@ -24,7 +24,7 @@
 	maxLateRuns        = 3
 )
 
-// workload is a workload of requests with their bodies.
+// workload is a list of requests with their times and bodies.
 type workload []timedRequest
 
 type timedRequest struct {
@@ -47,18 +47,18 @@
 
 // runRequests sends a workload to random instances and returns each caller's outcome.
 func runRequests(crashing *crashingEndpoints, fleet *fleet, random *rand.Rand, load workload) []*outcome {
-	for _, one := range fleet.relays {
-		one.relay.Check = crashing.check
+	for _, fixture := range fleet.relays {
+		fixture.relay.Check = crashing.check
 	}
 	outcomes := make([]*outcome, len(load))
 	began := time.Now()
 	var all sync.WaitGroup
-	for i, ask := range load {
-		one := fleet.relays[random.IntN(len(fleet.relays))]
+	for i, timed := range load {
+		fixture := fleet.relays[random.IntN(len(fleet.relays))]
 		all.Go(func() {
-			time.Sleep(ask.at - time.Since(began))
-			outcomes[i] = one.send(context.Background(), ask.route, func(request *relay.Request) {
-				request.ID, request.Body = peridotpath.RequestID(fmt.Sprint("r", i)), []byte(ask.body)
+			time.Sleep(timed.at - time.Since(began))
+			outcomes[i] = fixture.send(context.Background(), timed.route, func(request *relay.Request) {
+				request.ID, request.Body = peridotpath.RequestID(fmt.Sprint("r", i)), []byte(timed.body)
 				request.PromptTokens, request.MaxAnswerTokens = 2000, 400
 			})
 		})
@@ -67,9 +67,9 @@
 	return outcomes
 }
 
-// lateRuns returns how many runs of a body started later than maxQuarantineDelay after its third
-// crash, and how many endpoints it crashed.
-func (endpoints *crashingEndpoints) lateRuns(body string) (late, ended int) {
+// lateRuns returns how many runs of a body started later than maxQuarantineDelay after its
+// third crash, and how many endpoints it crashed.
+func (endpoints *crashingEndpoints) lateRuns(body string) (late, crashes int) {
 	endpoints.mutex.Lock()
 	defer endpoints.mutex.Unlock()
 	var third time.Time
@@ -77,7 +77,7 @@
 		if run.body != body || run.crashedAt.IsZero() {
 			continue
 		}
-		if ended++; ended == 3 {
+		if crashes++; crashes == 3 {
 			third = run.crashedAt
 		}
 	}
@@ -86,20 +86,21 @@
 			late++
 		}
 	}
-	return late, ended
+	return late, crashes
 }
 
-func served(load workload, outcomes []*outcome, body func(string) bool) (good, asked int) {
+// served returns how many of the requests with a matching body succeeded, and their total.
+func served(load workload, outcomes []*outcome, body func(string) bool) (successes, total int) {
 	for i, outcome := range outcomes {
 		if !body(load[i].body) {
 			continue
 		}
-		asked++
-		if outcome.status == http.StatusOK && !outcome.broken {
-			good++
+		total++
+		if outcome.status == http.StatusOK && !outcome.aborted {
+			successes++
 		}
 	}
-	return good, asked
+	return successes, total
 }
 
 // Guards against a request that crashes every endpoint on which it is retried.
@@ -130,8 +131,8 @@
 	}
 }
 
-// Guards against a quarantine that other instances do not learn of because digests are lost
-// or an instance is partitioned.
+// Guards against a quarantine that does not reach all instances because digests are lost or
+// an instance is partitioned.
 func TestFatalRequestIsQuarantinedDespiteLostDigests(t *testing.T) {
 	for seed := range uint64(5) {
 		virtual.Test(t, func(t *testing.T) {
--- a/peridotpath/relay/fixture_test.go
+++ b/peridotpath/relay/fixture_test.go
@@ -42,9 +42,9 @@
 		change(&route)
 		return route
 	}
-	stream := func(aim, pause time.Duration) func(*peridotpath.Route) {
+	stream := func(ttft, itl time.Duration) func(*peridotpath.Route) {
 		return func(route *peridotpath.Route) {
-			route.Streaming, route.Resumable, route.TTFTTarget, route.ITLTarget = true, true, aim, pause
+			route.Streaming, route.Resumable, route.TTFTTarget, route.ITLTarget = true, true, ttft, itl
 		}
 	}
 	return &peridotpath.Routing{
@@ -66,20 +66,20 @@
 
 // fixture is a relay in front of the test's endpoints.
 type fixture struct {
-	relay     *relay.Relay
-	routing   *routing.State
-	directory *directory.Directory
-	book      *placement.LoadTracker
-	facts     *facts.Table
+	relay       *relay.Relay
+	routing     *routing.State
+	directory   *directory.Directory
+	loadTracker *placement.LoadTracker
+	facts       *facts.Table
 	// clock is the time since boot.
 	clock time.Duration
 	began time.Time
 }
 
 func newFixture(send relay.Sender, engine *peridotpath.EngineRates, endpoints ...peridotpath.Endpoint) *fixture {
-	fixture := &fixture{directory: &directory.Directory{Log: zerolog.Nop()}, book: &placement.LoadTracker{}, began: time.Now()}
+	fixture := &fixture{directory: &directory.Directory{Log: zerolog.Nop()}, loadTracker: &placement.LoadTracker{}, began: time.Now()}
 	fixture.clock, fixture.facts = time.Hour, &facts.Table{}
-	keeper := &quarantine.Quarantine{Instance: "edge-1", Facts: fixture.facts, Log: zerolog.Nop()}
+	quarantined := &quarantine.Quarantine{Instance: "edge-1", Facts: fixture.facts, Log: zerolog.Nop()}
 	fixture.routing = &routing.State{
 		Now:         func() time.Duration { return fixture.clock + time.Since(fixture.began) },
 		KeyLifetime: time.Hour, Log: zerolog.Nop(),
@@ -88,7 +88,7 @@
 	fixture.directory.Apply(endpoints, fixture.routing.Now())
 	fixture.relay = &relay.Relay{
 		Instance: "edge-1", DataCentre: "a", Log: zerolog.Nop(), Routing: fixture.routing,
-		Endpoints: fixture.directory.Current, AllEndpoints: fixture.directory.Current, LoadTracker: fixture.book, Send: send, Quarantine: keeper,
+		Endpoints: fixture.directory.Current, AllEndpoints: fixture.directory.Current, LoadTracker: fixture.loadTracker, Send: send, Quarantine: quarantined,
 		Throttle:        &throttle.Throttle{SenderID: rand.Uint64(), Facts: fixture.facts, Log: zerolog.Nop()},
 		Check:           func(context.Context, *peridotpath.Endpoint) error { return nil },
 		ServedSampler:   &telemetry.LogSampler{PerSecond: 10},
@@ -107,16 +107,16 @@
 
 // outcome is what a caller received.
 type outcome struct {
-	result   peridotpath.Result
-	status   int
-	body     string
-	begun    bool
-	ended    bool
-	broken   bool
-	first    time.Duration
-	maxPause time.Duration
-	events   int
-	took     time.Duration
+	result           peridotpath.Result
+	status           int
+	body             string
+	begun            bool
+	ended            bool
+	aborted          bool
+	timeToFirstEvent time.Duration
+	maxPause         time.Duration
+	events           int
+	took             time.Duration
 }
 
 func (outcome *outcome) caller() *relay.Caller {
@@ -129,7 +129,7 @@
 		Event: func(raw []byte) error {
 			now := time.Now()
 			if outcome.events == 0 {
-				outcome.first = now.Sub(began)
+				outcome.timeToFirstEvent = now.Sub(began)
 			} else {
 				outcome.maxPause = max(outcome.maxPause, now.Sub(last))
 			}
@@ -139,7 +139,7 @@
 			return nil
 		},
 		End:   func() { outcome.ended = true },
-		Abort: func() { outcome.broken = true },
+		Abort: func() { outcome.aborted = true },
 	}
 }
 
--- a/peridotpath/relay/fleet_test.go
+++ b/peridotpath/relay/fleet_test.go
@@ -27,20 +27,20 @@
 	sequences []uint64
 }
 
-func newFleet(count int, lag time.Duration, makeOne func(i int) *fixture) *fleet {
+func newFleet(count int, lag time.Duration, newInstance func(i int) *fixture) *fleet {
 	fleet := &fleet{lag: lag, scheduled: make([]bool, count), sequences: make([]uint64, count)}
 	for i := range count {
-		one := makeOne(i)
-		one.relay.Instance = peridotpath.InstanceID(fmt.Sprintf("edge-%d", i))
-		one.book.OnChange = func() { fleet.scheduleDigest(i) }
-		one.facts.OnChange = func() { fleet.scheduleDigest(i) }
-		fleet.relays = append(fleet.relays, one)
+		instance := newInstance(i)
+		instance.relay.Instance = peridotpath.InstanceID(fmt.Sprintf("edge-%d", i))
+		instance.loadTracker.OnChange = func() { fleet.scheduleDigest(i) }
+		instance.facts.OnChange = func() { fleet.scheduleDigest(i) }
+		fleet.relays = append(fleet.relays, instance)
 	}
 	return fleet
 }
 
-// scheduleDigest schedules a digest of an instance's state. Further changes until it is sent are
-// part of it.
+// scheduleDigest schedules a digest of an instance's state. Further changes until it is
+// sent are part of it.
 func (fleet *fleet) scheduleDigest(number int) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -58,12 +58,12 @@
 }
 
 // sendPeriodically makes all instances send digests at the interval, until ctx ends.
-func (fleet *fleet) sendPeriodically(ctx context.Context, every time.Duration) {
+func (fleet *fleet) sendPeriodically(ctx context.Context, interval time.Duration) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 			for i := range fleet.relays {
 				fleet.scheduleDigest(i)
 			}
@@ -77,22 +77,23 @@
 	fleet.sequences[number]++
 	sequence := fleet.sequences[number]
 	fleet.mutex.Unlock()
-	one := fleet.relays[number]
+	sender := fleet.relays[number]
 	report := placement.PeerReport{
-		Peer: one.relay.Instance, Incarnation: 1, Sequence: sequence, InFlight: one.book.LocalInFlight(), Queued: one.book.LocalQueued(),
+		Peer: sender.relay.Instance, Incarnation: 1, Sequence: sequence, InFlight: sender.loadTracker.LocalInFlight(), Queued: sender.loadTracker.LocalQueued(),
 	}
-	told := one.facts.TakeDue(time.Now(), false)
+	sent := sender.facts.TakeDue(time.Now(), false)
 	time.AfterFunc(fleet.lag/2, func() {
 		for i, other := range fleet.relays {
 			if i != number && !fleet.isLost(number, i) {
-				other.book.ApplyPeerReport(report, time.Now())
-				other.facts.Receive(told, false)
+				other.loadTracker.ApplyPeerReport(report, time.Now())
+				other.facts.Receive(sent, false)
 			}
 		}
 	})
 }
 
-// runFleetWorkload runs a workload against fake engines, with each request at a random instance.
+// runFleetWorkload runs a workload against fake engines, with each request at a random
+// instance.
 func runFleetWorkload(t *testing.T, instances, engineCount int, lag time.Duration, rates *peridotpath.EngineRates, load []arrival) []*outcome {
 	t.Helper()
 	outcomes := make([]*outcome, len(load))
@@ -117,9 +118,9 @@
 
 // Short prompts arrive at two and a half times their usual rate at a hundred instances in
 // front of 56 engines with 60% of their batches full. Guards against herding: each instance
-// receives the others' requests some milliseconds late. If all choose the engine that looks
-// best, it is full already and a quarter of the requests misses the target; if all avoid
-// the engines that are still empty, a tenth does.
+// receives the others' requests some milliseconds late. If all choose the engine with the
+// lowest reported load, it is full already and a quarter of the requests misses the target;
+// if all avoid the engines that are still empty, a tenth does.
 func TestShortPromptBurstAtManyInstances(t *testing.T) {
 	for _, seed := range []uint64{5, 6, 7} {
 		random := rand.New(rand.NewPCG(seed, seed))
@@ -127,7 +128,7 @@
 			return arrival{at: at, route: "short", prompt: min(logNormalLength(random, 5_000, 0.7), 24_000), answer: logNormalLength(random, 1780, 0.5)}
 		})
 		outcomes := runFleetWorkload(t, 97, 56, 25*time.Millisecond, smallBatch(), load)
-		short := onTimeShare(load, outcomes, "short", 300*time.Millisecond, 250*time.Millisecond)
+		short := metTargetsShare(load, outcomes, "short", 300*time.Millisecond, 250*time.Millisecond)
 		t.Logf("seed %d: in time: short %.3f", seed, short)
 		if short < 0.9 {
 			t.Errorf("seed %d: short prompts in time: %.3f, want 0.9", seed, short)
@@ -136,9 +137,9 @@
 }
 
 // Short and long prompts arrive at a hundred instances in front of 28 engines, which the
-// long ones keep half busy. If instances know little of each other's load, short prompts
-// occupy every engine, and 40% of the long ones find too few engines to be prefilled in
-// time.
+// long ones keep half busy. If instances receive little of each other's load, short prompts
+// occupy every engine, and for 40% of the long ones too few engines are left to prefill
+// them in time.
 func TestMixedPromptsAtManyInstances(t *testing.T) {
 	const seeds = 4
 	short, long := 0.0, 0.0
@@ -151,8 +152,8 @@
 			return arrival{at: at, route: "long", prompt: min(logNormalLength(random, 300_000, 0.5), 440_000), answer: 73 * 12}
 		})...)
 		outcomes := runFleetWorkload(t, 97, 28, 25*time.Millisecond, smallBatch(), load)
-		short += onTimeShare(load, outcomes, "short", 300*time.Millisecond, 250*time.Millisecond) / seeds
-		long += onTimeShare(load, outcomes, "long", 4*time.Second, time.Second) / seeds
+		short += metTargetsShare(load, outcomes, "short", 300*time.Millisecond, 250*time.Millisecond) / seeds
+		long += metTargetsShare(load, outcomes, "long", 4*time.Second, time.Second) / seeds
 	}
 	t.Logf("in time: short %.3f, long %.3f", short, long)
 	if short < 0.9 || long < 0.6 {
--- a/peridotpath/relay/liveness.go
+++ b/peridotpath/relay/liveness.go
@@ -19,8 +19,8 @@
 	// the interval of further probes. A probe costs a connection and some milliseconds
 	// of the engine's time; at this interval only long prompts incur it.
 	probeInterval = time.Second
-	// probeTimeout bounds one probe. Engines answer probes within milliseconds while
-	// they work.
+	// probeTimeout bounds one probe. Engines answer probes within milliseconds, also
+	// while they run requests.
 	probeTimeout = 400 * time.Millisecond
 	// maxFailedProbes is the number of consecutive failed probes that cancels the attempt,
 	// since a single one may be lost on the network. Two probes with their timeouts end
@@ -38,8 +38,8 @@
 	stop      context.CancelFunc
 }
 
-// startLivenessProbe starts probes that cancel the attempt when the engine stops answering. A
-// slow engine answers its probes and keeps the request.
+// startLivenessProbe starts probes that cancel the attempt when the engine stops answering
+// them. A slow engine answers its probes and keeps the request.
 func (exchange *exchange) startLivenessProbe(ctx context.Context, cancel context.CancelCauseFunc) *livenessProbe {
 	ctx, stop := context.WithCancel(ctx)
 	probe := &livenessProbe{done: make(chan struct{}), stop: stop}
--- a/peridotpath/relay/liveness_test.go
+++ b/peridotpath/relay/liveness_test.go
@@ -76,15 +76,15 @@
 	return nil
 }
 
-func newFailingFixture(t *testing.T, fleet *failingEngines) *fixture {
-	fleet.reservations = map[string]bool{}
-	fixture := newFixture(fleet.send, &testRates, testEndpoint(0), testEndpoint(1), testEndpoint(2), testEndpoint(3))
-	keeper := fixture.relay.Keeper
-	keeper.Reserve, keeper.Release = fleet.reserve, fleet.release
-	fixture.relay.Check = fleet.check
+func newFailingFixture(t *testing.T, engines *failingEngines) *fixture {
+	engines.reservations = map[string]bool{}
+	fixture := newFixture(engines.send, &testRates, testEndpoint(0), testEndpoint(1), testEndpoint(2), testEndpoint(3))
+	manager := fixture.relay.Keeper
+	manager.Reserve, manager.Release = engines.reserve, engines.release
+	fixture.relay.Check = engines.check
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- keeper.Run(ctx) }()
+	go func() { ended <- manager.Run(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; !errors.Is(err, context.Canceled) {
@@ -101,20 +101,20 @@
 func TestReservationsAreReleasedWhenPrimaryIsUnreachable(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		fleet := &failingEngines{}
-		fixture := newFailingFixture(t, fleet)
+		engines := &failingEngines{}
+		fixture := newFailingFixture(t, engines)
 		began := time.Now()
 		outcome := fixture.send(t.Context(), "long", func(request *relay.Request) {
 			request.PromptTokens, request.MaxAnswerTokens, request.Timeout = 600_000, 100, 30*time.Second
 		})
 		time.Sleep(200 * time.Millisecond)
-		fleet.mutex.Lock()
-		defer fleet.mutex.Unlock()
-		is.True(outcome.ended)                                    // served by another endpoint
-		is.True(outcome.first < 3*time.Second)                    // soon after the failure
-		is.True(len(fleet.firstReservations) > 0)                 // KV cache was reserved
-		is.Equal(len(fleet.reservations), 0)                      // no reservation is left
-		is.True(fleet.firstReleasedAt.Sub(began) < 3*time.Second) // released in time
+		engines.mutex.Lock()
+		defer engines.mutex.Unlock()
+		is.True(outcome.ended)                                      // served by another endpoint
+		is.True(outcome.timeToFirstEvent < 3*time.Second)           // soon after the failure
+		is.True(len(engines.firstReservations) > 0)                 // KV cache was reserved
+		is.Equal(len(engines.reservations), 0)                      // no reservation is left
+		is.True(engines.firstReleasedAt.Sub(began) < 3*time.Second) // released in time
 	})
 }
 
@@ -123,18 +123,18 @@
 func TestSlowEngineKeepsItsRequest(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		fleet := &failingEngines{failed: "none"}
-		fixture := newFailingFixture(t, fleet)
+		engines := &failingEngines{failed: "none"}
+		fixture := newFailingFixture(t, engines)
 		slow := func(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
 			time.Sleep(4500 * time.Millisecond)
-			return fleet.send(ctx, call)
+			return engines.send(ctx, call)
 		}
 		fixture.relay.Send = slow
 		outcome := fixture.send(t.Context(), "long", func(request *relay.Request) {
 			request.PromptTokens, request.MaxAnswerTokens, request.Timeout = 600_000, 100, 30*time.Second
 		})
 		is.True(outcome.ended)
-		is.Equal(fleet.calls, 1)
-		is.Equal(fleet.checks, 4) // one for each second of silence
+		is.Equal(engines.calls, 1)
+		is.Equal(engines.checks, 4) // one for each second of silence
 	})
 }
--- a/peridotpath/relay/outcome.go
+++ b/peridotpath/relay/outcome.go
@@ -25,8 +25,8 @@
 	outcomeUnsent
 	// outcomeRefused: the endpoint guarantees not to have run the request.
 	outcomeRefused
-	// outcomeElsewhere: the address belongs to another endpoint now.
-	outcomeElsewhere
+	// outcomeMisdirected: the address belongs to another endpoint now.
+	outcomeMisdirected
 	// outcomeFailed: the attempt failed; the request may have run.
 	outcomeFailed
 	// outcomeNoMemory: the KV cache that the request needs could not be reserved.
@@ -46,11 +46,11 @@
 	telemetry.CountFailedAttempt(outcome.String())
 	crashed := outcome == outcomeBroken && exchange.relay.hasCrashed(ctx, exchange.plan.Writer)
 	exchange.relay.Log.Info().Str("request", string(exchange.request.ID)).Stringer("content", exchange.fingerprint()).
-		Str("endpoint", string(exchange.plan.Writer.ID)).Int("try", exchange.tries).Bool("endpoint_gone", crashed).
+		Str("endpoint", string(exchange.plan.Writer.ID)).Int("try", exchange.attemptCount).Bool("endpoint_gone", crashed).
 		Stringer("outcome", outcome).Int("events", exchange.eventCount).Err(err).Msg("attempt_failed")
 	if outcome == outcomeNoMemory {
 		// Nothing was sent, and the primary is not the cause.
-		exchange.tries--
+		exchange.attemptCount--
 		return
 	}
 	now, key := time.Now(), exchange.plan.Writer.Key()
@@ -59,17 +59,17 @@
 	}
 	switch outcome {
 	case outcomeRefused:
-		exchange.sent++
+		exchange.sentCount++
 		exchange.attributeRefusal(key, now)
 	case outcomeErrored:
-		exchange.sent++
+		exchange.sentCount++
 		exchange.mayHaveRun = true
 		exchange.recordSurvival()
 	case outcomeFailed, outcomeBroken:
-		exchange.sent++
+		exchange.sentCount++
 		exchange.mayHaveRun = true
 		exchange.relay.LoadTracker.EjectFailed(key, now)
-	case outcomeUnsent, outcomeElsewhere:
+	case outcomeUnsent, outcomeMisdirected:
 		exchange.relay.LoadTracker.EjectFailed(key, now)
 	}
 	if exchange.excluded == nil {
@@ -78,8 +78,8 @@
 	exchange.excluded[key] = true
 }
 
-// attributeRefusal attributes a refusal: to the helper that the endpoint could not reach, or
-// to the endpoint, which is full.
+// attributeRefusal ejects the endpoint that caused a refusal: the helper that the primary
+// could not reach, or else the primary, which is full.
 func (exchange *exchange) attributeRefusal(key peridotpath.EndpointKey, now time.Time) {
 	for _, helper := range exchange.plan.Helpers {
 		if exchange.blamedHelper != "" && (exchange.blamedHelper == string(helper.ID) || exchange.blamedHelper == helper.Address.String()) {
@@ -116,12 +116,12 @@
 	if exchange.mayHaveRun && !exchange.route.Repeatable() {
 		return final
 	}
-	if exchange.tries >= maxTotalAttempts || exchange.sent >= max(exchange.route.MaxAttempts, 1) {
+	if exchange.attemptCount >= maxTotalAttempts || exchange.sentCount >= max(exchange.route.MaxAttempts, 1) {
 		return final
 	}
 	// An attempt that reached no endpoint adds no load, so its retry takes nothing from
 	// the budget.
-	if exchange.sent > 0 || outcome == outcomeElsewhere {
+	if exchange.sentCount > 0 || outcome == outcomeMisdirected {
 		if !exchange.relay.RetryBudget.TakeRetry(exchange.service, time.Now()) {
 			telemetry.CountRetryBudgetExhausted()
 			return final
--- a/peridotpath/relay/prefill_queue.go
+++ b/peridotpath/relay/prefill_queue.go
@@ -27,9 +27,9 @@
 	// with a shorter target misses it after any wait, and its client timeout expires
 	// before the queue of long prompts is prefilled, so that it would never be sent.
 	minQueuedTTFT = 4 * maxUnqueuedPrefill
-	// queuePollInterval is the interval at which a queued prompt polls its queue position, and
-	// queuePollPerPeer what each peer adds: the cost of a poll grows with the in-flight
-	// requests of all instances.
+	// queuePollInterval is the interval at which the position of a queued prompt is
+	// polled, and queuePollPerPeer what each peer adds: the cost of a poll grows with the
+	// in-flight requests of all instances.
 	queuePollInterval = 10 * time.Millisecond
 	queuePollPerPeer  = 200 * time.Microsecond
 	// delayPerRank is how much later a prompt is queued for each rank of lower priority:
@@ -38,14 +38,14 @@
 	// dispatchLead is how long before the engines are free the next prompt is
 	// dispatched, so that they are not idle while it is on its way.
 	dispatchLead = 120 * time.Millisecond
-	// The interference cost that a prompt may impose on others is bounded by a share
-	// of its own value. The share is initialCostShare on arrival and grows by costShareGrowth
-	// until the TTFT target: nearly equal losses of others are acceptable before the
-	// prompt loses all of its value. After the target most of the value is lost, and
-	// the share is lateCostShare.
+	// The interference cost that a prompt may impose on others is bounded by a share of
+	// its own value. The share is initialCostShare on arrival and grows by
+	// costShareGrowth until the TTFT target: shortly before the prompt loses most of its
+	// value, a cost to others of nearly that value is acceptable. After the target most
+	// of the value is lost, and the share is lateCostShare.
 	initialCostShare, costShareGrowth, lateCostShare = 0.1, 0.8, 0.2
-	// maxLateQueueShare is the share of its total time after which a prompt that misses its
-	// target is refused: its caller then has time for a retry.
+	// maxLateQueueShare is the share of the time from arrival to deadline after which a
+	// prompt that misses its target is refused: its caller then has time for a retry.
 	maxLateQueueShare = 0.4
 	// maxPrefillShare is the largest share of the engines' time that long prompts use:
 	// some engines decode other requests, and parts of a split prefill do not end at
@@ -74,8 +74,8 @@
 		work := exchange.placementWork(now)
 		capacity := maxPrefillShare * float64(len(candidates))
 		untilPrefilled := time.Duration(float64(prefillAhead+prefillTime) / capacity)
-		if untilLastStart := work.FirstEventTimeout(); untilPrefilled > untilLastStart {
-			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortRetryAfter, untilPrefilled-untilLastStart))
+		if timeout := work.FirstEventTimeout(); untilPrefilled > timeout {
+			return exchange.refusal(peridotpath.CodeCannotFinish, max(shortRetryAfter, untilPrefilled-timeout))
 		}
 		missesTarget := work.Waited+untilPrefilled > work.TTFTTarget
 		if missesTarget && work.Waited > time.Duration(maxLateQueueShare*float64(work.Waited+work.TimeLeft)) {
@@ -100,8 +100,8 @@
 	}
 }
 
-// isWorthDispatching reports whether to dispatch by this plan instead of waiting for a cheaper
-// one.
+// isWorthDispatching reports whether to dispatch by this plan instead of waiting for a
+// cheaper one.
 func isWorthDispatching(plan placement.Plan, work placement.Work) bool {
 	if plan.PrefillDelay > dispatchLead {
 		return false
--- a/peridotpath/relay/quarantine.go
+++ b/peridotpath/relay/quarantine.go
@@ -13,20 +13,21 @@
 	// crashWindow is how long after the first event a crash of the endpoint is attributed
 	// to the request: a fatal request crashes its endpoint soon after it starts to run.
 	crashWindow = time.Second
-	// trialPollInterval is the interval at which a suspected request polls the trial that
-	// another attempt at the same content runs, and maxTrialWait its longest wait for
-	// that trial. Most suspected requests ran by chance on an endpoint that crashed; a
-	// fatal one mostly crashes its endpoint within maxTrialWait.
+	// trialPollInterval is the interval at which a suspected request checks for the end of
+	// a trial, which is an attempt of another request with the same content, and
+	// maxTrialWait its longest wait for that end. Most suspected requests ran by chance on
+	// an endpoint that crashed; a fatal one mostly crashes its endpoint within
+	// maxTrialWait.
 	trialPollInterval = 20 * time.Millisecond
 	maxTrialWait      = 400 * time.Millisecond
 	// trialRetryAfter is the retry delay of a request while another attempt runs the trial.
 	trialRetryAfter = 2 * time.Second
 )
 
-// awaitQuarantineTrial returns nil when the request may be sent: at once if its content is not
-// suspected; if it is suspected, when no other attempt at it is in flight in the fleet
-// or after maxTrialWait; if its quarantine has expired, only when no other attempt is in
-// flight.
+// awaitQuarantineTrial returns nil when the request may be sent. A request whose content is
+// not suspected is sent at once. One that is suspected is sent when no other attempt at
+// its content is in flight in the fleet, or after maxTrialWait. One whose quarantine has
+// expired is sent only when no other attempt is in flight, and otherwise refused.
 func (exchange *exchange) awaitQuarantineTrial(ctx context.Context) *peridotpath.Result {
 	decider := exchange.relay.Quarantine
 	if decider.HasNoEvidence() {
@@ -38,10 +39,10 @@
 	}
 	for {
 		now := time.Now()
-		standing, left := decider.Check(content, now)
+		standing, remaining := decider.Check(content, now)
 		switch {
 		case standing == quarantine.Quarantined:
-			return exchange.refusal(peridotpath.CodeQuarantined, left)
+			return exchange.refusal(peridotpath.CodeQuarantined, remaining)
 		case standing == quarantine.Clear, decider.ReserveTrial(content, now):
 			return nil
 		case standing == quarantine.OnTrial:
@@ -62,8 +63,8 @@
 	if decider.HasNoEvidence() {
 		return nil
 	}
-	if standing, left := decider.Check(exchange.fingerprint(), time.Now()); standing == quarantine.Quarantined {
-		return exchange.refusal(peridotpath.CodeQuarantined, left)
+	if standing, remaining := decider.Check(exchange.fingerprint(), time.Now()); standing == quarantine.Quarantined {
+		return exchange.refusal(peridotpath.CodeQuarantined, remaining)
 	}
 	return nil
 }
@@ -88,7 +89,7 @@
 	}
 }
 
-// recordSurvival records that the attempt's endpoint runs the request without a crash.
+// recordSurvival records that the attempt did not crash its endpoint.
 func (exchange *exchange) recordSurvival() {
 	exchange.survivalRecorded = true
 	if decider := exchange.relay.Quarantine; !decider.HasNoEvidence() {
--- a/peridotpath/relay/rate_limit.go
+++ b/peridotpath/relay/rate_limit.go
@@ -21,15 +21,15 @@
 }
 
 // rateLimitFilter returns a function that reports whether an endpoint's rate limit admits a
-// request now. The function records the shortest wait of those that do not.
+// request now. The function records the shortest wait for an endpoint that does not.
 func (exchange *exchange) rateLimitFilter(now time.Time) func(peridotpath.EndpointKey) bool {
 	throttle := exchange.relay.Throttle
 	if throttle.HasNoLimits() {
 		return func(peridotpath.EndpointKey) bool { return true }
 	}
-	contenders := exchange.relay.LoadTracker.Snapshot(now).UnreportedRequests()
+	unreported := exchange.relay.LoadTracker.Snapshot(now).UnreportedRequests()
 	return func(key peridotpath.EndpointKey) bool {
-		wait := throttle.TimeUntilAllowed(key, contenders, now)
+		wait := throttle.TimeUntilAllowed(key, unreported, now)
 		if wait > 0 && (exchange.rateLimitWait == 0 || wait < exchange.rateLimitWait) {
 			exchange.rateLimitWait = wait
 		}
--- a/peridotpath/relay/rate_limit_test.go
+++ b/peridotpath/relay/rate_limit_test.go
@@ -16,8 +16,8 @@
 	// limitSlack bound them in terms of the announced limit.
 	limitWindow             = 4 * time.Second
 	limitFactor, limitSlack = 1.5, 5
-	// maxLimitDelay is the time after a first announcement by which all instances keep the
-	// limit.
+	// maxLimitDelay is the time after a first announcement by which all instances together
+	// must keep the limit.
 	maxLimitDelay = 3 * time.Second
 )
 
@@ -59,7 +59,7 @@
 // Guards against an endpoint that receives its announced limit from each instance instead of
 // from all instances together.
 func TestRateLimitHoldsAcrossInstances(t *testing.T) {
-	const named, lifted, over = 2 * time.Second, 20 * time.Second, 30 * time.Second
+	const announcedAt, liftedAt, end = 2 * time.Second, 20 * time.Second, 30 * time.Second
 	for _, test := range []struct {
 		instances, endpoints int
 		lag                  time.Duration
@@ -79,25 +79,25 @@
 				crashing, endpoints := newCrashingEndpoints(test.endpoints, func(string) bool { return false })
 				limits := map[peridotpath.EndpointID]peridotpath.Rate{endpoints[0].ID: 2.3, endpoints[1].ID: 1, endpoints[2].ID: 0}
 				crashing.limit = func(id peridotpath.EndpointID) *peridotpath.Rate {
-					limit, known := limits[id]
-					if since := time.Since(began); !known || since < named || since > lifted {
+					limit, limited := limits[id]
+					if since := time.Since(began); !limited || since < announcedAt || since > liftedAt {
 						return nil
 					}
 					return &limit
 				}
 				fleet := newFleet(test.instances, test.lag, func(int) *fixture { return newFixture(crashing.send, test.engine, endpoints...) })
-				load := workload{}.withPoisson(random, test.route, 0, over, test.perSecond, uniqueBody)
+				load := workload{}.withPoisson(random, test.route, 0, end, test.perSecond, uniqueBody)
 				outcomes := runRequests(crashing, fleet, random, load)
-				good, asked := served(load, outcomes, func(string) bool { return true })
-				if good < asked*99/100 {
-					t.Errorf("%d of %d served, want all: other endpoints have capacity", good, asked)
+				successes, total := served(load, outcomes, func(string) bool { return true })
+				if successes < total*99/100 {
+					t.Errorf("%d of %d served, want all: other endpoints have capacity", successes, total)
 				}
-				usual := countBetween(crashing.arrivals(endpoints[3].ID, began), lifted+5*time.Second, over)
+				usual := countBetween(crashing.arrivals(endpoints[3].ID, began), liftedAt+5*time.Second, end)
 				for id, limit := range limits {
 					times := crashing.arrivals(id, began)
 					allowed := int(limitFactor*float64(limit)*limitWindow.Seconds()) + limitSlack
-					got, used := maxInWindow(times, named+maxLimitDelay, lifted), countBetween(times, named+maxLimitDelay, lifted)
-					after := countBetween(times, lifted+5*time.Second, over)
+					got, used := maxInWindow(times, announcedAt+maxLimitDelay, liftedAt), countBetween(times, announcedAt+maxLimitDelay, liftedAt)
+					after := countBetween(times, liftedAt+5*time.Second, end)
 					t.Logf("%s with limit %v: %d in %v, %d in total; after the limit's end %d, others %d", id, limit, got, limitWindow, used, after, usual)
 					if got > allowed {
 						t.Errorf("%s with limit %v: got %d in %v, want %d at most", id, limit, got, limitWindow, allowed)
@@ -106,7 +106,7 @@
 						// Decoding requests are packed: an engine may have none at this load.
 						continue
 					}
-					if least := 0.7 * float64(limit) * (lifted - named - maxLimitDelay).Seconds(); float64(used) < least {
+					if least := 0.7 * float64(limit) * (liftedAt - announcedAt - maxLimitDelay).Seconds(); float64(used) < least {
 						t.Errorf("%s with limit %v: got %d, want %.0f at least: the limit allows as many", id, limit, used, least)
 					}
 					if 2*after < usual {
@@ -122,22 +122,22 @@
 // at their limits.
 func TestRefusalWhenAllEndpointsAreRateLimited(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
-		const over = 20 * time.Second
+		const end = 20 * time.Second
 		random := rand.New(rand.NewPCG(29, 8))
 		began := time.Now()
 		crashing, endpoints := newCrashingEndpoints(4, func(string) bool { return false })
 		limit := peridotpath.Rate(2)
 		crashing.limit = func(peridotpath.EndpointID) *peridotpath.Rate { return &limit }
 		fleet := newFleet(6, 10*time.Millisecond, func(int) *fixture { return newFixture(crashing.send, nil, endpoints...) })
-		load := workload{}.withPoisson(random, "look", 0, over, 40, uniqueBody)
+		load := workload{}.withPoisson(random, "look", 0, end, 40, uniqueBody)
 		outcomes := runRequests(crashing, fleet, random, load)
 		for _, endpoint := range endpoints {
 			times := crashing.arrivals(endpoint.ID, began)
-			if got := maxInWindow(times, maxLimitDelay, over); got > 17 {
+			if got := maxInWindow(times, maxLimitDelay, end); got > 17 {
 				t.Errorf("%s with limit 2: got %d in %v, want 17 at most", endpoint.ID, got, limitWindow)
 			}
-			if got := countBetween(times, maxLimitDelay, over); got < 24 {
-				t.Errorf("%s with limit 2: got %d in %v, want 24 at least", endpoint.ID, got, over-maxLimitDelay)
+			if got := countBetween(times, maxLimitDelay, end); got < 24 {
+				t.Errorf("%s with limit 2: got %d in %v, want 24 at least", endpoint.ID, got, end-maxLimitDelay)
 			}
 		}
 		refused := 0
--- a/peridotpath/relay/relay.go
+++ b/peridotpath/relay/relay.go
@@ -34,16 +34,16 @@
 	Keeper                  *reservation.Manager
 	// Quarantine refuses requests that crash the endpoints they run on.
 	Quarantine *quarantine.Quarantine
-	// OnOverdueFirstEvent, when set, is called with the engines of an attempt whose first event is
-	// overdue.
+	// OnOverdueFirstEvent, when set, is called with the engines of an attempt whose first
+	// event is overdue.
 	OnOverdueFirstEvent func(endpoints ...*peridotpath.Endpoint)
 	// Throttle enforces the rate limits that endpoints announce.
 	Throttle *throttle.Throttle
 	// ServedSampler samples the log lines of successful requests.
 	ServedSampler *telemetry.LogSampler
-	// RoutingReady is closed once the instance has its routing, Relay.StartDone once it has all
-	// data that it needs to serve. Both are also closed when the start times out, and
-	// are nil for an instance that has started.
+	// RoutingReady is closed once the instance has its routing, StartDone once it has all
+	// data that it needs to serve. Both are also closed when the start times out. They
+	// are nil where requests need not wait for a start.
 	RoutingReady, StartDone <-chan struct{}
 	// EngineStallTime is how long an engine blocks when an engine that it depends on becomes
 	// unreachable; after that it resumes or aborts the request itself.
@@ -97,8 +97,8 @@
 	exchange := &exchange{relay: relay, request: request, caller: caller, route: route, priority: route.Priority}
 	exchange.lastEventID = request.LastEventID
 	if table.NeedsKey(route) {
-		holder, known := table.KeyHolder(request.Key)
-		if !known {
+		holder, found := table.KeyHolder(request.Key)
+		if !found {
 			return nil, relay.unknownRefusal(peridotpath.CodeUnauthorized)
 		}
 		if !relay.Routing.KeysUsable() {
@@ -124,8 +124,8 @@
 	return 0, 0
 }
 
-// unknownRefusal refuses a request whose route or key is not in the routing. A stale
-// routing does not prove that it does not exist: the refusal is then retryable.
+// unknownRefusal refuses a request whose route or key is not in the routing. If the routing
+// is stale, the route or key may exist, and the refusal is retryable.
 func (relay *Relay) unknownRefusal(code peridotpath.Code) *peridotpath.Result {
 	if relay.Routing.Age() > staleAfter {
 		return &peridotpath.Result{Code: peridotpath.CodeNotReady, RetryAfter: shortRetryAfter}
--- a/peridotpath/relay/relay_test.go
+++ b/peridotpath/relay/relay_test.go
@@ -91,19 +91,19 @@
 
 // timedStream answers with a stream whose parts arrive at their times. It ends with the given
 // error after the last part, or when the call is cancelled.
-func timedStream(end error, pieces ...timedPart) step {
+func timedStream(end error, parts ...timedPart) step {
 	return func(ctx context.Context, _ *relay.Call) (*relay.Answer, error) {
 		reader, writer := io.Pipe()
 		go func() {
 			began := time.Now()
-			for _, piece := range pieces {
+			for _, part := range parts {
 				select {
 				case <-ctx.Done():
 					writer.CloseWithError(ctx.Err())
 					return
-				case <-time.After(piece.at - time.Since(began)):
+				case <-time.After(part.at - time.Since(began)):
 				}
-				_, _ = io.WriteString(writer, piece.text)
+				_, _ = io.WriteString(writer, part.text)
 			}
 			writer.CloseWithError(end)
 		}()
@@ -115,13 +115,13 @@
 
 func TestAttempts(t *testing.T) {
 	tests := []struct {
-		name   string
-		route  string
-		steps  []step
-		status int
-		body   string
-		calls  int
-		broken bool
+		name    string
+		route   string
+		steps   []step
+		status  int
+		body    string
+		calls   int
+		aborted bool
 	}{
 		{name: "whole answer", route: "save", steps: []step{answer(200, "done", nil)}, status: 200, body: "done", calls: 1},
 		{name: "endpoint's error is forwarded", route: "save", steps: []step{answer(500, "bad", nil)}, status: 500, body: "bad", calls: 1},
@@ -144,7 +144,7 @@
 		// The endpoint crashes within an event: the partial event is dropped, and the
 		// stream resumes at another endpoint after the last whole one.
 		{name: "stream resumes at another endpoint", route: "short", steps: []step{cutAnswer(events12 + "id: 3\nda"), answer(200, events34, nil)}, status: 200, body: events12 + events34, calls: 2},
-		{name: "stream cut twice", route: "short", steps: []step{cutAnswer(events12), cutAnswer("")}, status: 200, body: events12, calls: 2, broken: true},
+		{name: "stream cut twice", route: "short", steps: []step{cutAnswer(events12), cutAnswer("")}, status: 200, body: events12, calls: 2, aborted: true},
 		// The connection is closed regularly, but within an event.
 		{name: "stream ends within an event", route: "short", steps: []step{answer(200, events12+"id: 3\nda", nil), answer(200, events34, nil)}, status: 200, body: events12 + events34, calls: 2},
 		{name: "empty stream is no answer", route: "short", steps: []step{answer(200, "", nil), answer(200, events12, nil)}, status: 200, body: events12, calls: 2},
@@ -162,8 +162,8 @@
 			is.Equal(outcome.status, test.status)
 			is.Equal(outcome.body, test.body)
 			is.Equal(len(script.calls), test.calls)
-			is.Equal(outcome.broken, test.broken)
-			is.Equal(len(fixture.book.LocalInFlight()), 0) // nothing is left in flight
+			is.Equal(outcome.aborted, test.aborted)
+			is.Equal(len(fixture.loadTracker.LocalInFlight()), 0) // nothing is left in flight
 			if test.status == http.StatusServiceUnavailable {
 				is.True(outcome.result.RetryAfter > 0)
 			}
@@ -290,8 +290,8 @@
 		is := is.New(t)
 		script := &script{steps: []step{noAnswer()}}
 		fixture := newFixture(script.send, nil, testEndpoint(1), testEndpoint(2))
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(time.Second, leave)
+		ctx, disconnect := context.WithCancel(t.Context())
+		time.AfterFunc(time.Second, disconnect)
 		outcome := fixture.send(ctx, "look", nil)
 		is.Equal(outcome.result.Code, peridotpath.CodeCallerGone)
 		is.Equal(len(script.calls), 1)
@@ -331,8 +331,8 @@
 func TestStreamResumesNearDeadline(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		late := timedStream(errReset, timedPart{0, events12}, timedPart{1200 * time.Millisecond, events34}, timedPart{1960 * time.Millisecond, ""})
-		script := &script{steps: []step{late, answer(200, "id: 5\ndata: e\n\n", nil)}}
+		cutStream := timedStream(errReset, timedPart{0, events12}, timedPart{1200 * time.Millisecond, events34}, timedPart{1960 * time.Millisecond, ""})
+		script := &script{steps: []step{cutStream, answer(200, "id: 5\ndata: e\n\n", nil)}}
 		fixture := newFixture(script.send, &testRates, testEndpoint(1), testEndpoint(2))
 		outcome := fixture.send(t.Context(), "short", func(request *relay.Request) {
 			request.Timeout, request.MaxAnswerTokens = 2*time.Second, 40*46
--- a/peridotpath/relay/request.go
+++ b/peridotpath/relay/request.go
@@ -33,8 +33,8 @@
 	Body   []byte
 	// Key is the API key; empty if the request has none.
 	Key peridotpath.APIKey
-	// PromptTokens is the length of the prompt and Request.MaxAnswerTokens the maximum length of the
-	// answer, as declared by the caller; zero for a request without a prompt.
+	// PromptTokens is the length of the prompt and MaxAnswerTokens the maximum length of
+	// the answer, as declared by the caller; zero for a request without a prompt.
 	PromptTokens, MaxAnswerTokens peridotpath.Tokens
 	// ExpectedAnswerTokens is the answer length that the caller expects; zero if not declared.
 	ExpectedAnswerTokens peridotpath.Tokens
@@ -82,8 +82,8 @@
 	// BlamedHelper is the id or address of the helper that caused a refusal; empty for none.
 	BlamedHelper string
 	// RateLimit is the rate that the endpoint accepts from all instances together; it
-	// applies for as long as answers carry it. Limit is nil where the answer carries
-	// none or an invalid one; Answer.HasNoRateLimit reports that it carries none.
+	// applies for as long as answers carry it. It is nil where the answer carries none or
+	// an invalid one; HasNoRateLimit reports that it carries none.
 	RateLimit      *peridotpath.Rate
 	HasNoRateLimit bool
 	// RetryAfter is the delay after which the endpoint would accept the request; zero
@@ -105,7 +105,8 @@
 	Abort func()
 }
 
-// Sender sends a call. Its error is of class outbound.ErrNotSent or ErrLost.
+// Sender sends a call. Its error is of class outbound.ErrNotSent or
+// outbound.ErrNoResponse.
 type Sender func(ctx context.Context, call *Call) (*Answer, error)
 
 // Checker probes an endpoint. It returns nil if the endpoint answers, and an error of
--- a/peridotpath/relay/slow_test.go
+++ b/peridotpath/relay/slow_test.go
@@ -22,12 +22,12 @@
 	PrefillPerSecond: 154_000, PerMillionPairs: 162 * time.Microsecond,
 }
 
-// runPacePolling starts the pace polling of all instances of a fleet.
-func runPacePolling(ctx context.Context, fleet *fleet, engines *fakeEngines, endpoints []peridotpath.Endpoint) *sync.WaitGroup {
+// runProbers starts the slowdown probes of all instances of a fleet.
+func runProbers(ctx context.Context, fleet *fleet, engines *fakeEngines, endpoints []peridotpath.Endpoint) *sync.WaitGroup {
 	var all sync.WaitGroup
-	for _, one := range fleet.relays {
-		watch := &pace.Prober{
-			Facts: one.facts, FetchSlowdown: engines.pace, Log: zerolog.Nop(),
+	for _, instance := range fleet.relays {
+		prober := &pace.Prober{
+			Facts: instance.facts, FetchSlowdown: engines.fetchSlowdown, Log: zerolog.Nop(),
 			FindEndpoint: func(key peridotpath.EndpointKey) *peridotpath.Endpoint {
 				for i := range endpoints {
 					if endpoints[i].Key() == key {
@@ -36,17 +36,19 @@
 				}
 				return nil
 			},
-			OwnsEndpoint: func(key peridotpath.EndpointKey) bool { return one.book.IsOwner(one.relay.Instance, key) },
+			OwnsEndpoint: func(key peridotpath.EndpointKey) bool {
+				return instance.loadTracker.IsOwner(instance.relay.Instance, key)
+			},
 		}
-		one.relay.OnOverdueFirstEvent = watch.ProbeOverdue
-		one.book.ReportedSlowdowns = func(now time.Time) map[peridotpath.EndpointKey]float64 {
-			slow := map[peridotpath.EndpointKey]float64{}
-			for key, pace := range watch.SlowEngines(now) {
-				slow[key] = float64(pace)
+		instance.relay.OnOverdueFirstEvent = prober.ProbeOverdue
+		instance.loadTracker.ReportedSlowdowns = func(now time.Time) map[peridotpath.EndpointKey]float64 {
+			slowdowns := map[peridotpath.EndpointKey]float64{}
+			for key, slowdown := range prober.SlowEngines(now) {
+				slowdowns[key] = float64(slowdown)
 			}
-			return slow
+			return slowdowns
 		}
-		all.Go(func() { _ = watch.Run(ctx) })
+		all.Go(func() { _ = prober.Run(ctx) })
 	}
 	return &all
 }
@@ -72,15 +74,15 @@
 			engines, endpoints := newFakeEngines(ctx, &quadraticRates, engineCount)
 			fleet := newFleet(instances, lag, func(int) *fixture { return newFixture(engines.Send, &quadraticRates, endpoints...) })
 			go fleet.sendPeriodically(ctx, 250*time.Millisecond)
-			watching := runPacePolling(ctx, fleet, engines, endpoints)
+			probers := runProbers(ctx, fleet, engines, endpoints)
 			time.AfterFunc(1500*time.Millisecond, func() { engines.setSlow(8, 3.6) })
 			sendAll(ctx, load, outcomes, func() *fixture { return fleet.relays[random.IntN(instances)] })
 			cancel()
-			watching.Wait()
+			probers.Wait()
 			time.Sleep(lag)
 		})
-		short += onTimeShare(load, outcomes, "short", 300*time.Millisecond, 250*time.Millisecond) / seeds
-		long += onTimeShare(load, outcomes, "long", 4*time.Second, time.Second) / seeds
+		short += metTargetsShare(load, outcomes, "short", 300*time.Millisecond, 250*time.Millisecond) / seeds
+		long += metTargetsShare(load, outcomes, "long", 4*time.Second, time.Second) / seeds
 	}
 	t.Logf("in time: short %.3f, long %.3f", short, long)
 	if short < 0.85 || long < 0.9 {
--- a/peridotpath/relay/start_test.go
+++ b/peridotpath/relay/start_test.go
@@ -21,16 +21,16 @@
 func TestRequestDuringStart(t *testing.T) {
 	const never = 24 * time.Hour
 	tests := map[string]struct {
-		known    time.Duration
-		over     time.Duration
-		patience time.Duration
-		status   int
-		took     time.Duration
+		routingAt   time.Duration
+		startDoneAt time.Duration
+		timeout     time.Duration
+		status      int
+		took        time.Duration
 	}{
-		"the routing is loaded":          {known: 400 * time.Millisecond, over: 400 * time.Millisecond, patience: 10 * time.Second, status: http.StatusOK, took: 400 * time.Millisecond},
-		"the store is unreachable":       {known: never, over: 50 * time.Millisecond, patience: 10 * time.Second, status: http.StatusServiceUnavailable, took: 50 * time.Millisecond},
-		"loading takes too long":         {known: never, over: time.Hour, patience: 10 * time.Second, status: http.StatusServiceUnavailable, took: 1500 * time.Millisecond},
-		"the caller needs time to retry": {known: never, over: time.Hour, patience: time.Second, status: http.StatusServiceUnavailable, took: 400 * time.Millisecond},
+		"the routing is loaded":          {routingAt: 400 * time.Millisecond, startDoneAt: 400 * time.Millisecond, timeout: 10 * time.Second, status: http.StatusOK, took: 400 * time.Millisecond},
+		"the store is unreachable":       {routingAt: never, startDoneAt: 50 * time.Millisecond, timeout: 10 * time.Second, status: http.StatusServiceUnavailable, took: 50 * time.Millisecond},
+		"loading takes too long":         {routingAt: never, startDoneAt: time.Hour, timeout: 10 * time.Second, status: http.StatusServiceUnavailable, took: 1500 * time.Millisecond},
+		"the caller needs time to retry": {routingAt: never, startDoneAt: time.Hour, timeout: time.Second, status: http.StatusServiceUnavailable, took: 400 * time.Millisecond},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -41,15 +41,15 @@
 				fixture.relay.Routing = &routing.State{Now: fixture.routing.Now, KeyLifetime: time.Hour, Log: zerolog.Nop()}
 				started := make(chan struct{})
 				fixture.relay.RoutingReady, fixture.relay.StartDone = started, started
-				over := time.AfterFunc(test.over, func() {
-					if test.known == test.over {
+				startTimer := time.AfterFunc(test.startDoneAt, func() {
+					if test.routingAt == test.startDoneAt {
 						fixture.relay.Routing.Apply(testRouting(nil), fixture.relay.Routing.Now())
 					}
 					close(started)
 				})
-				defer over.Stop()
+				defer startTimer.Stop()
 				began := time.Now()
-				outcome := fixture.send(t.Context(), "look", func(request *relay.Request) { request.Timeout = test.patience })
+				outcome := fixture.send(t.Context(), "look", func(request *relay.Request) { request.Timeout = test.timeout })
 				is.Equal(outcome.status, test.status)
 				is.Equal(time.Since(began), test.took)
 				if test.status != http.StatusOK {
@@ -76,16 +76,16 @@
 // quarantined one at once.
 func TestRequestBeforeEndpointsAreLoaded(t *testing.T) {
 	tests := map[string]struct {
-		route  string
-		comes  time.Duration
-		barred bool
-		want   peridotpath.Code
-		took   time.Duration
+		route       string
+		loadedAt    time.Duration
+		quarantined bool
+		want        peridotpath.Code
+		took        time.Duration
 	}{
-		"short, not loaded":  {route: "look", comes: time.Hour, want: peridotpath.CodeNoEndpoint, took: 300 * time.Millisecond},
-		"short, loaded":      {route: "look", comes: 200 * time.Millisecond, took: 200 * time.Millisecond},
-		"with longer target": {route: "long", comes: time.Hour, want: peridotpath.CodeNoEndpoint, took: 1500 * time.Millisecond},
-		"quarantined":        {route: "look", comes: time.Hour, barred: true, want: peridotpath.CodeQuarantined},
+		"short, not loaded":  {route: "look", loadedAt: time.Hour, want: peridotpath.CodeNoEndpoint, took: 300 * time.Millisecond},
+		"short, loaded":      {route: "look", loadedAt: 200 * time.Millisecond, took: 200 * time.Millisecond},
+		"with longer target": {route: "long", loadedAt: time.Hour, want: peridotpath.CodeNoEndpoint, took: 1500 * time.Millisecond},
+		"quarantined":        {route: "look", loadedAt: time.Hour, quarantined: true, want: peridotpath.CodeQuarantined},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -97,17 +97,17 @@
 				close(routed)
 				fixture.relay.RoutingReady, fixture.relay.StartDone = routed, started
 				endpoints := fixture.relay.Endpoints
-				known := time.Now().Add(test.comes)
+				loaded := time.Now().Add(test.loadedAt)
 				fixture.relay.Endpoints = func() *directory.Snapshot {
-					if time.Now().Before(known) {
+					if time.Now().Before(loaded) {
 						return nil
 					}
 					return endpoints()
 				}
 				fixture.relay.AllEndpoints = fixture.relay.Endpoints
-				over := time.AfterFunc(test.comes, func() { close(started) })
-				defer over.Stop()
-				if test.barred {
+				startTimer := time.AfterFunc(test.loadedAt, func() { close(started) })
+				defer startTimer.Stop()
+				if test.quarantined {
 					fixture.quarantineRequest("/" + test.route + "/x")
 				}
 				began := time.Now()
--- a/peridotpath/relay/telemetry.go
+++ b/peridotpath/relay/telemetry.go
@@ -31,7 +31,7 @@
 	event = event.Str("request", string(exchange.request.ID)).Str("route", string(exchange.route.Name)).
 		Stringer("kind", exchange.route.Kind()).Stringer("length", exchange.lengthClass()).
 		Str("service", string(exchange.service)).Str("customer", string(exchange.customer)).
-		Int64("prompt", int64(exchange.request.PromptTokens)).Int("tries", exchange.tries).Int("sent", exchange.sent).
+		Int64("prompt", int64(exchange.request.PromptTokens)).Int("tries", exchange.attemptCount).Int("sent", exchange.sentCount).
 		Dur("aim", exchange.route.TTFTTarget).Dur("took", time.Since(exchange.request.ArrivedAt)).Int64("routing_age", exchange.relay.Routing.AgeForLog()).
 		Int("code", int(code)).Str("result", code.String())
 	if exchange.hasFingerprint {
