--- a/peridotpath/reservation/manager.go
+++ b/peridotpath/reservation/manager.go
@@ -1,8 +1,8 @@
 // Package reservation reserves KV cache on engines for prompts whose KV cache is split
-// over several of them, because no engine can hold it alone. Under memory pressure it
-// acquires all parts or none, which avoids deadlock between prompts. Reservations are
-// leases: they are renewed while in use, expire by their TTL when the instance crashes,
-// and releases are repeated while an earlier call without an answer may still take effect.
+// over several of them, because no engine can hold it alone. It acquires all parts or
+// none, which avoids deadlock between prompts under memory pressure. Reservations are
+// leases: they are renewed while in use and expire by their TTL when the instance crashes.
+// Releases are repeated while an earlier call without an answer may still take effect.
 package reservation
 
 import (
@@ -31,11 +31,11 @@
 	// call that times out may still take effect much later.
 	callTimeout = 400 * time.Millisecond
 	// lateEffectWindow is how long a call without an answer may still take effect; delays
-	// of up to 12 s occur. A reservation that starts after its release would keep the
-	// memory unused for its whole TTL.
+	// of up to 12 s occur. A call to reserve that takes effect after the release would
+	// keep the memory reserved but unused for a whole TTL.
 	lateEffectWindow = 14 * time.Second
 	// releaseInterval is the time between two releases of a reservation that may still
-	// start late.
+	// take effect late.
 	releaseInterval = 700 * time.Millisecond
 )
 
@@ -96,11 +96,11 @@
 
 // Acquire reserves all of the memory or none. Two prompts that each held a part would
 // otherwise deadlock.
-func (manager *Manager) Acquire(ctx context.Context, needs []MemoryRequest) ([]*Reservation, error) {
-	reservations := make([]*Reservation, len(needs))
-	failures := make(chan error, len(needs))
-	for i, need := range needs {
-		reservation := &Reservation{ID: manager.newID(), Request: need, renewedAt: time.Now()}
+func (manager *Manager) Acquire(ctx context.Context, requests []MemoryRequest) ([]*Reservation, error) {
+	reservations := make([]*Reservation, len(requests))
+	failures := make(chan error, len(requests))
+	for i, request := range requests {
+		reservation := &Reservation{ID: manager.newID(), Request: request, renewedAt: time.Now()}
 		reservations[i] = reservation
 		manager.calls.Add(1)
 		go func() {
@@ -109,7 +109,7 @@
 		}()
 	}
 	var failure error
-	for range needs {
+	for range requests {
 		if err := <-failures; err != nil {
 			failure = err
 		}
@@ -246,7 +246,7 @@
 	defer cancel()
 	err := manager.Release(ctx, release.reservation.Request.Endpoint, release.reservation.ID)
 	if err != nil {
-		// The release is retried; a failure is logged only when it expires.
+		// The release is repeated, and logged when it expires without success.
 		return
 	}
 	if release.reservation.outcomeUnknown.Load() {
--- a/peridotpath/reservation/manager_test.go
+++ b/peridotpath/reservation/manager_test.go
@@ -79,7 +79,7 @@
 	return nil
 }
 
-func newKeeper(engines map[peridotpath.EndpointID]*fakeEngine) *reservation.Manager {
+func newManager(engines map[peridotpath.EndpointID]*fakeEngine) *reservation.Manager {
 	return &reservation.Manager{
 		Instance: "edge-1", Incarnation: 5, Log: zerolog.Nop(),
 		Reserve: func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, ttl time.Duration) (bool, error) {
@@ -135,7 +135,7 @@
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines, needs := twoEngines()
-		manager := newKeeper(engines)
+		manager := newManager(engines)
 		defer run(t, manager)()
 		reservations, err := manager.Acquire(t.Context(), needs)
 		is.NoErr(err)
@@ -157,7 +157,7 @@
 		is := is.New(t)
 		engines, needs := twoEngines()
 		engines["two"].memory = 100
-		manager := newKeeper(engines)
+		manager := newManager(engines)
 		defer run(t, manager)()
 		_, err := manager.Acquire(t.Context(), needs)
 		var reserveError *reservation.ReserveError
@@ -181,7 +181,7 @@
 			}
 			return 0
 		}
-		manager := newKeeper(engines)
+		manager := newManager(engines)
 		defer run(t, manager)()
 		_, err := manager.Acquire(t.Context(), needs)
 		is.True(err != nil)
@@ -199,7 +199,7 @@
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		engines, needs := twoEngines()
-		manager := newKeeper(engines)
+		manager := newManager(engines)
 		stop := run(t, manager)
 		_, err := manager.Acquire(t.Context(), needs)
 		is.NoErr(err)
@@ -226,7 +226,7 @@
 					return time.Duration(max(delay-6, 0)) * time.Second
 				}
 			}
-			manager := newKeeper(engines)
+			manager := newManager(engines)
 			stop := run(t, manager)
 			seen := map[string]bool{}
 			var held [][]*reservation.Reservation
