--- a/peridotpath/cell/cell_test.go
+++ b/peridotpath/cell/cell_test.go
@@ -40,24 +40,24 @@
 		endpoints := 10 * test.fleet
 		sizes := map[cell.Cell]int{}
 		for i := range test.fleet {
-			own := cell.Of(address(i), test.fleet)
-			is.Equal(own.Count(), test.cells)
-			is.True(own.HasInstance(address(i)))
-			sizes[own]++
+			shard := cell.Of(address(i), test.fleet)
+			is.Equal(shard.Count(), test.cells)
+			is.True(shard.HasInstance(address(i)))
+			sizes[shard]++
 		}
 		is.Equal(len(sizes), test.cells)
 		assigned := 0
-		for own, size := range sizes {
+		for shard, size := range sizes {
 			want := test.fleet / test.cells
 			is.True(size > want/2 && size < want*2)
 			members, engines := 0, 0
 			for i := range test.fleet {
-				if own.HasInstance(address(i)) {
+				if shard.HasInstance(address(i)) {
 					members++
 				}
 			}
 			for i := range endpoints {
-				if own.HasEndpoint(key(i), endpoints) {
+				if shard.HasEndpoint(key(i), endpoints) {
 					engines++
 				}
 			}
@@ -75,10 +75,10 @@
 	const fleet, endpoints = 1000, 50
 	used := map[int]bool{}
 	for i := range fleet {
-		own := cell.Of(address(i), fleet)
+		shard := cell.Of(address(i), fleet)
 		count := 0
 		for number := range endpoints {
-			if own.HasEndpoint(key(number), endpoints) {
+			if shard.HasEndpoint(key(number), endpoints) {
 				used[number] = true
 				count++
 			}
