--- a/peridotpath/clock/clock.go
+++ b/peridotpath/clock/clock.go
@@ -54,9 +54,9 @@
 	return duration*9/10 + time.Duration(random*float64(duration/5))
 }
 
-// SleepContext waits for the duration and returns false if ctx ends first. It starts no timer for
-// a duration that is not positive: the race detector of Go 1.26 crashes on such a timer in
-// virtual time.
+// SleepContext waits for the duration and returns false if ctx ends first. It starts no
+// timer for a duration that is not positive: the race detector of Go 1.26 crashes on such a
+// timer in virtual time.
 func SleepContext(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/peridotpath/clock/clock_test.go
+++ b/peridotpath/clock/clock_test.go
@@ -16,7 +16,7 @@
 	is.Equal(clock.Jitter(time.Second, 1), 1100*time.Millisecond)
 }
 
-func TestElapsedTakesFurtherClock(t *testing.T) {
+func TestElapsedUsesClockThatAdvancedFurther(t *testing.T) {
 	base := time.Unix(1_000_000, 0)
 	tests := map[string]struct {
 		monotonic, wall, want time.Duration
--- a/peridotpath/clock/poll_schedule.go
+++ b/peridotpath/clock/poll_schedule.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// PollSchedule schedules the polls of data that several instances poll and share with each other:
-// an instance polls only when its data is older than the interval, so that all instances
+// PollSchedule schedules the polls of data that several instances poll and share with each
+// other: an instance polls only when its data has reached MinAge, so that all instances
 // together poll hardly more often than one. Set the exported fields before use.
 type PollSchedule struct {
-	// MinAge is the age of the data from which one of the instances polls, and PollSchedule.MaxDelay
+	// MinAge is the age of the data from which one of the instances polls, and MaxDelay
 	// the largest additional delay of an instance.
 	MinAge, MaxDelay time.Duration
 	// RetryDelay is the delay after a failed poll.
@@ -19,15 +19,15 @@
 	PeerCount func() int
 	// MinInterval is the minimum time between two polls, regardless of the age and of wakes.
 	MinInterval time.Duration
-	// PrecedingPeers returns how many nearby instances poll before this one; nil for a random
-	// order. PollSchedule.HasData reports whether valid data was read yet; nil means that it was.
-	// PollSchedule.PrecedingPeers is required if PollSchedule.HasData is set.
+	// PrecedingPeers returns how many nearby instances poll before this one; nil for a
+	// random order. HasData reports whether valid data was read yet; nil means that it was.
+	// PrecedingPeers is required if HasData is set.
 	PrecedingPeers func() int
 	HasData        func() bool
 
 	woken    Signal
 	lastPoll time.Time
-	// wokenEarly reports that a wake ended the last PollSchedule.WaitUntilDue.
+	// wokenEarly reports that a wake ended the last WaitUntilDue.
 	wokenEarly bool
 	// emptyDelay is the delay after a poll that returned no data.
 	emptyDelay time.Duration
@@ -35,7 +35,7 @@
 
 // The delay after a poll that returned no data doubles from minEmptyDelay to maxEmptyDelay.
 // Without it, instances that start together before any data is written would all poll at
-// the rate that the gap allows. The first instance that finds data shares it, which ends
+// the rate that MinInterval allows. The first instance that finds data shares it, which ends
 // the others' delays.
 const (
 	minEmptyDelay = 250 * time.Millisecond
@@ -82,36 +82,38 @@
 	schedule.emptyDelay = min(max(2*schedule.emptyDelay, minEmptyDelay), maxEmptyDelay)
 }
 
-// ageCheckInterval is the longest sleep between two checks of the age, which data received from a
-// peer resets.
+// ageCheckInterval is the longest sleep between two checks of the age, which falls when data
+// arrives from a peer.
 const ageCheckInterval = 100 * time.Millisecond
 
-// Wake ends the current PollSchedule.WaitUntilDue, or the next one. It does not block.
+// Wake ends the current WaitUntilDue, or the next one. It does not block.
 func (schedule *PollSchedule) Wake() { schedule.woken.Raise() }
 
-// WokenEarly reports whether a wake ended the last PollSchedule.WaitUntilDue.
+// WokenEarly reports whether a wake ended the last WaitUntilDue.
 func (schedule *PollSchedule) WokenEarly() bool { return schedule.wokenEarly }
 
-// IsDue reports whether data of that age is due for a poll by at least one instance.
+// IsDue reports whether one of the instances should poll data of that age.
 func (schedule *PollSchedule) IsDue(age time.Duration) bool { return age >= schedule.MinAge }
 
-// retryPerInstance is the average time between two polls of all instances together while polls
-// fail. Without it, many instances would poll an unreachable service hundreds of times a
-// second and overload it when it recovers.
-const retryPerInstance = 60 * time.Millisecond
+// retryDelayPerInstance is, per peer, the minimum delay after a failed poll. It is about the
+// average time between two polls of all instances together. Without it, many instances
+// would poll an unreachable service hundreds of times a second and overload it when it
+// recovers.
+const retryDelayPerInstance = 60 * time.Millisecond
 
-// WaitAfterFailure waits after a failed poll and returns false if ctx ends first. A wake ends it: the
-// service may be unreachable only from here while a peer has newer data.
+// WaitAfterFailure waits after a failed poll and returns false if ctx ends first. A wake
+// ends it: the service may be unreachable only from here while a peer has newer data.
 func (schedule *PollSchedule) WaitAfterFailure(ctx context.Context) bool {
 	delay := schedule.RetryDelay
 	if schedule.PeerCount != nil {
-		delay = max(delay, time.Duration(schedule.PeerCount())*retryPerInstance)
+		delay = max(delay, time.Duration(schedule.PeerCount())*retryDelayPerInstance)
 	}
 	return schedule.sleepJittered(ctx, delay)
 }
 
-// sleepJittered waits for the duration, with jitter of up to half of it so that instances do not
-// poll in step, and returns false if ctx ends first. A wake ends it, and the next PollSchedule.WaitUntilDue.
+// sleepJittered waits for the duration, with jitter of up to half of it so that instances
+// do not poll in step, and returns false if ctx ends first. A wake ends it, and also the
+// next WaitUntilDue.
 func (schedule *PollSchedule) sleepJittered(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(delay)))
 	defer timer.Stop()
@@ -126,10 +128,11 @@
 	}
 }
 
-// WaitUntilDue waits until the data is old enough for a poll and returns false if ctx ends first.
+// WaitUntilDue waits until the data is old enough for a poll and returns false if ctx ends
+// first.
 func (schedule *PollSchedule) WaitUntilDue(ctx context.Context, age func() time.Duration) bool {
-	// The age stays high until there is data. Without the gap, all instances that start
-	// together would poll as fast as they receive replies.
+	// The age stays high until there is data. Without MinInterval, all instances that
+	// start together would poll as fast as they receive replies.
 	if !SleepContext(ctx, schedule.MinInterval-time.Since(schedule.lastPoll)) {
 		return false
 	}
@@ -140,12 +143,12 @@
 	defer func() { schedule.lastPoll = time.Now() }()
 	limit := schedule.MinAge + schedule.pollDelay()
 	for {
-		left := limit - age()
-		if left <= 0 {
+		remaining := limit - age()
+		if remaining <= 0 {
 			schedule.wokenEarly = schedule.woken.Take()
 			return ctx.Err() == nil
 		}
-		timer := time.NewTimer(min(left, ageCheckInterval))
+		timer := time.NewTimer(min(remaining, ageCheckInterval))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
--- a/peridotpath/clock/poll_schedule_test.go
+++ b/peridotpath/clock/poll_schedule_test.go
@@ -12,8 +12,8 @@
 	"peridotpath.example/peridotpath/internal/virtual"
 )
 
-// Eight instances share what they read. Together they poll hardly more often than one
-// instance alone.
+// Eight instances share the data that they read. Together they poll hardly more often than
+// one instance alone.
 func TestInstancesSharePolls(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -71,7 +71,7 @@
 			schedule.RecordPoll(false)
 		}
 		t.Logf("%d polls in 10 s", polls)
-		is.True(polls <= 32) // one in a third of a second; the gap allows five times that
+		is.True(polls <= 32) // one in a third of a second; MinInterval allows five times that
 		is.True(polls >= 10) // data is found within a second
 
 		ctx, cancel = context.WithTimeout(t.Context(), 10*time.Second)
@@ -129,11 +129,11 @@
 func TestFirstPollIsStaggered(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		for _, test := range []struct {
-			name   string
-			before int
-			wake   time.Duration
-			least  time.Duration
-			most   time.Duration
+			name      string
+			preceding int
+			wake      time.Duration
+			minWait   time.Duration
+			maxWait   time.Duration
 		}{
 			{"first instance", 0, time.Hour, 0, 0},
 			{"third instance, woken", 2, 200 * time.Millisecond, 200 * time.Millisecond, 200 * time.Millisecond},
@@ -142,14 +142,14 @@
 			is := is.New(t)
 			schedule := &clock.PollSchedule{
 				MinAge: time.Second, MinInterval: 60 * time.Millisecond,
-				HasData: func() bool { return false }, PrecedingPeers: func() int { return test.before },
+				HasData: func() bool { return false }, PrecedingPeers: func() int { return test.preceding },
 			}
 			began := time.Now()
 			wake := time.AfterFunc(test.wake, schedule.Wake)
 			is.True(schedule.WaitUntilDue(t.Context(), func() time.Duration { return time.Hour }))
 			wake.Stop()
-			if waited := time.Since(began); waited < test.least || waited > test.most {
-				t.Errorf("%s: waited %v, want %v to %v", test.name, waited, test.least, test.most)
+			if waited := time.Since(began); waited < test.minWait || waited > test.maxWait {
+				t.Errorf("%s: waited %v, want %v to %v", test.name, waited, test.minWait, test.maxWait)
 			}
 		}
 	})
