--- a/peridotpath/internal/soak/soak.go
+++ b/peridotpath/internal/soak/soak.go
@@ -21,9 +21,10 @@
 const checksPerSeed = 100
 
 // givenSeed returns the -rapid.seed of the command line, read before the first Check
-// overwrites the flag. unset is rapid's value for no seed.
+// overwrites the flag.
 var givenSeed = sync.OnceValue(func() string { return flag.Lookup("rapid.seed").Value.String() })
 
+// noSeed is the default of -rapid.seed, for which rapid chooses a random seed.
 const noSeed = "0"
 
 // Check checks the property with the seeds from 1 to seeds. In a soak test the seeds start
