--- a/peridotpath/config.go
+++ b/peridotpath/config.go
@@ -84,7 +84,7 @@
 
 // ReplaceCustomers returns an indexed copy without the customers of before and with those
 // of after. Its cost depends on the two lists and not on the number of customers, so
-// Config.Customers, the plain list, is nil in the copy. Each customer must be allocated
+// Customers, the plain list, is nil in the copy. Each customer must be allocated
 // separately, because the index keeps pointers into both lists.
 func (config *Config) ReplaceCustomers(before, after []*Customer) *Config {
 	next := *config
--- a/peridotpath/endpoint.go
+++ b/peridotpath/endpoint.go
@@ -38,7 +38,8 @@
 	KVTokens Tokens `json:"kv_tokens,omitempty"`
 	// Incarnation distinguishes runs with the same id; zero where unknown.
 	Incarnation Incarnation `json:"incarnation,omitempty"`
-	// Slots is the number of requests that it runs concurrently; zero where unknown.
+	// Slots is the number of requests that the endpoint runs concurrently; zero where
+	// unknown.
 	Slots int `json:"slots,omitempty"`
 	// ChecksFencing is set where the engine rejects calls with a stale fencing token.
 	ChecksFencing bool `json:"checks_fencing,omitempty"`
--- a/peridotpath/result.go
+++ b/peridotpath/result.go
@@ -43,7 +43,7 @@
 	CodeEndpointFailed  Code = 3003
 	CodeBadAnswer       Code = 3004 // a malformed or empty successful answer
 	CodeStreamCut       Code = 3005
-	CodeNoMemory        Code = 3006 // no endpoint or group has KV cache for the prompt
+	CodeNoMemory        Code = 3006 // no endpoint or group of endpoints has KV cache for the prompt
 	CodeQuarantined     Code = 3007 // endpoints terminated while they ran this request
 	CodeLimited         Code = 3008 // every remaining endpoint is at the limit it reported
 
--- a/peridotpath/route.go
+++ b/peridotpath/route.go
@@ -50,8 +50,8 @@
 	// ITLTarget is the ITL target (inter-token latency): the longest acceptable time
 	// between two events of a stream; zero for other answers.
 	ITLTarget time.Duration
-	// ClientIdleTimeout is the idle timeout of clients: how long they wait for the first or next
-	// event of a stream before they disconnect; zero where unknown.
+	// ClientIdleTimeout is the idle timeout of clients: how long they wait for the first or
+	// next event of a stream before they disconnect; zero where unknown.
 	ClientIdleTimeout time.Duration
 }
 
