--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -152,7 +152,7 @@
 		Instance: settings.InstanceID, DataCentre: settings.DataCentre, Log: log, Routing: instance.routing,
 		Endpoints: instance.cellEndpoints, AllEndpoints: instance.directory.Current, LoadTracker: instance.loads, Send: adapter.Send, Check: adapter.Check,
 		ServedSampler: &telemetry.LogSampler{PerSecond: servedLogLinesPerSecond},
-		Keeper:        instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, OnOverdueFirstEvent: instance.paces.ProbeOverdue, EngineStallTime: settings.StallTime, RoutingReady: instance.startup.routingReady, StartDone: instance.startup.finished,
+		Reservations:  instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, OnOverdueFirstEvent: instance.paces.ProbeOverdue, EngineStallTime: settings.StallTime, RoutingReady: instance.startup.routingReady, StartDone: instance.startup.finished,
 		RetryBudget: &relay.RetryBudget{
 			Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow,
 			Instances: instance.estimateFleetSize,
--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return outcomeNoMemory, err
 	}
-	defer relay.Keeper.ReleaseAsync(reservations)
+	defer relay.Reservations.ReleaseAsync(reservations)
 	watch := exchange.watchStall(cancel)
 	defer watch.Stop()
 	if overdueTimer := exchange.watchFirstEvent(); overdueTimer != nil {
@@ -100,7 +100,7 @@
 	if len(exchange.plan.HelperReservations) == 0 {
 		return nil, nil
 	}
-	reservations, err := exchange.relay.Keeper.Acquire(ctx, exchange.plan.HelperReservations)
+	reservations, err := exchange.relay.Reservations.Acquire(ctx, exchange.plan.HelperReservations)
 	var reserveError *reservation.ReserveError
 	if errors.As(err, &reserveError) {
 		exchange.relay.LoadTracker.EjectFull(reserveError.Endpoint, time.Now())
--- a/peridotpath/relay/fixture_test.go
+++ b/peridotpath/relay/fixture_test.go
@@ -94,7 +94,7 @@
 		ServedSampler:   &telemetry.LogSampler{PerSecond: 10},
 		RetryBudget:     &relay.RetryBudget{Ratio: 0.2, Slack: 100, Window: 10 * time.Second, Instances: func() int { return 1 }},
 		EngineStallTime: 1500 * time.Millisecond,
-		Keeper: &reservation.Manager{
+		Reservations: &reservation.Manager{
 			Instance: "edge-1", Incarnation: 1, Log: zerolog.Nop(),
 			Reserve: func(context.Context, *peridotpath.Endpoint, string, peridotpath.Tokens, time.Duration) (bool, error) {
 				return true, nil
--- a/peridotpath/relay/liveness_test.go
+++ b/peridotpath/relay/liveness_test.go
@@ -79,7 +79,7 @@
 func newFailingFixture(t *testing.T, engines *failingEngines) *fixture {
 	engines.reservations = map[string]bool{}
 	fixture := newFixture(engines.send, &testRates, testEndpoint(0), testEndpoint(1), testEndpoint(2), testEndpoint(3))
-	manager := fixture.relay.Keeper
+	manager := fixture.relay.Reservations
 	manager.Reserve, manager.Release = engines.reserve, engines.release
 	fixture.relay.Check = engines.check
 	ctx, cancel := context.WithCancel(t.Context())
--- a/peridotpath/relay/relay.go
+++ b/peridotpath/relay/relay.go
@@ -31,7 +31,7 @@
 	RetryBudget             *RetryBudget
 	Send                    Sender
 	Check                   Checker
-	Keeper                  *reservation.Manager
+	Reservations            *reservation.Manager
 	// Quarantine refuses requests that crash the endpoints they run on.
 	Quarantine *quarantine.Quarantine
 	// OnOverdueFirstEvent, when set, is called with the engines of an attempt whose first
