--- a/peridotpath/gossip/cells.go
+++ b/peridotpath/gossip/cells.go
@@ -8,15 +8,15 @@
 )
 
 // cellSettleTime bounds the time until all instances have applied a change of the number of
-// cells: one instance reads it in the registry, and the peers that receive the new count in
-// a digest read the registry within seconds.
+// cells: one instance reads the new number in the registry, and the peers that receive it
+// in a digest read the registry within seconds.
 const cellSettleTime = 8 * time.Second
 
 // cellMembership holds the cell of an instance while the number of cells changes.
 //
-// It matters while instances join and leave. They learn of a new number of cells seconds
-// apart. An instance that gossips to the new cell only is missing from the view of those
-// still in the old one, which then place prompts on engines that merely look idle. For
+// It matters while instances join and leave. They receive a new number of cells seconds
+// apart. If an instance gossiped to the new cell only, those still in the old one would
+// lack its load and place prompts on engines that are busy with its requests. For
 // cellSettleTime after a change, an instance therefore gossips to the larger of the old and
 // the new cell and sends requests to the endpoints of the smaller one.
 type cellMembership struct {
@@ -49,29 +49,29 @@
 
 // update applies the cell that follows from a new list of instances, and reports whether it
 // differs from the previous one.
-func (membership *cellMembership) update(own cell.Cell, now time.Time) bool {
+func (membership *cellMembership) update(listed cell.Cell, now time.Time) bool {
 	if membership.firstListAt.IsZero() {
 		membership.firstListAt = now
 	}
-	changed := own != membership.latest
+	changed := listed != membership.latest
 	if changed {
-		membership.latest, membership.latestSince = own, now
+		membership.latest, membership.latestSince = listed, now
 	}
-	active := own
+	endpointCell := listed
 	// An instance that has just started has no in-flight requests in the views of its peers,
 	// so it uses the new cell at once.
 	if now.Sub(membership.latestSince) < cellSettleTime && now.Sub(membership.firstListAt) >= cellSettleTime {
-		if before := membership.EndpointCell(); before.Count() > own.Count() {
-			active = before
+		if before := membership.EndpointCell(); before.Count() > listed.Count() {
+			endpointCell = before
 		}
-		if membership.gossipCell.Count() > own.Count() {
-			membership.gossipCell = own
+		if membership.gossipCell.Count() > listed.Count() {
+			membership.gossipCell = listed
 		}
 	} else {
-		membership.gossipCell = own
+		membership.gossipCell = listed
 	}
-	if active != membership.EndpointCell() {
-		membership.endpointCell.Store(&active)
+	if endpointCell != membership.EndpointCell() {
+		membership.endpointCell.Store(&endpointCell)
 	}
 	return changed
 }
--- a/peridotpath/gossip/cells_test.go
+++ b/peridotpath/gossip/cells_test.go
@@ -10,10 +10,11 @@
 	"peridotpath.example/peridotpath/cell"
 )
 
-// While the fleet grows from two cells to four, instances that already know gossip to the
-// old, larger cell, since others still send to its engines and would otherwise take them
-// for idle. While it shrinks again, they use the endpoints of the smaller cell only, until
-// they have received the load of the larger one.
+// While the fleet grows from two cells to four, instances that have the new number still
+// gossip to the old, larger cell: instances without it send requests to the engines of that
+// cell, and would place prompts on busy ones. While the fleet shrinks again, instances use
+// the endpoints of the smaller cell only, until they have received the load of the larger
+// one.
 func TestCellChangeOverlaps(t *testing.T) {
 	is := is.New(t)
 	address := netip.MustParseAddrPort("10.0.0.1:1")
@@ -26,26 +27,26 @@
 	is.Equal(membership.EndpointCell(), two)
 	is.Equal(membership.gossipCell, two) // no overlap at the start
 
-	joined := startedAt.Add(20 * time.Second)
-	is.True(membership.update(four, joined))
+	grownAt := startedAt.Add(20 * time.Second)
+	is.True(membership.update(four, grownAt))
 	is.Equal(membership.EndpointCell(), four) // its load was received before
 	is.Equal(membership.gossipCell, two)      // some instances still use it
-	is.True(!membership.update(four, joined.Add(6*time.Second)))
+	is.True(!membership.update(four, grownAt.Add(6*time.Second)))
 	is.Equal(membership.gossipCell, two)
-	membership.update(four, joined.Add(9*time.Second))
+	membership.update(four, grownAt.Add(9*time.Second))
 	is.Equal(membership.gossipCell, four)
 
-	left := joined.Add(30 * time.Second)
-	is.True(membership.update(two, left))
+	shrunkAt := grownAt.Add(30 * time.Second)
+	is.True(membership.update(two, shrunkAt))
 	is.Equal(membership.EndpointCell(), four) // the load of the rest is not received yet
 	is.Equal(membership.gossipCell, two)
-	membership.update(two, left.Add(9*time.Second))
+	membership.update(two, shrunkAt.Add(9*time.Second))
 	is.Equal(membership.EndpointCell(), two)
 
 	// Two changes within seconds: the gossip cell stays the larger, the endpoint cell the
 	// smaller one.
-	membership.update(four, left.Add(30*time.Second))
-	membership.update(two, left.Add(32*time.Second))
+	membership.update(four, shrunkAt.Add(30*time.Second))
+	membership.update(two, shrunkAt.Add(32*time.Second))
 	is.Equal(membership.EndpointCell(), four)
 	is.Equal(membership.gossipCell, two)
 }
--- a/peridotpath/gossip/fact.go
+++ b/peridotpath/gossip/fact.go
@@ -45,19 +45,20 @@
 	return decoded
 }
 
-// takeLastingFactsDue reports whether the next digest repeats the facts that peers should
-// hold already, and schedules the following repetition. The interval grows with the number
-// of peers, so that the fleet as a whole repeats them several times a second and an
-// instance that was frozen catches up soon. A new peer makes them due at once. The schedule
-// depends on time alone, since a busy instance sends no heartbeats.
-func (gossip *Gossip) takeLastingFactsDue(now time.Time) bool {
+// takeResendDue reports whether the next digest repeats the facts that are resent
+// periodically, although peers should hold them already, and schedules the following
+// repetition. The interval grows with the number of peers, so that the fleet as a whole
+// repeats them several times a second and an instance that was suspended receives them
+// soon. A new peer makes them due at once. Otherwise the schedule depends on time alone,
+// since a busy instance sends no heartbeats.
+func (gossip *Gossip) takeResendDue(now time.Time) bool {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	if now.Before(gossip.lastingFactsDue) {
+	if now.Before(gossip.resendDueAt) {
 		return false
 	}
 	interval := time.Duration(1+len(gossip.peers)) * heartbeatInterval
-	gossip.lastingFactsDue = now.Add(interval/2 + rand.N(interval))
+	gossip.resendDueAt = now.Add(interval/2 + rand.N(interval))
 	return true
 }
 
@@ -86,14 +87,14 @@
 func (gossip *Gossip) otherCellTargets(now time.Time) []netip.AddrPort {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	own := gossip.cells.gossipCell
-	if own.Count() == 1 {
+	gossipCell := gossip.cells.gossipCell
+	if gossipCell.Count() == 1 {
 		return nil
 	}
-	cells := make([][]netip.AddrPort, own.Count())
+	cells := make([][]netip.AddrPort, gossipCell.Count())
 	for address, peer := range gossip.peers {
-		if peer.registered && !own.HasInstance(address) {
-			index := own.IndexOf(address)
+		if peer.registered && !gossipCell.HasInstance(address) {
+			index := gossipCell.IndexOf(address)
 			cells[index] = append(cells[index], address)
 		}
 	}
--- a/peridotpath/gossip/gossip.go
+++ b/peridotpath/gossip/gossip.go
@@ -6,8 +6,8 @@
 // It matters under many concurrent requests through many instances, each of which places
 // requests by the load that the whole cell causes. An instance sends its digests directly
 // to the peers of its own data centre and cell. To each other data centre it sends one
-// copy, to a peer that forwards it there; the peers take turns, since traffic between data
-// centres is metered and a dead forwarder must cost single datagrams only.
+// copy, to a peer that forwards it there, since traffic between data centres is metered.
+// The forwarding peer rotates, so that a dead one loses single datagrams only.
 package gossip
 
 import (
@@ -35,11 +35,12 @@
 var Error = errs.Class("gossip")
 
 const (
-	// heartbeatInterval is the longest time between two digests to a peer. A peer's
-	// snapshot of the store confirms the one held here, at the age that the digest states.
+	// heartbeatInterval is the longest time between two digests to a peer. A digest of a
+	// peer with the same snapshot of the store confirms the local snapshot, as of the age
+	// that the digest states.
 	heartbeatInterval = 250 * time.Millisecond
-	// remoteHeartbeatInterval is the same for other data centres. It is longer because
-	// traffic between them is metered and most heartbeats report no change.
+	// remoteHeartbeatInterval is the longest time between two digests to another data
+	// centre. Traffic there is metered, and most heartbeats report no change.
 	remoteHeartbeatInterval = 2 * heartbeatInterval
 	// coalesceDelay is how long a change waits for further ones, so that a burst of
 	// requests makes one digest.
@@ -85,11 +86,11 @@
 	Clock func() time.Duration
 	// LocalFreshness returns the freshness of the local snapshot of the store.
 	LocalFreshness func() Freshness
-	// OnPeerFreshness is called with the freshness of a peer's snapshot of the store, and the address
-	// from which it can be fetched. The ages in fresh are relative to asked, a value of
-	// this instance's own clock that is certainly earlier than the digest; zero if the
-	// digest carries none.
-	OnPeerFreshness func(peer readings.Peer, fresh Freshness, asked time.Duration)
+	// OnPeerFreshness is called with the freshness of a peer's snapshot of the store, and
+	// the address from which it can be fetched. The ages in fresh are relative to echo, a
+	// value of this instance's clock that the peer received before it made the digest; zero
+	// if the digest carries none.
+	OnPeerFreshness func(peer readings.Peer, fresh Freshness, echo time.Duration)
 	// OnCellCountMismatch is called when a peer reports another number of cells.
 	OnCellCountMismatch func()
 	Log                 zerolog.Logger
@@ -99,11 +100,12 @@
 	cells           cellMembership
 	peers           map[netip.AddrPort]*peer
 	sequence        uint64
-	// forwarderTurn counts the digests to other data centres, and rotates their forwarders.
-	forwarderTurn int
-	// remoteSentAt is when other data centres were last sent a digest, lastingFactsDue when
-	// lasting facts are repeated next.
-	remoteSentAt, lastingFactsDue time.Time
+	// remoteDigestCount is the number of digests sent to other data centres. It selects the
+	// forwarder of the next one.
+	remoteDigestCount int
+	// remoteSentAt is when other data centres were last sent a digest, resendDueAt when the
+	// facts that are repeated periodically are due next.
+	remoteSentAt, resendDueAt time.Time
 }
 
 // Peer is the location of an instance.
@@ -116,7 +118,7 @@
 	instance    peridotpath.InstanceID
 	incarnation peridotpath.Incarnation
 	dataCentre  peridotpath.DataCentre
-	// lastSent is the newest clock value received from the peer.
+	// lastSent is the newest value of the peer's clock that was received from it.
 	lastSent   uint64
 	receivedAt time.Time
 	// registered reports whether the peer is listed in the registry.
@@ -202,14 +204,14 @@
 	return now.Sub(gossip.remoteSentAt) >= remoteHeartbeatInterval
 }
 
-// sendDigests sends a digest to the peers of the own data centre and, with remote or if
-// there are facts to send, to the other data centres.
+// sendDigests sends a digest to the peers in this data centre and, with remote or if there
+// are facts to send, to the other data centres.
 func (gossip *Gossip) sendDigests(conn *net.UDPConn, remote bool) {
 	// The echoes are taken before the ages: a receiver relates the ages to its echo,
-	// which must therefore be older. If the process froze between the two, an echo
-	// taken last would make a snapshot from before the freeze look fresh.
+	// which must therefore be older. If the process was suspended between the two, an
+	// echo taken last would make a snapshot from before the suspension look fresh.
 	now := time.Now()
-	encoded := encodeFacts(gossip.Facts.TakeDue(now, gossip.takeLastingFactsDue(now)), now)
+	encoded := encodeFacts(gossip.Facts.TakeDue(now, gossip.takeResendDue(now)), now)
 	targets := gossip.selectTargets(now, remote || len(encoded) > 0)
 	digest := gossip.nextDigest()
 	digest.Facts = encoded
@@ -226,8 +228,8 @@
 
 // sendDigest sends the encoded digest that is common to all receivers, followed by the
 // fields for one of them: concatenated protobuf messages decode as one merged message.
-func (gossip *Gossip) sendDigest(conn *net.UDPConn, to netip.AddrPort, common []byte, own *wire.Digest) {
-	datagram, err := proto.MarshalOptions{}.MarshalAppend(common[:len(common):len(common)], own)
+func (gossip *Gossip) sendDigest(conn *net.UDPConn, to netip.AddrPort, common []byte, specific *wire.Digest) {
+	datagram, err := proto.MarshalOptions{}.MarshalAppend(common[:len(common):len(common)], specific)
 	if err == nil {
 		_, err = conn.WriteToUDPAddrPort(datagram, to)
 	}
@@ -236,7 +238,7 @@
 	}
 }
 
-// forward forwards a digest from another data centre to the peers of the own one.
+// forward forwards a digest from another data centre to the peers in this one.
 func (gossip *Gossip) forward(conn *net.UDPConn, digest *wire.Digest) {
 	digest.HandOn, digest.HandedOn, digest.Echo = false, true, 0
 	datagram, err := proto.Marshal(digest)
@@ -246,9 +248,9 @@
 	}
 	gossip.mutex.Lock()
 	var addresses []netip.AddrPort
-	own := gossip.cells.gossipCell
+	gossipCell := gossip.cells.gossipCell
 	for address, peer := range gossip.peers {
-		if peer.dataCentre == gossip.DataCentre && peer.instance != peridotpath.InstanceID(digest.Instance) && own.HasInstance(address) {
+		if peer.dataCentre == gossip.DataCentre && peer.instance != peridotpath.InstanceID(digest.Instance) && gossipCell.HasInstance(address) {
 			addresses = append(addresses, address)
 		}
 	}
@@ -295,7 +297,8 @@
 	for ctx.Err() == nil {
 		length, from, err := conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			// Unreachable peers cause such errors, and closing the socket causes one. Missed digests are superseded by later ones.
+			// Datagrams to unreachable peers cause such errors, and so does closing the
+			// socket. A missed digest is superseded by the next one.
 			clock.SleepContext(ctx, receiveErrorPause)
 			continue
 		}
@@ -324,8 +327,8 @@
 	if peer.instance != peridotpath.InstanceID(digest.Instance) || peer.incarnation != peridotpath.Incarnation(digest.Incarnation) {
 		peer.instance, peer.incarnation = peridotpath.InstanceID(digest.Instance), peridotpath.Incarnation(digest.Incarnation)
 		gossip.Log.Info().Str("peer", digest.Instance).Stringer("address", from).Msg("peer_heard")
-		// A peer that has just started needs the lasting facts.
-		gossip.lastingFactsDue = time.Time{}
+		// A peer that has just started lacks the facts sent before.
+		gossip.resendDueAt = time.Time{}
 		gossip.RequestDigest()
 	}
 	peer.dataCentre = peridotpath.DataCentre(digest.DataCentre)
@@ -336,20 +339,20 @@
 	if cellCount != 0 && digest.Cells != 0 && int(digest.Cells) != cellCount {
 		gossip.OnCellCountMismatch()
 	}
-	near := peer.dataCentre == gossip.DataCentre
-	echo, mustForward := digest.Echo, digest.HandOn
+	inSameDataCentre := peer.dataCentre == gossip.DataCentre
+	echoMicros, mustForward := digest.Echo, digest.HandOn
 	gossip.Loads.ApplyPeerReport(decodeReport(digest, now), now)
 	if mustForward {
 		gossip.forward(conn, digest)
 	}
-	asked := clock.FromMicros(echo)
-	if asked > gossip.Clock() {
-		// The echo stems from before the last boot of this machine.
-		asked = 0
+	echo := clock.FromMicros(echoMicros)
+	if echo > gossip.Clock() {
+		// The echo predates the last boot of this machine.
+		echo = 0
 	}
-	gossip.OnPeerFreshness(readings.Peer{Address: netip.AddrPortFrom(from.Addr(), uint16(digest.ReadingsPort)), InSameDataCentre: near}, Freshness{
+	gossip.OnPeerFreshness(readings.Peer{Address: netip.AddrPortFrom(from.Addr(), uint16(digest.ReadingsPort)), InSameDataCentre: inSameDataCentre}, Freshness{
 		RoutingVersion: peridotpath.RoutingVersion(digest.RoutingVersion), RoutingAge: clock.FromMicros(digest.RoutingAge),
 		EndpointsHash: digest.Endpoints, EndpointsAge: clock.FromMicros(digest.EndpointsAge),
 		Era: keyvalue.Era(digest.Era), EraAge: clock.FromMicros(digest.EraAge), EraAgeKnown: digest.EraDated,
-	}, asked)
+	}, echo)
 }
--- a/peridotpath/gossip/gossip_test.go
+++ b/peridotpath/gossip/gossip_test.go
@@ -38,7 +38,7 @@
 type receivedFreshness struct {
 	peer  netip.AddrPort
 	fresh gossip.Freshness
-	asked time.Duration
+	echo  time.Duration
 }
 
 // node is an instance that gossips, with what it receives.
@@ -51,16 +51,16 @@
 	cellMismatches atomic.Int64
 }
 
-// start runs a node until the test ends.
-func start(t *testing.T, id peridotpath.InstanceID, dataCentre peridotpath.DataCentre, fresh gossip.Freshness) *node {
+// startNode runs a node until the test ends.
+func startNode(t *testing.T, id peridotpath.InstanceID, dataCentre peridotpath.DataCentre, fresh gossip.Freshness) *node {
 	t.Helper()
 	node := &node{loads: &placement.LoadTracker{}, facts: &facts.Table{}, received: make(chan receivedFreshness, 1000)}
 	node.gossip = &gossip.Gossip{
 		Instance: id, Incarnation: 1, Address: freeAddress(t), DataCentre: dataCentre, SnapshotPort: 99, Loads: node.loads, Facts: node.facts, Clock: clock.SinceBoot, Log: zerolog.Nop(),
 		LocalFreshness: func() gossip.Freshness { return fresh },
-		OnPeerFreshness: func(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
-			if asked > 0 {
-				node.received <- receivedFreshness{peer.Address, fresh, asked}
+		OnPeerFreshness: func(peer readings.Peer, fresh gossip.Freshness, echo time.Duration) {
+			if echo > 0 {
+				node.received <- receivedFreshness{peer.Address, fresh, echo}
 			}
 		},
 	}
@@ -80,7 +80,7 @@
 }
 
 // eventually waits until another goroutine has made the condition true.
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 2000 {
 		if condition() {
@@ -88,7 +88,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("timed out after 10 s: %s", what)
+	t.Fatalf("timed out after 10 s: %s", description)
 }
 
 // A peer receives an instance's in-flight requests, queued prompts and ejections, even if
@@ -96,44 +96,44 @@
 func TestLoadReachesPeer(t *testing.T) {
 	is := is.New(t)
 	fresh := gossip.Freshness{RoutingVersion: 7, RoutingAge: 300 * time.Millisecond, EndpointsHash: 9, EndpointsAge: 200 * time.Millisecond}
-	one, two := start(t, "one", "a", fresh), start(t, "two", "a", gossip.Freshness{})
-	one.gossip.SetPeers([]gossip.Peer{{Address: two.gossip.Address, DataCentre: "a"}})
-	request := one.loads.AddInFlight(placement.InFlight{
+	sender, receiver := startNode(t, "one", "a", fresh), startNode(t, "two", "a", gossip.Freshness{})
+	sender.gossip.SetPeers([]gossip.Peer{{Address: receiver.gossip.Address, DataCentre: "a"}})
+	request := sender.loads.AddInFlight(placement.InFlight{
 		Parts:        []placement.PrefillPart{{Endpoint: 5, PrefillTime: time.Second, ReservedKV: 70_000}, {Endpoint: 6, PrefillTime: time.Second, ReservedKV: 30_000}},
 		PromptTokens: 100_000, ITLTarget: 800 * time.Millisecond, SentAt: time.Now(),
 	})
-	one.loads.Join(placement.NewQueuedPrompt(time.Now(), 3*time.Second))
-	one.loads.EjectFailed(8, time.Now())
+	sender.loads.Join(placement.NewQueuedPrompt(time.Now(), 3*time.Second))
+	sender.loads.EjectFailed(8, time.Now())
 	eventually(t, "the load is received", func() bool {
-		load := two.loads.Snapshot(time.Now()).At(6)
+		load := receiver.loads.Snapshot(time.Now()).At(6)
 		return load.ReservedKV == 30_000 && load.PrefillBacklog > 500*time.Millisecond
 	})
-	is.Equal(two.loads.Snapshot(time.Now()).At(5).Prefilling, 1)
-	eventually(t, "the ejection is received", func() bool { return two.loads.EjectedEndpoints(time.Now())[8] })
-	queued := two.loads.Join(placement.NewQueuedPrompt(time.Now().Add(time.Second), 3*time.Second))
-	count, prefill := two.loads.QueuedAhead(queued, "two", time.Now())
+	is.Equal(receiver.loads.Snapshot(time.Now()).At(5).Prefilling, 1)
+	eventually(t, "the ejection is received", func() bool { return receiver.loads.EjectedEndpoints(time.Now())[8] })
+	queued := receiver.loads.Join(placement.NewQueuedPrompt(time.Now().Add(time.Second), 3*time.Second))
+	count, prefill := receiver.loads.QueuedAhead(queued, "two", time.Now())
 	is.Equal(count, 1)
 	is.Equal(prefill, 3*time.Second)
 
-	one.loads.MarkDecoding(request)
-	eventually(t, "prefill has ended", func() bool { return two.loads.Snapshot(time.Now()).At(6).PrefillBacklog == 0 })
-	is.Equal(two.loads.Snapshot(time.Now()).At(6).ReservedKV, peridotpath.Tokens(30_000)) // the KV cache is still held
-	one.loads.RemoveInFlight(request)
-	eventually(t, "the request has ended", func() bool { return two.loads.Snapshot(time.Now()).At(6).ReservedKV == 0 })
+	sender.loads.MarkDecoding(request)
+	eventually(t, "prefill has ended", func() bool { return receiver.loads.Snapshot(time.Now()).At(6).PrefillBacklog == 0 })
+	is.Equal(receiver.loads.Snapshot(time.Now()).At(6).ReservedKV, peridotpath.Tokens(30_000)) // the KV cache is still held
+	sender.loads.RemoveInFlight(request)
+	eventually(t, "the request has ended", func() bool { return receiver.loads.Snapshot(time.Now()).At(6).ReservedKV == 0 })
 
-	// two sends digests as well, so that one returns an echo of its clock.
-	got := <-two.received
+	// The receiver sends digests as well, so that the sender echoes its clock.
+	got := <-receiver.received
 	is.Equal(got.fresh, fresh)
-	is.True(got.asked <= clock.SinceBoot())
-	is.Equal(got.peer, netip.AddrPortFrom(one.gossip.Address.Addr(), 99))
+	is.True(got.echo <= clock.SinceBoot())
+	is.Equal(got.peer, netip.AddrPortFrom(sender.gossip.Address.Addr(), 99))
 }
 
 // A digest to another data centre goes to one instance, which forwards it to the peers
 // there: all receive the load, though a single datagram crosses. A forwarded digest
 // confirms no snapshot of the store, since its echo is for another receiver.
 func TestDigestIsForwarded(t *testing.T) {
-	remote := start(t, "far", "b", gossip.Freshness{RoutingVersion: 7})
-	near := []*node{start(t, "near-1", "a", gossip.Freshness{}), start(t, "near-2", "a", gossip.Freshness{}), start(t, "near-3", "a", gossip.Freshness{})}
+	remote := startNode(t, "far", "b", gossip.Freshness{RoutingVersion: 7})
+	near := []*node{startNode(t, "near-1", "a", gossip.Freshness{}), startNode(t, "near-2", "a", gossip.Freshness{}), startNode(t, "near-3", "a", gossip.Freshness{})}
 	var all []gossip.Peer
 	for _, node := range near {
 		all = append(all, gossip.Peer{Address: node.gossip.Address, DataCentre: "a"})
@@ -146,7 +146,7 @@
 	for _, node := range near {
 		eventually(t, "the load is received", func() bool { return node.loads.Snapshot(time.Now()).At(5).ReservedKV == 10 })
 	}
-	eventually(t, "all peers are known", func() bool { return near[2].loads.LivePeerCount(time.Now()) == 3 })
+	eventually(t, "all peers are live", func() bool { return near[2].loads.LivePeerCount(time.Now()) == 3 })
 }
 
 // A digest that arrives out of order or twice is dropped.
@@ -181,8 +181,8 @@
 // clock.
 func TestConfirmationIsRelativeToEcho(t *testing.T) {
 	is := is.New(t)
-	one := start(t, "one", "a", gossip.Freshness{})
-	conn, err := net.Dial("udp4", one.gossip.Address.String())
+	receiver := startNode(t, "one", "a", gossip.Freshness{})
+	conn, err := net.Dial("udp4", receiver.gossip.Address.String())
 	is.NoErr(err)
 	defer conn.Close()
 	echo := clock.SinceBoot() - 500*time.Millisecond
@@ -193,18 +193,18 @@
 	eventually(t, "the digest is received", func() bool {
 		// Repeated, since the instance may not listen yet.
 		_, _ = conn.Write(datagram)
-		return len(one.received) > 0
+		return len(receiver.received) > 0
 	})
-	got := <-one.received
-	is.Equal(got.asked, echo.Truncate(time.Microsecond))
+	got := <-receiver.received
+	is.Equal(got.echo, echo.Truncate(time.Microsecond))
 	is.Equal(got.fresh.RoutingAge, 100*time.Millisecond)
 }
 
 // Malformed datagrams do not stop the receiver, and an echo that lies in the future is
 // ignored.
 func TestMalformedDatagramsAreIgnored(t *testing.T) {
-	one, two := start(t, "one", "a", gossip.Freshness{}), start(t, "two", "a", gossip.Freshness{})
-	conn, err := net.Dial("udp4", one.gossip.Address.String())
+	receiver, sender := startNode(t, "one", "a", gossip.Freshness{}), startNode(t, "two", "a", gossip.Freshness{})
+	conn, err := net.Dial("udp4", receiver.gossip.Address.String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,17 +213,17 @@
 	for _, datagram := range [][]byte{nil, {0}, []byte("\xff\xff\xff"), empty} {
 		_, _ = conn.Write(datagram)
 	}
-	two.gossip.SetPeers([]gossip.Peer{{Address: one.gossip.Address, DataCentre: "a"}})
-	two.loads.AddInFlight(placement.InFlight{Parts: []placement.PrefillPart{{Endpoint: 5, ReservedKV: 10}}, SentAt: time.Now()})
-	eventually(t, "digests are received", func() bool { return one.loads.Snapshot(time.Now()).At(5).ReservedKV == 10 })
-	if len(one.received) > 0 {
+	sender.gossip.SetPeers([]gossip.Peer{{Address: receiver.gossip.Address, DataCentre: "a"}})
+	sender.loads.AddInFlight(placement.InFlight{Parts: []placement.PrefillPart{{Endpoint: 5, ReservedKV: 10}}, SentAt: time.Now()})
+	eventually(t, "digests are received", func() bool { return receiver.loads.Snapshot(time.Now()).At(5).ReservedKV == 10 })
+	if len(receiver.received) > 0 {
 		t.Error("an echo that lies in the future was accepted")
 	}
 }
 
 // With every digest to every peer, an instance in a fleet of 300 receives 1,000 digests a
 // second and more, which takes a third of its processor time. Digests go only to the peers
-// of the own cell.
+// of its own cell.
 func TestDigestsStayWithinCell(t *testing.T) {
 	is := is.New(t)
 	received := map[netip.AddrPort]*atomic.Bool{}
@@ -247,20 +247,20 @@
 		unused := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 9)
 		peers = append(peers, gossip.Peer{Address: unused, DataCentre: "a"})
 	}
-	one := start(t, "one", "a", gossip.Freshness{})
-	one.gossip.SetPeers(peers)
-	own := one.gossip.Cell()
-	is.Equal(own, cell.Of(one.gossip.Address, len(peers)+1))
-	is.True(own.Count() > 1)
+	sender := startNode(t, "one", "a", gossip.Freshness{})
+	sender.gossip.SetPeers(peers)
+	senderCell := sender.gossip.Cell()
+	is.Equal(senderCell, cell.Of(sender.gossip.Address, len(peers)+1))
+	is.True(senderCell.Count() > 1)
 	eventually(t, "exactly the peers of the cell receive digests", func() bool {
 		for address, got := range received {
-			if own.HasInstance(address) != got.Load() {
+			if senderCell.HasInstance(address) != got.Load() {
 				return false
 			}
 		}
 		return true
 	})
-	one.gossip.SetPeers(peers[:24])
+	sender.gossip.SetPeers(peers[:24])
 	eventually(t, "all peers receive digests once the fleet is small", func() bool {
 		for _, got := range received {
 			if !got.Load() {
@@ -275,7 +275,7 @@
 // has not, and its next list is due only in most of a minute.
 func TestOtherCellCountIsReported(t *testing.T) {
 	is := is.New(t)
-	node := start(t, "one", "a", gossip.Freshness{})
+	node := startNode(t, "one", "a", gossip.Freshness{})
 	peer := freeAddress(t)
 	conn, err := net.Dial("udp4", node.gossip.Address.String())
 	is.NoErr(err)
--- a/peridotpath/gossip/rank.go
+++ b/peridotpath/gossip/rank.go
@@ -16,9 +16,9 @@
 	now := time.Now()
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
-	own, ownHash, rank := gossip.cells.gossipCell, rendezvousHash(subject, gossip.Address), 0
+	gossipCell, ownHash, rank := gossip.cells.gossipCell, rendezvousHash(subject, gossip.Address), 0
 	for address, peer := range gossip.peers {
-		if peer.dataCentre == gossip.DataCentre && own.HasInstance(address) && now.Sub(peer.receivedAt) < peerSilentAfter && rendezvousHash(subject, address) < ownHash {
+		if peer.dataCentre == gossip.DataCentre && gossipCell.HasInstance(address) && now.Sub(peer.receivedAt) < peerSilentAfter && rendezvousHash(subject, address) < ownHash {
 			rank++
 		}
 	}
--- a/peridotpath/gossip/registry.go
+++ b/peridotpath/gossip/registry.go
@@ -25,7 +25,8 @@
 	Incarnation peridotpath.Incarnation
 	Address     netip.AddrPort
 	DataCentre  peridotpath.DataCentre
-	SetPeers    func([]Peer)
+	// SetPeers is called with the registered instances after each list.
+	SetPeers func([]Peer)
 	// Eras holds the eras of the store.
 	Eras *keyvalue.EraTracker
 	Log  zerolog.Logger
@@ -63,17 +64,17 @@
 	// gatherDelay is how long an instance that finds no others waits before it lists again,
 	// to find those that start at the same moment.
 	gatherDelay = 500 * time.Millisecond
-	// listIntervalPerInstance is the time between two lists of the whole fleet. Each list
-	// holds an entry for every instance, so that with a fixed interval per instance the
-	// volume would grow with the square of the fleet.
+	// listIntervalPerInstance is multiplied by the number of instances to give the time
+	// between two lists by the same instance. Each list holds an entry for every instance,
+	// so that with a fixed interval the volume would grow with the square of the fleet.
 	listIntervalPerInstance = 250 * time.Millisecond
-	// reregisterSpreadPerInstance is the time between two new entries of the whole fleet
-	// after the store was restored from an older copy, minReregisterSpread the shortest
-	// span over which a fleet spreads them.
+	// reregisterSpreadPerInstance is multiplied by the number of instances to give the span
+	// over which the fleet registers again after the store was restored from an older copy,
+	// minReregisterSpread the lower bound of that span.
 	reregisterSpreadPerInstance = 10 * time.Millisecond
 	minReregisterSpread         = 500 * time.Millisecond
-	// requestedListJitter is the span over which instances spread their lists that receive
-	// another number of cells at the same moment.
+	// requestedListJitter is the span over which requested lists are spread: many instances
+	// receive another number of cells at the same moment.
 	requestedListJitter = time.Second
 )
 
@@ -89,7 +90,7 @@
 // failed, or MarkPeerReady was called: the first reads of a starting instance depend on which
 // peers exist.
 func (registry *Registry) AfterFirstList(run func(context.Context) error) func(context.Context) error {
-	ready := registry.peersReadySignal()
+	ready := registry.peersReadyChannel()
 	return func(ctx context.Context) error {
 		select {
 		case <-ready:
@@ -100,28 +101,29 @@
 	}
 }
 
-// peersReadySignal returns the channel that is closed once peers may be asked.
-func (registry *Registry) peersReadySignal() chan struct{} {
+// peersReadyChannel returns the channel that is closed when the tasks of AfterFirstList may
+// start.
+func (registry *Registry) peersReadyChannel() chan struct{} {
 	registry.peersReadyInit.Do(func() { registry.peersReady = make(chan struct{}) })
 	return registry.peersReady
 }
 
 // MarkPeerReady reports that a peer holds the snapshot that this instance needs. While the
 // store does not answer, a starting instance would otherwise wait for its list before it
-// asks that peer.
+// fetches the snapshot from that peer.
 func (registry *Registry) MarkPeerReady() { registry.signalPeersReady() }
 
 // signalPeersReady starts the tasks of AfterFirstList.
 func (registry *Registry) signalPeersReady() {
-	ready := registry.peersReadySignal()
+	ready := registry.peersReadyChannel()
 	registry.peersReadyClose.Do(func() { close(ready) })
 }
 
 // Run maintains the entry and the list of instances until ctx ends.
 //
 // After a power loss of all instances their entries are still in the store. The list is
-// read first, so that each instance learns of the others before it reads anything else and
-// does not fetch everything from the store by itself.
+// read first, so that each instance has its peers before it reads anything else, and fetches
+// the rest from them instead of from the store.
 func (registry *Registry) Run(ctx context.Context) error {
 	err := registry.refreshPeers(ctx, registry.Store.ListStale)
 	registry.recordOutcome(ctx, err)
@@ -158,8 +160,9 @@
 	return renewalInterval
 }
 
-// RequestReregistration requests a new entry soon, spread over time among the instances: the store was
-// restored from an older copy that may lack this entry. It never blocks.
+// RequestReregistration requests a new entry soon, after a random delay that spreads those
+// of the fleet: the store was restored from an older copy that may lack this entry. It
+// never blocks.
 func (registry *Registry) RequestReregistration() { registry.reregisterRequested.Raise() }
 
 // RequestList requests a list soon, as a peer reports another number of cells. It never blocks.
@@ -235,8 +238,8 @@
 		}
 		peers = append(peers, Peer{Address: registration.Address, DataCentre: registration.DataCentre})
 		if registration.Era < registry.Eras.Current() {
-			// Entries expire within seconds, so that one of an earlier era shows that the
-			// current era began recently.
+			// Entries expire within seconds, so one of an earlier era shows that the current
+			// era began recently.
 			registry.Eras.AssumeRecentRestore()
 		}
 	}
@@ -246,8 +249,8 @@
 }
 
 // renewOrRegister renews the entry, or creates one. A new entry makes a list due, unless
-// the entry was replaced only because the store was restored from an older copy and the
-// other instances are known already.
+// the entry was replaced only because the store was restored from an older copy: the other
+// instances are listed already.
 func (registry *Registry) renewOrRegister(ctx context.Context) error {
 	before := registry.lease
 	if !before.IsUnset() {
--- a/peridotpath/gossip/registry_era_test.go
+++ b/peridotpath/gossip/registry_era_test.go
@@ -21,32 +21,32 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// registered is an instance with its own link to a store that is restored from older
+// registeredInstance is an instance with its own link to a store that is restored from older
 // copies.
-type registered struct {
+type registeredInstance struct {
 	*gossip.Registry
 	link  memory.Link
 	ended chan error
 }
 
-// register starts an instance that registers in the service.
-func register(ctx context.Context, service *memory.Memory, number int) *registered {
-	began := time.Now()
-	one := &registered{ended: make(chan error, 1)}
-	one.link.Eras = &keyvalue.EraTracker{Now: func() time.Duration { return time.Hour + time.Since(began) }}
-	store := one.link.Store(service)
+// startRegistered starts an instance that registers in the service.
+func startRegistered(ctx context.Context, service *memory.Memory, number int) *registeredInstance {
+	startedAt := time.Now()
+	instance := &registeredInstance{ended: make(chan error, 1)}
+	instance.link.Eras = &keyvalue.EraTracker{Now: func() time.Duration { return time.Hour + time.Since(startedAt) }}
+	store := instance.link.Store(service)
 	store.ListStale = store.List
-	one.Registry = &gossip.Registry{
-		Store: store, Instance: peridotpath.InstanceID(fmt.Sprintf("edge-%d", number)), Incarnation: 1, Eras: one.link.Eras,
-		Address: listedAddress(number), DataCentre: "a", Log: zerolog.Nop(), SetPeers: func([]gossip.Peer) {},
+	instance.Registry = &gossip.Registry{
+		Store: store, Instance: peridotpath.InstanceID(fmt.Sprintf("edge-%d", number)), Incarnation: 1, Eras: instance.link.Eras,
+		Address: instanceAddress(number), DataCentre: "a", Log: zerolog.Nop(), SetPeers: func([]gossip.Peer) {},
 	}
-	one.link.Eras.OnEraChange = func(_, _ keyvalue.Era) { one.RequestReregistration() }
-	go func() { one.ended <- one.Run(ctx) }()
-	return one
+	instance.link.Eras.OnEraChange = func(_, _ keyvalue.Era) { instance.RequestReregistration() }
+	go func() { instance.ended <- instance.Run(ctx) }()
+	return instance
 }
 
-// entries returns the number of registrations in the service by instance.
-func entries(t *testing.T, service *memory.Memory) map[string]int {
+// registrationCounts returns the number of registrations in the service by instance.
+func registrationCounts(t *testing.T, service *memory.Memory) map[string]int {
 	t.Helper()
 	listed, _, err := service.Store().List(t.Context(), gossip.RegistryPrefix)
 	if err != nil {
@@ -62,25 +62,25 @@
 
 // The store is restored from a copy without some instances' entries and leases, and grants
 // the numbers of those leases to other clients. An instance must not go on renewing a lease
-// that is now another client's while it has no entry of its own. Instances whose entries
-// are in the copy cannot tell, so that all register anew, spread over time.
+// that is now another client's while it has no entry of its own. An instance cannot find
+// out whether the copy holds its entry, so that all register again, spread over time.
 func TestEntriesLostByRestoreAreRecreated(t *testing.T) {
 	const early, late = 40, 20
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		service := &memory.Memory{}
 		ctx, cancel := context.WithCancel(t.Context())
-		var all []*registered
+		var all []*registeredInstance
 		for i := range early {
-			all = append(all, register(ctx, service, i))
+			all = append(all, startRegistered(ctx, service, i))
 		}
 		time.Sleep(3 * time.Second)
 		before := service.Snapshot()
 		for i := range late {
-			all = append(all, register(ctx, service, early+i))
+			all = append(all, startRegistered(ctx, service, early+i))
 		}
 		time.Sleep(10 * time.Second)
-		is.Equal(len(entries(t, service)), early+late)
+		is.Equal(len(registrationCounts(t, service)), early+late)
 
 		service.Restore(before)
 		var foreign []keyvalue.LeaseID
@@ -90,8 +90,8 @@
 			foreign = append(foreign, lease)
 		}
 		// One instance sees the new era first and gossips it.
-		for _, one := range all {
-			one.link.Eras.ObservePeer(1, 0, true)
+		for _, instance := range all {
+			instance.link.Eras.ObservePeer(1, 0, true)
 		}
 		writes := func() int { return service.Calls()[keyvalue.CallSwap] }
 		maxBurst, initial := 0, writes()
@@ -100,13 +100,13 @@
 			time.Sleep(100 * time.Millisecond)
 			maxBurst = max(maxBurst, writes()-last)
 		}
-		is.Equal(len(entries(t, service)), early+late)
+		is.Equal(len(registrationCounts(t, service)), early+late)
 		is.Equal(writes()-initial, early+late) // one each
 		if maxBurst > (early+late)/3 {
 			t.Errorf("%d of %d entries were made within 100 ms", maxBurst, early+late)
 		}
 		time.Sleep(20 * time.Second)
-		for name, count := range entries(t, service) {
+		for name, count := range registrationCounts(t, service) {
 			if count != 1 {
 				t.Errorf("%s has %d entries, want one", name, count)
 			}
@@ -115,8 +115,8 @@
 			is.True(keyvalue.ErrLeaseExpired.Has(service.Store().Renew(ctx, lease))) // no instance renewed it
 		}
 		cancel()
-		for _, one := range all {
-			is.True(errors.Is(<-one.ended, context.Canceled))
+		for _, instance := range all {
+			is.True(errors.Is(<-instance.ended, context.Canceled))
 		}
 	})
 }
--- a/peridotpath/gossip/registry_test.go
+++ b/peridotpath/gossip/registry_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// lists is a store of registrations whose stale lists lag by listsLag.
-type lists struct {
+// laggingStore holds registrations; its stale lists lack those of the last staleListLag.
+type laggingStore struct {
 	mutex     sync.Mutex
 	entries   []keyvalue.Entry
 	createdAt []time.Time
@@ -96,80 +96,82 @@
 	count int
 }
 
-const listsLag = 3 * time.Second
+const staleListLag = 3 * time.Second
 
 // read returns the entries that are at least lag old.
-func (lists *lists) read(lag time.Duration) ([]keyvalue.Entry, keyvalue.Version, error) {
+func (laggingStore *laggingStore) read(lag time.Duration) ([]keyvalue.Entry, keyvalue.Version, error) {
 	time.Sleep(4 * time.Millisecond)
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	lists.count++
+	laggingStore.mutex.Lock()
+	defer laggingStore.mutex.Unlock()
+	laggingStore.count++
 	var entries []keyvalue.Entry
-	for i, entry := range lists.entries {
-		if time.Since(lists.createdAt[i]) >= lag {
+	for i, entry := range laggingStore.entries {
+		if time.Since(laggingStore.createdAt[i]) >= lag {
 			entries = append(entries, entry)
 		}
 	}
 	return entries, 1, nil
 }
 
-// total returns the number of lists that were read so far.
-func (lists *lists) total() int {
-	lists.mutex.Lock()
-	defer lists.mutex.Unlock()
-	return lists.count
+// listCount returns the number of lists that were read so far.
+func (laggingStore *laggingStore) listCount() int {
+	laggingStore.mutex.Lock()
+	defer laggingStore.mutex.Unlock()
+	return laggingStore.count
 }
 
-func (lists *lists) store() *keyvalue.Store {
+func (laggingStore *laggingStore) client() *keyvalue.Store {
 	return &keyvalue.Store{
-		ListStale: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) { return lists.read(listsLag) },
-		List:      func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) { return lists.read(0) },
+		ListStale: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
+			return laggingStore.read(staleListLag)
+		},
+		List: func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) { return laggingStore.read(0) },
 		Grant: func(context.Context, time.Duration) (keyvalue.LeaseID, error) {
 			return keyvalue.LeaseID{Number: 5}, nil
 		},
 		Renew: func(context.Context, keyvalue.LeaseID) error { return nil },
 		Swap: func(_ context.Context, key string, _ keyvalue.Version, value []byte, _ keyvalue.LeaseID) (keyvalue.Version, error) {
 			time.Sleep(4 * time.Millisecond)
-			lists.mutex.Lock()
-			defer lists.mutex.Unlock()
-			lists.entries = append(lists.entries, keyvalue.Entry{Key: key, Value: value})
-			lists.createdAt = append(lists.createdAt, time.Now())
+			laggingStore.mutex.Lock()
+			defer laggingStore.mutex.Unlock()
+			laggingStore.entries = append(laggingStore.entries, keyvalue.Entry{Key: key, Value: value})
+			laggingStore.createdAt = append(laggingStore.createdAt, time.Now())
 			return 1, nil
 		},
 	}
 }
 
-// listed is an instance under test with the peers that it has listed.
-type listed struct {
+// listingInstance is an instance under test with the peers that it has listed.
+type listingInstance struct {
 	registry *gossip.Registry
 	mutex    sync.Mutex
 	peers    map[netip.AddrPort]bool
 }
 
-func newListed(number int, store *keyvalue.Store) *listed {
-	one := &listed{peers: map[netip.AddrPort]bool{}}
-	one.registry = &gossip.Registry{
+func newListingInstance(number int, store *keyvalue.Store) *listingInstance {
+	instance := &listingInstance{peers: map[netip.AddrPort]bool{}}
+	instance.registry = &gossip.Registry{
 		Store: store, Instance: peridotpath.InstanceID(fmt.Sprintf("edge-%d", number)), Incarnation: 1,
-		Address: listedAddress(number), DataCentre: "a", Eras: &keyvalue.EraTracker{}, Log: zerolog.Nop(),
+		Address: instanceAddress(number), DataCentre: "a", Eras: &keyvalue.EraTracker{}, Log: zerolog.Nop(),
 		SetPeers: func(peers []gossip.Peer) {
-			one.mutex.Lock()
-			defer one.mutex.Unlock()
+			instance.mutex.Lock()
+			defer instance.mutex.Unlock()
 			for _, peer := range peers {
-				one.peers[peer.Address] = true
+				instance.peers[peer.Address] = true
 			}
 		},
 	}
-	return one
+	return instance
 }
 
-func listedAddress(number int) netip.AddrPort {
+func instanceAddress(number int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(number)}), 9)
 }
 
-func (listed *listed) hasPeer(number int) bool {
-	listed.mutex.Lock()
-	defer listed.mutex.Unlock()
-	return listed.peers[listedAddress(number)]
+func (listingInstance *listingInstance) hasPeer(number int) bool {
+	listingInstance.mutex.Lock()
+	defer listingInstance.mutex.Unlock()
+	return listingInstance.peers[instanceAddress(number)]
 }
 
 // Sixty instances start within 100 ms, and stale lists lag by seconds. Of any two, one must
@@ -179,17 +181,17 @@
 func TestInstanceListsAreCompleteAndFew(t *testing.T) {
 	const count, span = 60, 60 * time.Second
 	virtual.Test(t, func(t *testing.T) {
-		lists := &lists{}
+		store := &laggingStore{}
 		ctx, cancel := context.WithTimeout(t.Context(), span)
 		defer cancel()
 		ended := make(chan error, count)
-		var all []*listed
+		var all []*listingInstance
 		for i := range count {
-			one := newListed(i, lists.store())
-			all = append(all, one)
+			instance := newListingInstance(i, store.client())
+			all = append(all, instance)
 			go func() {
 				time.Sleep(time.Duration(i*37%100) * time.Millisecond)
-				ended <- one.registry.Run(ctx)
+				ended <- instance.registry.Run(ctx)
 			}()
 		}
 		time.Sleep(2 * time.Second)
@@ -206,7 +208,7 @@
 			}
 		}
 		// Two lists for each instance at its start, and four a second for the fleet.
-		if got, want := lists.total(), 2*count+4*int(span.Seconds()); got > want {
+		if got, want := store.listCount(), 2*count+4*int(span.Seconds()); got > want {
 			t.Errorf("%d lists were read, want %d at most", got, want)
 		}
 	})
@@ -218,35 +220,35 @@
 func TestListIsReadWhenCellCountDiffers(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		lists := &lists{}
+		store := &laggingStore{}
 		for i := range 200 {
-			lists.entries = append(lists.entries, keyvalue.Entry{Key: "k", Value: []byte(`{"address":"10.0.1.1:9","data_centre":"a"}`)})
-			lists.createdAt = append(lists.createdAt, time.Now().Add(-time.Duration(i)*time.Hour))
+			store.entries = append(store.entries, keyvalue.Entry{Key: "k", Value: []byte(`{"address":"10.0.1.1:9","data_centre":"a"}`)})
+			store.createdAt = append(store.createdAt, time.Now().Add(-time.Duration(i)*time.Hour))
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 		defer cancel()
-		one := newListed(1, lists.store())
+		instance := newListingInstance(1, store.client())
 		ended := make(chan error, 1)
-		go func() { ended <- one.registry.Run(ctx) }()
+		go func() { ended <- instance.registry.Run(ctx) }()
 		time.Sleep(10 * time.Second)
-		is.Equal(lists.total(), 2) // both at its start
-		_, err := lists.store().Swap(ctx, "new", 0, []byte(`{"address":"10.0.0.7:9","data_centre":"a"}`), keyvalue.LeaseID{Number: 5})
+		is.Equal(store.listCount(), 2) // both at its start
+		_, err := store.client().Swap(ctx, "new", 0, []byte(`{"address":"10.0.0.7:9","data_centre":"a"}`), keyvalue.LeaseID{Number: 5})
 		is.NoErr(err)
-		one.registry.RequestList()
-		one.registry.RequestList()
+		instance.registry.RequestList()
+		instance.registry.RequestList()
 		time.Sleep(1500 * time.Millisecond)
-		is.True(one.hasPeer(7))
-		is.Equal(lists.total(), 3)
-		one.registry.RequestList() // no effect: a list was read a moment ago
+		is.True(instance.hasPeer(7))
+		is.Equal(store.listCount(), 3)
+		instance.registry.RequestList() // no effect: a list was read a moment ago
 		is.True(errors.Is(<-ended, context.DeadlineExceeded))
-		is.Equal(lists.total(), 3)
+		is.Equal(store.listCount(), 3)
 	})
 }
 
 // The store does not answer while an instance starts, and a peer holds the snapshot that it
-// needs. The peer is asked at once and not after the list of instances timed out, more than
-// a second later.
-func TestPeerIsAskedWhileStoreDoesNotAnswer(t *testing.T) {
+// needs. The instance fetches it at once and not after the list of instances timed out,
+// more than a second later.
+func TestSnapshotIsFetchedWhileStoreDoesNotAnswer(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -260,18 +262,18 @@
 				return keyvalue.LeaseID{}, ctx.Err()
 			},
 		}
-		one := newListed(1, store)
-		ended, began, asked := make(chan error, 2), time.Now(), make(chan time.Duration, 1)
-		task := one.registry.AfterFirstList(func(context.Context) error {
-			asked <- time.Since(began)
+		instance := newListingInstance(1, store)
+		ended, startedAt, fetchedAfter := make(chan error, 2), time.Now(), make(chan time.Duration, 1)
+		task := instance.registry.AfterFirstList(func(context.Context) error {
+			fetchedAfter <- time.Since(startedAt)
 			return nil
 		})
-		go func() { ended <- one.registry.Run(ctx) }()
+		go func() { ended <- instance.registry.Run(ctx) }()
 		go func() { ended <- task(ctx) }()
 		time.Sleep(30 * time.Millisecond)
-		one.registry.MarkPeerReady()
-		one.registry.MarkPeerReady()
-		is.Equal(<-asked, 30*time.Millisecond)
+		instance.registry.MarkPeerReady()
+		instance.registry.MarkPeerReady()
+		is.Equal(<-fetchedAfter, 30*time.Millisecond)
 		is.NoErr(<-ended)
 		cancel()
 		is.True(errors.Is(<-ended, context.Canceled))
--- a/peridotpath/gossip/report.go
+++ b/peridotpath/gossip/report.go
@@ -17,7 +17,8 @@
 		Sequence: digest.Sequence,
 	}
 	for _, request := range digest.Flights {
-		// Only an instance of another version sends a request without endpoints. It loads none.
+		// Only an instance of another version sends a request without endpoints. Such a
+		// request adds no load.
 		if len(request.Endpoints) > 0 {
 			report.InFlight = append(report.InFlight, decodeInFlight(request, now))
 		}
--- a/peridotpath/gossip/targets.go
+++ b/peridotpath/gossip/targets.go
@@ -18,20 +18,20 @@
 	forward bool
 }
 
-// selectTargets returns the peers of the cell to which a digest is sent: all of the own
-// data centre and, with remote, one of each other data centre. It removes peers that have
-// been silent and unregistered for longer than forgetPeerAfter.
+// selectTargets returns the peers of the cell to which a digest is sent: all in this data
+// centre and, with remote, one in each other data centre. It removes unregistered peers that
+// have been silent for longer than forgetPeerAfter.
 func (gossip *Gossip) selectTargets(now time.Time, remote bool) []target {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
 	var targets []target
-	own := gossip.cells.gossipCell
+	gossipCell := gossip.cells.gossipCell
 	byDataCentre := map[peridotpath.DataCentre][]netip.AddrPort{}
 	for address, peer := range gossip.peers {
 		switch {
 		case !peer.registered && now.Sub(peer.receivedAt) > forgetPeerAfter:
 			delete(gossip.peers, address)
-		case !own.HasInstance(address):
+		case !gossipCell.HasInstance(address):
 		case peer.dataCentre == gossip.DataCentre || peer.dataCentre == "":
 			targets = append(targets, target{address: address, lastSent: peer.lastSent})
 		default:
@@ -41,7 +41,7 @@
 	if !remote {
 		return targets
 	}
-	gossip.forwarderTurn++
+	gossip.remoteDigestCount++
 	gossip.remoteSentAt = now
 	for _, addresses := range byDataCentre {
 		address := gossip.nextForwarder(addresses, now)
@@ -63,5 +63,5 @@
 		reachable = addresses
 	}
 	slices.SortFunc(reachable, netip.AddrPort.Compare)
-	return reachable[gossip.forwarderTurn%len(reachable)]
+	return reachable[gossip.remoteDigestCount%len(reachable)]
 }
