--- a/peridotpath/facts/facts.go
+++ b/peridotpath/facts/facts.go
@@ -3,7 +3,7 @@
 // slowdowns. Each fact has a timestamp, a source and a time to live. Instances gossip new
 // facts, so that all of them decide by the same data.
 //
-// It matters for load that no single instance sees whole: a request that crashes its
+// It matters for events of which each instance sees only a part: a request that crashes its
 // endpoint and reaches a different instance at each retry, or an endpoint that reports
 // its rate limit to only one of its senders. There are few facts in normal operation; the
 // number stored and the number sent are bounded for each kind.
@@ -203,14 +203,14 @@
 	if table.facts == nil {
 		table.facts, table.bySubject = map[key]*entry{}, map[Subject]map[key]*entry{}
 	}
-	name, subject := added.fact.key(), added.fact.Subject
-	if table.facts[name] == nil {
-		table.counts[name.kind].Add(1)
+	factKey, subject := added.fact.key(), added.fact.Subject
+	if table.facts[factKey] == nil {
+		table.counts[factKey.kind].Add(1)
 	}
 	if table.bySubject[subject] == nil {
 		table.bySubject[subject] = map[key]*entry{}
 	}
-	table.facts[name], table.bySubject[subject][name] = added, added
+	table.facts[factKey], table.bySubject[subject][factKey] = added, added
 }
 
 func (table *Table) remove(key key) {
