--- a/peridotpath/quarantine/evidence.go
+++ b/peridotpath/quarantine/evidence.go
@@ -77,10 +77,10 @@
 	return evidence.now.Sub(evidence.lastCrash(content)) >= evidenceDelay
 }
 
-// isNewerThan reports whether a crash under the request or a survival of it is newer than
-// the given time.
-func (evidence *evidence) isNewerThan(than time.Time, content peridotpath.Fingerprint) bool {
-	return evidence.lastCrash(content).After(than) || evidence.survived[content].After(than)
+// hasChangedSince reports whether an endpoint crashed under the request, or survived it,
+// after the given time.
+func (evidence *evidence) hasChangedSince(since time.Time, content peridotpath.Fingerprint) bool {
+	return evidence.lastCrash(content).After(since) || evidence.survived[content].After(since)
 }
 
 // judge reports whether a request has to be quarantined, and for which period.
@@ -91,12 +91,12 @@
 		// flight when it began; they are no new evidence.
 		return term{from: lastCrash, until: lastCrash.Add(min(2*previous.duration(), maxQuarantine))}, lastCrash.After(previous.until)
 	}
-	own := evidence.crashes[content]
-	if len(own)-evidence.explainedCrashes(content) < minCrashesToQuarantine || !evidence.isComplete(content) {
+	crashes := evidence.crashes[content]
+	if len(crashes)-evidence.explainedCrashes(content) < minCrashesToQuarantine || !evidence.isComplete(content) {
 		return term{}, false
 	}
-	for other, crashes := range evidence.crashes {
-		if _, quarantined := evidence.term(other); other != content && !quarantined && len(crashes) >= len(own) && shareEndpoint(own, crashes) {
+	for other, otherCrashes := range evidence.crashes {
+		if _, quarantined := evidence.term(other); other != content && !quarantined && len(otherCrashes) >= len(crashes) && shareEndpoint(crashes, otherCrashes) {
 			return term{}, false
 		}
 	}
--- a/peridotpath/quarantine/quarantine.go
+++ b/peridotpath/quarantine/quarantine.go
@@ -1,5 +1,5 @@
 // Package quarantine detects requests that crash the endpoints that run them (queries of
-// death, poison requests) and keeps them away from the endpoints for a time.
+// death, poison requests) and stops sending them for a limited time.
 //
 // It matters for one request that crashes every endpoint that starts to run it and that is
 // retried, under another ID, at any instance. Without quarantine each retry crashes
@@ -136,14 +136,14 @@
 }
 
 // ReserveTrial reserves the next attempt at a suspected request. It returns false while
-// another attempt is in progress, and within evidenceDelay of the last crash, when other
-// requests that ran on the endpoint may not be known yet.
+// another attempt is in progress, and within evidenceDelay of the last crash, when the
+// other requests that ran on the endpoint may not have been reported yet.
 func (quarantine *Quarantine) ReserveTrial(content peridotpath.Fingerprint, now time.Time) bool {
 	quarantine.mutex.Lock()
 	defer quarantine.mutex.Unlock()
 	evidence := quarantine.evidence(now)
 	trial, known := quarantine.Facts.Get(facts.KindTrial, facts.Subject(content), 0, now)
-	if !evidence.isComplete(content) || known && now.Sub(trial.ObservedAt) < trialTimeout && !evidence.isNewerThan(trial.ObservedAt, content) {
+	if !evidence.isComplete(content) || known && now.Sub(trial.ObservedAt) < trialTimeout && !evidence.hasChangedSince(trial.ObservedAt, content) {
 		return false
 	}
 	quarantine.Facts.Observe(facts.Fact{Kind: facts.KindTrial, Subject: facts.Subject(content), Value: trial.Value + 1, ObservedAt: now, Source: quarantine.Instance})
--- a/peridotpath/quarantine/quarantine_test.go
+++ b/peridotpath/quarantine/quarantine_test.go
@@ -60,9 +60,9 @@
 	fixture.crash(2, fatal) // the same endpoint counts once
 	is.Equal(fixture.state(fatal), quarantine.Suspected)
 	fixture.crash(3, fatal)
-	state, left := fixture.Check(fatal, fixture.now)
+	state, remaining := fixture.Check(fatal, fixture.now)
 	is.Equal(state, quarantine.Quarantined)
-	is.Equal(left, time.Minute-evidenceDelay)
+	is.Equal(remaining, time.Minute-evidenceDelay)
 }
 
 // Requests that run on the same endpoint as a fatal one fail with it, and their retries may
@@ -117,17 +117,17 @@
 		fixture.crash(endpoint, fatal)
 	}
 	fixture.crash(4, fatal) // the attempt was in flight when the quarantine began
-	state, left := fixture.Check(fatal, fixture.now)
+	state, remaining := fixture.Check(fatal, fixture.now)
 	is.Equal(state, quarantine.Quarantined)
-	is.True(left < time.Minute)
+	is.True(remaining < time.Minute)
 
 	fixture.advance(time.Minute)
 	is.Equal(fixture.state(fatal), quarantine.OnTrial)
 	is.True(fixture.ReserveTrial(fatal, fixture.now))
 	is.True(!fixture.ReserveTrial(fatal, fixture.now)) // one at a time
 	fixture.crash(5, fatal)
-	_, left = fixture.Check(fatal, fixture.now)
-	is.Equal(left, 2*time.Minute-evidenceDelay)
+	_, remaining = fixture.Check(fatal, fixture.now)
+	is.Equal(remaining, 2*time.Minute-evidenceDelay)
 
 	fixture.advance(2 * time.Minute)
 	is.True(fixture.ReserveTrial(fatal, fixture.now))
