--- a/peridotpath/throttle/throttle.go
+++ b/peridotpath/throttle/throttle.go
@@ -25,7 +25,7 @@
 	// minRate is applied to endpoints with a lower limit: only responses show that the
 	// limit has ended.
 	minRate peridotpath.Rate = 0.4
-	// maxBurstTime bounds the saved tokens, beyond one, to those of this time.
+	// maxBurstTime bounds the burst: a full bucket holds one token and those of this time.
 	maxBurstTime = 500 * time.Millisecond
 	// maxDebtTime bounds the debt for requests sent beyond the limit to the tokens of this
 	// time.
@@ -105,7 +105,7 @@
 func (throttle *Throttle) HasNoLimits() bool { return !throttle.Facts.Has(facts.KindRateLimit) }
 
 // TimeUntilAllowed returns the time until a request may be sent to an endpoint; zero if
-// one may be sent now. Contenders is the estimated number of competing requests elsewhere
+// one may be sent now; contenders is the estimated number of competing requests elsewhere
 // that have not been gossiped yet; a request is then admitted with a probability of
 // 1/(1+contenders).
 func (throttle *Throttle) TimeUntilAllowed(endpoint peridotpath.EndpointKey, contenders float64, now time.Time) time.Duration {
@@ -123,9 +123,9 @@
 	return 0
 }
 
-// TakeTokens deducts a token for a request from each of its endpoints: the first, the
-// primary, and its helpers. It returns false and deducts nothing if the primary's bucket has no
-// token left; helpers may go into debt.
+// TakeTokens deducts a token for a request from each of its endpoints: the primary, which
+// is the first, and its helpers. It returns false and deducts nothing if the primary's
+// bucket has no token left; helpers may go into debt.
 func (throttle *Throttle) TakeTokens(endpoints []peridotpath.EndpointKey, now time.Time) bool {
 	throttle.mutex.Lock()
 	defer throttle.mutex.Unlock()
@@ -153,24 +153,24 @@
 		delete(throttle.buckets, endpoint)
 		return nil
 	}
-	known := throttle.buckets[endpoint]
-	if known == nil {
-		known = &bucket{createdAt: now, filledAt: now, peerSent: map[uint64]float64{}}
+	stored := throttle.buckets[endpoint]
+	if stored == nil {
+		stored = &bucket{createdAt: now, filledAt: now, peerSent: map[uint64]float64{}}
 		if throttle.buckets == nil {
 			throttle.buckets = map[peridotpath.EndpointKey]*bucket{}
 		}
-		throttle.buckets[endpoint] = known
+		throttle.buckets[endpoint] = stored
 	}
-	known.rate = max(limit, minRate)
-	known.tokens += now.Sub(known.filledAt).Seconds() * float64(known.rate)
-	known.filledAt = now
+	stored.rate = max(limit, minRate)
+	stored.tokens += now.Sub(stored.filledAt).Seconds() * float64(stored.rate)
+	stored.filledAt = now
 	for _, sent := range throttle.Facts.BySubject(facts.KindRequestsSent, facts.EndpointSubject(endpoint), now) {
 		if sent.Detail != throttle.SenderID {
-			known.deductPeer(&sent)
+			stored.deductPeer(&sent)
 		}
 	}
-	known.clampTokens()
-	return known
+	stored.clampTokens()
+	return stored
 }
 
 // deductPeer deducts the requests that a peer has sent since its previous report.
--- a/peridotpath/throttle/throttle_test.go
+++ b/peridotpath/throttle/throttle_test.go
@@ -137,23 +137,23 @@
 func TestLimitChangesAndEnds(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(2)
-	one, two := fleet.throttles[0], fleet.throttles[1]
-	one.RecordLimit(limitedEndpoint, 1, fleet.now)
+	first, second := fleet.throttles[0], fleet.throttles[1]
+	first.RecordLimit(limitedEndpoint, 1, fleet.now)
 	fleet.gossip()
-	is.True(one.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
-	is.True(two.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(first.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(second.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 	// The response to a request sent before the limit was reported does not end it.
-	one.RecordNoLimit(limitedEndpoint, fleet.now.Add(-time.Second), fleet.now.Add(time.Second))
+	first.RecordNoLimit(limitedEndpoint, fleet.now.Add(-time.Second), fleet.now.Add(time.Second))
 	fleet.gossip()
-	is.True(two.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(second.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 
 	fleet.now = fleet.now.Add(2 * time.Second)
-	two.RecordLimit(limitedEndpoint, 100, fleet.now)
+	second.RecordLimit(limitedEndpoint, 100, fleet.now)
 	fleet.gossip()
 	fleet.now = fleet.now.Add(100 * time.Millisecond)
-	is.Equal(one.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now), time.Duration(0))
+	is.Equal(first.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now), time.Duration(0))
 
-	two.RecordNoLimit(limitedEndpoint, fleet.now, fleet.now.Add(50*time.Millisecond))
+	second.RecordNoLimit(limitedEndpoint, fleet.now, fleet.now.Add(50*time.Millisecond))
 	fleet.now = fleet.now.Add(100 * time.Millisecond)
 	fleet.gossip()
 	for range 50 {
@@ -161,9 +161,9 @@
 	}
 	is.True(fleet.trySend(1))
 	fleet.now = fleet.now.Add(time.Second)
-	one.RecordLimit(limitedEndpoint, 1, fleet.now) // a new limit
+	first.RecordLimit(limitedEndpoint, 1, fleet.now) // a new limit
 	fleet.gossip()
-	is.True(two.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(second.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 }
 
 // A limit does not apply to another incarnation of the endpoint.
@@ -179,12 +179,12 @@
 func TestHelperRequestsCount(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(1)
-	one := fleet.throttles[0]
-	one.RecordLimit(limitedEndpoint, 1, fleet.now)
-	is.True(one.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	instance := fleet.throttles[0]
+	instance.RecordLimit(limitedEndpoint, 1, fleet.now)
+	is.True(instance.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 	fleet.now = fleet.now.Add(time.Second)
-	is.True(one.TakeTokens([]peridotpath.EndpointKey{limitedEndpoint.Key() + 1, limitedEndpoint.Key()}, fleet.now))
-	is.True(one.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
+	is.True(instance.TakeTokens([]peridotpath.EndpointKey{limitedEndpoint.Key() + 1, limitedEndpoint.Key()}, fleet.now))
+	is.True(instance.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 }
 
 // A limit expires when no response from the endpoint confirms it.
