--- a/peridotpath/pace/pace.go
+++ b/peridotpath/pace/pace.go
@@ -40,9 +40,9 @@
 	slowThreshold Slowdown = 1.1
 	// maxSlowdown bounds the slowdown that an engine can report.
 	maxSlowdown Slowdown = 100
-	// reprobeTick is the interval at which engines known to be slow are checked for a due
+	// reprobeCheckInterval is the interval at which engines known to be slow are checked for a due
 	// probe.
-	reprobeTick = 250 * time.Millisecond
+	reprobeCheckInterval = 250 * time.Millisecond
 )
 
 var (
@@ -108,7 +108,7 @@
 	slots := make(chan struct{}, maxConcurrentProbes)
 	var probes sync.WaitGroup
 	defer probes.Wait()
-	ticker := time.NewTicker(reprobeTick)
+	ticker := time.NewTicker(reprobeCheckInterval)
 	defer ticker.Stop()
 	startProbe := func(endpoint *peridotpath.Endpoint) {
 		if !prober.claimProbe(endpoint.Key(), time.Now()) {
