--- a/peridotpath/directory/directory.go
+++ b/peridotpath/directory/directory.go
@@ -5,7 +5,7 @@
 // It matters when the store is unreachable for a while or is restored from an older copy.
 // Entries then expire although their endpoints run, or reappear although their endpoints
 // have left. For a short, fixed time the directory keeps using the former and goes on
-// excluding the latter.
+// excluding the latter. Such a deviation from the content of the store is an exception.
 package directory
 
 import (
@@ -73,7 +73,7 @@
 
 // Filter returns a snapshot with the endpoints for which keep returns true. A service of
 // which no endpoint is kept retains all of its endpoints.
-func (snapshot *Snapshot) Filter(keep func(key peridotpath.EndpointKey, ofService int) bool) *Snapshot {
+func (snapshot *Snapshot) Filter(keep func(key peridotpath.EndpointKey, serviceSize int) bool) *Snapshot {
 	filtered := &Snapshot{byService: map[peridotpath.Service][]Member{}, byID: snapshot.byID, byKey: snapshot.byKey}
 	for service, members := range snapshot.byService {
 		var kept []Member
@@ -104,8 +104,8 @@
 	// storeRestoredAt is when the store was first known to have been restored from an older
 	// copy.
 	storeRestoredAt time.Duration
-	// contentHash is the hash of the last read. exceptionEndsAt is when the first exception
-	// ends by which the endpoints in use differ from it; zero if there is none.
+	// contentHash is the hash of the last read. exceptionEndsAt is the earliest end of an
+	// exception by which the endpoints in use differ from that read; zero if there is none.
 	contentHash     uint64
 	exceptionEndsAt time.Duration
 	// departedAt holds the times at which endpoints departed.
@@ -135,8 +135,8 @@
 	}
 }
 
-// MarkStoreReadable records that an instance could read the store at the given time. The store was not
-// down then, even if it was unreachable from this instance.
+// MarkStoreReadable records that an instance could read the store at the given time. The
+// store was not down then, even if it was unreachable from this instance.
 func (directory *Directory) MarkStoreReadable(at time.Duration) {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -202,8 +202,8 @@
 // hasDeparted reports whether the endpoint is known to have departed and is listed again
 // only because the store was restored from an older copy.
 func (directory *Directory) hasDeparted(key peridotpath.EndpointKey, at time.Duration) bool {
-	left, known := directory.departedAt[key]
-	if !known || directory.storeRestoredAt == 0 || left > directory.storeRestoredAt || at-directory.storeRestoredAt > restoredEntryTimeout {
+	departedAt, known := directory.departedAt[key]
+	if !known || directory.storeRestoredAt == 0 || departedAt > directory.storeRestoredAt || at-directory.storeRestoredAt > restoredEntryTimeout {
 		return false
 	}
 	directory.addException(directory.storeRestoredAt + restoredEntryTimeout)
@@ -295,6 +295,6 @@
 	if directory.departedAt == nil {
 		directory.departedAt = map[peridotpath.EndpointKey]time.Duration{}
 	}
-	maps.DeleteFunc(directory.departedAt, func(_ peridotpath.EndpointKey, left time.Duration) bool { return at-left > departureRetention })
+	maps.DeleteFunc(directory.departedAt, func(_ peridotpath.EndpointKey, departed time.Duration) bool { return at-departed > departureRetention })
 	directory.departedAt[key] = at
 }
--- a/peridotpath/directory/directory_test.go
+++ b/peridotpath/directory/directory_test.go
@@ -50,26 +50,26 @@
 }
 
 // After an outage of the store half of the endpoints are missing, since they could not
-// renew their entries. Without them, requests would crowd on the rest or find no endpoint.
+// renew their entries. Without them, requests would overload the rest or find no endpoint.
 // They stay in use for about two seconds, within which running endpoints register again.
 func TestMissingEntriesAreKeptAfterOutage(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
 	one, two := endpoint("one", 1), endpoint("two", 2)
 	dir.Apply([]peridotpath.Endpoint{one, two}, time.Minute)
-	back := time.Minute + 10*time.Second
-	dir.Apply([]peridotpath.Endpoint{one}, back)
+	recoveredAt := time.Minute + 10*time.Second
+	dir.Apply([]peridotpath.Endpoint{one}, recoveredAt)
 	is.Equal(ids(dir), []string{"one", "two"})
-	is.Equal(dir.OverdueBy(back+2*time.Second), time.Duration(0))
-	is.True(dir.OverdueBy(back+2300*time.Millisecond) > 0)
-	dir.Apply([]peridotpath.Endpoint{one}, back+2300*time.Millisecond)
+	is.Equal(dir.OverdueBy(recoveredAt+2*time.Second), time.Duration(0))
+	is.True(dir.OverdueBy(recoveredAt+2300*time.Millisecond) > 0)
+	dir.Apply([]peridotpath.Endpoint{one}, recoveredAt+2300*time.Millisecond)
 	is.Equal(ids(dir), []string{"one"})
-	is.Equal(dir.OverdueBy(back+time.Minute), time.Duration(0))
+	is.Equal(dir.OverdueBy(recoveredAt+time.Minute), time.Duration(0))
 }
 
 // An endpoint leaves while one instance is cut off from the store. That instance must not
-// take the missing entry for one that expired in an outage, and send requests to it for
-// seconds: reads by other instances show that the store was up.
+// treat the missing entry as one that expired in an outage and send requests to the endpoint
+// for seconds: reads by other instances show that the store was up.
 func TestEndpointLeavesWhileInstanceIsCutOff(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
--- a/peridotpath/directory/follower.go
+++ b/peridotpath/directory/follower.go
@@ -34,10 +34,10 @@
 	Log         zerolog.Logger
 
 	storeFailed atomic.Bool
-	newer       readings.NewerPeers
+	newerPeers  readings.NewerPeers
 
 	mutex sync.Mutex
-	// history holds the last reads.
+	// history holds the last snapshots.
 	history readings.EndpointsHistory
 }
 
@@ -49,10 +49,10 @@
 		if follower.readFromPeer(ctx) {
 			continue
 		}
-		asked := follower.Now()
+		startedAt := follower.Now()
 		entries, era, err := follower.List(ctx)
 		if err == nil {
-			follower.apply(entries, era, asked)
+			follower.apply(entries, era, startedAt)
 			follower.OnConfirmed()
 			follower.storeFailed.Store(false)
 			continue
@@ -73,7 +73,7 @@
 
 // effectiveAge returns the age that decides when to read next. When an exception of the
 // directory has ended, all instances would read at the same moment; the raised age makes
-// the first in the order of the Pace read at once, and the others receive its result.
+// the first in the polling order read at once, and the others receive its snapshot.
 func (follower *Follower) effectiveAge() time.Duration {
 	if overdue := follower.Directory.OverdueBy(follower.Now()); overdue > 0 {
 		return max(follower.Age(), follower.Pace.MinAge+overdue)
@@ -86,7 +86,7 @@
 	return follower.Now() - follower.Directory.ConfirmedAt()
 }
 
-// Last returns the last read, to be served to peers; false before the first one.
+// Last returns the last snapshot, to be served to peers; false before the first read.
 func (follower *Follower) Last() (readings.EndpointsSnapshot, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
@@ -95,14 +95,14 @@
 	return last, ok
 }
 
-// ByContentHash returns the read with that content hash, to be served to peers; false if it is not in
-// the history.
+// ByContentHash returns the snapshot with that content hash, to be served to peers; false if
+// it is not in the history.
 func (follower *Follower) ByContentHash(content uint64) (readings.EndpointsSnapshot, bool) {
 	return follower.history.ByHash(content)
 }
 
-// UpdateFromPeer applies the content hash of a peer's snapshot, which was the newest at the time
-// confirmed. It confirms the snapshot held here, or wakes the follower to fetch a newer
+// UpdateFromPeer applies the content hash of a peer's snapshot, which was the newest at the
+// time confirmed. It confirms the snapshot held here, or wakes the follower to fetch a newer
 // one.
 func (follower *Follower) UpdateFromPeer(peer readings.Peer, content uint64, confirmed time.Duration) {
 	if content == 0 {
@@ -113,7 +113,7 @@
 	case content == follower.Directory.ContentHash():
 		follower.confirmContent(content, confirmed)
 	case confirmed > follower.Directory.ConfirmedAt(), follower.Directory.ContentHash() == 0:
-		follower.newer.Set(peer)
+		follower.newerPeers.Set(peer)
 		follower.Pace.Wake()
 	}
 }
@@ -134,12 +134,12 @@
 // readFromPeer fetches the snapshot of a peer that reported a newer one. It reports whether
 // the store need not be read: that snapshot, or one as new, was applied.
 func (follower *Follower) readFromPeer(ctx context.Context) bool {
-	peer, ok := follower.newer.Take()
+	peer, ok := follower.newerPeers.Take()
 	if !ok {
-		// An earlier wake has already fetched the snapshot that this one is for.
+		// The snapshot that caused this wake was fetched after an earlier one.
 		return !follower.Pace.IsDue(follower.effectiveAge())
 	}
-	asked := follower.Now()
+	startedAt := follower.Now()
 	have, _ := follower.history.Newest()
 	snapshot, err := follower.FetchFromPeer(ctx, peer.Address, have)
 	if err == nil {
@@ -152,19 +152,19 @@
 		follower.Log.Info().Err(err).Stringer("peer", peer.Address).Msg("peer_not_read")
 		return false
 	}
-	if asked-snapshot.Age <= follower.Directory.ConfirmedAt() {
+	if startedAt-snapshot.Age <= follower.Directory.ConfirmedAt() {
 		return true
 	}
-	follower.apply(snapshot.Entries, snapshot.Era, asked-snapshot.Age)
+	follower.apply(snapshot.Entries, snapshot.Era, startedAt-snapshot.Age)
 	return true
 }
 
-// apply applies entries that were read at the time asked.
-func (follower *Follower) apply(entries []keyvalue.Entry, era keyvalue.Era, asked time.Duration) {
-	// Directory and history change under one lock, so that Last never combines old
+// apply applies entries of which the read began at the given time.
+func (follower *Follower) apply(entries []keyvalue.Entry, era keyvalue.Era, startedAt time.Duration) {
+	// Directory and history change under one lock, so that a peer never receives old
 	// entries with the age of new ones.
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
-	follower.Directory.Apply(follower.Decode(entries), asked)
+	follower.Directory.Apply(follower.Decode(entries), startedAt)
 	follower.history.Add(readings.EndpointsSnapshot{Entries: entries, ContentHash: follower.Directory.ContentHash(), Era: era})
 }
--- a/peridotpath/directory/machine_test.go
+++ b/peridotpath/directory/machine_test.go
@@ -23,8 +23,8 @@
 	now       time.Duration
 	directory *directory.Directory
 	endpoints []*machineEndpoint
-	// outageActive reports that the store is down for all instances, recoveredAt when the
-	// last outage ended.
+	// outageActive reports whether the store is down for all instances; recoveredAt is when
+	// the last outage ended.
 	outageActive bool
 	recoveredAt  time.Duration
 	// read is the last read of the instance.
