--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -33,8 +33,8 @@
 // Adapter is the interface of an instance to the platform it runs on.
 type Adapter struct {
 	Store *keyvalue.Store
-	// Eras guards Store against calls across its eras. An era is the epoch of the store,
-	// which changes when it is restored from an older copy.
+	// Eras tracks the eras of Store and rejects calls that span two of them. An era is the
+	// epoch of the store, which changes when it is restored from an older copy.
 	Eras *keyvalue.EraTracker
 	// RoutingKey is the key of the operators' routing; DecodeRouting decodes its value.
 	RoutingKey    string
@@ -46,10 +46,12 @@
 	CompactEndpoints func(entries []keyvalue.Entry) []keyvalue.Entry
 	// Send sends a call to an endpoint.
 	Send relay.Sender
-	// Check probes whether an engine is alive, Pace how slow it is.
+	// Check probes whether an engine is alive.
 	Check relay.Checker
-	Pace  func(ctx context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error)
-	// Reserve and Release are the calls of a reservation.Manager.
+	// Pace requests an engine's current slowdown.
+	Pace func(ctx context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error)
+	// Reserve reserves KV cache on an endpoint, Release frees it; a reservation.Manager
+	// calls them.
 	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, hold time.Duration) (bool, error)
 	Release func(ctx context.Context, endpoint *peridotpath.Endpoint, id string) error
 	// Ingress returns the handler of requests from callers.
@@ -104,14 +106,14 @@
 	Log      zerolog.Logger
 
 	incarnation         peridotpath.Incarnation
-	keeper              *reservation.Manager
+	reservations        *reservation.Manager
 	routing             *routing.State
 	directory           *directory.Directory
 	loads               *placement.LoadTracker
 	facts               *facts.Table
 	quarantine          *quarantine.Quarantine
 	throttle            *throttle.Throttle
-	paces               *pace.Prober
+	prober              *pace.Prober
 	relay               *relay.Relay
 	gossip              *gossip.Gossip
 	registry            *gossip.Registry
@@ -141,18 +143,20 @@
 	instance.throttle = &throttle.Throttle{
 		Instance: settings.InstanceID, SenderID: throttle.SenderID(settings.InstanceID, instance.incarnation), Facts: instance.facts, Log: log,
 	}
-	instance.keeper = &reservation.Manager{
+	instance.reservations = &reservation.Manager{
 		Instance: settings.InstanceID, Incarnation: instance.incarnation,
 		Reserve: adapter.Reserve, Release: adapter.Release, MaxTTL: settings.MaxHold, Log: log,
 	}
-	instance.paces = &pace.Prober{Facts: instance.facts, FetchSlowdown: adapter.Pace, FindEndpoint: instance.findEndpoint, OwnsEndpoint: instance.ownsEndpoint, Log: log}
+	instance.prober = &pace.Prober{Facts: instance.facts, FetchSlowdown: adapter.Pace, FindEndpoint: instance.findEndpoint, OwnsEndpoint: instance.ownsEndpoint, Log: log}
 	instance.loads.ReportedSlowdowns = instance.slowEngines
-	instance.startup = newStartup(instance.hasRouting, instance.hasRoutingAndEndpoints, instance.storeFailing)
+	instance.startup = newStartup(instance.hasRouting, instance.hasRoutingAndEndpoints, instance.isStoreFailing)
 	instance.relay = &relay.Relay{
 		Instance: settings.InstanceID, DataCentre: settings.DataCentre, Log: log, Routing: instance.routing,
 		Endpoints: instance.cellEndpoints, AllEndpoints: instance.directory.Current, LoadTracker: instance.loads, Send: adapter.Send, Check: adapter.Check,
 		ServedSampler: &telemetry.LogSampler{PerSecond: servedLogLinesPerSecond},
-		Keeper:        instance.keeper, Quarantine: instance.quarantine, Throttle: instance.throttle, OnOverdueFirstEvent: instance.paces.ProbeOverdue, EngineStallTime: settings.StallTime, RoutingReady: instance.startup.routingReady, StartDone: instance.startup.finished,
+		Keeper:        instance.reservations, Quarantine: instance.quarantine, Throttle: instance.throttle,
+		OnOverdueFirstEvent: instance.prober.ProbeOverdue, EngineStallTime: settings.StallTime,
+		RoutingReady: instance.startup.routingReady, StartDone: instance.startup.finished,
 		RetryBudget: &relay.RetryBudget{
 			Ratio: settings.RetryRatio, Slack: settings.RetrySlack, Window: settings.RetryWindow,
 			Instances: instance.estimateFleetSize,
@@ -171,7 +175,7 @@
 		EndpointsAge:   func() float64 { return instance.endpointFollower.Age().Seconds() },
 		RoutingVersion: func() float64 { return float64(instance.routing.Version()) },
 		Peers:          func() float64 { return float64(instance.loads.LivePeerCount(time.Now())) },
-		Reservations:   func() float64 { return float64(instance.keeper.ActiveCount()) },
+		Reservations:   func() float64 { return float64(instance.reservations.ActiveCount()) },
 		Active:         func() float64 { return float64(instance.activeRequests.Load()) },
 	})
 }
@@ -190,22 +194,23 @@
 	return instance.hasRouting() && instance.directory.Current() != nil
 }
 
-// storeFailing reports whether reading the store failed last.
-func (instance *Instance) storeFailing() bool {
+// isStoreFailing reports whether the last access to the store by the registry or by a
+// follower failed.
+func (instance *Instance) isStoreFailing() bool {
 	return instance.registry.Failing() || instance.routingFollower.IsFailing() || instance.endpointFollower.Failing()
 }
 
-// ownsEndpoint reports whether this instance is the one that probes the pace of an engine.
+// ownsEndpoint reports whether this instance is the one that probes an engine repeatedly.
 func (instance *Instance) ownsEndpoint(endpoint peridotpath.EndpointKey) bool {
 	return instance.loads.IsOwner(instance.Settings.InstanceID, endpoint)
 }
 
 // slowEngines returns the slowdown factors of engines that are known to be slow.
 func (instance *Instance) slowEngines(now time.Time) map[peridotpath.EndpointKey]float64 {
-	paces := instance.paces.SlowEngines(now)
-	slow := make(map[peridotpath.EndpointKey]float64, len(paces))
-	for key, pace := range paces {
-		slow[key] = float64(pace)
+	slowdowns := instance.prober.SlowEngines(now)
+	slow := make(map[peridotpath.EndpointKey]float64, len(slowdowns))
+	for key, slowdown := range slowdowns {
+		slow[key] = float64(slowdown)
 	}
 	return slow
 }
@@ -222,13 +227,14 @@
 }
 
 // createFollowers creates the followers of the store and connects them to gossip, by which
-// peers confirm or renew what they read.
+// peers confirm their snapshots or report newer ones.
 func (instance *Instance) createFollowers() {
 	settings, adapter := instance.Settings, instance.Adapter
 	instance.gossip = &gossip.Gossip{
 		Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
 		DataCentre: settings.DataCentre, SnapshotPort: settings.SnapshotAddress.Port(),
-		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness, Log: instance.Log,
+		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, Log: instance.Log,
+		LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness,
 	}
 	adapter.Eras.OnEraChange = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
 	instance.loads.OnChange = instance.gossip.RequestDigest
@@ -242,7 +248,7 @@
 		State: instance.routing, Key: adapter.RoutingKey, Decode: adapter.DecodeRouting, GetIfChanged: adapter.Store.GetIfChanged,
 		Eras: adapter.Eras, FetchFromPeer: readings.FetchRouting, OnConfirmed: instance.gossip.RequestDigest, Log: instance.Log,
 		FetchPosition: func(version peridotpath.RoutingVersion) int { return instance.gossip.Rank(uint64(version)) },
-		Pace: instance.pollPace(
+		Pace: instance.pollSchedule(
 			func() bool { return instance.routing.Current() != nil && adapter.Eras.HasSettled() },
 			func() uint64 { return uint64(instance.routing.Version()) },
 		),
@@ -250,13 +256,13 @@
 	instance.endpointFollower = &directory.Follower{
 		Directory: instance.directory, List: instance.listEndpoints, Decode: adapter.DecodeEndpoints, Now: clock.SinceBoot,
 		Eras: adapter.Eras, FetchFromPeer: readings.FetchEndpoints, OnConfirmed: instance.gossip.RequestDigest, Log: instance.Log,
-		Pace: instance.pollPace(func() bool { return instance.directory.Current() != nil }, instance.directory.ContentHash),
+		Pace: instance.pollSchedule(func() bool { return instance.directory.Current() != nil }, instance.directory.ContentHash),
 	}
 }
 
-// pollPace returns the pace at which one kind of data is read from the store. The order of
-// the instances depends on the content, so that the reads are shared among them.
-func (instance *Instance) pollPace(hasSnapshot func() bool, content func() uint64) clock.PollSchedule {
+// pollSchedule returns the schedule on which one kind of data is read from the store. The
+// order of the instances depends on the content, so that the reads are shared among them.
+func (instance *Instance) pollSchedule(hasSnapshot func() bool, content func() uint64) clock.PollSchedule {
 	limit := float64(instance.Settings.MaxPropagationDelay)
 	return clock.PollSchedule{
 		MinAge: time.Duration(minPollAgeShare * limit), MaxDelay: time.Duration(pollSpreadShare * limit), RetryDelay: pollRetryPause, MinInterval: minPollGap,
@@ -266,7 +272,7 @@
 }
 
 // handleStoreRestored reacts to a restore of the store from an older copy. The routing is
-// read again on its normal schedule; what is read may then be older than before.
+// read again on its normal schedule and may then be older than before.
 func (instance *Instance) handleStoreRestored() {
 	instance.directory.MarkStoreRestored(clock.SinceBoot())
 	instance.registry.RequestReregistration()
@@ -276,22 +282,23 @@
 // localFreshness returns the freshness of this instance's snapshot of the store.
 func (instance *Instance) localFreshness() gossip.Freshness {
 	eras := instance.Adapter.Eras
-	age, dated := eras.Age()
+	age, ageKnown := eras.Age()
 	return gossip.Freshness{
-		Era: eras.Current(), EraAge: age, EraAgeKnown: dated,
+		Era: eras.Current(), EraAge: age, EraAgeKnown: ageKnown,
 		RoutingVersion: instance.routing.Version(), RoutingAge: instance.routing.Age(),
 		EndpointsHash: instance.directory.ContentHash(), EndpointsAge: instance.endpointFollower.Age(),
 	}
 }
 
-// handlePeerFreshness applies the freshness of a peer's snapshot of the store.
-func (instance *Instance) handlePeerFreshness(peer readings.Peer, fresh gossip.Freshness, asked time.Duration) {
+// handlePeerFreshness applies the freshness of a peer's snapshot of the store, whose ages
+// are relative to echo.
+func (instance *Instance) handlePeerFreshness(peer readings.Peer, fresh gossip.Freshness, echo time.Duration) {
 	instance.Adapter.Eras.ObservePeer(fresh.Era, fresh.EraAge, fresh.EraAgeKnown)
 	if fresh.RoutingVersion > 0 && fresh.EndpointsHash != 0 {
 		instance.registry.MarkPeerReady()
 	}
-	instance.routingFollower.UpdateFromPeer(peer, fresh.RoutingVersion, asked-fresh.RoutingAge)
-	instance.endpointFollower.UpdateFromPeer(peer, fresh.EndpointsHash, asked-fresh.EndpointsAge)
+	instance.routingFollower.UpdateFromPeer(peer, fresh.RoutingVersion, echo-fresh.RoutingAge)
+	instance.endpointFollower.UpdateFromPeer(peer, fresh.EndpointsHash, echo-fresh.EndpointsAge)
 }
 
 // backgroundTasks returns the tasks that run next to the listeners.
@@ -302,8 +309,8 @@
 		{"registry", instance.registry.Run},
 		{"routing", instance.registry.AfterFirstList(instance.routingFollower.Run)},
 		{"endpoints", instance.registry.AfterFirstList(instance.endpointFollower.Run)},
-		{"reservations", instance.keeper.Run},
-		{"pace", instance.paces.Run},
+		{"reservations", instance.reservations.Run},
+		{"pace", instance.prober.Run},
 		{"pauses", (&pauseDetector{Now: clock.SinceBoot, Log: instance.Log}).Run},
 	}
 }
--- a/peridotpath/instance/instance_test.go
+++ b/peridotpath/instance/instance_test.go
@@ -118,10 +118,10 @@
 			}
 			return &relay.Answer{Status: 200, Header: http.Header{}, MatchesRequest: true, Body: io.NopCloser(strings.NewReader("done"))}, nil
 		},
-		Ingress: func(callers instance.IngressDependencies) http.Handler {
+		Ingress: func(dependencies instance.IngressDependencies) http.Handler {
 			return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 				incoming := &relay.Request{ID: "r", Path: request.URL.Path, Host: peridotpath.NormalHost(request.Host), ArrivedAt: time.Now()}
-				callers.Relay.Serve(request.Context(), incoming, &relay.Caller{
+				dependencies.Relay.Serve(request.Context(), incoming, &relay.Caller{
 					Refuse: func(result peridotpath.Result) { writer.WriteHeader(result.Code.Status()) },
 					Answer: func(status int, _ http.Header, body []byte) {
 						writer.WriteHeader(status)
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -67,7 +67,7 @@
 }
 
 // serveMetrics serves metrics until the instance stops. Their port is the same on every
-// machine; if another process has it, the instance works without.
+// machine; if another process has it, the instance works without metrics.
 func (instance *Instance) serveMetrics() {
 	if err := instance.metricsListener.Run(); !errors.Is(err, http.ErrServerClosed) {
 		instance.Log.Warn().Err(err).Msg("metrics_unserved")
--- a/peridotpath/instance/parts_test.go
+++ b/peridotpath/instance/parts_test.go
@@ -11,14 +11,14 @@
 	"peridotpath.example/peridotpath/throttle"
 )
 
-// Each instance counts the requests of the others to a limited endpoint by sender.
-// Instances that shared a sender name would not count each other's.
-func TestSenderNameIsUniquePerInstance(t *testing.T) {
+// Each instance counts the requests of the others to a limited endpoint by sender ID.
+// Instances that shared an ID would not count each other's.
+func TestSenderIDIsUniquePerInstance(t *testing.T) {
 	is := is.New(t)
-	one := New(&Settings{InstanceID: "edge-1"}, Adapter{
+	instance := New(&Settings{InstanceID: "edge-1"}, Adapter{
 		Store: &keyvalue.Store{}, Eras: &keyvalue.EraTracker{}, Ingress: func(IngressDependencies) http.Handler { return http.NotFoundHandler() },
 	}, zerolog.Nop())
-	is.True(one.incarnation != 0)
-	is.Equal(one.throttle.SenderID, throttle.SenderID("edge-1", one.incarnation))
-	is.True(one.throttle.SenderID != throttle.SenderID("edge-2", one.incarnation))
+	is.True(instance.incarnation != 0)
+	is.Equal(instance.throttle.SenderID, throttle.SenderID("edge-1", instance.incarnation))
+	is.True(instance.throttle.SenderID != throttle.SenderID("edge-2", instance.incarnation))
 }
--- a/peridotpath/instance/pause.go
+++ b/peridotpath/instance/pause.go
@@ -17,8 +17,8 @@
 )
 
 // pauseDetector logs when the process did not run because it was stopped, its machine was
-// suspended, or its CPU quota was used up. The log tells delays of that time apart from
-// those of a busy instance.
+// suspended, or its CPU quota was used up, so that delays of that time are not attributed to
+// a busy instance.
 type pauseDetector struct {
 	// Now returns the time since boot, which advances while the machine is suspended.
 	Now func() time.Duration
--- a/peridotpath/instance/pause_test.go
+++ b/peridotpath/instance/pause_test.go
@@ -15,7 +15,8 @@
 	"peridotpath.example/peridotpath/internal/virtual"
 )
 
-// A machine is suspended for seconds. The log tells it apart from an instance that is busy.
+// A machine is suspended for seconds. The log reports the pause, so that it is not taken
+// for a busy instance.
 func TestPauseIsLogged(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/instance/settings.go
+++ b/peridotpath/instance/settings.go
@@ -41,7 +41,7 @@
 	RetryRatio  float64
 	RetrySlack  int
 	RetryWindow time.Duration
-	// MaxHold is the longest time for which an engine reserves memory at once.
+	// MaxHold is the longest TTL of a KV cache reservation that engines accept.
 	MaxHold time.Duration
 	// MaxPropagationDelay is the time within which a change of the routing or of the endpoints
 	// must be active.
@@ -57,14 +57,14 @@
 	mebibyte = 1 << 20
 
 	// The defaults are the strictest values of the users' deployments.
-	defaultMemory       = 184 * mebibyte
-	defaultGrace        = 8 * time.Second
-	defaultKeyLifetime  = 5 * time.Second
-	defaultRetryWindow  = 10 * time.Second
-	defaultMaxHold      = 20 * time.Second
-	defaultChangeWithin = 2 * time.Second
-	defaultStall        = 1500 * time.Millisecond
-	defaultLogLevel     = "info"
+	defaultMemory              = 184 * mebibyte
+	defaultGrace               = 8 * time.Second
+	defaultKeyLifetime         = 5 * time.Second
+	defaultRetryWindow         = 10 * time.Second
+	defaultMaxHold             = 20 * time.Second
+	defaultMaxPropagationDelay = 2 * time.Second
+	defaultStallTime           = 1500 * time.Millisecond
+	defaultLogLevel            = "info"
 
 	// minMemory is twice the memory of the process without any request.
 	minMemory = 48 * mebibyte
@@ -77,8 +77,8 @@
 	peridotpath.SetDefault(&settings.KeyLifetime, defaultKeyLifetime)
 	peridotpath.SetDefault(&settings.RetryWindow, defaultRetryWindow)
 	peridotpath.SetDefault(&settings.MaxHold, defaultMaxHold)
-	peridotpath.SetDefault(&settings.MaxPropagationDelay, defaultChangeWithin)
-	peridotpath.SetDefault(&settings.StallTime, defaultStall)
+	peridotpath.SetDefault(&settings.MaxPropagationDelay, defaultMaxPropagationDelay)
+	peridotpath.SetDefault(&settings.StallTime, defaultStallTime)
 	peridotpath.SetDefault(&settings.LogLevel, defaultLogLevel)
 }
 
--- a/peridotpath/instance/shutdown.go
+++ b/peridotpath/instance/shutdown.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// balancerNotice is how long new requests are still served after a shutdown began: the
-	// load balancer checks readiness each second, and removes an instance after two failed
-	// checks. Responses on open connections ask the caller to close them. Requests that are
-	// accepted later may not finish before the process exits.
-	balancerNotice = 3 * time.Second
-	// maxNoticeShare bounds balancerNotice as a share of a short grace period.
-	maxNoticeShare = 0.4
+	// deregistrationDelay is how long new requests are still served after a shutdown began:
+	// the load balancer checks readiness each second, and removes an instance after two
+	// failed checks. Responses on open connections ask the caller to close them. Requests
+	// that are accepted later may not finish before the process exits.
+	deregistrationDelay = 3 * time.Second
+	// maxDeregistrationShare bounds deregistrationDelay as a share of a short grace period.
+	maxDeregistrationShare = 0.4
 	// exitMargin is how long before the end of the grace period the process exits.
 	exitMargin = 200 * time.Millisecond
 	// activePollInterval is the interval at which a shutdown checks for requests that still
@@ -27,13 +27,13 @@
 	startedAt, grace := time.Now(), instance.Settings.Grace
 	instance.stopping.Store(true)
 	instance.Log.Info().Int64("active", instance.activeRequests.Load()).Dur("grace", grace).Msg("stopping")
-	time.Sleep(min(balancerNotice, time.Duration(maxNoticeShare*float64(grace))))
+	time.Sleep(min(deregistrationDelay, time.Duration(maxDeregistrationShare*float64(grace))))
 	instance.closing.Store(true)
 	ctx, cancel := context.WithDeadline(ctx, startedAt.Add(grace-exitMargin))
 	defer cancel()
 	instance.drainCallers(ctx)
 	instance.Log.Info().Int64("active", instance.activeRequests.Load()).Dur("took", time.Since(startedAt)).Msg("callers_closed")
-	instance.keeper.Close(ctx)
+	instance.reservations.Close(ctx)
 	// The other listeners close at once: none of their requests outlasts those of callers.
 	_ = instance.readinessListener.Close(ctx)
 	_ = instance.snapshotListener.Close(ctx)
--- a/peridotpath/instance/startup.go
+++ b/peridotpath/instance/startup.go
@@ -11,7 +11,7 @@
 // endpoints that it needs to serve requests. Set the exported fields before Run.
 type startup struct {
 	// HasRouting reports whether the routing was read, HasRoutingAndEndpoints whether both
-	// were, and StoreFailing whether the store is unreachable, so that neither will be
+	// were, and StoreFailing whether the store is unreachable, so that neither is read
 	// soon.
 	HasRouting, HasRoutingAndEndpoints, StoreFailing func() bool
 
@@ -38,13 +38,13 @@
 // Run closes the channels when startup ends, and then waits until ctx ends.
 func (startup *startup) Run(ctx context.Context) error {
 	startedAt := time.Now()
-	pending := func() bool {
+	waitMore := func() bool {
 		return !startup.StoreFailing() && time.Since(startedAt) < maxStartupTime && clock.SleepContext(ctx, startupPollInterval)
 	}
-	for !startup.HasRouting() && pending() {
+	for !startup.HasRouting() && waitMore() {
 	}
 	close(startup.routingReady)
-	for !startup.HasRoutingAndEndpoints() && pending() {
+	for !startup.HasRoutingAndEndpoints() && waitMore() {
 	}
 	close(startup.finished)
 	<-ctx.Done()
