--- a/peridotpath/service/service.go
+++ b/peridotpath/service/service.go
@@ -82,7 +82,7 @@
 	Do func(request *http.Request) (*http.Response, error)
 }
 
-// doRequest sends an HTTP request by Do or its default.
+// doRequest sends an HTTP request with Do or its default.
 func (client *Client) doRequest(request *http.Request) (*http.Response, error) {
 	if client.Do != nil {
 		return client.Do(request)
--- a/peridotpath/service/servicetest/service.go
+++ b/peridotpath/service/servicetest/service.go
@@ -30,11 +30,11 @@
 	// Faults holds the injected faults. They may change while the service runs.
 	Faults faults.Faults
 
-	mu      sync.Mutex
-	running int
-	counts  engine.Counts
-	report  peridotpath.Load
-	pending peridotpath.Load
+	mu         sync.Mutex
+	running    int
+	counts     engine.Counts
+	report     peridotpath.Load
+	nextReport peridotpath.Load
 }
 
 // Answer is the response body to a call.
@@ -99,7 +99,7 @@
 	})
 }
 
-// writeAnswer writes the answer, or what an injected fault makes of it.
+// writeAnswer writes the answer, or the response that an injected fault puts in its place.
 func (service *Service) writeAnswer(writer http.ResponseWriter, request *http.Request, answer Answer) {
 	text, err := json.Marshal(answer)
 	if err != nil {
@@ -174,9 +174,9 @@
 	service.mu.Lock()
 	defer service.mu.Unlock()
 	now := time.Now()
-	current := peridotpath.Load{AsOf: now, Running: service.running, Revision: service.pending.Revision + 1}
-	if now.Sub(service.pending.AsOf) >= service.MinLoadReportAge {
-		service.report, service.pending = service.pending, current
+	current := peridotpath.Load{AsOf: now, Running: service.running, Revision: service.nextReport.Revision + 1}
+	if now.Sub(service.nextReport.AsOf) >= service.MinLoadReportAge {
+		service.report, service.nextReport = service.nextReport, current
 	}
 	if service.MinLoadReportAge == 0 {
 		service.report = current
