--- a/peridotd/relay.go
+++ b/peridotd/relay.go
@@ -78,7 +78,7 @@
 		RoutingKey: platform.RoutingKey, DecodeRouting: platform.DecodeRouting,
 		EndpointPrefix: platform.EndpointPrefix, DecodeEndpoints: platform.DecodeEndpoints,
 		CompactEndpoints: platform.CompactEndpoints,
-		Send:             platform.Send, Check: platform.ProbeEndpoint, Pace: platform.FetchSlowdown, Reserve: platform.Reserve, Release: platform.Release, ReadyPath: platform.ReadyPath,
+		Send:             platform.Send, Check: platform.ProbeEndpoint, FetchSlowdown: platform.FetchSlowdown, Reserve: platform.Reserve, Release: platform.Release, ReadyPath: platform.ReadyPath,
 		Ingress: func(callers instance.IngressDependencies) http.Handler {
 			return &platform.Ingress{Dependencies: callers}
 		},
--- a/peridotpath/directory/directory_test.go
+++ b/peridotpath/directory/directory_test.go
@@ -139,7 +139,7 @@
 				return decoded
 			},
 			// The interval is so long that only the end of the exception makes a read due.
-			Pace: clock.PollSchedule{MinAge: 4 * time.Second, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond},
+			Schedule: clock.PollSchedule{MinAge: 4 * time.Second, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond},
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
--- a/peridotpath/directory/era_test.go
+++ b/peridotpath/directory/era_test.go
@@ -111,7 +111,7 @@
 				Directory: &directory.Directory{Log: zerolog.Nop()}, Now: now, Log: zerolog.Nop(), Eras: &keyvalue.EraTracker{},
 				List: fleet.list, OnConfirmed: func() { time.AfterFunc(10*time.Millisecond, func() { fleet.send(i) }) },
 				FetchFromPeer: func(_ context.Context, peer netip.AddrPort, _ readings.EndpointsSnapshot) (readings.EndpointsSnapshot, error) {
-					snapshot, ok := fleet.followers[peer.Addr().As4()[3]].Last()
+					snapshot, ok := fleet.followers[peer.Addr().As4()[3]].Newest()
 					if !ok {
 						return snapshot, errors.New("nothing read yet")
 					}
@@ -124,7 +124,7 @@
 					}
 					return endpoints
 				},
-				Pace: clock.PollSchedule{
+				Schedule: clock.PollSchedule{
 					MinAge: 900 * time.Millisecond, MaxDelay: 800 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond,
 					PrecedingPeers: func() int { return min(i, 9) }, HasData: func() bool { return fleet.followers[i].Directory.Current() != nil },
 				},
--- a/peridotpath/directory/follower.go
+++ b/peridotpath/directory/follower.go
@@ -27,8 +27,8 @@
 	// Eras holds the eras of the store.
 	Eras *keyvalue.EraTracker
 	// Now returns the time since boot, which advances while the machine is suspended.
-	Now  func() time.Duration
-	Pace clock.PollSchedule
+	Now      func() time.Duration
+	Schedule clock.PollSchedule
 	// OnConfirmed is called after each successful read.
 	OnConfirmed func()
 	Log         zerolog.Logger
@@ -45,7 +45,7 @@
 // is old and no peer has confirmed it, until ctx ends. If a read fails, the snapshot stays
 // in use: endpoints keep running while the store is unreachable.
 func (follower *Follower) Run(ctx context.Context) error {
-	for follower.Pace.WaitUntilDue(ctx, follower.effectiveAge) {
+	for follower.Schedule.WaitUntilDue(ctx, follower.effectiveAge) {
 		if follower.readFromPeer(ctx) {
 			continue
 		}
@@ -63,20 +63,20 @@
 		if !follower.storeFailed.Swap(true) {
 			follower.Log.Warn().Err(err).Dur("age", follower.Age()).Msg("endpoints_unread")
 		}
-		follower.Pace.WaitAfterFailure(ctx)
+		follower.Schedule.WaitAfterFailure(ctx)
 	}
 	return ctx.Err()
 }
 
-// Failing reports whether the last read of the store failed.
-func (follower *Follower) Failing() bool { return follower.storeFailed.Load() }
+// IsFailing reports whether the last read of the store failed.
+func (follower *Follower) IsFailing() bool { return follower.storeFailed.Load() }
 
 // effectiveAge returns the age that decides when to read next. When an exception of the
 // directory has ended, all instances would read at the same moment; the raised age makes
 // the first in the polling order read at once, and the others receive its snapshot.
 func (follower *Follower) effectiveAge() time.Duration {
 	if overdue := follower.Directory.OverdueBy(follower.Now()); overdue > 0 {
-		return max(follower.Age(), follower.Pace.MinAge+overdue)
+		return max(follower.Age(), follower.Schedule.MinAge+overdue)
 	}
 	return follower.Age()
 }
@@ -86,8 +86,8 @@
 	return follower.Now() - follower.Directory.ConfirmedAt()
 }
 
-// Last returns the last snapshot, to be served to peers; false before the first read.
-func (follower *Follower) Last() (readings.EndpointsSnapshot, bool) {
+// Newest returns the last snapshot, to be served to peers; false before the first read.
+func (follower *Follower) Newest() (readings.EndpointsSnapshot, bool) {
 	follower.mutex.Lock()
 	defer follower.mutex.Unlock()
 	last, ok := follower.history.Newest()
@@ -114,7 +114,7 @@
 		follower.confirmContent(content, confirmed)
 	case confirmed > follower.Directory.ConfirmedAt(), follower.Directory.ContentHash() == 0:
 		follower.newerPeers.Set(peer)
-		follower.Pace.Wake()
+		follower.Schedule.Wake()
 	}
 }
 
@@ -137,7 +137,7 @@
 	peer, ok := follower.newerPeers.Take()
 	if !ok {
 		// The snapshot that caused this wake was fetched after an earlier one.
-		return !follower.Pace.IsDue(follower.effectiveAge())
+		return !follower.Schedule.IsDue(follower.effectiveAge())
 	}
 	startedAt := follower.Now()
 	have, _ := follower.history.Newest()
--- a/peridotpath/gossip/registry.go
+++ b/peridotpath/gossip/registry.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// Failing reports whether the store was unreachable in the last round.
-func (registry *Registry) Failing() bool { return registry.storeFailed.Load() }
+// IsFailing reports whether the store was unreachable in the last round.
+func (registry *Registry) IsFailing() bool { return registry.storeFailed.Load() }
 
 // recordOutcome records whether the store was reachable, and logs an error.
 func (registry *Registry) recordOutcome(ctx context.Context, err error) {
--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -48,8 +48,8 @@
 	Send relay.Sender
 	// Check probes whether an engine is alive.
 	Check relay.Checker
-	// Pace requests an engine's current slowdown.
-	Pace func(ctx context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error)
+	// FetchSlowdown requests an engine's current slowdown.
+	FetchSlowdown func(ctx context.Context, endpoint *peridotpath.Endpoint) (pace.Slowdown, error)
 	// Reserve reserves KV cache on an endpoint, Release frees it; a reservation.Manager
 	// calls them.
 	Reserve func(ctx context.Context, endpoint *peridotpath.Endpoint, id string, tokens peridotpath.Tokens, hold time.Duration) (bool, error)
@@ -147,7 +147,7 @@
 		Instance: settings.InstanceID, Incarnation: instance.incarnation,
 		Reserve: adapter.Reserve, Release: adapter.Release, MaxTTL: settings.MaxHold, Log: log,
 	}
-	instance.prober = &pace.Prober{Facts: instance.facts, FetchSlowdown: adapter.Pace, FindEndpoint: instance.findEndpoint, OwnsEndpoint: instance.ownsEndpoint, Log: log}
+	instance.prober = &pace.Prober{Facts: instance.facts, FetchSlowdown: adapter.FetchSlowdown, FindEndpoint: instance.findEndpoint, OwnsEndpoint: instance.ownsEndpoint, Log: log}
 	instance.loads.ReportedSlowdowns = instance.slowEngines
 	instance.startup = newStartup(instance.hasRouting, instance.hasRoutingAndEndpoints, instance.isStoreFailing)
 	instance.relay = &relay.Relay{
@@ -197,7 +197,7 @@
 // isStoreFailing reports whether the last access to the store by the registry or by a
 // follower failed.
 func (instance *Instance) isStoreFailing() bool {
-	return instance.registry.Failing() || instance.routingFollower.IsFailing() || instance.endpointFollower.Failing()
+	return instance.registry.IsFailing() || instance.routingFollower.IsFailing() || instance.endpointFollower.IsFailing()
 }
 
 // ownsEndpoint reports whether this instance is the one that probes an engine repeatedly.
@@ -256,7 +256,7 @@
 	instance.endpointFollower = &directory.Follower{
 		Directory: instance.directory, List: instance.listEndpoints, Decode: adapter.DecodeEndpoints, Now: clock.SinceBoot,
 		Eras: adapter.Eras, FetchFromPeer: readings.FetchEndpoints, OnConfirmed: instance.gossip.RequestDigest, Log: instance.Log,
-		Pace: instance.pollSchedule(func() bool { return instance.directory.Current() != nil }, instance.directory.ContentHash),
+		Schedule: instance.pollSchedule(func() bool { return instance.directory.Current() != nil }, instance.directory.ContentHash),
 	}
 }
 
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -43,7 +43,7 @@
 	}
 	peers := &readings.Server{
 		NewestRouting: instance.routingFollower.Latest, RoutingByVersion: instance.routingFollower.AtVersion,
-		NewestEndpoints: instance.endpointFollower.Last, EndpointsByHash: instance.endpointFollower.ByContentHash,
+		NewestEndpoints: instance.endpointFollower.Newest, EndpointsByHash: instance.endpointFollower.ByContentHash,
 	}
 	instance.snapshotListener = &inbound.Listener{
 		Name: "readings", Address: settings.SnapshotAddress, MaxHeaderBytes: maxHeaderBytes,
