--- a/peridotpath/keyvalue/era.go
+++ b/peridotpath/keyvalue/era.go
@@ -16,14 +16,14 @@
 // and reuses their numbers, so versions and lease numbers are valid within one era only.
 type Era uint64
 
-// SettleTime is how long after a restore the entries of other writers may still be missing
-// or outdated. Within it they rewrite what the restore lost.
+// SettleTime is the time after a restore within which all writers rewrite the entries that
+// the restore lost. Until it has passed, entries may be missing or outdated.
 const SettleTime = 2200 * time.Millisecond
 
-// EraTracker tracks the current era of a service that may be restored from an older copy, and
-// guards calls to it: version and lease numbers of an earlier era are never sent, and a
-// reply from another era than the call was made in is rejected. Set the exported fields
-// before use; the zero value works where the service is never restored.
+// EraTracker tracks the current era of a service that may be restored from an older copy,
+// and guards calls to it: version and lease numbers of an earlier era are never sent, and
+// a reply of another era than the one in which the call was made is rejected. Set the
+// exported fields before use; the zero value works where the service is never restored.
 type EraTracker struct {
 	// Now is a clock that advances while the machine is suspended. Without one an era
 	// never settles by elapsed time.
@@ -35,9 +35,9 @@
 	current       atomic.Uint64
 	mutex         sync.Mutex
 	isInitialised bool
-	// firstSeenAt is when any instance first saw the current era, as far as this one knows.
-	// firstSeenUnknown is set for the era seen at the start of the process, of which that time
-	// is unknown.
+	// firstSeenAt is the earliest known time at which any instance saw the current era.
+	// firstSeenUnknown is set while that time is unknown: for the first era that the process
+	// saw, until a peer reports its age. firstSeenAt is then an assumption.
 	firstSeenAt      time.Duration
 	firstSeenUnknown bool
 	// trackedSince is when this instance saw its first era.
@@ -60,13 +60,13 @@
 	}
 }
 
-// ObservePeer records an era that a peer has seen, and how long ago it was first seen; dated is
-// false where the peer does not know that time.
-func (eraTracker *EraTracker) ObservePeer(era Era, ago time.Duration, dated bool) {
+// ObservePeer records an era that a peer has seen, and its age: the time since any instance
+// first saw it. ageKnown is false where the peer does not know the age.
+func (eraTracker *EraTracker) ObservePeer(era Era, age time.Duration, ageKnown bool) {
 	eraTracker.mutex.Lock()
-	seenAt := eraTracker.now() - ago
+	seenAt := eraTracker.now() - age
 	from, replaced := eraTracker.advance(era, seenAt)
-	if dated && era == eraTracker.Current() && (eraTracker.firstSeenUnknown || seenAt < eraTracker.firstSeenAt) {
+	if ageKnown && era == eraTracker.Current() && (eraTracker.firstSeenUnknown || seenAt < eraTracker.firstSeenAt) {
 		eraTracker.firstSeenAt, eraTracker.firstSeenUnknown = seenAt, false
 	}
 	eraTracker.mutex.Unlock()
@@ -108,8 +108,8 @@
 	}
 }
 
-// AssumeRecentRestore records that an entry of an earlier era is still in the store, so the restore
-// is recent: if the start of the current era is unknown, it is set to now.
+// AssumeRecentRestore must be called when the store still has an entry of an earlier era: the
+// restore is then recent, and if the start of the current era is unknown, it is set to now.
 func (eraTracker *EraTracker) AssumeRecentRestore() {
 	eraTracker.mutex.Lock()
 	defer eraTracker.mutex.Unlock()
@@ -154,7 +154,7 @@
 	return eraTracker.hasSettled() || eraTracker.firstReadVersion != 0 && version > eraTracker.firstReadVersion
 }
 
-// HasSettled reports whether Settling has passed since the era began, by when other writers
+// HasSettled reports whether SettleTime has passed since the era began, so that all writers
 // have rewritten what the restore lost.
 func (eraTracker *EraTracker) HasSettled() bool {
 	eraTracker.mutex.Lock()
@@ -194,7 +194,7 @@
 		store.ListStale = guard.listStale
 	}
 	if service.GetIfChanged != nil {
-		store.GetIfChanged = guard.check
+		store.GetIfChanged = guard.getIfChanged
 	}
 	if service.Watch != nil {
 		store.Watch = guard.watch
@@ -253,13 +253,13 @@
 	return entries, version, nil
 }
 
-// maxCheckAttempts bounds the reads of a key when the era changes during each of them.
-const maxCheckAttempts = 3
+// maxGetIfChangedAttempts bounds the reads of a key when the era changes during each of them.
+const maxGetIfChangedAttempts = 3
 
-// check reads the entry unconditionally where expect is of another era: the same number
-// may identify another write.
-func (guard *guard) check(ctx context.Context, key string, expect Version) (Entry, bool, error) {
-	for range maxCheckAttempts {
+// getIfChanged reads the entry unconditionally where expect is of another era: the same
+// number may identify another write.
+func (guard *guard) getIfChanged(ctx context.Context, key string, expect Version) (Entry, bool, error) {
+	for range maxGetIfChangedAttempts {
 		eraBefore := guard.eras.Current()
 		if expect.Era() != eraBefore {
 			expect = 0
@@ -272,7 +272,7 @@
 			return entry, changed, guard.checkEra(entry.Version)
 		}
 	}
-	return Entry{}, false, ErrUnavailable.New("%s: the era rose again and again", key)
+	return Entry{}, false, ErrUnavailable.New("%s: the era changed during each of %d reads", key, maxGetIfChangedAttempts)
 }
 
 func (guard *guard) watch(ctx context.Context, prefix string, after Version, wait time.Duration) ([]Entry, Version, error) {
--- a/peridotpath/keyvalue/era_test.go
+++ b/peridotpath/keyvalue/era_test.go
@@ -32,8 +32,8 @@
 	return restorable
 }
 
-// After a restore the service reuses the numbers of keys, leases and watches. A call with
-// a number of the earlier era must not reach the service, where it would act on another
+// After a restore the service reuses the numbers of versions and leases. A call with a
+// number of the earlier era must not reach the service, where it would act on another
 // client's write or lease.
 func TestNumbersOfEarlierEraAreNotSent(t *testing.T) {
 	is := is.New(t)
@@ -51,9 +51,9 @@
 	restorable.service.Restore(before)
 	_, err = other.Swap(ctx, "a", first, []byte("another"), keyvalue.LeaseID{})
 	is.NoErr(err)
-	theirs, err := other.Grant(ctx, time.Second)
+	otherLease, err := other.Grant(ctx, time.Second)
 	is.NoErr(err)
-	is.Equal(theirs.Number, lease.Number)
+	is.Equal(otherLease.Number, lease.Number)
 	entry, err := restorable.store.Get(ctx, "a")
 	is.NoErr(err)
 	is.Equal(entry.Version.Number(), lost.Number())
@@ -65,7 +65,7 @@
 	is.True(keyvalue.ErrLeaseExpired.Has(err))
 	is.True(keyvalue.ErrLeaseExpired.Has(restorable.store.Renew(ctx, lease)))
 	is.NoErr(restorable.store.Release(ctx, lease))
-	is.NoErr(other.Renew(ctx, theirs)) // the other client's lease is still valid
+	is.NoErr(other.Renew(ctx, otherLease)) // the other client's lease is still valid
 	entry, err = other.Get(ctx, "a")
 	is.NoErr(err)
 	is.Equal(entry.Value, []byte("another"))
@@ -153,7 +153,7 @@
 	is := is.New(t)
 	eras := &keyvalue.EraTracker{}
 	eras.Observe(3)
-	known, err := keyvalue.NewVersion(3, 60)
+	earlier, err := keyvalue.NewVersion(3, 60)
 	is.NoErr(err)
 	another, err := keyvalue.NewVersion(4, 60)
 	is.NoErr(err)
@@ -167,7 +167,7 @@
 		},
 	})
 	for range 2 { // while the era changes, and afterwards
-		entry, changed, err := store.GetIfChanged(t.Context(), "a", known)
+		entry, changed, err := store.GetIfChanged(t.Context(), "a", earlier)
 		is.NoErr(err)
 		is.True(changed)
 		is.Equal(entry.Value, []byte("another"))
@@ -194,8 +194,8 @@
 	wait := func(span time.Duration) step {
 		return func(_ *keyvalue.EraTracker, now *time.Duration) { *now += span }
 	}
-	observePeer := func(era keyvalue.Era, ago time.Duration, dated bool) step {
-		return func(eras *keyvalue.EraTracker, _ *time.Duration) { eras.ObservePeer(era, ago, dated) }
+	observePeer := func(era keyvalue.Era, age time.Duration, ageKnown bool) step {
+		return func(eras *keyvalue.EraTracker, _ *time.Duration) { eras.ObservePeer(era, age, ageKnown) }
 	}
 	assumeRecent := func(eras *keyvalue.EraTracker, _ *time.Duration) { eras.AssumeRecentRestore() }
 	// read makes a list call that returns that version.
--- a/peridotpath/keyvalue/http_test.go
+++ b/peridotpath/keyvalue/http_test.go
@@ -65,9 +65,9 @@
 	is.NoErr(err)
 	is.True(entries[0].Deleted)
 
-	gone, err := store.Swap(background, "a", second, nil, keyvalue.LeaseID{})
+	deletion, err := store.Swap(background, "a", second, nil, keyvalue.LeaseID{})
 	is.NoErr(err)
-	is.True(gone > second)
+	is.True(deletion > second)
 	entry, err = store.Get(background, "a")
 	is.NoErr(err)
 	is.Equal(entry.Version, keyvalue.Version(0))
@@ -75,7 +75,7 @@
 
 // A write fails in transit. The error class decides what the caller may conclude: "not
 // sent" and "conflict" mean that nothing was written, so a request may be refused as not
-// run. With either class after an applied write, a stored claim would count as free.
+// run. If an applied write returned either class, a stored claim would count as free.
 func TestErrorClassTellsWhetherWriteMayBeApplied(t *testing.T) {
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(writer http.ResponseWriter, _ *http.Request) {
@@ -83,7 +83,7 @@
 			_, _ = io.WriteString(writer, body)
 		}
 	}
-	cut := func(writer http.ResponseWriter, request *http.Request) {
+	closeConnection := func(writer http.ResponseWriter, request *http.Request) {
 		_, _ = io.ReadAll(request.Body)
 		connection, _, err := http.NewResponseController(writer).Hijack()
 		if err == nil {
@@ -94,7 +94,7 @@
 		handler http.HandlerFunc
 		want    *errs.Class
 	}{
-		"connection cut after the body was read": {cut, &keyvalue.ErrUnavailable},
+		"connection cut after the body was read": {closeConnection, &keyvalue.ErrUnavailable},
 		"service error":                          {answer(503, `{"error":"down"}`), &keyvalue.ErrUnavailable},
 		"malformed body":                         {answer(200, `<html>`), &keyvalue.ErrUnavailable},
 		"conflict status with a malformed body":  {answer(409, `<html>`), &keyvalue.ErrUnavailable},
--- a/peridotpath/keyvalue/memory/link.go
+++ b/peridotpath/keyvalue/memory/link.go
@@ -36,10 +36,10 @@
 }
 
 // SetFaults sets the function that selects the fault of each call; nil injects none.
-func (link *Link) SetFaults(fate func(call string) Fault) {
+func (link *Link) SetFaults(selectFault func(call string) Fault) {
 	link.mu.Lock()
 	defer link.mu.Unlock()
-	link.selectFault = fate
+	link.selectFault = selectFault
 }
 
 func (link *Link) nextFault(call string) Fault {
@@ -100,22 +100,22 @@
 // callOverLink makes one call with the fault selected for it.
 func callOverLink[T any](ctx context.Context, link *Link, name string, call func(context.Context) (T, error)) (T, error) {
 	var zero T
-	fate := link.nextFault(name)
-	if fate.NotSent {
+	fault := link.nextFault(name)
+	if fault.NotSent {
 		return zero, keyvalue.ErrNotSent.New("fault: call not sent")
 	}
-	if fate.AppliedAfter > 0 {
+	if fault.AppliedAfter > 0 {
 		if isWrite(name) {
-			go applyLate(fate.AppliedAfter, call)
+			go applyLate(fault.AppliedAfter, call)
 		}
 		return zero, keyvalue.ErrUnavailable.New("fault: no reply")
 	}
-	if !clock.SleepContext(ctx, fate.RequestDelay) {
+	if !clock.SleepContext(ctx, fault.RequestDelay) {
 		return zero, keyvalue.ErrUnavailable.Wrap(ctx.Err())
 	}
 	result, err := call(ctx)
 	era := link.era()
-	if !clock.SleepContext(ctx, fate.ReplyDelay) || fate.ReplyLost {
+	if !clock.SleepContext(ctx, fault.ReplyDelay) || fault.ReplyLost {
 		return zero, keyvalue.ErrUnavailable.New("fault: reply lost")
 	}
 	if link.Eras != nil {
--- a/peridotpath/keyvalue/memory/memory.go
+++ b/peridotpath/keyvalue/memory/memory.go
@@ -15,8 +15,8 @@
 )
 
 // Memory is the service. Set the exported fields before use; the zero value works and
-// injects no faults. As the platform's service, it compares only the numbers of the
-// versions and leases in a call, not their era.
+// injects no faults. It compares only the numbers of the versions and leases in a call, not
+// their era; the platform's service does the same.
 type Memory struct {
 	// Fault, if set, is called before (applied false) and after (applied true) each
 	// call takes effect. Its error is returned to the caller; a write that was already
@@ -25,15 +25,15 @@
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
-	mu      sync.Mutex
-	entries map[string]keyvalue.Entry
-	deleted map[string]keyvalue.Entry
-	leases  map[uint64]*lease
-	version keyvalue.Version
-	nextID  uint64
-	era     keyvalue.Era
-	changed chan struct{}
-	calls   map[string]int
+	mu          sync.Mutex
+	entries     map[string]keyvalue.Entry
+	deleted     map[string]keyvalue.Entry
+	leases      map[uint64]*lease
+	version     keyvalue.Version
+	lastLeaseID uint64
+	era         keyvalue.Era
+	changed     chan struct{}
+	calls       map[string]int
 }
 
 type lease struct {
@@ -92,8 +92,8 @@
 
 func (memory *Memory) expireLeases() {
 	now := memory.now()
-	for id, held := range memory.leases {
-		if !now.Before(held.expires) {
+	for id, active := range memory.leases {
+		if !now.Before(active.expires) {
 			memory.deleteLease(id)
 		}
 	}
@@ -197,8 +197,8 @@
 	if err := memory.beginCall(ctx, keyvalue.CallGrant, ""); err != nil {
 		return keyvalue.LeaseID{}, err
 	}
-	memory.nextID++
-	id := keyvalue.LeaseID{Era: memory.era, Number: memory.nextID}
+	memory.lastLeaseID++
+	id := keyvalue.LeaseID{Era: memory.era, Number: memory.lastLeaseID}
 	memory.leases[id.Number] = &lease{ttl: ttl, expires: memory.now().Add(ttl)}
 	memory.mu.Unlock()
 	return id, memory.injectFault(ctx, keyvalue.CallGrant, "", true)
@@ -208,12 +208,12 @@
 	if err := memory.beginCall(ctx, keyvalue.CallRenew, ""); err != nil {
 		return err
 	}
-	held := memory.leases[id.Number]
-	if held != nil {
-		held.expires = memory.now().Add(held.ttl)
+	active := memory.leases[id.Number]
+	if active != nil {
+		active.expires = memory.now().Add(active.ttl)
 	}
 	memory.mu.Unlock()
-	if held == nil {
+	if active == nil {
 		return keyvalue.ErrLeaseExpired.New("lease %s", id)
 	}
 	return memory.injectFault(ctx, keyvalue.CallRenew, "", true)
@@ -232,16 +232,16 @@
 	if err := memory.beginCall(ctx, keyvalue.CallWatch, prefix); err != nil {
 		return nil, 0, err
 	}
-	ctxWait, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
 		entries := append(memory.entriesAfter(memory.entries, prefix, after.Number()), memory.entriesAfter(memory.deleted, prefix, after.Number())...)
-		version, changed, lapse := memory.versionInEra(memory.version), memory.changed, memory.untilNextExpiry()
+		version, changed, untilExpiry := memory.versionInEra(memory.version), memory.changed, memory.untilNextExpiry()
 		memory.mu.Unlock()
 		if len(entries) > 0 {
 			return entries, version, memory.injectFault(ctx, keyvalue.CallWatch, prefix, true)
 		}
-		if !waitForChange(ctxWait, changed, lapse) {
+		if !waitForChange(waitCtx, changed, untilExpiry) {
 			if ctx.Err() != nil {
 				return nil, after, keyvalue.ErrUnavailable.Wrap(ctx.Err())
 			}
@@ -252,23 +252,23 @@
 	}
 }
 
-// maxExpiryWait is the longest wait of a watch between two checks for expired leases; without
-// leases it applies unchanged.
+// maxExpiryWait is the longest time that a watch waits between two checks for expired
+// leases, and the time that it waits where there are none.
 const maxExpiryWait = 24 * time.Hour
 
-// untilNextExpiry returns the time until the next lease expires unless it is renewed, at most
+// untilNextExpiry returns the time until the next lease expires if none is renewed, at most
 // maxExpiryWait. The expiry deletes entries, which watches report.
 func (memory *Memory) untilNextExpiry() time.Duration {
 	next := maxExpiryWait
-	for _, held := range memory.leases {
-		next = min(next, held.expires.Sub(memory.now()))
+	for _, active := range memory.leases {
+		next = min(next, active.expires.Sub(memory.now()))
 	}
 	return next
 }
 
 // waitForChange waits for a write or a lease's expiry; it returns false if ctx ended first.
-func waitForChange(ctx context.Context, changed <-chan struct{}, lapse time.Duration) bool {
-	timer := time.NewTimer(max(lapse, time.Millisecond))
+func waitForChange(ctx context.Context, changed <-chan struct{}, untilExpiry time.Duration) bool {
+	timer := time.NewTimer(max(untilExpiry, time.Millisecond))
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/peridotpath/keyvalue/memory/memory_test.go
+++ b/peridotpath/keyvalue/memory/memory_test.go
@@ -54,11 +54,11 @@
 // service applies the write.
 func TestInjectedFaultsOfWrite(t *testing.T) {
 	tests := map[string]struct {
-		fate     memory.Fault
-		lasts    time.Duration
-		answered bool
-		applied  bool
-		later    bool // applied after a minute
+		fault        memory.Fault
+		elapsed      time.Duration
+		succeeds     bool
+		applied      bool // when the call returns
+		appliedLater bool // a minute after that
 	}{
 		"no fault":     {memory.Fault{}, 0, true, true, true},
 		"slow request": {memory.Fault{RequestDelay: 2 * time.Second}, 2 * time.Second, true, true, true},
@@ -72,12 +72,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				platform, link := &memory.Memory{}, &memory.Link{}
-				link.SetFaults(func(string) memory.Fault { return test.fate })
+				link.SetFaults(func(string) memory.Fault { return test.fault })
 				begin := time.Now()
 				_, err := link.Store(platform).Swap(background, "a", 0, []byte("x"), keyvalue.LeaseID{})
-				is.Equal(time.Since(begin), test.lasts)
-				is.Equal(err == nil, test.answered)
-				is.Equal(keyvalue.ErrNotSent.Has(err), test.fate.NotSent)
+				is.Equal(time.Since(begin), test.elapsed)
+				is.Equal(err == nil, test.succeeds)
+				is.Equal(keyvalue.ErrNotSent.Has(err), test.fault.NotSent)
 				applied := func() bool {
 					entry, err := platform.Store().Get(background, "a")
 					is.NoErr(err)
@@ -85,7 +85,7 @@
 				}
 				is.Equal(applied(), test.applied)
 				time.Sleep(time.Minute)
-				is.Equal(applied(), test.later)
+				is.Equal(applied(), test.appliedLater)
 			})
 		})
 	}
--- a/peridotpath/keyvalue/memory/serve.go
+++ b/peridotpath/keyvalue/memory/serve.go
@@ -13,21 +13,21 @@
 func (memory *Memory) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	var call keyvalue.Call
 	if err := json.NewDecoder(request.Body).Decode(&call); err != nil {
-		reply(writer, keyvalue.Reply{}, keyvalue.ErrInvalid.Wrap(err))
+		writeReply(writer, keyvalue.Reply{}, keyvalue.ErrInvalid.Wrap(err))
 		return
 	}
-	answer, err := memory.serve(request, strings.TrimPrefix(request.URL.Path, keyvalue.PathPrefix), call)
-	answer.Era = memory.Era()
-	reply(writer, answer, err)
+	reply, err := memory.serve(request, strings.TrimPrefix(request.URL.Path, keyvalue.PathPrefix), call)
+	reply.Era = memory.Era()
+	writeReply(writer, reply, err)
 }
 
-func (memory *Memory) serve(request *http.Request, name string, call keyvalue.Call) (answer keyvalue.Reply, err error) {
+func (memory *Memory) serve(request *http.Request, name string, call keyvalue.Call) (reply keyvalue.Reply, err error) {
 	ctx := request.Context()
 	switch name {
 	case keyvalue.CallGet:
-		answer.Entry, err = memory.get(ctx, call.Key)
+		reply.Entry, err = memory.get(ctx, call.Key)
 	case keyvalue.CallList:
-		answer.Entries, answer.Version, err = memory.list(ctx, call.Key)
+		reply.Entries, reply.Version, err = memory.list(ctx, call.Key)
 	case keyvalue.CallSwap:
 		value := call.Value
 		if call.Delete {
@@ -35,23 +35,23 @@
 		} else if value == nil {
 			value = []byte{}
 		}
-		answer.Version, err = memory.swap(ctx, call.Key, call.Expect, value, call.Lease)
+		reply.Version, err = memory.swap(ctx, call.Key, call.Expect, value, call.Lease)
 	case keyvalue.CallGrant:
-		answer.Lease, err = memory.grant(ctx, time.Duration(call.TTLMS)*time.Millisecond)
+		reply.Lease, err = memory.grant(ctx, time.Duration(call.TTLMS)*time.Millisecond)
 	case keyvalue.CallRenew:
 		err = memory.renew(ctx, call.Lease)
 	case keyvalue.CallRelease:
 		err = memory.release(ctx, call.Lease)
 	case keyvalue.CallWatch:
 		wait := time.Duration(call.WaitMS) * time.Millisecond
-		answer.Entries, answer.Version, err = memory.watch(ctx, call.Key, call.After, wait)
+		reply.Entries, reply.Version, err = memory.watch(ctx, call.Key, call.After, wait)
 	default:
 		err = keyvalue.ErrInvalid.New("no call %q", name)
 	}
-	return answer, err
+	return reply, err
 }
 
-func reply(writer http.ResponseWriter, answer keyvalue.Reply, err error) {
+func writeReply(writer http.ResponseWriter, reply keyvalue.Reply, err error) {
 	status := http.StatusOK
 	switch {
 	case err == nil:
@@ -65,9 +65,9 @@
 		status = http.StatusServiceUnavailable
 	}
 	if err != nil {
-		answer.Error = err.Error()
+		reply.Error = err.Error()
 	}
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
-	_ = json.NewEncoder(writer).Encode(answer)
+	_ = json.NewEncoder(writer).Encode(reply)
 }
--- a/peridotpath/keyvalue/memory/copy.go
+++ b/peridotpath/keyvalue/memory/snapshot.go
@@ -8,10 +8,10 @@
 
 // Snapshot is a point-in-time copy of the service's state.
 type Snapshot struct {
-	entries map[string]keyvalue.Entry
-	leases  map[uint64]lease
-	version keyvalue.Version
-	nextID  uint64
+	entries     map[string]keyvalue.Entry
+	leases      map[uint64]lease
+	version     keyvalue.Version
+	lastLeaseID uint64
 }
 
 // Snapshot returns a copy of the current state.
@@ -19,24 +19,24 @@
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	leases := map[uint64]lease{}
-	for id, held := range memory.leases {
-		leases[id] = *held
+	for id, active := range memory.leases {
+		leases[id] = *active
 	}
-	return Snapshot{entries: maps.Clone(memory.entries), leases: leases, version: memory.version, nextID: memory.nextID}
+	return Snapshot{entries: maps.Clone(memory.entries), leases: leases, version: memory.version, lastLeaseID: memory.lastLeaseID}
 }
 
-// Restore restores the state from a copy and starts a new era: writes acknowledged since
-// the copy are lost, and their numbers are reused.
-func (memory *Memory) Restore(to Snapshot) {
+// Restore replaces the state by an earlier snapshot and starts a new era: writes
+// acknowledged since the snapshot are lost, and their numbers are reused.
+func (memory *Memory) Restore(snapshot Snapshot) {
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.era++
-	memory.entries, memory.deleted = maps.Clone(to.entries), map[string]keyvalue.Entry{}
+	memory.entries, memory.deleted = maps.Clone(snapshot.entries), map[string]keyvalue.Entry{}
 	memory.leases = map[uint64]*lease{}
-	for id, held := range to.leases {
-		memory.leases[id] = &held
+	for id, active := range snapshot.leases {
+		memory.leases[id] = &active
 	}
-	memory.version, memory.nextID = to.version, to.nextID
+	memory.version, memory.lastLeaseID = snapshot.version, snapshot.lastLeaseID
 	if memory.changed != nil {
 		memory.notifyWatchers()
 	}
@@ -54,11 +54,11 @@
 	if version == 0 {
 		return 0
 	}
-	stamped, err := keyvalue.NewVersion(memory.era, version.Number())
+	withEra, err := keyvalue.NewVersion(memory.era, version.Number())
 	if err != nil {
 		panic(err)
 	}
-	return stamped
+	return withEra
 }
 
 // entryInEra returns the entry with the current era in its version and lease.
