--- a/peridotpath/lease/lease.go
+++ b/peridotpath/lease/lease.go
@@ -114,11 +114,11 @@
 	settings := &holder.Settings
 	// The platform counts from when it received the renewal, later than this
 	// process does, so the lease expires there after it ends here.
-	left := (settings.TTLMS - settings.MarginMS).Duration() - tenure.renewalSentAt.Elapsed(now)
-	if left <= 0 || !holder.oldOrdersEnded(tenure) {
+	remaining := (settings.TTLMS - settings.MarginMS).Duration() - tenure.renewalSentAt.Elapsed(now)
+	if remaining <= 0 || !holder.oldOrdersEnded(tenure) {
 		return Term{}, false
 	}
-	return Term{Fencing: tenure.fencing, Remaining: left}, true
+	return Term{Fencing: tenure.fencing, Remaining: remaining}, true
 }
 
 // oldOrdersWait is how long a new holder sends no orders. An engine that ignores fencing tokens
@@ -133,7 +133,7 @@
 }
 
 // Run acquires the lease whenever it is free and renews it until ctx ends or Close is
-// called; then it releases the lease. End it only once no order of this process is in
+// called; then it releases the lease. End Run only once no order of this process is in
 // flight: the next holder may send its first order at once.
 func (holder *Holder) Run(ctx context.Context) error {
 	holder.setUp()
@@ -143,11 +143,11 @@
 	defer close(holder.done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watched := make(chan struct{})
-	go holder.cancelOnStop(ctx, cancel, watched)
+	watchEnded := make(chan struct{})
+	go holder.cancelOnStop(ctx, cancel, watchEnded)
 	defer func() {
 		cancel()
-		<-watched
+		<-watchEnded
 	}()
 	for ctx.Err() == nil {
 		tenure, err := holder.tryAcquire(ctx)
@@ -220,7 +220,7 @@
 // noOrderInFlight reports whether no order sent under an earlier lease can be in flight: its
 // holder released it, or no order was ever sent. Shortly after the store was restored from
 // an older copy neither is known: the restore may have lost a later tenure, whose holder
-// has not noticed yet.
+// may still act.
 func (holder *Holder) noOrderInFlight(ctx context.Context, released bool) bool {
 	if holder.Store.TimeSinceDataLoss != nil && holder.Store.TimeSinceDataLoss() < (holder.Settings.TTLMS+holder.Settings.LongestOrderMS).Duration() {
 		return false
--- a/peridotpath/lease/lease_test.go
+++ b/peridotpath/lease/lease_test.go
@@ -68,11 +68,11 @@
 
 // freeze delays the process's calls for span, as a pause of its machine would.
 func (process *process) freeze(span time.Duration) {
-	thaw := time.Now().Add(span)
+	frozenUntil := time.Now().Add(span)
 	process.mu.Lock()
-	process.frozenUntil = thaw
+	process.frozenUntil = frozenUntil
 	process.mu.Unlock()
-	process.link.SetFaults(func(string) memory.Fault { return memory.Fault{RequestDelay: max(0, time.Until(thaw))} })
+	process.link.SetFaults(func(string) memory.Fault { return memory.Fault{RequestDelay: max(0, time.Until(frozenUntil))} })
 }
 
 func (process *process) isFrozen() bool {
@@ -146,8 +146,8 @@
 // Renewals take effect at once but their replies take 4 s, and then the holder is
 // disconnected. The platform has counted since 4 s before the last reply.
 func TestRenewalCountsFromBeforeItWasSent(t *testing.T) {
-	eager := func(holder *lease.Holder) { holder.Settings.WaitMS = 500 }
-	testTwoHolders(t, eager, func(is *is.I, platform *memory.Memory, first, second *process) {
+	retryOften := func(holder *lease.Holder) { holder.Settings.WaitMS = 500 }
+	testTwoHolders(t, retryOften, func(is *is.I, platform *memory.Memory, first, second *process) {
 		first.link.SetFaults(func(string) memory.Fault { return memory.Fault{ReplyDelay: 4 * time.Second} })
 		time.Sleep(15 * time.Second)
 		first.link.SetFaults(func(string) memory.Fault { return memory.Fault{NotSent: true} })
@@ -261,8 +261,8 @@
 }
 
 // The fleet starts for the first time. No order was ever sent, so the first holder has
-// none to wait for; the wait delayed the first work of a new deployment. If it is unknown whether
-// an order was sent, the holder waits.
+// none to wait for; a wait would delay the first requests of a new deployment. If it is
+// unknown whether an order was sent, the holder waits.
 func TestFirstHolderNeedsNoWait(t *testing.T) {
 	cases := map[string]struct {
 		unused bool
@@ -374,7 +374,7 @@
 	name    string
 	process string
 	span    time.Duration
-	fates   []memory.Fault
+	faults  []memory.Fault
 }
 
 func drawStep(t *rapid.T) step {
@@ -383,10 +383,10 @@
 		process: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "who"),
 		span:    time.Duration(rapid.IntRange(0, 300).Draw(t, "span")) * 100 * time.Millisecond,
 	}
-	for range rapid.IntRange(1, 4).Draw(t, "fates") {
-		step.fates = append(step.fates, rapid.SampledFrom([]memory.Fault{
+	for range rapid.IntRange(1, 4).Draw(t, "faults") {
+		step.faults = append(step.faults, rapid.SampledFrom([]memory.Fault{
 			{}, {}, {RequestDelay: 2 * time.Second}, {RequestDelay: 20 * time.Second}, {ReplyDelay: 4 * time.Second}, {NotSent: true}, {ReplyLost: true}, {AppliedAfter: 9 * time.Second},
-		}).Draw(t, "fate"))
+		}).Draw(t, "fault"))
 	}
 	return step
 }
@@ -398,7 +398,7 @@
 		next := 0
 		process.link.SetFaults(func(string) memory.Fault {
 			next++
-			return step.fates[next%len(step.fates)]
+			return step.faults[next%len(step.faults)]
 		})
 	case "heal":
 		process.link.SetFaults(nil)
@@ -424,12 +424,12 @@
 func TestRandomHoldersNeverOverlap(t *testing.T) {
 	soak.Check(t, 3, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Custom(drawStep), 10, 40).Draw(rt, "script")
-		waitOut := rapid.Bool().Draw(rt, "wait out")
+		waitForOldOrders := rapid.Bool().Draw(rt, "wait out")
 		checker := &checker{lastHeldAt: map[string]time.Time{}, fencing: map[string]peridotpath.FencingNumber{}}
-		if waitOut {
+		if waitForOldOrders {
 			checker.maxOrderTime = 30 * time.Second
 		}
-		change := func(holder *lease.Holder) { holder.WaitForOldOrders = waitOut }
+		change := func(holder *lease.Holder) { holder.WaitForOldOrders = waitForOldOrders }
 		synctest.Test(t, func(*testing.T) {
 			platform := &memory.Memory{}
 			processes := map[string]*process{}
@@ -487,7 +487,7 @@
 
 // The service is restored from a copy without the holder's lease, in which it seems that
 // no order was ever sent. The next process to acquire the lease must wait until the
-// holder before has noticed and its orders have ended.
+// first holder's lease and orders have ended.
 func TestLeaseLostByRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -500,20 +500,20 @@
 				holder.NeverUsed = func(context.Context) (bool, error) { return true, nil }
 			})
 		}
-		before := platform.Snapshot()
+		snapshot := platform.Snapshot()
 		first := guarded("a")
-		_, number := waitHeld(is, first)
-		platform.Restore(before)
+		_, before := waitHeld(is, first)
+		platform.Restore(snapshot)
 		third := guarded("c")
 		for range 600 {
 			time.Sleep(100 * time.Millisecond)
-			_, ofFirst := first.Held()
-			_, ofThird := third.Held()
-			is.True(!ofFirst || !ofThird)
+			_, firstHolds := first.Held()
+			_, thirdHolds := third.Held()
+			is.True(!firstHolds || !thirdHolds)
 		}
 		is.NoErr(first.Close())
-		_, later := waitHeld(is, third)
-		is.True(later > number) // although the service reuses its numbers
+		_, after := waitHeld(is, third)
+		is.True(after > before) // although the service reuses its numbers
 		is.NoErr(third.Close())
 	})
 }
