--- a/peridotpath/routing/era_test.go
+++ b/peridotpath/routing/era_test.go
@@ -49,7 +49,7 @@
 	return store.fakeStore.check(ctx, key, expect)
 }
 
-// runWithRestores runs a follower of an restorableStore until work returns.
+// runWithRestores runs a follower of a restorableStore until work returns.
 func runWithRestores(t *testing.T, work func(is *is.I, store *restorableStore, follower *routing.Follower)) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -102,7 +102,7 @@
 	runWithRestores(t, func(is *is.I, store *restorableStore, follower *routing.Follower) {
 		state := follower.State
 		revokedAt := state.Now()
-		store.set(0, 0, errors.New("away"))
+		store.set(0, 0, errors.New("store unreachable"))
 		time.Sleep(time.Second)
 		store.write(4, 50, 8) // the copy, without the revocation
 		for state.Now()-revokedAt < 2900*time.Millisecond {
@@ -115,7 +115,7 @@
 	})
 }
 
-// The restore lost no write, so no writer rewrites the routing. After Settling the routing
+// The restore lost no write, so no writer rewrites the routing. After SettleTime the routing
 // in the store must count as the newest.
 func TestRestoredStoreSettles(t *testing.T) {
 	runWithRestores(t, func(is *is.I, store *restorableStore, follower *routing.Follower) {
--- a/peridotpath/routing/fleet_test.go
+++ b/peridotpath/routing/fleet_test.go
@@ -38,7 +38,7 @@
 	mutex     sync.Mutex
 	// bytesSent counts the bytes that each follower has sent to peers.
 	bytesSent []int
-	// encodedLengths caches the length of a reply by its version and the asker's version.
+	// encodedLengths caches the length of a reply by its version and that of the receiver.
 	encodedLengths map[[2]keyvalue.Version]int
 }
 
@@ -67,7 +67,7 @@
 	store.version = version
 }
 
-func (store *largeStore) called() int {
+func (store *largeStore) callCount() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.calls
@@ -123,8 +123,8 @@
 		state := &routing.State{
 			Now: func() time.Duration { return time.Hour + time.Since(began) }, KeyLifetime: 4500 * time.Millisecond, Log: zerolog.Nop(),
 		}
-		// Data centres are assigned in turn, so this is the rank within its data centre.
-		behind := i / dataCentres
+		// Instances are assigned to the data centres in turn.
+		rankInDataCentre := i / dataCentres
 		fleet.followers = append(fleet.followers, &routing.Follower{
 			State: state, Key: "routing", Decode: decodeLarge, GetIfChanged: fleet.store.check, Eras: &keyvalue.EraTracker{}, Log: zerolog.Nop(),
 			FetchFromPeer: func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
@@ -132,12 +132,12 @@
 			},
 			OnConfirmed: func() { fleet.sendDigest(i, dataCentres) },
 			FetchPosition: func(version peridotpath.RoutingVersion) int {
-				return (behind + int(version)) % (count / dataCentres)
+				return (rankInDataCentre + int(version)) % (count / dataCentres)
 			},
 			Pace: clock.PollSchedule{
 				MinAge: 1400 * time.Millisecond, MaxDelay: time.Second, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond,
 				PeerCount: func() int { return count - 1 },
-				HasData:   func() bool { return state.Current() != nil }, PrecedingPeers: func() int { return min(behind, 9) },
+				HasData:   func() bool { return state.Current() != nil }, PrecedingPeers: func() int { return min(rankInDataCentre, 9) },
 			},
 		})
 	}
@@ -192,7 +192,7 @@
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	key := [2]keyvalue.Version{snapshot.Version, base.Version}
-	if length, known := fleet.encodedLengths[key]; known {
+	if length, ok := fleet.encodedLengths[key]; ok {
 		return length, nil
 	}
 	packed, err := delta.Compute(snapshot.Value, base.Value)
@@ -203,10 +203,10 @@
 // run runs all followers until work returns.
 func (fleet *followerFleet) run(t *testing.T, dataCentres int, work func()) {
 	ctx, cancel := context.WithCancel(t.Context())
-	var all sync.WaitGroup
+	var tasks sync.WaitGroup
 	for i, follower := range fleet.followers {
-		all.Go(func() { _ = follower.Run(ctx) })
-		all.Go(func() {
+		tasks.Go(func() { _ = follower.Run(ctx) })
+		tasks.Go(func() {
 			for clock.SleepContext(ctx, digestInterval) {
 				fleet.sendDigest(i, dataCentres)
 			}
@@ -214,7 +214,7 @@
 	}
 	work()
 	cancel()
-	all.Wait()
+	tasks.Wait()
 	time.Sleep(time.Second)
 }
 
@@ -254,7 +254,7 @@
 					if have := fleet.countAt(3); have != count {
 						t.Errorf("after 1 s %d of %d instances have the routing", have, count)
 					}
-					if calls := fleet.store.called(); calls > 10 {
+					if calls := fleet.store.callCount(); calls > 10 {
 						t.Errorf("%d calls to the store, want 10: two in each data centre", calls)
 					}
 				})
@@ -276,7 +276,7 @@
 				fleet.store.set(1)
 				fleet.run(t, 5, func() {
 					time.Sleep(5 * time.Second)
-					calls := fleet.store.called()
+					calls := fleet.store.callCount()
 					fleet.mutex.Lock()
 					clear(fleet.bytesSent)
 					fleet.mutex.Unlock()
@@ -288,7 +288,7 @@
 					if have := fleet.countAt(26); have != count {
 						t.Errorf("3 s after the last change %d of %d instances have it", have, count)
 					}
-					calls = fleet.store.called() - calls
+					calls = fleet.store.callCount() - calls
 					total := fleet.totalSent()
 					t.Logf("%d instances: %d calls to the store, %d bytes between instances, %d each", count, calls, total, total/count)
 					if total/count > whole/4 {
@@ -337,7 +337,7 @@
 		fleet.store.set(3)
 		fleet.run(t, dataCentres, func() {
 			time.Sleep(5 * time.Second)
-			calls := fleet.store.called()
+			calls := fleet.store.callCount()
 			era.Store(1)
 			for _, follower := range fleet.followers {
 				// Digests spread the era within milliseconds.
@@ -355,8 +355,9 @@
 			if have := fleet.countAt(4); have != count {
 				t.Errorf("2 s after a change %d of %d instances have it", have, count)
 			}
-			// Without these lists, all would poll as often as during a store outage.
-			if calls = fleet.store.called() - calls; calls > 60 {
+			// Without these list calls all instances would poll as often as during an outage
+			// of the store.
+			if calls = fleet.store.callCount() - calls; calls > 60 {
 				t.Errorf("%d calls to the store in 3 s, want 60 at most", calls)
 			}
 		})
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -20,7 +20,7 @@
 // before Run.
 type Follower struct {
 	State *State
-	// Key is the store's key of the routing, and Decode decodes its value.
+	// Key is the routing's key in the store, and Decode decodes its value.
 	Key    string
 	Decode func(value []byte) (*peridotpath.Routing, error)
 	// GetIfChanged is the store's conditional get.
@@ -46,12 +46,13 @@
 	mutex sync.Mutex
 	// lastReadVersion is the store's version at the last read.
 	lastReadVersion keyvalue.Version
-	// provenVersion is the newest version known to be written in its era. Only Run uses it.
+	// provenVersion is the newest version that is known to have been written in its era, not
+	// carried over by a restore. Only Run uses it.
 	provenVersion keyvalue.Version
 }
 
-// errStoreNotSettled means that the store was restored from a copy, so the routing in it may be
-// older than the one last written.
+// errStoreNotSettled means that the store was restored from an older copy, so its routing may
+// be older than the one last written.
 var errStoreNotSettled = errs.New("routing: store was restored from an older copy and its routing is not known to be written since")
 
 // remoteFetchDelay is about the time to fetch a change from a peer in another data centre and to
@@ -60,10 +61,10 @@
 
 // Run reads the store whenever the routing has not been confirmed for the interval of
 // Pace, until ctx ends. Confirmations by peers postpone the read, so that all instances
-// together read hardly more often than one.
+// together read little more often than a single one would.
 //
-// It polls with conditional gets rather than a watch: the silence of a watch does not
-// confirm that nothing has changed.
+// It polls with conditional gets rather than a watch: a watch that returns nothing
+// does not confirm that nothing has changed.
 func (follower *Follower) Run(ctx context.Context) error {
 	for follower.Pace.WaitUntilDue(ctx, follower.State.Age) {
 		if follower.fetchFromPeers(ctx) {
@@ -86,9 +87,9 @@
 // UpdateFromPeer processes a peer's routing version: it confirms the active routing, or notes
 // the peer as the source of a newer one.
 //
-// A version of a peer in another data centre is fetched by one instance of this one, and
-// by the next only if no nearby peer has it after remoteFetchDelay: requests of all instances fill
-// the link of the peer that read it first for seconds.
+// If the peer is in another data centre, one instance of this one fetches the version, and
+// the next only if no nearby peer has it after remoteFetchDelay: simultaneous requests of
+// all instances would fill the link of the peer that read it first for seconds.
 func (follower *Follower) UpdateFromPeer(peer readings.Peer, version peridotpath.RoutingVersion, confirmed time.Duration) {
 	table := follower.State.Current()
 	switch {
@@ -136,9 +137,9 @@
 // whether the newer version is active, so that the store need not be read.
 func (follower *Follower) fetchFromPeers(ctx context.Context) bool {
 	for attempt := range maxPeersTried {
-		peer, noted := follower.newerPeers.Take()
-		if !noted {
-			// An earlier fetch has brought the version that this wake is for.
+		peer, ok := follower.newerPeers.Take()
+		if !ok {
+			// An earlier fetch may have returned the version that caused this wake-up.
 			return attempt == 0 && (follower.Pace.WokenEarly() || !follower.Pace.IsDue(follower.State.Age()))
 		}
 		if follower.fetchFromPeer(ctx, peer) {
@@ -168,13 +169,13 @@
 }
 
 // readStore reads the store once. The confirmation counts from before the read was sent: a
-// reply covers no change after the store made it, however long it was in transit.
+// reply covers no change made after it was sent, however long it was in transit.
 func (follower *Follower) readStore(ctx context.Context) error {
 	follower.mutex.Lock()
-	known := follower.lastReadVersion
+	readVersion := follower.lastReadVersion
 	follower.mutex.Unlock()
 	sentAt := follower.State.Now()
-	entry, changed, err := follower.GetIfChanged(ctx, follower.Key, known)
+	entry, changed, err := follower.GetIfChanged(ctx, follower.Key, readVersion)
 	if err != nil {
 		return err
 	}
@@ -183,7 +184,7 @@
 	}
 	switch {
 	case !changed:
-		return follower.confirmVersion(known, sentAt)
+		return follower.confirmVersion(readVersion, sentAt)
 	case entry.Version == 0 || len(entry.Value) == 0:
 		// The routing does not exist yet or was deleted. The active one is kept
 		// without a confirmation.
@@ -191,7 +192,7 @@
 		follower.lastReadVersion = entry.Version
 		follower.mutex.Unlock()
 		return nil
-	case entry.Version.Era() == known.Era():
+	case entry.Version.Era() == readVersion.Era():
 		// A change between two reads in one era was written in that era.
 		follower.provenVersion = entry.Version
 	case !follower.Eras.IsUpToDate(entry.Version):
@@ -215,8 +216,8 @@
 	return nil
 }
 
-// unconfirmed is the time sentAt of a routing that is not known to be the newest. It confirms
-// nothing.
+// unconfirmed is passed to apply as sentAt for a routing that is not known to be the newest.
+// It confirms nothing.
 const unconfirmed time.Duration = 0
 
 // apply decodes and activates a routing, unless a newer one is active.
--- a/peridotpath/routing/machine_test.go
+++ b/peridotpath/routing/machine_test.go
@@ -16,7 +16,7 @@
 
 // keysMachine is a state machine of a few instances that read one store and gossip with
 // each other, while operators add and revoke keys. Replies are delayed and reordered; an
-// instance is disconnected for as long as it is not drawn.
+// instance that is not drawn for a while is in effect disconnected.
 type keysMachine struct {
 	now       time.Duration
 	instances []*routing.State
@@ -94,17 +94,17 @@
 func (machine *keysMachine) read(random *rapid.T) {
 	machine.replies = append(machine.replies, replyInTransit{
 		to:      rapid.IntRange(0, instanceCount-1).Draw(random, "reader"),
-		routing: machine.newest(), hasRouting: rapid.Bool().Draw(random, "whole"), sentAt: machine.now,
+		routing: machine.newest(), hasRouting: rapid.Bool().Draw(random, "has_routing"), sentAt: machine.now,
 	})
 }
 
-// sendToPeer makes an instance send its routing and the age of it to another.
+// sendToPeer makes an instance send its routing and the routing's age to another.
 func (machine *keysMachine) sendToPeer(random *rapid.T) {
-	from := machine.instances[rapid.IntRange(0, instanceCount-1).Draw(random, "teller")]
+	from := machine.instances[rapid.IntRange(0, instanceCount-1).Draw(random, "sender")]
 	if table := from.Current(); table != nil {
 		machine.replies = append(machine.replies, replyInTransit{
-			to:      rapid.IntRange(0, instanceCount-1).Draw(random, "hearer"),
-			routing: table.Routing, hasRouting: rapid.Bool().Draw(random, "whole"), sentAt: machine.now - from.Age(),
+			to:      rapid.IntRange(0, instanceCount-1).Draw(random, "receiver"),
+			routing: table.Routing, hasRouting: rapid.Bool().Draw(random, "has_routing"), sentAt: machine.now - from.Age(),
 		})
 	}
 }
@@ -119,7 +119,7 @@
 	}
 	old := rapid.IntRange(0, int(table.Routing.Version)-2).Draw(random, "version")
 	machine.replies = append(machine.replies, replyInTransit{
-		to: to, routing: machine.versions[old].routing, hasRouting: rapid.Bool().Draw(random, "whole"), sentAt: machine.now,
+		to: to, routing: machine.versions[old].routing, hasRouting: rapid.Bool().Draw(random, "has_routing"), sentAt: machine.now,
 	})
 }
 
@@ -128,7 +128,7 @@
 	if len(machine.replies) == 0 {
 		random.Skip("no reply in transit")
 	}
-	at := rapid.IntRange(0, len(machine.replies)-1).Draw(random, "answer")
+	at := rapid.IntRange(0, len(machine.replies)-1).Draw(random, "reply")
 	reply := machine.replies[at]
 	machine.replies = append(machine.replies[:at], machine.replies[at+1:]...)
 	state := machine.instances[reply.to]
@@ -146,7 +146,7 @@
 			continue
 		}
 		for key, revokedAt := range machine.revokedAt {
-			if _, known := state.Current().KeyHolder(key); known && machine.now-revokedAt >= keyLifetime {
+			if _, ok := state.Current().KeyHolder(key); ok && machine.now-revokedAt >= keyLifetime {
 				random.Fatalf("instance %d uses %s, revoked %s ago", number, key, machine.now-revokedAt)
 			}
 		}
--- a/peridotpath/routing/state.go
+++ b/peridotpath/routing/state.go
@@ -55,7 +55,7 @@
 		state.Log.Info().Uint64("version", uint64(routing.Version)).Int("routes", len(routing.Routes)).
 			Int("keys", len(routing.Keys)).Msg("routing_in_force")
 	}
-	state.confirmSince(sentAt)
+	state.confirmAt(sentAt)
 }
 
 // Confirm records that the routing of that version was still the newest for a read that
@@ -64,18 +64,18 @@
 	state.mutex.Lock()
 	defer state.mutex.Unlock()
 	if table := state.table.Load(); table != nil && table.Routing.Version == version {
-		state.confirmSince(sentAt)
+		state.confirmAt(sentAt)
 	}
 }
 
-func (state *State) confirmSince(sentAt time.Duration) {
+func (state *State) confirmAt(sentAt time.Duration) {
 	if int64(sentAt) > state.confirmedAt.Load() {
 		state.confirmedAt.Store(int64(sentAt))
 	}
 }
 
 // Age returns the time since the active routing was last confirmed as the newest. It
-// exceeds every bound until the first routing is applied.
+// is a year, more than every bound, until the first routing is confirmed.
 func (state *State) Age() time.Duration {
 	confirmed := state.confirmedAt.Load()
 	if confirmed == 0 {
--- a/peridotpath/routing/state_test.go
+++ b/peridotpath/routing/state_test.go
@@ -108,7 +108,7 @@
 	store.version, store.routing, store.err = version, routing, err
 }
 
-func (store *fakeStore) called() int {
+func (store *fakeStore) callCount() int {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	return store.calls
@@ -168,7 +168,7 @@
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(time.Second)
 		is.True(state.Current() == nil) // there is none yet
-		is.True(store.called() < 20)    // and the store is not polled without a pause
+		is.True(store.callCount() < 20) // and the store is not polled without a pause
 		store.set(5, 2, nil)
 		time.Sleep(time.Second)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(2))
@@ -179,7 +179,7 @@
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(8))
 
 		// The store is unreachable: the routing stays active, but keys expire.
-		store.set(6, 8, keyvalue.ErrUnavailable.New("away"))
+		store.set(6, 8, keyvalue.ErrUnavailable.New("store unreachable"))
 		time.Sleep(6 * time.Second)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(8))
 		is.True(!state.KeysUsable())
@@ -209,11 +209,11 @@
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(time.Second)
-		is.Equal(store.called(), 1)
+		is.Equal(store.callCount(), 1)
 		follower.UpdateFromPeer(peer, 2, state.Now())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(2))
-		is.Equal(store.called(), 1)
+		is.Equal(store.callCount(), 1)
 		is.Equal(state.Age(), 400*time.Millisecond) // the peer's age is carried over
 		last, ok := follower.Latest()
 		is.True(ok)
@@ -250,7 +250,7 @@
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &fakeStore{version: 1, routing: 1}
-		far := readings.Peer{Address: netip.MustParseAddrPort("10.9.0.1:99")}
+		remotePeer := readings.Peer{Address: netip.MustParseAddrPort("10.9.0.1:99")}
 		fetchedFrom := make(chan netip.AddrPort, 10)
 		follower, state := newFollower(store)
 		follower.FetchFromPeer = func(_ context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
@@ -263,19 +263,19 @@
 		go func() { ended <- follower.Run(ctx) }()
 		time.Sleep(time.Second)
 
-		follower.UpdateFromPeer(far, 2, state.Now())
+		follower.UpdateFromPeer(remotePeer, 2, state.Now())
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(len(fetchedFrom), 0) // two others are first
 		follower.UpdateFromPeer(peer, 2, state.Now())
 		time.Sleep(time.Second)
 		is.Equal(<-fetchedFrom, peer.Address) // one of them has it
 
-		follower.UpdateFromPeer(far, 3, state.Now())
+		follower.UpdateFromPeer(remotePeer, 3, state.Now())
 		time.Sleep(time.Second)
-		is.Equal(<-fetchedFrom, far.Address) // no nearby peer has it
+		is.Equal(<-fetchedFrom, remotePeer.Address) // no nearby peer has it
 		is.Equal(len(fetchedFrom), 0)
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(3))
-		is.Equal(store.called(), 1) // the store is read at the start only
+		is.Equal(store.callCount(), 1) // the store is read at the start only
 		cancel()
 		is.True(errors.Is(<-ended, context.Canceled))
 	})
--- a/peridotpath/routing/table.go
+++ b/peridotpath/routing/table.go
@@ -47,8 +47,8 @@
 
 // KeyHolder returns the holder of the key; false for an unknown key.
 func (table *Table) KeyHolder(key peridotpath.APIKey) (peridotpath.KeyHolder, bool) {
-	holder, known := table.Routing.Keys[key]
-	return holder, known
+	holder, ok := table.Routing.Keys[key]
+	return holder, ok
 }
 
 // NeedsKey reports whether requests on the route must carry a key.
