--- a/peridotpath/delta/delta.go
+++ b/peridotpath/delta/delta.go
@@ -1,6 +1,6 @@
 // Package delta encodes a value as a delta to an earlier one that the receiver has, to keep
 // transfers of large, slightly changed documents small. It is zstd compression with the
-// earlier value as raw dictionary.
+// earlier value as a raw dictionary.
 package delta
 
 import (
@@ -55,10 +55,10 @@
 	return value, Error.Wrap(err)
 }
 
-// windowSize returns the least power of two of at least span bytes, within the bounds.
-func windowSize(span int) int {
+// windowSize returns the least power of two of at least length bytes, within the bounds.
+func windowSize(length int) int {
 	size := minWindowBytes
-	for size < span && size < maxWindowBytes {
+	for size < length && size < maxWindowBytes {
 		size *= 2
 	}
 	return size
