--- a/peridotpath/telemetry/facts.go
+++ b/peridotpath/telemetry/facts.go
@@ -11,7 +11,8 @@
 	requestsQuarantined = metrics.NewCounter("peridotpath_requests_barred_total")
 )
 
-// CountEndpointTermination counts an endpoint that terminated while it ran a request of this instance.
+// CountEndpointTermination counts an endpoint that terminated while it ran a request of
+// this instance.
 func CountEndpointTermination() { endpointsTerminated.Inc() }
 
 // CountQuarantine counts a decision to quarantine a request.
--- a/peridotpath/telemetry/log.go
+++ b/peridotpath/telemetry/log.go
@@ -15,7 +15,7 @@
 // NewLog returns a logger that writes each event as one line of key=value pairs, including
 // the instance's ID.
 func NewLog(out io.Writer, level string, instance peridotpath.InstanceID) (zerolog.Logger, error) {
-	// Lines of several instances are merged by time, which takes milliseconds.
+	// Lines of several instances are merged by time, which requires millisecond resolution.
 	zerolog.TimeFieldFormat = timeFormat
 	parsed, err := zerolog.ParseLevel(level)
 	if err != nil {
--- a/peridotpath/telemetry/relay.go
+++ b/peridotpath/telemetry/relay.go
@@ -27,16 +27,16 @@
 	}
 }
 
-// RecordRelayTime records the time from arrival to end of a request by its kind, including failed
-// requests.
+// RecordRelayTime records the time from a request's arrival to its end, by request kind and
+// length class. Failed requests are included.
 func RecordRelayTime(kind peridotpath.RequestKind, class peridotpath.LengthClass, span time.Duration) {
 	relayTime[kind][class].Update(span.Seconds())
 }
 
 // RecordPredictionRatio records the ratio of the actual to the predicted time to first token.
-func RecordPredictionRatio(class peridotpath.LengthClass, predicted, seen time.Duration) {
+func RecordPredictionRatio(class peridotpath.LengthClass, predicted, actual time.Duration) {
 	if predicted > 0 {
-		ttftPredictionRatio[class].Update(seen.Seconds() / predicted.Seconds())
+		ttftPredictionRatio[class].Update(actual.Seconds() / predicted.Seconds())
 	}
 }
 
@@ -48,12 +48,13 @@
 	metrics.GetOrCreateCounter(fmt.Sprintf("peridotpath_attempts_failed_total{outcome=%q}", outcome)).Inc()
 }
 
-// CountRetryBudgetExhausted counts a request that was not retried because the retry budget was exhausted.
+// CountRetryBudgetExhausted counts a request that was not retried because the retry budget
+// was exhausted.
 func CountRetryBudgetExhausted() { retryBudgetExhausted.Inc() }
 
 var retryBudgetExhausted = metrics.NewCounter("peridotpath_retries_refused_total{reason=\"budget\"}")
 
-// gauges are the functions that read the gauges on a scrape.
+// gauges holds the functions that SetGauges has set.
 var gauges atomic.Pointer[Gauges]
 
 // Gauges are the functions that return gauge values on a scrape. Ages are in seconds.
@@ -73,10 +74,10 @@
 		"peridotpath_reservations_held":     func(set *Gauges) func() float64 { return set.Reservations },
 		"peridotpath_requests_active":       func(set *Gauges) func() float64 { return set.Active },
 	}
-	for name, pick := range names {
+	for name, gauge := range names {
 		metrics.NewGauge(name, func() float64 {
 			if set := gauges.Load(); set != nil {
-				return pick(set)()
+				return gauge(set)()
 			}
 			return 0
 		})
--- a/peridotpath/telemetry/sampler.go
+++ b/peridotpath/telemetry/sampler.go
@@ -18,7 +18,7 @@
 	lines  int
 }
 
-var logLinesLeftOut = metrics.NewCounter("peridotpath_log_lines_left_out_total")
+var logLinesSampledOut = metrics.NewCounter("peridotpath_log_lines_left_out_total")
 
 // Allow reports whether a line may be written now.
 func (logSampler *LogSampler) Allow(now time.Time) bool {
@@ -28,7 +28,7 @@
 		logSampler.second, logSampler.lines = second, 0
 	}
 	if logSampler.lines >= logSampler.PerSecond {
-		logLinesLeftOut.Inc()
+		logLinesSampledOut.Inc()
 		return false
 	}
 	logSampler.lines++
--- a/peridotpath/telemetry/telemetry.go
+++ b/peridotpath/telemetry/telemetry.go
@@ -93,8 +93,8 @@
 	P50, P95, P99 time.Duration
 }
 
-// TimeToFirstTokenQuantiles returns the quantiles of the time to first token since the start, for each
-// length class with requests. The bucket width bounds the relative error to one seventh.
+// TimeToFirstTokenQuantiles returns the quantiles of the time to first token since the
+// start, for each length class with requests. The bucket width bounds the relative error to one seventh.
 func TimeToFirstTokenQuantiles() []LatencyQuantiles {
 	var all []LatencyQuantiles
 	for class := range peridotpath.LengthClasses {
@@ -135,8 +135,8 @@
 }
 
 // quantile returns the upper bound of the bucket that contains the quantile.
-func quantile(buckets []bucket, total uint64, part float64) time.Duration {
-	rank := uint64(math.Ceil(part * float64(total)))
+func quantile(buckets []bucket, total uint64, fraction float64) time.Duration {
+	rank := uint64(math.Ceil(fraction * float64(total)))
 	for _, bucket := range buckets {
 		if bucket.count >= rank {
 			return time.Duration(bucket.upper * float64(time.Second))
