--- a/peridotpath/logline/logline.go
+++ b/peridotpath/logline/logline.go
@@ -28,7 +28,7 @@
 	return value
 }
 
-// maxLineBytes bounds one line, in bytes. Instances write no longer ones.
+// maxLineBytes bounds one line, in bytes. Instances write no longer lines.
 const maxLineBytes = 1 << 20
 
 // Parse parses the pairs of a line; false for a line without an event. Text before the
@@ -74,11 +74,11 @@
 	return value, text[len(quoted):]
 }
 
-// ReadFiles calls use for each event line of the files, and returns the number of other
+// ReadFiles calls handle for each event line of the files, and returns the number of other
 // lines.
-func ReadFiles(paths []string, use func(Line)) (skipped int, err error) {
+func ReadFiles(paths []string, handle func(Line)) (skipped int, err error) {
 	for _, path := range paths {
-		count, err := readFile(path, use)
+		count, err := readFile(path, handle)
 		skipped += count
 		if err != nil {
 			return skipped, err
@@ -87,7 +87,7 @@
 	return skipped, nil
 }
 
-func readFile(path string, use func(Line)) (skipped int, err error) {
+func readFile(path string, handle func(Line)) (skipped int, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return 0, err
@@ -102,7 +102,7 @@
 			_, err = reader.ReadSlice('\n')
 		}
 		if line, ok := Parse(strings.TrimRight(string(text), "\r\n")); ok {
-			use(line)
+			handle(line)
 		} else if len(text) > 0 {
 			skipped++
 		}
