--- a/peridotpath/claim/claim.go
+++ b/peridotpath/claim/claim.go
@@ -17,13 +17,13 @@
 	operation *operation
 	inFlight  *InFlight
 	ended     atomic.Bool
-	// dispatched is set once a call of Claim.BeginDispatch has succeeded.
+	// dispatched is set once a call of BeginDispatch has succeeded.
 	dispatched atomic.Bool
 }
 
-// BeginDispatch must be called right before each time the request is sent to an endpoint. If the
-// claim's dispatch window has passed, for example because the request was queued, the claim
-// is renewed first, which takes a store call and at most the claim timeout. An error means
+// BeginDispatch must be called right before each time the request is sent to an endpoint.
+// If the claim's dispatch window has passed, for example because the request was queued,
+// the claim is renewed first, which takes a store call and at most the claim timeout. An error means
 // that the request must not be sent, because other callers may already have received a
 // final outcome for the key; it is a *peridotpath.Result that means "not run". The caller
 // must then call Release, or MarkUnknown if an earlier send may have run.
@@ -69,7 +69,7 @@
 	return bucket.finishRenewal(claim.operation, renewal)
 }
 
-// HasDispatched reports whether a call of Claim.BeginDispatch has succeeded. If none has, the
+// HasDispatched reports whether a call of BeginDispatch has succeeded. If none has, the
 // request certainly did not run, whatever the failure's code is, and its claim may be
 // released.
 func (claim *Claim) HasDispatched() bool { return claim.dispatched.Load() }
--- a/peridotpath/claim/decide.go
+++ b/peridotpath/claim/decide.go
@@ -53,7 +53,7 @@
 	claimTaken bool
 }
 
-// rules are the inputs of decide besides the state and the batch.
+// rules holds the inputs of decide other than the state and the batch.
 type rules struct {
 	self         attemptID
 	now          int64
@@ -61,8 +61,8 @@
 	maxRecords   int
 	maxSize      int
 	retryAfter   time.Duration
-	// dispatchWindowLeft returns how long a record's claimer may still dispatch, and zero
-	// or less when it certainly can no longer.
+	// dispatchWindowLeft returns how long a record's claimer may still dispatch; zero or less
+	// once its dispatch window has certainly passed.
 	dispatchWindowLeft func(attemptID) time.Duration
 	// hasEnded reports whether the claimer's process has ended.
 	hasEnded func(attemptID) bool
@@ -158,8 +158,9 @@
 		decision.markUnknown(record, rules)
 		return true
 	}
-	// A release finds an unknown outcome when another instance took this one for dead.
-	// Callers have received that the request never runs again, so the record stays.
+	// A release finds an unknown outcome when another instance treated this one as dead.
+	// Callers have received the unknown outcome, so the request must never run and the
+	// record stays.
 	return false
 }
 
@@ -215,7 +216,7 @@
 		return Verdict{Status: storeRestored, RetryAfter: rules.restoreWindowLeft}
 	}
 	refused := Verdict{Status: ledgerFull, RetryAfter: rules.retryAfter}
-	if !next.hasShare(operation.customer, rules) {
+	if !next.mayAddRecord(operation.customer, rules) {
 		decision.needsCurrentState = true
 		return refused
 	}
@@ -238,13 +239,13 @@
 	return Verdict{Status: Granted}
 }
 
-// hasShare reports whether the customer may add a record.
+// mayAddRecord reports whether the customer may add a record.
 //
 // It protects against one customer that sends new keys all day, perhaps by a fault. That
 // customer would fill the bucket for a whole retention time, and the requests of all others
 // would be refused. Once a bucket is half full of records, a customer that owns half of
 // them may add no more; below that level anyone may use the free room.
-func (state *state) hasShare(customer uint32, rules rules) bool {
+func (state *state) mayAddRecord(customer uint32, rules rules) bool {
 	if len(state.records) < rules.maxRecords/2 && state.size-state.answerSize < rules.maxSize/2 {
 		return true
 	}
--- a/peridotpath/claim/era_test.go
+++ b/peridotpath/claim/era_test.go
@@ -25,7 +25,8 @@
 }
 
 // The store loses a claim, or its end, in a restore. A repeat at another instance must not
-// be granted, neither while the loss may be unnoticed nor afterwards.
+// be granted, neither right after the restore nor once the lost
+// records are written back.
 func TestClaimLostInARestoreIsNotGrantedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		end  func(is *is.I, held *claim.Claim)
@@ -54,7 +55,7 @@
 				fleet.store.Restore(before)
 				_, err := second.claimKey("k")
 				is.True(isCode(err, peridotpath.CodePlatformDown))
-				_, err = first.claimKey("met") // the first instance observes the new era, too
+				_, err = first.claimKey("new") // the first instance observes the new era, too
 				is.True(isCode(err, peridotpath.CodePlatformDown))
 				time.Sleep(5 * time.Second)
 				is.Equal(second.keyStatus(is, "k"), test.want)
@@ -76,7 +77,7 @@
 		fleet.store.Restore(before)
 		_, err := second.claimKey("k")
 		is.True(isCode(err, peridotpath.CodePlatformDown))
-		_, err = first.claimKey("met")
+		_, err = first.claimKey("new")
 		is.True(isCode(err, peridotpath.CodePlatformDown))
 		time.Sleep(5 * time.Second)
 		is.Equal(second.keyStatus(is, "k"), claim.RunningElsewhere)
--- a/peridotpath/claim/restore.go
+++ b/peridotpath/claim/restore.go
@@ -11,17 +11,17 @@
 	// restoreJitter is the time over which the instances' reads of a bucket are spread
 	// after the store was restored.
 	restoreJitter = 2 * time.Second
-	// restoreWindow is the time after a restore in which every live instance has written
-	// back the records that the store lost. Until then, a key without a record may have
-	// run.
+	// restoreWindow is the time after a restore within which every live instance writes back
+	// the records that the store lost. Until it has passed, the request of a key without a
+	// record may have run.
 	restoreWindow = 4 * time.Second
 	// maxLostAge is the maximum age of records that are written back. Copies of the store
 	// are some seconds old.
 	maxLostAge = 2 * time.Minute
 )
 
-// MarkStoreRestored must be called when the store was restored from an older copy, which lacks the
-// claims made since. It does not block.
+// MarkStoreRestored must be called when the store was restored from an older copy, which
+// lacks the claims made since. It does not block.
 func (ledger *Ledger) MarkStoreRestored() {
 	ledger.initialise()
 	for _, bucket := range ledger.buckets {
@@ -46,7 +46,7 @@
 	bucket.cached = nil
 	bucket.commit(ctx, nil)
 	if bucket.needsRestore = bucket.cached == nil; bucket.needsRestore {
-		// The call failed; the loop tries again.
+		// The call failed; run tries again.
 		bucket.storeRestored.Raise()
 	}
 }
@@ -68,17 +68,17 @@
 
 // addLostRecords adds the records that the store lost to a state of a new era: ends of
 // claims, and the open claims of this process. The open claims of other instances are
-// restored by those, since they may have been released meanwhile.
+// left to those instances, which may have released them meanwhile.
 func (bucket *bucket) addLostRecords(state *state) {
 	self := attemptID{instance: bucket.ledger.Instance, incarnation: bucket.ledger.Incarnation}
 	_, now := bucket.ledger.wallTimeBounds()
 	for key, record := range bucket.lastKnown.records {
 		running := record.GetState() == ledgerpb.State_STATE_RUNNING
 		attempt := attemptIDOf(record)
-		isOwn := attempt.instance == self.instance && attempt.incarnation == self.incarnation
+		ownedBySelf := attempt.instance == self.instance && attempt.incarnation == self.incarnation
 		present := state.records[key]
 		isRecorded := present != nil && (running || present.GetState() != ledgerpb.State_STATE_RUNNING)
-		if isRecorded || running && !isOwn || record.GetStamp() < now.Add(-maxLostAge).Unix() {
+		if isRecorded || running && !ownedBySelf || record.GetStamp() < now.Add(-maxLostAge).Unix() {
 			continue
 		}
 		state.put(key, record)
--- a/peridotpath/claim/settings.go
+++ b/peridotpath/claim/settings.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// Validate returns every invalid field.
+// Validate returns every fault by field.
 func (settings *Settings) Validate(prefix string) peridotpath.Faults {
 	const day = int64(24 * time.Hour / time.Millisecond)
 	var faults peridotpath.Faults
--- a/peridotpath/claim/verdict.go
+++ b/peridotpath/claim/verdict.go
@@ -75,8 +75,8 @@
 	RetryAfter time.Duration
 }
 
-// Result returns the result code for the verdict, or nil when the verdict has a claim, a
-// run or an answer.
+// Result returns the result code for the verdict, or nil when the verdict has a claim,
+// an in-flight request or an answer.
 func (verdict Verdict) Result() *peridotpath.Result {
 	switch verdict.Status {
 	case RunningElsewhere:
