--- a/peridotpath/order/fixture_test.go
+++ b/peridotpath/order/fixture_test.go
@@ -33,15 +33,15 @@
 	return engine.state
 }
 
-func (engine *engine) apply(given order.Order) error {
+func (engine *engine) apply(received order.Order) error {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	if engine.checksFencing && given.Fencing < engine.highestFencing {
+	if engine.checksFencing && received.Fencing < engine.highestFencing {
 		engine.refusals++
-		return fmt.Errorf("old fencing number %d", given.Fencing)
+		return fmt.Errorf("fencing token %d is outdated", received.Fencing)
 	}
-	engine.highestFencing = max(engine.highestFencing, given.Fencing)
-	engine.state = given.Desired
+	engine.highestFencing = max(engine.highestFencing, received.Fencing)
+	engine.state = received.Desired
 	return nil
 }
 
@@ -90,17 +90,17 @@
 // site is the engines of one data centre and service, with a key-value store.
 type site struct {
 	keyValue  memory.Memory
-	book      *order.DesiredStore
+	desired   *order.DesiredStore
 	engines   map[peridotpath.EndpointID]*engine
 	endpoints []peridotpath.Endpoint
 	weights   weightStore
-	// Reads of the state of hanging engines time out; orders to failing ones fail.
+	// Reads of the states of hanging engines time out; orders to failing engines fail.
 	hanging, failing map[peridotpath.EndpointID]bool
 }
 
 func newSite(engines int, checksFencing bool) *site {
 	site := &site{engines: map[peridotpath.EndpointID]*engine{}, weights: weightStore{limit: 2, loadTime: 5 * time.Second}}
-	site.book = &order.DesiredStore{Store: site.keyValue.Store(), Key: order.Key("colombo-a", "claims-llm")}
+	site.desired = &order.DesiredStore{Store: site.keyValue.Store(), Key: order.Key("colombo-a", "claims-llm")}
 	for i := range engines {
 		id := peridotpath.EndpointID(fmt.Sprintf("e%02d", i))
 		site.engines[id] = &engine{state: oldState, checksFencing: checksFencing}
@@ -115,7 +115,7 @@
 	for _, endpoint := range site.endpoints {
 		set[endpoint.ID] = state
 	}
-	_, err := site.book.Change(background, order.Change{ID: id, BaseRevision: from, Set: set})
+	_, err := site.desired.Change(background, order.Change{ID: id, BaseRevision: from, Set: set})
 	is.NoErr(err)
 }
 
@@ -163,7 +163,7 @@
 		Instance: peridotpath.InstanceID(name), WaitForOldOrders: waitForOldOrders, Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
 	reconciler := &order.Reconciler{
-		Desired: site.book.Get, Held: process.holder.Held,
+		Desired: site.desired.Get, Held: process.holder.Held,
 		Endpoints: func() []peridotpath.Endpoint { return site.endpoints },
 		ReadState: func(ctx context.Context, endpoint peridotpath.Endpoint) (order.State, error) {
 			clock.SleepContext(background, time.Until(time.Unix(0, process.readsBlockedUntil.Load())))
@@ -173,11 +173,11 @@
 			}
 			return site.engines[endpoint.ID].read(), nil
 		},
-		SendOrder: func(ctx context.Context, endpoint peridotpath.Endpoint, given order.Order) error {
-			if term, held := process.holder.Held(); !held || term.Remaining < given.Timeout {
+		SendOrder: func(ctx context.Context, endpoint peridotpath.Endpoint, received order.Order) error {
+			if term, held := process.holder.Held(); !held || term.Remaining < received.Timeout {
 				process.ordersPastLease.Add(1)
 			}
-			weights := site.engines[endpoint.ID].read().NeedsWeights(given.Desired)
+			weights := site.engines[endpoint.ID].read().NeedsWeights(received.Desired)
 			time.Sleep(time.Until(time.Unix(0, process.ordersBlockedUntil.Load())))
 			if weights {
 				if err := site.weights.read(ctx); err != nil {
@@ -187,7 +187,7 @@
 			if site.failing[endpoint.ID] {
 				return fmt.Errorf("out of memory")
 			}
-			return site.engines[endpoint.ID].apply(given)
+			return site.engines[endpoint.ID].apply(received)
 		},
 		Settings: order.Settings{LoadsPerMinute: 20},
 		Logger:   zerolog.Nop(), Metrics: metrics.NewSet(),
--- a/peridotpath/order/order_test.go
+++ b/peridotpath/order/order_test.go
@@ -132,7 +132,7 @@
 		is.NoErr(site.engines["e07"].apply(order.Order{Desired: otherRole}))
 		t.Logf("wrong role repaired after %v", site.awaitState(is, oldState))
 		is.NoErr(site.engines["e07"].apply(order.Order{Desired: newState}))
-		t.Logf("wrong version repaired after %v, of which 5 s load", site.awaitState(is, oldState))
+		t.Logf("wrong version repaired after %v, of which 5 s to load the weights", site.awaitState(is, oldState))
 		holder.stop(is)
 	})
 }
@@ -144,15 +144,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		site := newSite(2, true)
-		other := &order.DesiredStore{Store: (&memory.Link{}).Store(&site.keyValue), Key: site.book.Key}
+		other := &order.DesiredStore{Store: (&memory.Link{}).Store(&site.keyValue), Key: site.desired.Key}
 		errs := make(chan error, 2)
-		for i, book := range []*order.DesiredStore{site.book, other} {
+		for i, store := range []*order.DesiredStore{site.desired, other} {
 			change := order.Change{
 				ID:  order.ChangeID(fmt.Sprint(i)),
 				Set: map[peridotpath.EndpointID]order.State{"e00": {Version: fmt.Sprint(i)}},
 			}
 			go func() {
-				_, err := book.Change(background, change)
+				_, err := store.Change(background, change)
 				errs <- err
 			}()
 		}
@@ -162,7 +162,7 @@
 		is.True(errors.As(errors.Join(first, second), &conflict))
 		is.Equal(conflict.BaseRevision, peridotpath.Revision(0))
 		is.Equal(conflict.Current.Revision, peridotpath.Revision(1))
-		current, err := site.book.Get(background)
+		current, err := site.desired.Get(background)
 		is.NoErr(err)
 		is.Equal(current.Endpoints, conflict.Current.Endpoints)
 	})
@@ -173,13 +173,13 @@
 func TestChangeWithLostReply(t *testing.T) {
 	is := is.New(t)
 	platform, link := &memory.Memory{}, &memory.Link{}
-	book := &order.DesiredStore{Store: link.Store(platform), Key: "orders/x"}
+	store := &order.DesiredStore{Store: link.Store(platform), Key: "orders/x"}
 	link.SetFaults(func(call string) memory.Fault { return memory.Fault{ReplyLost: call == "swap"} })
-	desired, err := book.Change(background, order.Change{ID: "1", Set: map[peridotpath.EndpointID]order.State{"e": newState}})
+	desired, err := store.Change(background, order.Change{ID: "1", Set: map[peridotpath.EndpointID]order.State{"e": newState}})
 	is.NoErr(err)
 	is.Equal(desired.Revision, peridotpath.Revision(1))
 	link.SetFaults(nil)
-	retried, err := book.Change(background, order.Change{ID: "1"}) // the operator's retry
+	retried, err := store.Change(background, order.Change{ID: "1"}) // the operator's retry
 	is.NoErr(err)
 	is.Equal(retried, desired)
 }
@@ -200,7 +200,7 @@
 		time.Sleep(10 * time.Second)
 		otherRole := oldState
 		otherRole.Role = "group-1/0"
-		_, err := site.book.Change(background, order.Change{
+		_, err := site.desired.Change(background, order.Change{
 			ID: "3", BaseRevision: 2, Set: map[peridotpath.EndpointID]order.State{"e19": otherRole},
 		})
 		is.NoErr(err)
@@ -210,7 +210,7 @@
 		}
 		t.Logf("role changed after %v while 20 loads are queued", time.Since(begin))
 		is.True(time.Since(begin) <= 5*time.Second)
-		_, err = site.book.Change(background, order.Change{ID: "4", BaseRevision: 3, Set: map[peridotpath.EndpointID]order.State{"e19": newState}})
+		_, err = site.desired.Change(background, order.Change{ID: "4", BaseRevision: 3, Set: map[peridotpath.EndpointID]order.State{"e19": newState}})
 		is.NoErr(err)
 		took := site.awaitState(is, newState)
 		t.Logf("20 loads in %v, at most %d concurrently, %d refused", took+10*time.Second, site.weights.peak, site.weights.setLimit(2))
--- a/peridotpath/order/plan.go
+++ b/peridotpath/order/plan.go
@@ -38,8 +38,8 @@
 	maxConcurrentLoads int
 
 	activeLoads int
-	// queuedSince holds the time since when an engine has differed from its desired
-	// state; a failed order resets it.
+	// queuedSince holds when each engine began to differ from its desired state; a failed
+	// order resets it to the time of the failure.
 	queuedSince      map[peridotpath.EndpointID]time.Time
 	loadBackoff      time.Duration
 	loadsPausedUntil time.Time
--- a/peridotpath/order/settings.go
+++ b/peridotpath/order/settings.go
@@ -31,7 +31,7 @@
 	peridotpath.SetDefault(&settings.MaxConcurrentLoads, 2)
 }
 
-// Validate returns all invalid fields.
+// Validate returns every fault by field.
 func (settings *Settings) Validate(prefix string) peridotpath.Faults {
 	var faults peridotpath.Faults
 	faults.Range(prefix+".interval_ms", int64(settings.IntervalMS), 100, time.Minute.Milliseconds())
