--- a/peridotpath/shift/keeper.go
+++ b/peridotpath/shift/controller.go
@@ -17,8 +17,8 @@
 const (
 	// demandAveragingTime is the time constant of the moving average of the demand.
 	demandAveragingTime = time.Minute
-	// readTimeout is half the time limit of one plan, which covers reading the
-	// engines' roles and memory.
+	// readTimeout is half the time limit of one plan, including the reads of the engines'
+	// roles and memory.
 	readTimeout = 2 * time.Second
 )
 
--- a/peridotpath/shift/fixture_test.go
+++ b/peridotpath/shift/fixture_test.go
@@ -117,14 +117,14 @@
 		Logger:   zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
 	engines := &shift.EngineClient{Client: client, Endpoints: func() []peridotpath.Endpoint { return cell.endpoints }}
-	book := &order.DesiredStore{Store: store, Key: order.Key(dataCentre, service)}
+	desired := &order.DesiredStore{Store: store, Key: order.Key(dataCentre, service)}
 	reconciler := &order.Reconciler{
-		Desired: book.Get, Held: started.holder.Held, Endpoints: engines.Endpoints,
+		Desired: desired.Get, Held: started.holder.Held, Endpoints: engines.Endpoints,
 		ReadState: engines.ReadState, SendOrder: engines.SendOrder, Settings: order.Settings{LongestOrderMS: 12_000},
 		Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
-	keeper := &shift.Controller{
-		Log: zerolog.Nop(), Store: store, DataCentre: dataCentre, Service: service, DesiredStore: book,
+	controller := &shift.Controller{
+		Log: zerolog.Nop(), Store: store, DataCentre: dataCentre, Service: service, DesiredStore: desired,
 		Held: started.holder.Held, ReadEngines: cell.countReads(engines.ReadEngines), Interval: 2 * time.Second,
 		Limits:          shift.Limits{GroupIdleTimeout: cell.groupIdleTimeout},
 		MaxPromptTokens: func() peridotpath.Tokens { return 1_100_000 },
@@ -132,7 +132,7 @@
 	}
 	view.SetMembers(time.Now(), cell.endpoints)
 	for _, task := range []func(context.Context) error{
-		poller.Run, started.dispatcher.Run, started.counter.Run, started.holder.Run, reconciler.Run, keeper.Run,
+		poller.Run, started.dispatcher.Run, started.counter.Run, started.holder.Run, reconciler.Run, controller.Run,
 	} {
 		cell.goRun(ctx, task)
 	}
@@ -212,12 +212,12 @@
 	cell.network.Serve(cell.endpoints[index].Address.String(), nil)
 }
 
-// duty returns the duty of an engine, or "gone" if it is unreachable.
+// duty returns the duty of an engine, or "unreachable" if it is unreachable.
 func (cell *cell) duty(index int) string {
 	client := &engine.Client{Do: cell.network.Do}
 	state, err := client.FetchOrderState(context.Background(), cell.endpoints[index].Address)
 	if err != nil {
-		return "gone"
+		return "unreachable"
 	}
 	first, _ := state.Role.Split()
 	return string(first)
--- a/peridotpath/shift/group_test.go
+++ b/peridotpath/shift/group_test.go
@@ -134,7 +134,7 @@
 				time.Sleep(groupIdleTimeout + 2*time.Minute)
 				for i := range cell.engines {
 					duty := cell.duty(i)
-					is.True(duty == "serve" || duty == "gone")
+					is.True(duty == "serve" || duty == "unreachable")
 				}
 				is.Equal(cell.kvUsedByReachable(), 0)
 			})
@@ -186,17 +186,16 @@
 func (cell *cell) kvUsedByReachable() int {
 	held := 0
 	for i, fake := range cell.engines {
-		if cell.duty(i) != "gone" {
+		if cell.duty(i) != "unreachable" {
 			held += int(fake.Load().KVUsed)
 		}
 	}
 	return held
 }
 
-// TestPersistentGroupIsFaster compares a persistent group with one that
-// is formed for each prompt and dissolved once the client has had time to retry: ten
-// long prompts, one every three minutes. It verifies the reason for keeping a group
-// while there is demand.
+// TestPersistentGroupIsFaster compares a persistent group with one that is formed for each
+// prompt and dissolved once the client has had time to retry. Ten long prompts arrive, one
+// every three minutes. It verifies that keeping a group while there is demand pays off.
 func TestPersistentGroupIsFaster(t *testing.T) {
 	mean := map[string]time.Duration{}
 	for name, groupIdleTimeout := range map[string]time.Duration{"persistent": groupIdleTimeout, "for each prompt": 40 * time.Second} {
@@ -221,8 +220,8 @@
 }
 
 // TestNoEngineReadsWithoutDemand checks that engines are not read without demand and
-// groups. Otherwise each engine would be read every two seconds, 750 of them in a data
-// centre of the size that is designed for.
+// groups. Otherwise each engine would be read every two seconds, of which the largest
+// data centre that the system is designed for has 750.
 func TestNoEngineReadsWithoutDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/shift/plan.go
+++ b/peridotpath/shift/plan.go
@@ -209,7 +209,7 @@
 			return nil
 		}
 	}
-	if haveDuty(planner, members, dutyMember) {
+	if allHaveDuty(planner, members, dutyMember) {
 		return []RoleChange{{Endpoint: group.leader, Role: formatRole(dutyLead, members...), Reason: "members are ready"}}
 	}
 	var moves []RoleChange
@@ -219,7 +219,7 @@
 	return moves
 }
 
-func haveDuty(planner *planner, ids []peridotpath.EndpointID, duty duty) bool {
+func allHaveDuty(planner *planner, ids []peridotpath.EndpointID, duty duty) bool {
 	for _, id := range ids {
 		if parseRole(planner.engines[id].DesiredRole).duty != duty {
 			return false
--- a/peridotpath/shift/plan_test.go
+++ b/peridotpath/shift/plan_test.go
@@ -94,7 +94,7 @@
 	fleet.demand.TokensPerSecond, fleet.demand.IdleTime = perS, 0
 }
 
-// TestGroupFormsAfterMembersDrain checks that a group forms while all
+// TestGroupFormsAfterMembersDrain checks the forming of a group while all
 // engines are busy: its engines must finish their running requests first, and the
 // leader must not serve before all members have reserved their memory.
 func TestGroupFormsAfterMembersDrain(t *testing.T) {
--- a/peridotpath/shift/role.go
+++ b/peridotpath/shift/role.go
@@ -44,11 +44,11 @@
 }
 
 func parseRole(text order.Role) role {
-	first, ids := engine.Role(text).Split()
-	if first == "" {
+	name, ids := engine.Role(text).Split()
+	if name == "" {
 		return role{duty: dutyServe}
 	}
-	parsed := role{duty: duty(first)}
+	parsed := role{duty: duty(name)}
 	for _, id := range ids {
 		if id != "" {
 			parsed.engines = append(parsed.engines, peridotpath.EndpointID(id))
--- a/peridotpath/shift/size.go
+++ b/peridotpath/shift/size.go
@@ -40,9 +40,9 @@
 }
 
 // allotGroups assigns groups to data centres, each to the one with the most engines
-// left. The result depends only on the membership list, so the plans of all data
-// centres agree without communication. The engines that stay out of groups are
-// counted over all data centres of the region, which are a millisecond apart.
+// not yet allotted. The result depends only on the membership list, so the plans of all
+// data centres agree without communication. minServingShare applies to all data centres
+// of the region together, since they are a millisecond apart.
 func allotGroups(total, size int, sites []Site) map[peridotpath.DataCentre]int {
 	allotted := map[peridotpath.DataCentre]int{}
 	if size < 2 {
