--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -176,7 +176,7 @@
 		RoutingVersion: func() float64 { return float64(instance.routing.Version()) },
 		Peers:          func() float64 { return float64(instance.loads.LivePeerCount(time.Now())) },
 		Reservations:   func() float64 { return float64(instance.reservations.ActiveCount()) },
-		Active:         func() float64 { return float64(instance.activeRequests.Load()) },
+		ActiveRequests: func() float64 { return float64(instance.activeRequests.Load()) },
 	})
 }
 
@@ -248,7 +248,7 @@
 		State: instance.routing, Key: adapter.RoutingKey, Decode: adapter.DecodeRouting, GetIfChanged: adapter.Store.GetIfChanged,
 		Eras: adapter.Eras, FetchFromPeer: readings.FetchRouting, OnConfirmed: instance.gossip.RequestDigest, Log: instance.Log,
 		FetchPosition: func(version peridotpath.RoutingVersion) int { return instance.gossip.Rank(uint64(version)) },
-		Pace: instance.pollSchedule(
+		Schedule: instance.pollSchedule(
 			func() bool { return instance.routing.Current() != nil && adapter.Eras.HasSettled() },
 			func() uint64 { return uint64(instance.routing.Version()) },
 		),
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -42,7 +42,7 @@
 		Routes: []rest.Route{{Method: http.MethodGet, Path: instance.Adapter.ReadyPath, Handler: instance.handleReady}},
 	}
 	peers := &readings.Server{
-		NewestRouting: instance.routingFollower.Latest, RoutingByVersion: instance.routingFollower.AtVersion,
+		NewestRouting: instance.routingFollower.Newest, RoutingByVersion: instance.routingFollower.AtVersion,
 		NewestEndpoints: instance.endpointFollower.Newest, EndpointsByHash: instance.endpointFollower.ByContentHash,
 	}
 	instance.snapshotListener = &inbound.Listener{
--- a/peridotpath/routing/era_test.go
+++ b/peridotpath/routing/era_test.go
@@ -58,7 +58,7 @@
 		store.eras = &keyvalue.EraTracker{Now: state.Now}
 		follower.Eras = store.eras
 		follower.GetIfChanged = store.eras.Guard(&keyvalue.Store{GetIfChanged: store.check}).GetIfChanged
-		follower.Pace = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
+		follower.Schedule = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 		store.write(3, 50, 8)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
@@ -81,7 +81,7 @@
 		store.write(4, 50, 8) // the copy
 		time.Sleep(time.Second)
 		is.Equal(follower.State.Version(), peridotpath.RoutingVersion(9)) // never an older one
-		last, ok := follower.Latest()
+		last, ok := follower.Newest()
 		is.True(ok) // it is still served to peers that start
 		is.Equal(last.Value, []byte{9})
 		store.write(4, 60, 10)
@@ -155,7 +155,7 @@
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(state.Version(), peridotpath.RoutingVersion(9))
 		is.True(state.KeysUsable())
-		last, ok := follower.Latest()
+		last, ok := follower.Newest()
 		is.True(ok)
 		is.Equal(last.Value, []byte{9})
 		cancel()
--- a/peridotpath/routing/fleet_test.go
+++ b/peridotpath/routing/fleet_test.go
@@ -134,7 +134,7 @@
 			FetchPosition: func(version peridotpath.RoutingVersion) int {
 				return (rankInDataCentre + int(version)) % (count / dataCentres)
 			},
-			Pace: clock.PollSchedule{
+			Schedule: clock.PollSchedule{
 				MinAge: 1400 * time.Millisecond, MaxDelay: time.Second, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond,
 				PeerCount: func() int { return count - 1 },
 				HasData:   func() bool { return state.Current() != nil }, PrecedingPeers: func() int { return min(rankInDataCentre, 9) },
@@ -171,7 +171,7 @@
 	defer cancel()
 	bytes := peer.Addr().As4()
 	number := int(bytes[2])<<8 | int(bytes[3])
-	snapshot, ok := fleet.followers[number].Latest()
+	snapshot, ok := fleet.followers[number].Newest()
 	if !ok {
 		return snapshot, errNoPeer
 	}
@@ -317,7 +317,7 @@
 		for _, follower := range fleet.followers {
 			eras := &keyvalue.EraTracker{Now: func() time.Duration { return time.Hour + time.Since(began) }}
 			follower.Eras = eras
-			follower.Pace.HasData = func() bool { return follower.State.Current() != nil && eras.HasSettled() }
+			follower.Schedule.HasData = func() bool { return follower.State.Current() != nil && eras.HasSettled() }
 			list := func(context.Context, string) ([]keyvalue.Entry, keyvalue.Version, error) {
 				version, err := keyvalue.NewVersion(keyvalue.Era(era.Load()), 3)
 				return nil, version, err
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -29,7 +29,7 @@
 	Eras *keyvalue.EraTracker
 	// FetchFromPeer fetches a peer's newest routing, as a delta to have.
 	FetchFromPeer func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error)
-	Pace          clock.PollSchedule
+	Schedule      clock.PollSchedule
 	// FetchPosition returns this instance's position in the order in which the instances of its
 	// data centre fetch that version from a peer in another one.
 	FetchPosition func(version peridotpath.RoutingVersion) int
@@ -66,19 +66,19 @@
 // It polls with conditional gets rather than a watch: a watch that returns nothing
 // does not confirm that nothing has changed.
 func (follower *Follower) Run(ctx context.Context) error {
-	for follower.Pace.WaitUntilDue(ctx, follower.State.Age) {
+	for follower.Schedule.WaitUntilDue(ctx, follower.State.Age) {
 		if follower.fetchFromPeers(ctx) {
 			continue
 		}
 		err := follower.readStore(ctx)
 		if err == nil {
-			follower.Pace.RecordPoll(follower.State.Current() != nil)
+			follower.Schedule.RecordPoll(follower.State.Current() != nil)
 			follower.OnConfirmed()
 			continue
 		}
 		if ctx.Err() == nil {
 			follower.reportFailure(err)
-			follower.Pace.WaitAfterFailure(ctx)
+			follower.Schedule.WaitAfterFailure(ctx)
 		}
 	}
 	return ctx.Err()
@@ -98,15 +98,15 @@
 	case table == nil && version > 0, table != nil && table.Routing.Version < version:
 		follower.newerPeers.Set(peer)
 		if peer.InSameDataCentre {
-			follower.Pace.Wake()
+			follower.Schedule.Wake()
 		} else {
-			time.AfterFunc(time.Duration(follower.FetchPosition(version))*remoteFetchDelay, follower.Pace.Wake)
+			time.AfterFunc(time.Duration(follower.FetchPosition(version))*remoteFetchDelay, follower.Schedule.Wake)
 		}
 	}
 }
 
-// Latest returns the active routing for peers; false before the first.
-func (follower *Follower) Latest() (readings.RoutingSnapshot, bool) {
+// Newest returns the active routing for peers; false before the first.
+func (follower *Follower) Newest() (readings.RoutingSnapshot, bool) {
 	snapshot, ok := follower.applied.Newest()
 	table := follower.State.Current()
 	if !ok || table == nil || table.Routing.Version != snapshot.RoutingVersion {
@@ -140,7 +140,7 @@
 		peer, ok := follower.newerPeers.Take()
 		if !ok {
 			// An earlier fetch may have returned the version that caused this wake-up.
-			return attempt == 0 && (follower.Pace.WokenEarly() || !follower.Pace.IsDue(follower.State.Age()))
+			return attempt == 0 && (follower.Schedule.WokenEarly() || !follower.Schedule.IsDue(follower.State.Age()))
 		}
 		if follower.fetchFromPeer(ctx, peer) {
 			return true
--- a/peridotpath/routing/state_test.go
+++ b/peridotpath/routing/state_test.go
@@ -151,7 +151,7 @@
 	}
 	return &routing.Follower{
 		State: state, Key: "routing", Decode: decode, GetIfChanged: store.check, Eras: &keyvalue.EraTracker{}, FetchFromPeer: noPeer, OnConfirmed: func() {}, Log: zerolog.Nop(),
-		Pace: clock.PollSchedule{MinAge: time.Minute, MinInterval: 60 * time.Millisecond},
+		Schedule: clock.PollSchedule{MinAge: time.Minute, MinInterval: 60 * time.Millisecond},
 	}, state
 }
 
@@ -162,7 +162,7 @@
 		is := is.New(t)
 		store := &fakeStore{}
 		follower, state := newFollower(store)
-		follower.Pace = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
+		follower.Schedule = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- follower.Run(ctx) }()
@@ -215,7 +215,7 @@
 		is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(2))
 		is.Equal(store.callCount(), 1)
 		is.Equal(state.Age(), 400*time.Millisecond) // the peer's age is carried over
-		last, ok := follower.Latest()
+		last, ok := follower.Newest()
 		is.True(ok)
 		is.Equal(last, readings.RoutingSnapshot{Version: 2, RoutingVersion: 2, Value: []byte{2}, Age: 400 * time.Millisecond})
 		cancel()
@@ -288,7 +288,7 @@
 		is := is.New(t)
 		store := &fakeStore{}
 		follower, state := newFollower(store)
-		follower.Pace = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
+		follower.Schedule = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 		store.set(5, 2, nil)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
--- a/peridotpath/telemetry/relay.go
+++ b/peridotpath/telemetry/relay.go
@@ -62,7 +62,7 @@
 	RoutingAge, EndpointsAge func() float64
 	RoutingVersion           func() float64
 	Peers, Reservations      func() float64
-	Active                   func() float64
+	ActiveRequests           func() float64
 }
 
 func init() {
@@ -72,7 +72,7 @@
 		"peridotpath_routing_version":       func(set *Gauges) func() float64 { return set.RoutingVersion },
 		"peridotpath_peers":                 func(set *Gauges) func() float64 { return set.Peers },
 		"peridotpath_reservations_held":     func(set *Gauges) func() float64 { return set.Reservations },
-		"peridotpath_requests_active":       func(set *Gauges) func() float64 { return set.Active },
+		"peridotpath_requests_active":       func(set *Gauges) func() float64 { return set.ActiveRequests },
 	}
 	for name, gauge := range names {
 		metrics.NewGauge(name, func() float64 {
