--- a/peridotpath/decide/admit.go
+++ b/peridotpath/decide/admit.go
@@ -88,7 +88,7 @@
 	if queue.count >= work.Profile.MaxQueued {
 		return scheduler.refuseQueued(at, group, work, peridotpath.CodeQueueFull)
 	}
-	if code := scheduler.missedTimeCode(at, group, work); code != peridotpath.CodeOK {
+	if code := scheduler.predictedMissCode(at, group, work); code != peridotpath.CodeOK {
 		return scheduler.refuseQueued(at, group, work, code)
 	}
 	work.queuedAt = at
@@ -97,7 +97,7 @@
 	if group.backlogSince[work.queueClass()] == 0 {
 		group.backlogSince[work.queueClass()] = at
 	}
-	scheduler.waitingCount.Add(1)
+	scheduler.totalQueued.Add(1)
 	if scheduler.nextDispatch == 0 {
 		scheduler.nextDispatch = at + int64(placementRetryInterval)
 	}
@@ -121,9 +121,9 @@
 	}
 }
 
-// missedTimeCode returns the refusal code for work that is predicted to exceed
+// predictedMissCode returns the refusal code for work that is predicted to exceed
 // its queue timeout or its deadline, CodeOK otherwise.
-func (scheduler *Scheduler) missedTimeCode(at int64, group *group, work *Work) peridotpath.Code {
+func (scheduler *Scheduler) predictedMissCode(at int64, group *group, work *Work) peridotpath.Code {
 	if !scheduler.isEnabled(MechanismPrediction) {
 		return peridotpath.CodeOK
 	}
@@ -197,7 +197,7 @@
 	if group.queuedCount[work.queueClass()].Add(-1) == 0 {
 		group.backlogSince[work.queueClass()] = 0
 	}
-	scheduler.waitingCount.Add(-1)
+	scheduler.totalQueued.Add(-1)
 }
 
 // refuseExpired refuses queued work that has reached its profile's queue
--- a/peridotpath/decide/admit_test.go
+++ b/peridotpath/decide/admit_test.go
@@ -140,7 +140,7 @@
 	scheduler.Cancel(epoch, work)
 	is.Equal(len(scheduler.DispatchQueued(sinceEpoch(time.Hour))), 0)
 	is.Equal(work.customer.activeCount.Load(), int64(0))
-	is.Equal(scheduler.waitingCount.Load(), int64(0))
+	is.Equal(scheduler.totalQueued.Load(), int64(0))
 }
 
 // Work beyond the profile's maximum queue length is refused at once.
--- a/peridotpath/decide/affinity.go
+++ b/peridotpath/decide/affinity.go
@@ -27,7 +27,7 @@
 }
 
 // findMember returns the member that received the longest recorded prefix of
-// the work, and how many of its tokens to count as cached.
+// the work, and how many tokens of the prefix to count as cached.
 func (affinity *affinity) findMember(at int64, work *Work) (*member, int64) {
 	for i := len(work.Prefixes) - 1; i >= 0; i-- {
 		hash := work.Prefixes[i]
--- a/peridotpath/decide/budget.go
+++ b/peridotpath/decide/budget.go
@@ -18,7 +18,7 @@
 	// initialCustomerRetries is the initial number of retries of a customer, so
 	// that its first request can be retried.
 	initialCustomerRetries = 1
-	// unitsPerRetry is one retry in the budget's fixed-point numbers.
+	// unitsPerRetry is the fixed-point representation of one retry.
 	unitsPerRetry = 1000
 )
 
--- a/peridotpath/decide/group.go
+++ b/peridotpath/decide/group.go
@@ -38,7 +38,7 @@
 // pools are the members on which work may be placed.
 type pools struct {
 	all []*member
-	// long is the subset for long work, rest the others.
+	// long is the subset for long work, others the rest.
 	long, others []*member
 }
 
--- a/peridotpath/decide/health.go
+++ b/peridotpath/decide/health.go
@@ -73,11 +73,11 @@
 
 // slowness is the factor by which the endpoint is slower than it reports.
 func (health *health) slowness() float64 {
-	slow := health.logSlowness.load()
-	if slow == 0 {
+	logFactor := health.logSlowness.load()
+	if logFactor == 0 {
 		return 1
 	}
-	return math.Exp(slow)
+	return math.Exp(logFactor)
 }
 
 // observeTTFT updates the slowness from a time to first token and its prediction.
@@ -88,9 +88,9 @@
 	}
 	health.mu.Lock()
 	defer health.mu.Unlock()
-	slow := health.logSlowness.load()
-	slow += slownessWeight * (math.Log(ratio) - slow)
-	health.logSlowness.store(min(slow, math.Log(maxSlowness)))
+	logFactor := health.logSlowness.load()
+	logFactor += slownessWeight * (math.Log(ratio) - logFactor)
+	health.logSlowness.store(min(logFactor, math.Log(maxSlowness)))
 }
 
 // observeDecode updates the decode rate from the duration of an answer.
@@ -111,11 +111,11 @@
 func (health *health) decaySlowness(elapsed time.Duration) {
 	health.mu.Lock()
 	defer health.mu.Unlock()
-	slow := health.logSlowness.load() * math.Pow(slownessDecayPerSecond, elapsed.Seconds())
-	if slow < 0.01 {
-		slow = 0
+	logFactor := health.logSlowness.load() * math.Pow(slownessDecayPerSecond, elapsed.Seconds())
+	if logFactor < 0.01 {
+		logFactor = 0
 	}
-	health.logSlowness.store(slow)
+	health.logSlowness.store(logFactor)
 }
 
 // recordSuccess resets the failures and ends an ejection.
--- a/peridotpath/decide/mechanism.go
+++ b/peridotpath/decide/mechanism.go
@@ -6,7 +6,8 @@
 
 // The mechanisms that can be disabled.
 const (
-	// MechanismSentCorrection adds the work sent since an endpoint's report to that report.
+	// MechanismSentCorrection adds the work sent since an endpoint's report to that
+	// report.
 	MechanismSentCorrection Mechanism = 1 << iota
 	// MechanismAffinity discounts tokens that an endpoint's prefix cache may
 	// hold.
--- a/peridotpath/decide/member.go
+++ b/peridotpath/decide/member.go
@@ -22,8 +22,8 @@
 	return band(2 * class)
 }
 
-// member is an Endpoint of the fleet with this Instance's state of it. The
-// Endpoint is replaced with the fleet; the state is kept.
+// member is an Endpoint of the fleet with this Instance's state of it. A new
+// fleet replaces the Endpoint and keeps the state.
 type member struct {
 	peridotpath.Endpoint
 	*state
--- a/peridotpath/decide/place.go
+++ b/peridotpath/decide/place.go
@@ -119,8 +119,8 @@
 	return best, reasons
 }
 
-// consider replaces best if member is a better candidate, or adds the reason why
-// member cannot take the work.
+// consider replaces best if member is a better candidate, or adds to reasons the
+// obstacle by which member cannot take the work.
 func (scheduler *Scheduler) consider(at int64, work *Work, member *member, cached int64, best *candidate, reasons *obstacle) {
 	next := candidate{member: member, uncachedTokens: max(int64(work.PromptTokens)-cached, 0)}
 	if scheduler.isEnabled(MechanismEjection) {
@@ -150,9 +150,9 @@
 	}
 }
 
-// considerPlain sets the cost of a call to a plain service, by the predicted
-// number of in-flight requests (least connections): the cost of a single call is
-// unknown.
+// considerPlain sets the cost of a call to a plain service, or returns the
+// obstacle to it. The cost is the predicted number of in-flight requests (least
+// connections), since the cost of a single call is unknown.
 func (scheduler *Scheduler) considerPlain(member *member, next *candidate) obstacle {
 	inFlight := member.inFlightCount(scheduler.isEnabled(MechanismSentCorrection))
 	if inFlight >= maxPlainInFlight {
@@ -163,7 +163,8 @@
 	return 0
 }
 
-// considerEngine sets the cost of a prompt on a model engine.
+// considerEngine sets the cost of a prompt on a model engine, or returns the
+// obstacle to it.
 func (scheduler *Scheduler) considerEngine(at int64, work *Work, next *candidate) obstacle {
 	member, needed := next.member, work.requiredKV()
 	totalKV := member.totalKV()
--- a/peridotpath/decide/place_test.go
+++ b/peridotpath/decide/place_test.go
@@ -216,15 +216,15 @@
 	is := is.New(t)
 	scheduler := &Scheduler{Seed: 1}
 	scheduler.SetEndpoints(epoch, newEndpoints(1))
-	newLine := func() *Work {
+	newLongAnswer := func() *Work {
 		work := newWork(1_000)
 		work.MaxOutputTokens = 10_000
 		work.Deadline = epoch.Add(time.Minute)
 		return work
 	}
-	is.Equal(scheduler.Submit(epoch, newLine()).Verdict, Place)
+	is.Equal(scheduler.Submit(epoch, newLongAnswer()).Verdict, Place)
 	slow := idleLoad(epoch)
 	slow.DecodePerS = 20
 	scheduler.ApplyReport(epoch, "endpoint-000", slow)
-	is.Equal(refusalCode(scheduler.Submit(epoch, newLine())), peridotpath.CodeCannotFinish)
+	is.Equal(refusalCode(scheduler.Submit(epoch, newLongAnswer())), peridotpath.CodeCannotFinish)
 }
--- a/peridotpath/decide/queue_test.go
+++ b/peridotpath/decide/queue_test.go
@@ -66,14 +66,14 @@
 			case 1:
 				work := queue.head()
 				if (work == nil) != (len(held) == 0) {
-					t.Fatalf("head is %v with %d waiting", work, len(held))
+					t.Fatalf("head is %v with %d queued", work, len(held))
 				}
 				if work == nil {
 					continue
 				}
 				for _, other := range held {
 					if other.Deadline.Before(work.Deadline) {
-						t.Fatalf("%v goes before %v", work.Deadline, other.Deadline)
+						t.Fatalf("deadline %v is served before %v", work.Deadline, other.Deadline)
 					}
 				}
 				queue.dequeue(work)
--- a/peridotpath/decide/scheduler.go
+++ b/peridotpath/decide/scheduler.go
@@ -41,12 +41,12 @@
 	members       atomic.Pointer[map[peridotpath.EndpointID]*member]
 	customers     customers
 	affinity      affinity
-	waitingCount  atomic.Int64
+	totalQueued   atomic.Int64
 
 	mu           sync.Mutex // guards the queues and the replacement of the fleet
 	sortedGroups []*group   // sorted by name, so that iteration is deterministic
 	maintainedAt int64      // when the last maintenance ran, in Unix nanoseconds
-	nextDispatch int64      // when Scheduler.DispatchQueued is due, in Unix nanoseconds; zero for never
+	nextDispatch int64      // when DispatchQueued is due, in Unix nanoseconds; zero for never
 }
 
 func (scheduler *Scheduler) initialise() {
@@ -182,8 +182,8 @@
 	return scheduler.enqueueOrRefuse(at, group, work, reasons)
 }
 
-// DispatchQueued dispatches or refuses queued work. Call it after every event and at
-// the time that Scheduler.NextDispatch returns.
+// DispatchQueued dispatches or refuses queued work. Call it after every event and
+// at the time that NextDispatch returns.
 func (scheduler *Scheduler) DispatchQueued(now time.Time) []Decision {
 	scheduler.once.Do(scheduler.initialise)
 	at := now.UnixNano()
@@ -199,7 +199,7 @@
 		}
 	}
 	scheduler.nextDispatch = 0
-	if scheduler.waitingCount.Load() > 0 {
+	if scheduler.totalQueued.Load() > 0 {
 		scheduler.nextDispatch = at + int64(placementRetryInterval)
 	}
 	return decisions
@@ -281,10 +281,10 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// NextDispatch returns when Scheduler.DispatchQueued is due if no event arrives earlier; the
-// zero time means never.
+// NextDispatch returns when DispatchQueued is due if no event arrives earlier;
+// the zero time means never.
 func (scheduler *Scheduler) NextDispatch() time.Time {
-	if scheduler.waitingCount.Load() == 0 {
+	if scheduler.totalQueued.Load() == 0 {
 		return time.Time{}
 	}
 	scheduler.mu.Lock()
@@ -330,8 +330,8 @@
 	}
 }
 
-// EndAttempt ends the current attempt. It must be called exactly once for each Place
-// verdict. tokens is the number of answer tokens produced.
+// EndAttempt ends the current attempt. It must be called exactly once for each
+// Place verdict. tokens is the number of answer tokens produced.
 func (scheduler *Scheduler) EndAttempt(now time.Time, work *Work, outcome Outcome, tokens peridotpath.Tokens) {
 	placed := &work.placement
 	if placed.member == nil {
--- a/peridotpath/decide/scheduler_test.go
+++ b/peridotpath/decide/scheduler_test.go
@@ -18,7 +18,7 @@
 	profiles  []*peridotpath.Profile
 	live      map[peridotpath.EndpointID]bool
 	placed    []*Work
-	waiting   []*Work
+	queued    []*Work
 	ended     []*Work
 	revision  uint64
 }
@@ -78,7 +78,7 @@
 // recordDecision records a decision and checks the guarantees of its verdict.
 func (machine *machine) recordDecision(t *rapid.T, decision Decision) {
 	work := decision.Work
-	machine.waiting = without(machine.waiting, work)
+	machine.queued = without(machine.queued, work)
 	switch decision.Verdict {
 	case Place:
 		if !machine.live[decision.Endpoint.ID] {
@@ -89,7 +89,7 @@
 		}
 		machine.placed = append(machine.placed, work)
 	case Wait:
-		machine.waiting = append(machine.waiting, work)
+		machine.queued = append(machine.queued, work)
 	case Refuse:
 		if decision.Result == nil {
 			t.Fatalf("refusal has no result")
@@ -141,9 +141,9 @@
 }
 
 func (machine *machine) cancel(t *rapid.T) {
-	if work := drawWork(t, machine.waiting); work != nil {
+	if work := drawWork(t, machine.queued); work != nil {
 		machine.scheduler.Cancel(machine.now, work)
-		machine.waiting = without(machine.waiting, work)
+		machine.queued = without(machine.queued, work)
 	}
 }
 
@@ -175,17 +175,17 @@
 
 // checkCounters compares the Scheduler's counters with the recorded work.
 func (machine *machine) checkCounters(t *rapid.T) {
-	if want, have := len(machine.waiting), int(machine.scheduler.waitingCount.Load()); want != have {
+	if want, have := len(machine.queued), int(machine.scheduler.totalQueued.Load()); want != have {
 		t.Fatalf("%d requests are queued, counter is %d", want, have)
 	}
-	if len(machine.waiting) > 0 && machine.scheduler.NextDispatch().IsZero() {
+	if len(machine.queued) > 0 && machine.scheduler.NextDispatch().IsZero() {
 		t.Fatalf("work is queued and nothing is due")
 	}
 	var active int64
 	for _, customer := range machine.scheduler.customers.inOrder {
 		active += customer.activeCount.Load()
 	}
-	if want := int64(len(machine.waiting) + len(machine.placed)); active != want {
+	if want := int64(len(machine.queued) + len(machine.placed)); active != want {
 		t.Fatalf("%d requests are active, counter is %d", want, active)
 	}
 	sums := map[*state]totals{}
@@ -208,16 +208,16 @@
 	for _, work := range machine.placed {
 		machine.scheduler.EndAttempt(machine.now, work, Finished, 10)
 	}
-	for _, work := range machine.waiting {
+	for _, work := range machine.queued {
 		machine.scheduler.Cancel(machine.now, work)
 	}
 	for _, member := range *machine.scheduler.members.Load() {
-		left := member.ledger.current()
-		if left.runningCount != 0 || left.reservedKV != 0 || left.longKV != 0 || member.pendingUpTo(band(bandCount-1)) != 0 {
-			t.Fatalf("%s has remaining totals %+v", member.ID, left)
+		remaining := member.ledger.current()
+		if remaining.runningCount != 0 || remaining.reservedKV != 0 || remaining.longKV != 0 || member.pendingUpTo(band(bandCount-1)) != 0 {
+			t.Fatalf("%s has remaining totals %+v", member.ID, remaining)
 		}
 	}
-	if machine.scheduler.waitingCount.Load() != 0 || !machine.scheduler.NextDispatch().IsZero() {
+	if machine.scheduler.totalQueued.Load() != 0 || !machine.scheduler.NextDispatch().IsZero() {
 		t.Fatalf("work is still queued or due")
 	}
 }
--- a/peridotpath/decide/view.go
+++ b/peridotpath/decide/view.go
@@ -34,7 +34,7 @@
 }
 
 // QueuedCount returns the number of queued requests.
-func (scheduler *Scheduler) QueuedCount() int { return int(scheduler.waitingCount.Load()) }
+func (scheduler *Scheduler) QueuedCount() int { return int(scheduler.totalQueued.Load()) }
 
 // Explanation is the decision that work would get now, with its reasons.
 type Explanation struct {
@@ -52,8 +52,8 @@
 type Candidate struct {
 	Endpoint      peridotpath.EndpointID
 	PredictedTTFT time.Duration
-	// ExclusionReason is the reason why the endpoint cannot take the work; empty if it
-	// can.
+	// ExclusionReason is the reason why the endpoint cannot take the work; empty if
+	// it can.
 	ExclusionReason string
 }
 
--- a/peridotpath/decide/window.go
+++ b/peridotpath/decide/window.go
@@ -11,7 +11,7 @@
 type window struct {
 	span      time.Duration
 	startedAt atomic.Int64
-	epoch     atomic.Int64
+	spanIndex atomic.Int64 // the number of the current span since the Unix epoch
 	current   atomic.Int64
 	previous  atomic.Int64
 }
@@ -27,7 +27,7 @@
 func (window *window) perSecond(at int64) float64 {
 	window.advance(at)
 	span := int64(window.span)
-	elapsed := at - window.epoch.Load()*span
+	elapsed := at - window.spanIndex.Load()*span
 	weight := 1 - float64(elapsed)/float64(span)
 	count := float64(window.current.Load()) + weight*float64(window.previous.Load())
 	return count / window.observedTime(at).Seconds()
@@ -41,13 +41,13 @@
 }
 
 func (window *window) advance(at int64) {
-	epoch := at / int64(window.span)
-	old := window.epoch.Load()
-	if epoch <= old || !window.epoch.CompareAndSwap(old, epoch) {
+	index := at / int64(window.span)
+	old := window.spanIndex.Load()
+	if index <= old || !window.spanIndex.CompareAndSwap(old, index) {
 		return
 	}
 	count := window.current.Swap(0)
-	if epoch > old+1 {
+	if index > old+1 {
 		count = 0
 	}
 	window.previous.Store(count)
--- a/peridotpath/decide/work.go
+++ b/peridotpath/decide/work.go
@@ -56,6 +56,7 @@
 	// queuedAt is when the work was queued, in Unix nanoseconds; zero if it is
 	// not.
 	queuedAt int64
+	// sequence orders queued work with equal deadlines by arrival.
 	sequence uint64
 }
 
