--- a/peridotpath/dispatch/attempt.go
+++ b/peridotpath/dispatch/attempt.go
@@ -63,7 +63,7 @@
 }
 
 // reportDraining excludes an endpoint that reports its shutdown from new work: the
-// membership list may still have it as live for half a minute.
+// membership list may still show it as live for half a minute.
 func (dispatcher *Dispatcher) reportDraining(endpoint peridotpath.EndpointID, err error) {
 	leaving := engine.ErrLeaving.Has(err) || service.ErrLeaving.Has(err)
 	if leaving && dispatcher.OnEndpointDraining != nil {
@@ -89,8 +89,9 @@
 	return &peridotpath.Result{Code: peridotpath.CodeOutcomeUnknown, Detail: detail}
 }
 
-// contextEndedResult returns the result of a request whose context ended, by its deadline or
-// because its caller disconnected. notRun means that it certainly did not run.
+// contextEndedResult returns the result of a request whose context ended, by its
+// deadline or because its caller disconnected. notRun means that it certainly did not
+// run.
 func contextEndedResult(ctx context.Context, work *decide.Work, notRun bool) *peridotpath.Result {
 	switch {
 	case !errors.Is(ctx.Err(), context.DeadlineExceeded):
--- a/peridotpath/dispatch/cancel.go
+++ b/peridotpath/dispatch/cancel.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxPendingCancellations bounds the streams whose cancellation is pending. The sweep of
-	// detached streams frees those beyond it.
+	// maxPendingCancellations bounds the streams whose cancellation is pending. The
+	// sweep of detached streams frees those beyond it.
 	maxPendingCancellations = 1024
 	// cancelInterval is the time between two checks for due cancellations.
 	cancelInterval = 100 * time.Millisecond
--- a/peridotpath/dispatch/dispatch.go
+++ b/peridotpath/dispatch/dispatch.go
@@ -35,7 +35,8 @@
 	OnBodyReleased func()
 	// WantsStream is set if the caller requests the answer as server-sent events.
 	WantsStream bool
-	// OnPromptUsage, when set, is called with the prompt's length as the engine counted it.
+	// OnPromptUsage, when set, is called with the prompt's length as the engine counted
+	// it.
 	OnPromptUsage func(prompt peridotpath.Tokens)
 	// MaySend, when set, is called right before each attempt is sent. An error,
 	// preferably a *peridotpath.Result, prevents the attempt.
@@ -47,7 +48,8 @@
 	// BeginAnswer is called once, at the first content. An earlier failure is returned
 	// by Do and can still become an ordinary error response.
 	BeginAnswer func(header http.Header, endpoint peridotpath.EndpointID, stream string)
-	// WriteEvent writes one event of a stream. An error means that the caller disconnected.
+	// WriteEvent writes one event of a stream. An error means that the caller
+	// disconnected.
 	WriteEvent func(offset int64, data []byte) error
 	// WriteWhole writes an answer that is not a stream.
 	WriteWhole func(body []byte) error
@@ -63,7 +65,8 @@
 	Cancel func(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error
 	// SendPlain makes a request to a plain service.
 	SendPlain func(ctx context.Context, address netip.AddrPort, call *service.Request) (*http.Response, error)
-	// OnEndpointDraining, when set, is called for an endpoint that reports that it is shutting down.
+	// OnEndpointDraining, when set, is called for an endpoint that reports that it is
+	// shutting down.
 	OnEndpointDraining func(now time.Time, endpoint peridotpath.EndpointID)
 	// ResumeWindow is how long a stream stays resumable after its caller disconnected.
 	ResumeWindow time.Duration
@@ -82,7 +85,8 @@
 	})
 }
 
-// maxAdvanceInterval bounds the time between two queue advances when no event wakes it.
+// maxAdvanceInterval bounds the time between two queue advances when no event wakes
+// the queue.
 const maxAdvanceInterval = 50 * time.Millisecond
 
 // Run advances the queue and cancels abandoned streams until ctx ends.
--- a/peridotpath/dispatch/dispatch_test.go
+++ b/peridotpath/dispatch/dispatch_test.go
@@ -27,15 +27,16 @@
 	failures := map[string]struct {
 		stream string
 		err    error
-		// retriesIdempotent and other are set if such a request expects a second attempt.
+		// retriesIdempotent is set if an idempotent request is attempted again,
+		// retriesOther if a non-idempotent one is.
 		retriesIdempotent, retriesOther bool
 		code                            peridotpath.Code
 	}{
-		"connection never made":  {"", engine.ErrNotConnected.Wrap(errConnectionReset), true, true, 0},
-		"refused as not run":     {"", engine.ErrRefused.New("full"), true, true, 0},
-		"failed after sending":   {"", engine.ErrFailed.Wrap(errConnectionReset), true, false, peridotpath.CodeOutcomeUnknown},
-		"empty success":          {"data: [DONE]\n\n", nil, true, false, peridotpath.CodeOutcomeUnknown},
-		"request found at fault": {"", engine.ErrBadRequest.New("no"), false, false, peridotpath.CodeBadRequest},
+		"connection never made": {"", engine.ErrNotConnected.Wrap(errConnectionReset), true, true, 0},
+		"refused as not run":    {"", engine.ErrRefused.New("full"), true, true, 0},
+		"failed after sending":  {"", engine.ErrFailed.Wrap(errConnectionReset), true, false, peridotpath.CodeOutcomeUnknown},
+		"empty success":         {"data: [DONE]\n\n", nil, true, false, peridotpath.CodeOutcomeUnknown},
+		"rejected as invalid":   {"", engine.ErrBadRequest.New("no"), false, false, peridotpath.CodeBadRequest},
 	}
 	for name, failure := range failures {
 		for _, idempotent := range []bool{true, false} {
@@ -76,12 +77,12 @@
 }
 
 // TestResumesInterruptedStream interrupts a stream after its second token. The caller
-// must receive each token once and in order. Without the check of offsets it
-// received tokens twice that the engine sends again.
+// must receive each token once and in order. Without the check of offsets,
+// tokens that the engine sends again would reach the caller twice.
 func TestResumesInterruptedStream(t *testing.T) {
 	resumed := map[string]string{
-		"from where it broke off": events(2, 4, true),
-		"with tokens sent again":  events(0, 4, true),
+		"after the last event": events(2, 4, true),
+		"from the first event": events(0, 4, true),
 	}
 	for name, stream := range resumed {
 		t.Run(name, func(t *testing.T) {
@@ -156,9 +157,9 @@
 	}
 }
 
-// TestStreamStaysResumableAfterDisconnect disconnects a caller in the middle of a stream. The
-// stream stays resumable at any instance for the resume window. After that it must
-// be cancelled to free the engine's memory, unless a reader is attached.
+// TestStreamStaysResumableAfterDisconnect disconnects a caller in the middle of a
+// stream. The stream stays resumable at any instance for the resume window. After that
+// it must be cancelled to free the engine's memory, unless a reader is attached.
 func TestStreamStaysResumableAfterDisconnect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -229,18 +230,18 @@
 		}
 		defer fixture.start(t)()
 		request := request(true)
-		freed := 0
-		request.OnBodyReleased = func() { freed++ }
+		releases := 0
+		request.OnBodyReleased = func() { releases++ }
 		received := &received{}
 		sink := received.sink()
 		sink.WriteEvent = func(int64, []byte) error {
-			is.Equal(freed, 1)
+			is.Equal(releases, 1)
 			is.Equal(request.Body.Len(), 0)
 			return nil
 		}
 		result := fixture.Do(t.Context(), request, sink)
 		is.Equal(result.Code, peridotpath.CodeDeadline)
-		is.Equal(freed, 1)
+		is.Equal(releases, 1)
 	})
 }
 
--- a/peridotpath/dispatch/fixture_test.go
+++ b/peridotpath/dispatch/fixture_test.go
@@ -109,7 +109,8 @@
 	started int
 	events  []string
 	whole   string
-	// disconnected makes every write fail, which is the case after the caller disconnected.
+	// disconnected makes every write fail, which is the case after the caller
+	// disconnected.
 	disconnected bool
 }
 
--- a/peridotpath/dispatch/plain.go
+++ b/peridotpath/dispatch/plain.go
@@ -11,8 +11,8 @@
 	"peridotpath.example/peridotpath/service"
 )
 
-// relayBufferSize is the size, in bytes, of the chunks in which a plain service's answer is
-// relayed.
+// relayBufferSize is the size, in bytes, of the chunks in which a plain service's
+// answer is relayed.
 const relayBufferSize = 32 << 10
 
 // DoPlain makes a call to a plain service and returns nil when the service's
--- a/peridotpath/dispatch/prompt.go
+++ b/peridotpath/dispatch/prompt.go
@@ -44,8 +44,8 @@
 	return dispatcher.relayWhole(ctx, request, endpoint, answer, sink)
 }
 
-// reportUsage passes the engine's token count of the prompt to Request.OnPromptUsage, if the
-// answer or the stream's event contains it.
+// reportUsage passes the engine's token count of the prompt to Request.OnPromptUsage,
+// if the answer or the stream's event contains it.
 func (request *Request) reportUsage(data []byte) {
 	if request.OnPromptUsage == nil {
 		return
--- a/peridotpath/dispatch/relay.go
+++ b/peridotpath/dispatch/relay.go
@@ -184,8 +184,9 @@
 	return deliveredAttempt(stream.tokens, stream.sink.WriteEvent(stream.nextOffset, []byte(engine.EndMark)))
 }
 
-// abandonedAttempt returns the abandoned attempt if the caller disconnected or the deadline
-// passed, and nil if the endpoint failed. It schedules the stream's cancellation.
+// abandonedAttempt returns the abandoned attempt if the caller disconnected or the
+// deadline passed, and nil if the endpoint failed. It schedules the stream's
+// cancellation.
 func (stream *stream) abandonedAttempt(ctx context.Context, err error) *attempt {
 	if ctx.Err() == nil && !errCallerWrite.Has(err) {
 		return nil
@@ -199,7 +200,7 @@
 }
 
 // resume reattaches to the stream after the last relayed event, with one attempt
-// after each delay. run drops the first delay for each resumed answer without
+// after each delay. relay drops the first delay for each resumed answer without
 // events: a caller that resumes after the last event of a complete stream, which
 // browsers do on their own, would otherwise cause a busy loop of requests to the
 // endpoint until the deadline.
--- a/peridotpath/dispatch/run.go
+++ b/peridotpath/dispatch/run.go
@@ -10,7 +10,8 @@
 	"peridotpath.example/peridotpath/telemetry"
 )
 
-// runAttempts places the work, attempts it at the endpoint, and retries where that is safe.
+// runAttempts places the work, attempts it at the endpoint, and retries where that is
+// safe.
 func (dispatcher *Dispatcher) runAttempts(ctx context.Context, work *decide.Work, maySend func() error, attemptAt func(context.Context, decide.Decision) attempt) *peridotpath.Result {
 	dispatcher.initChannels()
 	ctx, cancel := context.WithDeadline(ctx, work.Deadline)
