--- a/peridotpath/caller/body.go
+++ b/peridotpath/caller/body.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	// initialBufferSize is the initial buffer, in bytes, of a body of undeclared length; it
-	// doubles as the body grows.
+	// initialBufferSize is the initial buffer, in bytes, of a body of undeclared
+	// length; it doubles as the body grows.
 	initialBufferSize = 16 << 10
 	// memoryRetryAfter is the Retry-After of a request that is refused for lack of memory.
 	memoryRetryAfter = 500 * time.Millisecond
@@ -43,11 +43,12 @@
 	minBytesPerSecond = 16 << 10
 )
 
-// readDeadline returns the deadline of the next read: ReadTimeout from now, or earlier for a
-// sender whose average rate is too low. With ReadTimeout alone, a client that sends
-// one byte just before each timeout could hold the memory of a 16 MB body for years,
-// and sixteen of them would have every other body refused. At 16 KiB/s a prompt of a
-// million tokens takes six minutes; callers in the region send it within a second.
+// readDeadline returns the deadline of the next read: ReadTimeout from now, or earlier
+// for a sender whose average rate is too low. With ReadTimeout alone, a client that
+// sends one byte just before each timeout could hold the memory of a 16 MB body for
+// years, and sixteen of them would cause all other bodies to be refused. At 16 KiB/s a
+// prompt of a million tokens takes six minutes; callers in the region send it within a
+// second.
 func (bodyReader *BodyReader) readDeadline(startedAt time.Time, received int) time.Time {
 	stallDeadline := time.Now().Add(bodyReader.ReadTimeout)
 	rateDeadline := startedAt.Add(bodyReader.ReadTimeout + time.Duration(received)*time.Second/minBytesPerSecond)
--- a/peridotpath/caller/body_test.go
+++ b/peridotpath/caller/body_test.go
@@ -37,7 +37,7 @@
 
 // A caller declares a long body and sends one byte every nine seconds, just within
 // ReadTimeout. Without a minimum rate its memory stays reserved without limit, and
-// about sixteen such callers have every other prompt refused.
+// about sixteen such callers cause all other prompts to be refused.
 func TestSlowSenderIsRefused(t *testing.T) {
 	tests := []struct {
 		name        string
@@ -59,9 +59,9 @@
 				results := make(chan *peridotpath.Result, 1)
 				listener := &pipeListener{connections: make(chan net.Conn), closed: make(chan struct{})}
 				server := &http.Server{Handler: http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-					_, free, result := bodyReader.Read(writer, request, time.Time{})
-					if free != nil {
-						free()
+					_, release, result := bodyReader.Read(writer, request, time.Time{})
+					if release != nil {
+						release()
 					}
 					results <- result
 				})}
--- a/peridotpath/caller/complete.go
+++ b/peridotpath/caller/complete.go
@@ -156,7 +156,8 @@
 	return profile, nil
 }
 
-// requestDeadline returns the profile's deadline, or an earlier one that the caller requests.
+// requestDeadline returns the profile's deadline, or an earlier one that the caller
+// requests.
 func (exchange *exchange) requestDeadline(profile *peridotpath.Profile) (time.Time, *peridotpath.Result) {
 	requested, result := exchange.callerDeadline()
 	return earlier(exchange.arrivedAt.Add(profile.DeadlineMS.Duration()), requested), result
@@ -184,9 +185,9 @@
 	return body, release, result
 }
 
-// Prefixes are hashed at lengths that double, which are the bytes of the lengths in
-// tokens of decide.Work.Prefixes by the initial estimate. With the current estimate
-// the hashes of one text would be taken at changing lengths.
+// Prefixes are hashed at doubling lengths: those of decide.Work.Prefixes, converted
+// from tokens to bytes by initialBytesPerToken. Converted by the current estimate the
+// lengths would change, and repeated hashes of one text would not match.
 const (
 	firstPrefixSize = int(initialBytesPerToken) * int(decide.PrefixBlock)
 	prefixGrowth    = 2
--- a/peridotpath/caller/deadline_test.go
+++ b/peridotpath/caller/deadline_test.go
@@ -28,7 +28,7 @@
 // must get a result by its deadline: a code, or an aborted connection if an opaque
 // answer has begun. Without a bound the request would wait forever and hold memory.
 func TestHangingDependencyEndsByDeadline(t *testing.T) {
-	const line, claims = engine.PathCompletions, "/services/acknowledge/claims"
+	const completionPath, claimsPath = engine.PathCompletions, "/services/acknowledge/claims"
 	streamed, whole := completionBody("leaf 12", 400, true), completionBody("leaf 12", 400, false)
 	keyed := map[string]string{caller.HeaderIdempotencyKey: "k1"}
 	hang := func(stack *testStack) {
@@ -62,15 +62,15 @@
 		broken bool
 		limit  time.Duration
 	}{
-		{"engine before headers, streamed", hang, line, streamed, nil, "4001", false, lineDeadline},
-		{"engine before headers, whole", hang, line, whole, nil, "4001", false, lineDeadline},
-		{"engine midway, streamed", midway, line, streamed, nil, "4001", false, lineDeadline},
-		{"engine midway, whole", midway, line, whole, nil, "4001", false, lineDeadline},
-		{"the caller's own deadline", hang, line, completionBody("leaf 12", 40, true), map[string]string{caller.HeaderDeadlineMS: "9000"}, "4001", false, 9 * time.Second},
-		{"service before headers", hang, claims, "{}", nil, "4002", false, acknowledgeDeadline},
-		{"service before headers, with a key", hang, claims, "{}", keyed, "4002", false, acknowledgeDeadline},
-		{"service midway", midway, claims, "{}", nil, "", true, acknowledgeDeadline},
-		{"platform at the claim", platform, claims, "{}", keyed, "5001", false, acknowledgeDeadline},
+		{"engine before headers, streamed", hang, completionPath, streamed, nil, "4001", false, lineDeadline},
+		{"engine before headers, whole", hang, completionPath, whole, nil, "4001", false, lineDeadline},
+		{"engine midway, streamed", midway, completionPath, streamed, nil, "4001", false, lineDeadline},
+		{"engine midway, whole", midway, completionPath, whole, nil, "4001", false, lineDeadline},
+		{"the caller's own deadline", hang, completionPath, completionBody("leaf 12", 40, true), map[string]string{caller.HeaderDeadlineMS: "9000"}, "4001", false, 9 * time.Second},
+		{"service before headers", hang, claimsPath, "{}", nil, "4002", false, acknowledgeDeadline},
+		{"service before headers, with a key", hang, claimsPath, "{}", keyed, "4002", false, acknowledgeDeadline},
+		{"service midway", midway, claimsPath, "{}", nil, "", true, acknowledgeDeadline},
+		{"platform at the claim", platform, claimsPath, "{}", keyed, "5001", false, acknowledgeDeadline},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -80,9 +80,9 @@
 				defer stack.stop(t)
 				stack.startPair(t)
 				test.hangs(stack)
-				began := time.Now()
+				startedAt := time.Now()
 				answer := stack.requestAll(t.Context(), t, "http://"+firstAddress+test.path, apiKey, test.body, test.header)
-				is.True(time.Since(began) <= test.limit+10*time.Millisecond) // the result came too late
+				is.True(time.Since(startedAt) <= test.limit+10*time.Millisecond) // the result came too late
 				is.Equal(failureCode(answer.text), test.code)
 				is.Equal(answer.broken, test.broken)
 			})
@@ -98,18 +98,18 @@
 		stack := newTestStack()
 		defer stack.stop(t)
 		stack.startPair(t)
-		began := time.Now()
+		startedAt := time.Now()
 		body := completionBody("leaf 12", 400, true)
 		response := stack.sendCompletion(t.Context(), t, firstAddress, apiKey, body, nil)
-		begun := readStream(response.Body, 3)
+		partial := readStream(response.Body, 3)
 		response.Body.Close()
 		stack.network.Serve(engineAddress, http.HandlerFunc(func(_ http.ResponseWriter, request *http.Request) {
 			<-request.Context().Done()
 		}))
 		time.Sleep(5 * time.Second)
-		answer := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, apiKey, body, map[string]string{caller.HeaderLastEventID: begun.cursors[2]})
-		is.True(failureCode(answer.text) != "")                   // a coded failure
-		is.True(time.Since(began) <= lineDeadline+responseMargin) // the result came too late
+		answer := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, apiKey, body, map[string]string{caller.HeaderLastEventID: partial.cursors[2]})
+		is.True(failureCode(answer.text) != "")                       // a coded failure
+		is.True(time.Since(startedAt) <= lineDeadline+responseMargin) // the result came too late
 	})
 }
 
@@ -211,17 +211,17 @@
 				defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 				client := front.dial()
 				defer client.Close()
-				began := time.Now()
+				startedAt := time.Now()
 				writeRequest(client, test.path, test.key, 1000, "half")
 				time.AfterFunc(time.Minute, func() { client.Close() })
 				response, err := http.ReadResponse(bufio.NewReader(client), nil)
 				is.NoErr(err) // no answer within a minute
 				defer response.Body.Close()
 				is.Equal(response.StatusCode, test.status)
-				is.Equal(time.Since(began), time.Duration(0)) // the refusal was delayed
+				is.Equal(time.Since(startedAt), time.Duration(0)) // the refusal was delayed
 				time.Sleep(2 * responseMargin)
 				is.NoErr(front.server.Shutdown(t.Context()))
-				is.True(time.Since(began) <= 10*time.Second) // a planned stop waited for the body
+				is.True(time.Since(startedAt) <= 10*time.Second) // a planned stop waited for the body
 			})
 		})
 	}
@@ -249,7 +249,7 @@
 				defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 				client := front.dial()
 				defer client.Close()
-				began := time.Now()
+				startedAt := time.Now()
 				const length = 4 << 20
 				if test.header != "" {
 					test.header = "\r\n" + caller.HeaderDeadlineMS + ": " + test.header
@@ -270,7 +270,7 @@
 				is.NoErr(err)
 				text, _ := io.ReadAll(response.Body)
 				response.Body.Close()
-				is.True(time.Since(began) <= test.limit+responseMargin) // the result came too late
+				is.True(time.Since(startedAt) <= test.limit+responseMargin) // the result came too late
 				is.Equal(failureCode(string(text)), "1003")
 				client.Close()
 				<-sent
@@ -349,7 +349,7 @@
 				defer func() { is.Equal(front.close(), http.ErrServerClosed) }()
 				client := front.dial()
 				defer client.Close()
-				began := time.Now()
+				startedAt := time.Now()
 				writeRequest(client, "/services/acknowledge/claims", apiKey+"\r\nIdempotency-Key: k1", 2, "{}")
 				response, err := http.ReadResponse(bufio.NewReader(client), nil)
 				is.NoErr(err)
@@ -358,7 +358,7 @@
 				response.Body.Close()
 				is.True(claimed.Load())
 				is.Equal(response.StatusCode, test.status)
-				is.True(time.Since(began) <= 1100*time.Millisecond) // the answer was delayed
+				is.True(time.Since(startedAt) <= 1100*time.Millisecond) // the answer was delayed
 			})
 		})
 	}
--- a/peridotpath/caller/failure.go
+++ b/peridotpath/caller/failure.go
@@ -69,7 +69,7 @@
 	}
 	if exchange.isOpaque {
 		// A partial answer of a plain service would look complete if the connection
-		// closed normally: abort it.
+		// closed normally, so the connection is aborted.
 		panic(http.ErrAbortHandler)
 	}
 	body := exchange.failureJSON(result)
--- a/peridotpath/caller/once_test.go
+++ b/peridotpath/caller/once_test.go
@@ -73,8 +73,8 @@
 	return recorder
 }
 
-// acknowledgeService returns a service that counts its runs, takes a second for each, and
-// repeats its answer as often as it has run.
+// acknowledgeService returns a service that counts its runs, takes a second for each,
+// and repeats the text of its answer once per run so far.
 func acknowledgeService(runs *atomic.Int64) func(context.Context, http.ResponseWriter) *peridotpath.Result {
 	return func(ctx context.Context, writer http.ResponseWriter) *peridotpath.Result {
 		number := runs.Add(1)
--- a/peridotpath/caller/path_bench_test.go
+++ b/peridotpath/caller/path_bench_test.go
@@ -35,8 +35,8 @@
 // tokenEventFormat is the format of one event of an engine.
 const tokenEventFormat = "id: %d\ndata: {\"id\":\"c1\",\"object\":\"text_completion\",\"choices\":[{\"index\":0,\"text\":\"word \"}]}\n\n"
 
-// newRequestPath starts a path whose engine sends its tokens without delay. If proceed is not
-// nil, the engine waits for it after the first token.
+// newRequestPath starts a path whose engine sends its tokens without delay. If proceed
+// is not nil, the engine waits for it after the first token.
 func newRequestPath(b *testing.B, tokens int, proceed <-chan struct{}) *requestPath {
 	b.Helper()
 	engineServer := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
@@ -119,7 +119,7 @@
 		b.Fatal(err)
 	}
 	request.Header.Set("Authorization", "Bearer "+apiKey)
-	began := time.Now()
+	startedAt := time.Now()
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		b.Fatal(err)
@@ -128,7 +128,7 @@
 	if _, err := lines.ReadString('\n'); err != nil || response.StatusCode != http.StatusOK {
 		b.Fatal(response.StatusCode, err)
 	}
-	return response, lines, time.Since(began)
+	return response, lines, time.Since(startedAt)
 }
 
 // BenchmarkFirstToken reports the time to first token through the whole path and
--- a/peridotpath/caller/resume_test.go
+++ b/peridotpath/caller/resume_test.go
@@ -91,11 +91,11 @@
 		{"no offset", func(_ *testStack, text string) string { return text[:strings.IndexByte(text, '.')] }, apiKey, 0, "1009"},
 		{"negative offset", func(_ *testStack, text string) string { return text[:strings.IndexByte(text, '.')] + ".-1" }, apiKey, 0, "1009"},
 		{"engine left the fleet", func(stack *testStack, text string) string { stack.endpoints = stack.endpoints[1:]; return text }, apiKey, 0, "3005"},
-		{"engine forgot the stream", func(stack *testStack, text string) string {
+		{"engine no longer has the stream", func(stack *testStack, text string) string {
 			stack.network.Serve(engineAddress, (&enginetest.Engine{Name: "engine"}).Handler())
 			return text
 		}, apiKey, 0, "3005"},
-		{"engine is dead", func(stack *testStack, text string) string { stack.network.Serve(engineAddress, nil); return text }, apiKey, 0, "3005"},
+		{"engine is unreachable", func(stack *testStack, text string) string { stack.network.Serve(engineAddress, nil); return text }, apiKey, 0, "3005"},
 		{"cancelled after the resume window", nil, apiKey, 15 * time.Second, "3005"},
 		{"past its deadline", nil, apiKey, lineDeadline + time.Second, "4001"},
 	}
@@ -107,19 +107,19 @@
 				defer stack.stop(t)
 				stack.startPair(t)
 				response := stack.sendCompletion(t.Context(), t, firstAddress, apiKey, completionBody("leaf 12", 400, true), nil)
-				begun := readStream(response.Body, 3)
-				is.Equal(len(begun.cursors), 3)
-				text := begun.cursors[2]
+				partial := readStream(response.Body, 3)
+				is.Equal(len(partial.cursors), 3)
+				text := partial.cursors[2]
 				response.Body.Close()
 				if test.change != nil {
 					text = test.change(stack, text)
 				}
 				time.Sleep(test.wait)
-				began := time.Now()
+				startedAt := time.Now()
 				answer := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, test.key, "", map[string]string{caller.HeaderLastEventID: text})
 				is.Equal(failureCode(answer.text), test.code)
 				is.True(answer.status >= http.StatusBadRequest) // a refusal, not a stream
-				is.True(time.Since(began) <= 2*time.Second)     // at once
+				is.True(time.Since(startedAt) <= 2*time.Second) // at once
 			})
 		})
 	}
@@ -183,13 +183,13 @@
 		synctest.Wait()
 		body := completionBody("leaf 12", 400, true)
 		response := stack.sendCompletion(t.Context(), t, firstAddress, apiKey, body, nil)
-		begun := readStream(response.Body, 3)
+		partial := readStream(response.Body, 3)
 		down.Store(true)
 		stack.network.Serve(firstAddress, nil)
 		response.Body.Close()
 		_, second := stack.instance(t, "i2")
 		stack.network.Serve(secondAddress, second)
-		header := map[string]string{caller.HeaderLastEventID: begun.cursors[2]}
+		header := map[string]string{caller.HeaderLastEventID: partial.cursors[2]}
 		refused := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, apiKey, body, header)
 		is.Equal(refused.status, http.StatusServiceUnavailable)
 		is.True(refused.header.Get("Retry-After") != "")
@@ -197,6 +197,6 @@
 		time.Sleep(3 * time.Second)
 		answer := stack.requestAll(t.Context(), t, "http://"+secondAddress+engine.PathCompletions, apiKey, body, header)
 		rest := readStream(strings.NewReader(answer.text), 0)
-		is.Equal(begun.text+rest.text, enginetest.Answer(enginetest.AnswerSeed([]byte(body)), 400))
+		is.Equal(partial.text+rest.text, enginetest.Answer(enginetest.AnswerSeed([]byte(body)), 400))
 	})
 }
--- a/peridotpath/caller/server.go
+++ b/peridotpath/caller/server.go
@@ -46,8 +46,8 @@
 	Log zerolog.Logger
 	// ActiveConfig returns the active configuration, nil before there is one.
 	ActiveConfig func() *peridotpath.Config
-	// IsConfigRecent, when set, reports whether the configuration is recent enough to admit
-	// new callers.
+	// IsConfigRecent, when set, reports whether the configuration is recent enough to
+	// admit new callers.
 	IsConfigRecent func() bool
 	// MaxActiveRequests bounds the concurrent requests; zero for no bound. It matters when
 	// callers open connections without limit: each uses memory before its request
@@ -55,8 +55,8 @@
 	MaxActiveRequests int
 	// MaxHeaderBytes bounds the size of a request's headers; zero for no bound.
 	MaxHeaderBytes peridotpath.Bytes
-	// These functions run a prompt, resume a stream by cursor, and make a call to a
-	// plain service.
+	// Do runs a prompt, ContinueStream resumes a stream by cursor, and DoPlain makes a
+	// call to a plain service.
 	Do             func(ctx context.Context, request *dispatch.Request, sink *dispatch.Sink) *peridotpath.Result
 	ContinueStream func(ctx context.Context, work *decide.Work, endpoint peridotpath.Endpoint, id string, after int64, sink *dispatch.Sink) *peridotpath.Result
 	DoPlain        func(ctx context.Context, work *decide.Work, call *service.Request, maySend func() error, writer http.ResponseWriter) *peridotpath.Result
@@ -66,7 +66,8 @@
 	FindEndpoint func(id peridotpath.EndpointID) (peridotpath.Endpoint, bool)
 	// LargestEngineKV returns the KV cache size of the service's largest engine.
 	LargestEngineKV func(service peridotpath.Service) peridotpath.Tokens
-	// IsPlainService, when set, reports whether the service is a plain one, not of engines.
+	// IsPlainService, when set, reports whether the service is a plain one, without
+	// engines.
 	IsPlainService func(service peridotpath.Service) bool
 	// OnOversizePrompt, when set, is called for each request that exceeds the KV cache of
 	// every single engine.
@@ -94,7 +95,7 @@
 // BeginStop makes the instance not ready. Requests that still arrive are served.
 func (server *Server) BeginStop() { server.stopping.Store(true) }
 
-// IsStopping reports whether Server.BeginStop was called.
+// IsStopping reports whether BeginStop was called.
 func (server *Server) IsStopping() bool { return server.stopping.Load() }
 
 // IsReady reports whether the balancer may send new callers.
@@ -131,8 +132,8 @@
 	writer    http.ResponseWriter
 	arrivedAt time.Time
 	work      *decide.Work
-	// answerBegun is set once part of the answer was written. isOpaque is set if the answer
-	// has a format in which no failure can be reported.
+	// answerBegun is set once part of the answer was written. isOpaque is set if the
+	// answer has a format in which no failure can be reported.
 	answerBegun bool
 	isOpaque    bool
 	// bodyConsumed is set if no part of the body remains unread on the connection.
@@ -166,9 +167,9 @@
 		exchange.bodyConsumed = request.ContentLength == 0
 		writer.Header().Set(HeaderRequestID, string(exchange.id))
 		if server.IsStopping() {
-			// Connections that stay open would be closed when the notice period ends,
-			// and a request in transit could be lost. After a connection that closes
-			// with its answer the caller reconnects, to another instance.
+			// A connection that is kept open would be closed when the notice period
+			// ends, and a request in transit on it could be lost. If the connection
+			// closes with the answer, the caller reconnects to another instance.
 			writer.Header().Set("Connection", "close")
 		}
 		result := server.authenticate(exchange)
@@ -204,13 +205,13 @@
 	})
 }
 
-const maxRequestID = 128
+const maxRequestIDLength = 128
 
 // requestID returns the caller's own id if it is valid, or else a new one. No state
 // is keyed by it, so equal ids of two callers cannot collide.
 func requestID(request *http.Request) peridotpath.RequestID {
 	id := request.Header.Get(HeaderRequestID)
-	if id == "" || len(id) > maxRequestID || strings.ContainsAny(id, "\r\n\t ") {
+	if id == "" || len(id) > maxRequestIDLength || strings.ContainsAny(id, "\r\n\t ") {
 		id = uuid.NewString()
 	}
 	return peridotpath.RequestID(id)
--- a/peridotpath/caller/sink.go
+++ b/peridotpath/caller/sink.go
@@ -15,7 +15,8 @@
 	work       *decide.Work
 	signer     *cursor.Signer
 	controller *http.ResponseController
-	// cursorToken is the common part of the cursors of the stream's events; empty for none.
+	// cursorToken is the common part of the cursors of the stream's events; empty for
+	// none.
 	cursorToken string
 	// eventBuffer has the last event as written; its memory is reused for the next.
 	eventBuffer []byte
