--- a/peridotpath/digest/digest_test.go
+++ b/peridotpath/digest/digest_test.go
@@ -42,19 +42,19 @@
 	soak.Check(t, seedCount, func(t *rapid.T) {
 		now := time.Unix(1_000_000, 0)
 		epoch := uint64(1)
-		book, mirror := &digest.PublishedState{Epoch: epoch}, &digest.Mirror{}
+		published, mirror := &digest.PublishedState{Epoch: epoch}, &digest.Mirror{}
 		want := map[peridotpath.EndpointID]int{}
 		var delayed []*wire.Digest
-		send := func() *wire.Digest { return book.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror)) }
+		send := func() *wire.Digest { return published.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror)) }
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
 				id := peridotpath.EndpointID(fmt.Sprint("engine-", rapid.IntRange(0, 5).Draw(t, "id")))
 				want[id] = rapid.IntRange(0, 15).Draw(t, "running")
-				book.PutEndpoint(id, peridotpath.Load{Running: want[id], AsOf: now})
+				published.PutEndpoint(id, peridotpath.Load{Running: want[id], AsOf: now})
 			},
 			"withdraw": func(t *rapid.T) {
 				withdrawn := peridotpath.EndpointID(fmt.Sprint("engine-", rapid.IntRange(0, 5).Draw(t, "id")))
-				book.RetainEndpoints(func(id peridotpath.EndpointID) bool { return id != withdrawn })
+				published.RetainEndpoints(func(id peridotpath.EndpointID) bool { return id != withdrawn })
 				delete(want, withdrawn)
 			},
 			"deliver": func(*rapid.T) { mirror.Apply(now, send()) },
@@ -66,7 +66,7 @@
 			},
 			"sender starts anew": func(*rapid.T) {
 				epoch++
-				book, want = &digest.PublishedState{Epoch: epoch}, map[peridotpath.EndpointID]int{}
+				published, want = &digest.PublishedState{Epoch: epoch}, map[peridotpath.EndpointID]int{}
 			},
 			"receiver starts anew": func(*rapid.T) { mirror = &digest.Mirror{} },
 			"settle": func(t *rapid.T) {
@@ -90,13 +90,13 @@
 func TestLateDigestIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
-	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
-	book.PutEndpoint("engine-1", peridotpath.Load{Running: 1, AsOf: now})
-	late := book.BuildDigest(now, 0, 0)
-	book.PutEndpoint("engine-1", peridotpath.Load{Running: 9, AsOf: now})
-	exchange(now, book, mirror, now)
+	published, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
+	published.PutEndpoint("engine-1", peridotpath.Load{Running: 1, AsOf: now})
+	late := published.BuildDigest(now, 0, 0)
+	published.PutEndpoint("engine-1", peridotpath.Load{Running: 9, AsOf: now})
+	exchange(now, published, mirror, now)
 	is.Equal(len(mirror.Apply(now, late)), 0)
-	_, reports := exchange(now, book, mirror, now)
+	_, reports := exchange(now, published, mirror, now)
 	is.Equal(reports[0].Load.Running, 9)
 }
 
@@ -106,30 +106,30 @@
 func TestDigestForAnEarlierRunIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
-	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
-	book.PutEndpoint("engine-1", peridotpath.Load{Running: 1, AsOf: now})
-	exchange(now, book, mirror, now)
-	book.PutEndpoint("engine-2", peridotpath.Load{Running: 2, AsOf: now})
-	inTransit := book.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror))
+	published, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
+	published.PutEndpoint("engine-1", peridotpath.Load{Running: 1, AsOf: now})
+	exchange(now, published, mirror, now)
+	published.PutEndpoint("engine-2", peridotpath.Load{Running: 2, AsOf: now})
+	inTransit := published.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror))
 	mirror = &digest.Mirror{}
 	is.Equal(len(mirror.Apply(now, inTransit)), 0)
-	_, reports := exchange(now, book, mirror, now)
+	_, reports := exchange(now, published, mirror, now)
 	is.Equal(len(reports), 2)
 
 	// After a restart of the sender, one Digest transfers its whole new state.
-	book = &digest.PublishedState{Epoch: 2}
+	published = &digest.PublishedState{Epoch: 2}
 	for i := range 5 {
-		book.PutEndpoint(peridotpath.EndpointID(fmt.Sprint("engine-", i)), peridotpath.Load{AsOf: now})
+		published.PutEndpoint(peridotpath.EndpointID(fmt.Sprint("engine-", i)), peridotpath.Load{AsOf: now})
 	}
-	_, reports = exchange(now, book, mirror, now)
+	_, reports = exchange(now, published, mirror, now)
 	is.Equal(len(reports), 5)
 }
 
 func seenEpoch(mirror *digest.Mirror) uint64    { epoch, _ := mirror.Position(); return epoch }
 func seenSequence(mirror *digest.Mirror) uint64 { _, sequence := mirror.Position(); return sequence }
 
-func exchange(now time.Time, book *digest.PublishedState, mirror *digest.Mirror, at time.Time) (*wire.Digest, []digest.Report) {
-	sent := book.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror))
+func exchange(now time.Time, published *digest.PublishedState, mirror *digest.Mirror, at time.Time) (*wire.Digest, []digest.Report) {
+	sent := published.BuildDigest(now, seenEpoch(mirror), seenSequence(mirror))
 	return sent, mirror.Apply(at, sent)
 }
 
@@ -140,22 +140,22 @@
 	is := is.New(t)
 	sender := time.Unix(1_000_000, 0)
 	receiver := sender.Add(-time.Minute)
-	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
-	book.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: sender.Add(-200 * time.Millisecond)})
-	_, reports := exchange(sender, book, mirror, receiver)
+	published, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
+	published.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: sender.Add(-200 * time.Millisecond)})
+	_, reports := exchange(sender, published, mirror, receiver)
 	is.Equal(receiver.Sub(reports[0].Load.AsOf), 200*time.Millisecond)
 
 	// A report that was read again without a change is confirmed.
 	later := sender.Add(time.Second)
-	book.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: later.Add(-50 * time.Millisecond)})
-	sent, reports := exchange(later, book, mirror, receiver.Add(time.Second))
+	published.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: later.Add(-50 * time.Millisecond)})
+	sent, reports := exchange(later, published, mirror, receiver.Add(time.Second))
 	is.Equal(len(sent.Endpoints), 0)
 	is.Equal(receiver.Add(time.Second).Sub(reports[0].Load.AsOf), 50*time.Millisecond)
 
 	// A report that could not be read is not confirmed, and ages.
-	book.MarkUnreadable("engine-1")
-	exchange(later, book, mirror, receiver.Add(2*time.Second))
-	_, reports = exchange(later.Add(time.Minute), book, mirror, receiver.Add(time.Minute))
+	published.MarkUnreadable("engine-1")
+	exchange(later, published, mirror, receiver.Add(2*time.Second))
+	_, reports = exchange(later.Add(time.Minute), published, mirror, receiver.Add(time.Minute))
 	is.True(reports[0].IsUnreadable)
 	is.Equal(receiver.Add(2*time.Second).Sub(reports[0].Load.AsOf), 50*time.Millisecond)
 }
@@ -163,16 +163,16 @@
 func TestDigestIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
-	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
+	published, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
 	for i := range 1000 {
 		id := peridotpath.EndpointID(fmt.Sprintf("endpoint-with-a-long-name-%04d", i))
-		book.PutEndpoint(id, peridotpath.Load{Running: 900, PrefillTokens: 1e9, KVUsed: 1e9, KVTokens: 1e9, AsOf: now, Revision: 1 << 40})
+		published.PutEndpoint(id, peridotpath.Load{Running: 900, PrefillTokens: 1e9, KVUsed: 1e9, KVTokens: 1e9, AsOf: now, Revision: 1 << 40})
 	}
 	var reports []digest.Report
 	for rounds := 0; len(reports) < 1000; rounds++ {
 		is.True(rounds < 8) // eight messages contain a thousand entries
 		var sent *wire.Digest
-		sent, reports = exchange(now, book, mirror, now)
+		sent, reports = exchange(now, published, mirror, now)
 		is.True(proto.Size(sent) <= 10_000)
 	}
 }
@@ -182,9 +182,9 @@
 func TestVersionCompatibility(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
-	book, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
-	book.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: now, Leaving: true})
-	text, err := proto.Marshal(book.BuildDigest(now, 0, 0))
+	published, mirror := &digest.PublishedState{Epoch: 1}, &digest.Mirror{}
+	published.PutEndpoint("engine-1", peridotpath.Load{Running: 3, AsOf: now, Leaving: true})
+	text, err := proto.Marshal(published.BuildDigest(now, 0, 0))
 	is.NoErr(err)
 	text = protowire.AppendTag(text, 900, protowire.BytesType)
 	text = protowire.AppendString(text, "from a later version")
--- a/peridotpath/digest/mirror.go
+++ b/peridotpath/digest/mirror.go
@@ -42,8 +42,8 @@
 	return mirror.epoch, mirror.sequence
 }
 
-// LastAppliedAt returns when the last Digest of the other instance was applied; zero for
-// never.
+// LastAppliedAt returns when the last Digest of the other instance was applied;
+// zero for never.
 func (mirror *Mirror) LastAppliedAt() time.Time {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
@@ -72,10 +72,10 @@
 	}
 	mirror.lastAppliedAt = now
 	mirror.sequence = digest.Sequence
-	confirmed := now.Add(-fromMillis(digest.AgeMs))
+	confirmedAt := now.Add(-fromMillis(digest.AgeMs))
 	for _, report := range mirror.endpoints {
-		if !report.IsUnreadable && confirmed.After(report.Load.AsOf) {
-			report.Load.AsOf = confirmed
+		if !report.IsUnreadable && confirmedAt.After(report.Load.AsOf) {
+			report.Load.AsOf = confirmedAt
 		}
 	}
 	for _, encoded := range digest.Endpoints {
@@ -135,8 +135,8 @@
 	found.perSecond = float64(Dequantise(encoded.Demand)) / demandScale
 }
 
-// DemandByCustomer returns each customer's demand at the other instance, in requests per
-// second, including refused ones.
+// DemandByCustomer returns each customer's demand at the other instance, in
+// requests per second, including refused ones.
 func (mirror *Mirror) DemandByCustomer() map[peridotpath.CustomerID]float64 {
 	mirror.mu.Lock()
 	defer mirror.mu.Unlock()
--- a/peridotpath/digest/book.go
+++ b/peridotpath/digest/published_state.go
@@ -3,11 +3,11 @@
 // near its rate limit the demand. It keeps the traffic low when a large fleet
 // exchanges reports several times a second.
 //
-// Each instance has its published state, and a Mirror of that of each other
-// instance. Synchronisation is by anti-entropy with deltas: each
-// change has a sequence number, a Digest contains the entries that changed
-// since the sequence that its receiver holds, and a lost or reordered Digest is
-// made up for by the next one.
+// Each instance keeps its own PublishedState and a Mirror of that of each other
+// instance. Synchronisation is by anti-entropy with deltas: each change has a
+// sequence number, and a Digest contains the entries that changed since the
+// sequence that its receiver holds. The next Digest therefore repeats the changes
+// of one that was lost or dropped.
 //
 // The package does no I/O and reads no clock.
 package digest
@@ -26,8 +26,8 @@
 const (
 	// Protocol is the version of the protocol that this code implements.
 	Protocol = 1
-	// OldestReader is the oldest protocol version whose implementations can read the
-	// messages of this one.
+	// OldestReader is the oldest protocol version whose implementations can
+	// read the messages of this one.
 	OldestReader = 1
 	// MaxEntries limits one Digest to about 3 kB. Further entries are sent with
 	// the next one.
@@ -72,8 +72,8 @@
 	changedSequence, namedSequence uint64
 }
 
-// PublishedState is the state that this instance publishes. The zero value with an Epoch is
-// empty.
+// PublishedState is the state that this instance publishes. The zero value with
+// an Epoch is empty.
 type PublishedState struct {
 	// Epoch identifies this state. It differs between instances and between the
 	// runs of one instance.
@@ -139,7 +139,8 @@
 // demandScale is the number of units on the wire per request per second.
 const demandScale = 1000
 
-// QuantisedDemand returns a demand as the other instances receive it, after quantisation.
+// QuantisedDemand returns a demand as the other instances receive it, after
+// quantisation.
 func QuantisedDemand(perSecond float64) float64 {
 	return float64(Dequantise(Quantise(int64(perSecond*demandScale)))) / demandScale
 }
@@ -168,9 +169,9 @@
 
 // setDropped replaces the value by a tombstone. The entry is kept, so that
 // receivers are sent the removal and its index is not reused.
-func (publishedState *PublishedState) setDropped(found *entry) {
-	if found.value.state != wire.State_STATE_DROPPED {
-		publishedState.setValue(found, value{state: wire.State_STATE_DROPPED})
+func (publishedState *PublishedState) setDropped(entry *entry) {
+	if entry.value.state != wire.State_STATE_DROPPED {
+		publishedState.setValue(entry, value{state: wire.State_STATE_DROPPED})
 	}
 }
 
@@ -192,27 +193,27 @@
 	return &entry{index: publishedState.lastIndex}
 }
 
-func (publishedState *PublishedState) setValue(found *entry, next value) {
-	if found.changedSequence > 0 && found.value == next {
+func (publishedState *PublishedState) setValue(entry *entry, next value) {
+	if entry.changedSequence > 0 && entry.value == next {
 		return
 	}
 	publishedState.sequence++
 	// A receiver deletes a dropped entry with its name, so the name is sent
 	// again.
-	needsName := found.changedSequence == 0 || found.value.state == wire.State_STATE_DROPPED
-	if needsName || found.value.rareFields() != next.rareFields() {
-		found.namedSequence = publishedState.sequence
+	needsName := entry.changedSequence == 0 || entry.value.state == wire.State_STATE_DROPPED
+	if needsName || entry.value.rareFields() != next.rareFields() {
+		entry.namedSequence = publishedState.sequence
 	}
-	// A leaving endpoint is published without waiting for the next exchange, in
-	// which time every other instance would continue to send it work.
-	if next.state == wire.State_STATE_LEAVING && found.value.state != next.state {
+	// A leaving endpoint is published without waiting for the next exchange. Until
+	// then every other instance would continue to send it work.
+	if next.state == wire.State_STATE_LEAVING && entry.value.state != next.state {
 		publishedState.urgentSequence = publishedState.sequence
 	}
-	found.value, found.changedSequence = next, publishedState.sequence
+	entry.value, entry.changedSequence = next, publishedState.sequence
 }
 
-// UrgentSequence returns the sequence that is to be sent to every receiver without
-// waiting for the next exchange.
+// UrgentSequence returns the sequence of the last urgent change, which is sent to
+// every receiver without waiting for the next exchange.
 func (publishedState *PublishedState) UrgentSequence() uint64 {
 	publishedState.mu.Lock()
 	defer publishedState.mu.Unlock()
@@ -220,8 +221,8 @@
 }
 
 // BuildDigest returns the changes for a receiver that holds the epoch up to the
-// sequence seen. The caller sets the sender and the position that it holds of
-// the receiver's published state.
+// sequence seen. The caller adds its own id and its position in the receiver's
+// published state, as Instance, SeenEpoch and Seen.
 func (publishedState *PublishedState) BuildDigest(now time.Time, epoch, seen uint64) *wire.Digest {
 	publishedState.mu.Lock()
 	defer publishedState.mu.Unlock()
@@ -264,24 +265,24 @@
 	return changed
 }
 
-func (publishedState *PublishedState) appendEntry(digest *wire.Digest, now time.Time, found *entry) {
-	includeName := found.namedSequence > digest.Base
-	if found.endpoint == "" {
-		encoded := &wire.CustomerEntry{Index: found.index, Demand: found.value.demand, State: found.value.state}
+func (publishedState *PublishedState) appendEntry(digest *wire.Digest, now time.Time, entry *entry) {
+	includeName := entry.namedSequence > digest.Base
+	if entry.endpoint == "" {
+		encoded := &wire.CustomerEntry{Index: entry.index, Demand: entry.value.demand, State: entry.value.state}
 		if includeName {
-			encoded.Customer = string(found.customer)
+			encoded.Customer = string(entry.customer)
 		}
 		digest.Customers = append(digest.Customers, encoded)
 		return
 	}
 	encoded := &wire.EndpointEntry{
-		Index: found.index, Running: found.value.running, Waiting: found.value.waiting,
-		PrefillTokens: found.value.prefill, KvUsed: found.value.kvUsed, State: found.value.state,
-		Revision: found.revision, AgeMs: toMillis(now.Sub(found.asOf)),
+		Index: entry.index, Running: entry.value.running, Waiting: entry.value.waiting,
+		PrefillTokens: entry.value.prefill, KvUsed: entry.value.kvUsed, State: entry.value.state,
+		Revision: entry.revision, AgeMs: toMillis(now.Sub(entry.asOf)),
 	}
 	if includeName {
-		encoded.Endpoint = string(found.endpoint)
-		encoded.KvTokens, encoded.PrefillPerS, encoded.DecodePerS = found.value.kvTokens, found.value.prefillPerS, found.value.decodePerS
+		encoded.Endpoint = string(entry.endpoint)
+		encoded.KvTokens, encoded.PrefillPerS, encoded.DecodePerS = entry.value.kvTokens, entry.value.prefillPerS, entry.value.decodePerS
 	}
 	digest.Endpoints = append(digest.Endpoints, encoded)
 }
