--- a/peridotpath/share/example_test.go
+++ b/peridotpath/share/example_test.go
@@ -23,11 +23,11 @@
 	for {
 		ok, retryAfter := limiter.Allow(now, customer, 0)
 		if !ok {
-			fmt.Println(admitted, "admitted, come back in", retryAfter)
+			fmt.Println(admitted, "admitted, retry after", retryAfter)
 			return
 		}
 		admitted++
 	}
 	// Output:
-	// 5 admitted, come back in 200ms
+	// 5 admitted, retry after 200ms
 }
--- a/peridotpath/share/share.go
+++ b/peridotpath/share/share.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	// UpdateInterval is the time between two computations of the shares. It is shorter
-	// than the delay with which the demand of peers arrives, and so adds little
-	// to it.
+	// UpdateInterval is the time between two computations of the shares. It is
+	// shorter than the delay with which the demand of peers arrives, and so
+	// adds little to it.
 	UpdateInterval = 250 * time.Millisecond
 	// PeerDemandTTL is the time after which the last demand of a peer expires. It
 	// is longer than the interval between exchanges at its longest, which is
@@ -82,7 +82,8 @@
 	Peers func() []Peer
 	// Publish publishes the demand of a customer near its limit.
 	Publish func(customer peridotpath.CustomerID, perSecond float64)
-	// RetainPublished withdraws the demand of the customers for which keep is false.
+	// RetainPublished withdraws the demand of the customers for which keep is
+	// false.
 	RetainPublished func(keep func(customer peridotpath.CustomerID) bool)
 
 	customers     sync.Map // peridotpath.CustomerID to *customer
@@ -133,8 +134,8 @@
 	}
 }
 
-// burstTolerance is how far ahead of an even rate requests may be, at least by
-// one.
+// burstTolerance is how far requests may run ahead of an even rate, in
+// nanoseconds: at least one interval.
 func burstTolerance(interval int64) int64 { return max(int64(burstTime), interval) }
 
 func intervalFor(perSecond float64) int64 { return int64(float64(time.Second) / perSecond) }
@@ -177,6 +178,8 @@
 	others := aggregate(limiter.Peers(), now)
 	limiter.instanceCount.Store(int64(others.currentCount + others.silentCount + 1))
 	limiter.roundCount++
+	// The others are assumed to hold this instance's demand of roundsBack
+	// updates ago.
 	roundsBack := min(int((now.Sub(others.oldestReceivedAt)+UpdateInterval-1)/UpdateInterval), historyLength-1)
 	published := map[peridotpath.CustomerID]bool{}
 	limiter.customers.Range(func(key, value any) bool {
--- a/peridotpath/share/share_test.go
+++ b/peridotpath/share/share_test.go
@@ -43,36 +43,36 @@
 	simulation.limiters = make([]*share.Limiter, instances)
 	simulation.published = make([]map[peridotpath.CustomerID]float64, instances)
 	simulation.received = make([][]share.Peer, instances)
-	for at := range instances {
-		simulation.restart(at)
+	for index := range instances {
+		simulation.restart(index)
 	}
 	simulation.admitted, simulation.offered = make([]int, instances), make([]int, instances)
 	return simulation
 }
 
-func (simulation *simulation) restart(at int) {
-	simulation.published[at] = map[peridotpath.CustomerID]float64{}
-	simulation.received[at] = make([]share.Peer, instances)
-	simulation.limiters[at] = &share.Limiter{
-		Peers: func() []share.Peer { return simulation.peers(at) },
+func (simulation *simulation) restart(index int) {
+	simulation.published[index] = map[peridotpath.CustomerID]float64{}
+	simulation.received[index] = make([]share.Peer, instances)
+	simulation.limiters[index] = &share.Limiter{
+		Peers: func() []share.Peer { return simulation.peers(index) },
 		Publish: func(id peridotpath.CustomerID, perSecond float64) {
-			simulation.published[at][id] = digest.QuantisedDemand(perSecond)
+			simulation.published[index][id] = digest.QuantisedDemand(perSecond)
 		},
 		RetainPublished: func(keep func(peridotpath.CustomerID) bool) {
-			for id := range simulation.published[at] {
+			for id := range simulation.published[index] {
 				if !keep(id) {
-					delete(simulation.published[at], id)
+					delete(simulation.published[index], id)
 				}
 			}
 		},
 	}
-	simulation.limiters[at].UpdateShares(time.Now(), 0)
+	simulation.limiters[index].UpdateShares(time.Now(), 0)
 }
 
-func (simulation *simulation) peers(at int) []share.Peer {
+func (simulation *simulation) peers(index int) []share.Peer {
 	var peers []share.Peer
-	for other, peer := range simulation.received[at] {
-		if other != at {
+	for other, peer := range simulation.received[index] {
+		if other != index {
 			peers = append(peers, peer)
 		}
 	}
@@ -114,15 +114,15 @@
 	}
 }
 
-// offer offers on average chance requests to an instance.
-func (simulation *simulation) offer(at int, chance float64) {
-	for ; chance > 0; chance-- {
-		if simulation.random.Float64() >= chance {
+// offer offers requests to an instance; mean is their expected number.
+func (simulation *simulation) offer(index int, mean float64) {
+	for ; mean > 0; mean-- {
+		if simulation.random.Float64() >= mean {
 			continue
 		}
-		simulation.offered[at]++
-		if ok, _ := simulation.limiters[at].Allow(time.Now(), airline, 0); ok {
-			simulation.admitted[at]++
+		simulation.offered[index]++
+		if ok, _ := simulation.limiters[index].Allow(time.Now(), airline, 0); ok {
+			simulation.admitted[index]++
 			simulation.admittedPerSecond[len(simulation.admittedPerSecond)-1]++
 		}
 	}
@@ -264,8 +264,8 @@
 		simulation := newSimulation()
 		simulation.run(10*time.Second, 3*limit, even)
 		admitted := 0
-		for at := range instances / 2 {
-			simulation.restart(at)
+		for index := range instances / 2 {
+			simulation.restart(index)
 			simulation.run(5*time.Second, 3*limit, even)
 			admitted += sum(simulation.admitted)
 		}
