--- a/peridotpath/peer/config_follower.go
+++ b/peridotpath/peer/config_follower.go
@@ -25,8 +25,8 @@
 	unappliedRetryDelay = time.Second
 )
 
-// ConfigFollower fetches the configuration from other instances. Set the exported fields before the
-// first call of a method.
+// ConfigFollower fetches the configuration from other instances. Set the exported fields before
+// the first call of a method.
 type ConfigFollower struct {
 	// ConfigReaders returns the instances that watch the configuration on the platform, without
 	// this one.
@@ -77,7 +77,8 @@
 	return unappliedRetryDelay
 }
 
-// recordUpdate sets unappliedHash by the update.
+// recordUpdate sets unappliedHash to the hash of the last request if the update has documents,
+// else to zero.
 func (configFollower *ConfigFollower) recordUpdate(update config.Update) {
 	configFollower.mu.Lock()
 	defer configFollower.mu.Unlock()
@@ -135,8 +136,8 @@
 	return answered, nil
 }
 
-// fetchUpdate sends the hash of the revisions, and the revisions themselves if the peer does
-// not know the hash.
+// fetchUpdate sends the hash of the revisions, and the revisions themselves if the peer has not
+// cached them.
 func (configFollower *ConfigFollower) fetchUpdate(ctx context.Context, peer peridotpath.Instance, have config.Revisions, wait time.Duration) (config.Update, error) {
 	request := &wire.ChangesRequest{Version: digest.Version(), Have: hashRevisions(have), WaitMs: uint32(wait.Milliseconds())}
 	reply, err := configFollower.FetchChanges(ctx, peer, request)
--- a/peridotpath/peer/config_follower_test.go
+++ b/peridotpath/peer/config_follower_test.go
@@ -71,11 +71,11 @@
 func TestStartFromPeerWhilePlatformIsDown(t *testing.T) {
 	is := is.New(t)
 	source, _ := newReaderStore(t, (&memory.Memory{}).Store())
-	book := &digest.PublishedState{Epoch: 5}
-	book.PutEndpoint("engine-1", peridotpath.Load{Running: 4, AsOf: time.Now()})
+	published := &digest.PublishedState{Epoch: 5}
+	published.PutEndpoint("engine-1", peridotpath.Load{Running: 4, AsOf: time.Now()})
 	service := &peer.Service{
 		WaitForUpdate: source.WaitForUpdate,
-		Exchanger:     &peer.Exchanger{Self: "instance-1", Book: book},
+		Exchanger:     &peer.Exchanger{Self: "instance-1", Book: published},
 	}
 	server := httptest.NewServer(service.Handler())
 	defer server.Close()
@@ -137,7 +137,7 @@
 		}
 		is.Equal(requests.withRevisions, 0) // the hash replaced the revisions
 
-		// A restarted reader does not know the hash. It requests the revisions once, and does
+		// A restarted reader has an empty cache. It requests the revisions once, and does
 		// not send the documents of 34,000 customers again.
 		afterRestart := &requestCounter{}
 		updates, err := newConfigFollower(source, afterRestart).FetchFromPeers(ctx, follower.ActiveRevisions(), time.Second)
--- a/peridotpath/peer/exchange.go
+++ b/peridotpath/peer/exchange.go
@@ -29,16 +29,16 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("peer")
 
-// ErrUnreadableVersion is the class of errors for messages of a protocol version that this instance
-// cannot read.
+// ErrUnreadableVersion is the class of errors for messages of a protocol version that this
+// instance cannot read.
 var ErrUnreadableVersion = errs.Class("peer: version")
 
 const (
 	// DefaultInterval is the default time between two exchanges with one peer, if the
 	// budget allows it.
 	DefaultInterval = 500 * time.Millisecond
-	// DefaultBytesPerSecond is the default limit on exchange traffic in bytes per second, for both
-	// directions together. Control traffic may use 8 kB/s per instance; the exchanges, the
+	// DefaultBytesPerSecond is the default limit on exchange traffic in bytes per second, for
+	// both directions together. Control traffic may use 8 kB/s per instance; the exchanges, the
 	// polls of load reports and the stream sweeps leave a fifth of it to the configuration.
 	DefaultBytesPerSecond = 3500
 	// MessageOverheadBytes is the number of bytes that HTTP and TCP headers add to a message
@@ -77,7 +77,8 @@
 	OnReport func(now time.Time, id peridotpath.EndpointID, load peridotpath.Load)
 	// Interval is the time between two exchanges with a peer; zero selects DefaultInterval.
 	Interval time.Duration
-	// BytesPerSecond limits exchange traffic in bytes per second; zero selects DefaultBytesPerSecond.
+	// BytesPerSecond limits exchange traffic in bytes per second; zero selects
+	// DefaultBytesPerSecond.
 	BytesPerSecond int
 	// Random returns a number in [0, 1) for jitter; nil selects the global source.
 	Random func() float64
@@ -94,7 +95,7 @@
 	mirror digest.Mirror
 
 	// The fields below are guarded by Exchanger.mu.
-	ackedEpoch, ackedSequence uint64 // what the peer has received of Exchanger.Book
+	ackedEpoch, ackedSequence uint64 // what the peer has received of the published state
 	nextExchange              time.Time
 	lastAttempt               time.Time
 	failures                  int
@@ -295,8 +296,8 @@
 	state.nextExchange = now.Add(clock.Jitter(delay, exchanger.Random()))
 }
 
-// HandleDigest applies a peer's digest and returns the reply for that peer. The peer need not be on
-// the membership list yet.
+// HandleDigest applies a peer's digest and returns the reply for that peer. The peer need not
+// be on the membership list yet.
 func (exchanger *Exchanger) HandleDigest(now time.Time, received *wire.Digest) (*wire.Digest, error) {
 	exchanger.init()
 	exchanger.mu.Lock()
--- a/peridotpath/peer/network_test.go
+++ b/peridotpath/peer/network_test.go
@@ -48,7 +48,7 @@
 	exchanger *peer.Exchanger
 	poller    *fleet.Poller
 	view      *fleet.View
-	book      *digest.PublishedState
+	published *digest.PublishedState
 
 	mu        sync.Mutex
 	random    rand.PCG
@@ -87,15 +87,15 @@
 		network:  network, loads: map[peridotpath.EndpointID]peridotpath.Load{},
 	}
 	created.owners.Scope = ownership.Scope{Self: created.ID, DataCentre: "colombo-a", BucketCount: 16, ReaderCount: 2}
-	created.book = &digest.PublishedState{Epoch: uint64(time.Now().UnixNano()) + uint64(len(network.nodes))}
+	created.published = &digest.PublishedState{Epoch: uint64(time.Now().UnixNano()) + uint64(len(network.nodes))}
 	created.view = &fleet.View{OnChange: created.publish, OnLoad: created.report}
 	created.random.Seed(uint64(len(network.nodes)), 7)
 	created.exchanger = &peer.Exchanger{
-		Self: created.ID, Book: created.book, Peers: created.peers, SendDigest: created.sendDigest, OnReport: created.view.ApplyReport,
+		Self: created.ID, Book: created.published, Peers: created.peers, SendDigest: created.sendDigest, OnReport: created.view.ApplyReport,
 		Random: created.randomFloat,
 	}
 	created.poller = &fleet.Poller{
-		View: created.view, Book: created.book, FetchLoad: created.fetchLoad, Random: created.randomFloat,
+		View: created.view, Book: created.published, FetchLoad: created.fetchLoad, Random: created.randomFloat,
 		IsOwner: func(id peridotpath.EndpointID) bool { return created.owners.Current().OwnsEndpoint(id) },
 	}
 	network.nodes = append(network.nodes, created)
--- a/peridotpath/peer/service.go
+++ b/peridotpath/peer/service.go
@@ -25,8 +25,8 @@
 // before the first call of a method.
 type Service struct {
 	Exchanger *Exchanger
-	// WaitForUpdate returns the documents that are newer than have. If there is none, it waits for
-	// one until wait has passed. It is usually the method of config.Store.
+	// WaitForUpdate returns the documents that are newer than have. If there is none, it waits
+	// for one until wait has passed. It is usually the method of config.Store.
 	WaitForUpdate func(ctx context.Context, have config.Revisions, wait time.Duration) (config.Update, error)
 
 	revisions revisionCache
@@ -64,14 +64,14 @@
 	}
 }
 
-// HandleChanges handles another instance's request for configuration documents. If it does not
-// know the revisions behind the hash in the request, the reply asks for them.
+// HandleChanges handles another instance's request for configuration documents. If the
+// revisions with the hash of the request are not cached, the reply requests them.
 func (service *Service) HandleChanges(ctx context.Context, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 	if !digest.IsReadable(request.GetVersion()) {
 		return nil, ErrUnreadableVersion.New("changes: protocol %d", request.GetVersion().GetProtocol())
 	}
-	have, known := service.revisions.resolve(request)
-	if !known {
+	have, found := service.revisions.resolve(request)
+	if !found {
 		return &wire.ChangesReply{Version: digest.Version(), SendRevisions: true}, nil
 	}
 	maxDelay := min(time.Duration(request.WaitMs)*time.Millisecond, maxLongPoll)
@@ -97,7 +97,7 @@
 }
 
 // FetchChanges requests the configuration documents that are newer than those of the request,
-// and waits for one as long as the request says.
+// and waits for one for up to the request's WaitMs.
 func (client *Client) FetchChanges(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 	reply, err := client.connect(peer.Peer).Changes(ctx, request)
 	return reply, classifyError(err)
