--- a/peridotpath/fleet/poller.go
+++ b/peridotpath/fleet/poller.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// DefaultInterval is the default time between two polls of an endpoint. All instances must
-	// know of a leaving endpoint within two seconds; the interval, together with the poll
-	// itself, leaves one second for the exchange between instances.
+	// DefaultInterval is the default time between two polls of an endpoint. A leaving
+	// endpoint must be known at all instances within two seconds; the interval, together
+	// with the poll itself, leaves one second for the exchange between instances.
 	DefaultInterval = 500 * time.Millisecond
 	// DefaultBytesPerSecond is the default limit on poll traffic, in bytes per second.
 	DefaultBytesPerSecond = 2500
@@ -53,7 +53,8 @@
 	// Interval is the minimum time between two polls of an endpoint; zero selects
 	// DefaultInterval. It is extended to keep the traffic within the budget.
 	Interval time.Duration
-	// BytesPerSecond limits poll traffic in bytes per second; zero selects DefaultBytesPerSecond.
+	// BytesPerSecond limits poll traffic in bytes per second; zero selects
+	// DefaultBytesPerSecond.
 	BytesPerSecond int
 	// StaleAfter is the age of a load after which the endpoint's owner counts as silent; zero
 	// selects DefaultStaleAfter.
@@ -75,7 +76,7 @@
 	for {
 		owned := poller.startPolls(ctx, &group)
 		// The jitter spreads the polls of instances that started at the same time.
-		if !clock.SleepContext(ctx, clock.Jitter(poller.stretchedInterval(owned), poller.Random())) {
+		if !clock.SleepContext(ctx, clock.Jitter(poller.extendedInterval(owned), poller.Random())) {
 			return ctx.Err()
 		}
 	}
@@ -97,9 +98,9 @@
 	poller.inProgress = map[peridotpath.EndpointID]bool{}
 }
 
-// stretchedInterval returns the poll interval for the number of owned endpoints, extended so
+// extendedInterval returns the poll interval for the number of owned endpoints, extended so
 // that the polls stay within the budget.
-func (poller *Poller) stretchedInterval(owned int) time.Duration {
+func (poller *Poller) extendedInterval(owned int) time.Duration {
 	return max(poller.Interval, time.Duration(owned*bytesPerPoll)*time.Second/time.Duration(poller.BytesPerSecond))
 }
 
@@ -137,7 +138,7 @@
 }
 
 // startPoll starts a poll of the endpoint unless its last one is still running or
-// maxConcurrentPolls are. An unresponsive endpoint thus does not delay the others.
+// maxConcurrentPolls polls are running. An unresponsive endpoint thus does not delay the others.
 func (poller *Poller) startPoll(ctx context.Context, group *errgroup.Group, endpoint peridotpath.Endpoint) {
 	if !poller.markInProgress(endpoint.ID) {
 		return
--- a/peridotpath/fleet/view.go
+++ b/peridotpath/fleet/view.go
@@ -29,7 +29,7 @@
 type View struct {
 	Log zerolog.Logger
 	// IsDrained reports whether an operator has drained the endpoint; nil means that none is.
-	// Call View.Republish when the result changes.
+	// Call Republish when the result changes.
 	IsDrained func(id peridotpath.EndpointID) bool
 	// OnChange is called with all endpoints after each change.
 	OnChange func(now time.Time, endpoints []peridotpath.Endpoint)
@@ -117,7 +117,7 @@
 	}
 }
 
-// Republish publishes the endpoints again, after a change of View.IsDrained.
+// Republish publishes the endpoints again, after a change of IsDrained.
 func (view *View) Republish(now time.Time) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -168,9 +168,9 @@
 	}
 }
 
-// RecordRefusal records that the endpoint refused a request because it is leaving. It is published
-// as leaving until a later load report of its own overrides the refusal. The membership list
-// does not override it, since the list lags.
+// RecordRefusal records that the endpoint refused a request because it is leaving. It is
+// published as leaving until a later load report of its own overrides the refusal. The
+// membership list does not override it, since the list lags.
 func (view *View) RecordRefusal(now time.Time, id peridotpath.EndpointID) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -186,8 +186,8 @@
 	}
 }
 
-// ReportAge returns the age of the endpoint's newest report, or the time since it was first listed if
-// there is none.
+// ReportAge returns the age of the endpoint's newest report, or the time since it was first
+// listed if there is none.
 func (view *View) ReportAge(now time.Time, id peridotpath.EndpointID) time.Duration {
 	view.mu.Lock()
 	defer view.mu.Unlock()
@@ -197,8 +197,8 @@
 	return 0
 }
 
-// ListedEngines returns the model engines on the membership list. Leaving engines are included, since
-// they still execute requests and may return.
+// ListedEngines returns the model engines on the membership list. Leaving engines are included,
+// since they still execute requests and may return.
 func (view *View) ListedEngines() []peridotpath.Endpoint {
 	view.mu.Lock()
 	defer view.mu.Unlock()
