--- a/peridotpath/ownership/ownership.go
+++ b/peridotpath/ownership/ownership.go
@@ -61,14 +61,14 @@
 // across data centres.
 const maxSingleDomainInstances = 40
 
-// DomainDataCentre returns the data centre that limits a Scope: empty, for all data centres, if there are
-// at most maxSingleDomainInstances live instances, else the instance's own.
+// DomainDataCentre returns the data centre that limits a Scope: empty, for all data centres, if
+// there are at most maxSingleDomainInstances live instances, else the instance's own.
 //
 // With two or three instances per data centre, as is common, one domain per data centre would
 // poll each endpoint once per data centre and divide customers' limits among too few
 // instances. With many instances an exchange between all pairs would exceed the budget for
 // control traffic, so exchanges are limited to the data centre.
-func DomainDataCentre(own peridotpath.DataCentre, instances []peridotpath.Instance) peridotpath.DataCentre {
+func DomainDataCentre(local peridotpath.DataCentre, instances []peridotpath.Instance) peridotpath.DataCentre {
 	live := 0
 	for i := range instances {
 		if instances[i].State == peridotpath.StateLive {
@@ -78,7 +78,7 @@
 	if live <= maxSingleDomainInstances {
 		return ""
 	}
-	return own
+	return local
 }
 
 // New computes the Table of a Scope for the endpoints and all buckets. A leaving instance owns
@@ -102,9 +102,9 @@
 // keyKindLease is the kind of key of the leases of engine groups.
 const keyKindLease = "lease/"
 
-// LeaseCandidates returns at most count live instances that try to acquire the named lease of a data
-// centre. They are instances of the data centre or, if it has none, of any other, since its
-// engine groups would otherwise never change.
+// LeaseCandidates returns at most count live instances that try to acquire the named lease of a
+// data centre. They are instances of the data centre or, if it has none, of any other, since
+// its engine groups would otherwise never change.
 func LeaseCandidates(instances []peridotpath.Instance, dataCentre peridotpath.DataCentre, name string, count int) []peridotpath.Instance {
 	live := liveCandidates(dataCentre, instances)
 	if len(live) == 0 {
@@ -176,11 +176,11 @@
 	return table.live[index].Instance, true
 }
 
-// EndpointOwner returns the owner of an endpoint, or false if no instance is live. The owner of an
-// endpoint that was not listed is computed in the call.
+// EndpointOwner returns the owner of an endpoint, or false if no instance is live. The owner of
+// an endpoint that was not listed is computed in the call.
 func (table *Table) EndpointOwner(id peridotpath.EndpointID) (peridotpath.Instance, bool) {
-	index, known := table.endpoints[id]
-	if !known {
+	index, listed := table.endpoints[id]
+	if !listed {
 		index = table.topRankedIndex(hashKey(keyKindEndpoint, string(id)))
 	}
 	return table.instanceAt(index)
@@ -197,8 +197,8 @@
 	return Bucket(xxhash.Sum64String(key) % uint64(max(len(table.buckets), 1)))
 }
 
-// BucketOwner returns the owner of a bucket, or false if no instance is live or the bucket does not
-// exist.
+// BucketOwner returns the owner of a bucket, or false if no instance is live or the bucket does
+// not exist.
 func (table *Table) BucketOwner(bucket Bucket) (peridotpath.Instance, bool) {
 	if int(bucket) >= len(table.buckets) {
 		return peridotpath.Instance{}, false
--- a/peridotpath/ownership/ownership_test.go
+++ b/peridotpath/ownership/ownership_test.go
@@ -50,17 +50,17 @@
 		before := newTable(list, 200)
 		after := newTable(append(list[:removed:removed], list[removed+1:]...), 200)
 		for _, endpoint := range endpoints(200) {
-			had, _ := before.EndpointOwner(endpoint.ID)
-			has, _ := after.EndpointOwner(endpoint.ID)
-			if had.ID != list[removed].ID && had.ID != has.ID {
-				t.Fatalf("endpoint %s moved from %s to %s, removed %s", endpoint.ID, had.ID, has.ID, list[removed].ID)
+			oldOwner, _ := before.EndpointOwner(endpoint.ID)
+			newOwner, _ := after.EndpointOwner(endpoint.ID)
+			if oldOwner.ID != list[removed].ID && oldOwner.ID != newOwner.ID {
+				t.Fatalf("endpoint %s moved from %s to %s, removed %s", endpoint.ID, oldOwner.ID, newOwner.ID, list[removed].ID)
 			}
 		}
 		for bucket := range ownership.Bucket(buckets) {
-			had, _ := before.BucketOwner(bucket)
-			has, _ := after.BucketOwner(bucket)
-			if had.ID != list[removed].ID && had.ID != has.ID {
-				t.Fatalf("bucket %d moved from %s to %s", bucket, had.ID, has.ID)
+			oldOwner, _ := before.BucketOwner(bucket)
+			newOwner, _ := after.BucketOwner(bucket)
+			if oldOwner.ID != list[removed].ID && oldOwner.ID != newOwner.ID {
+				t.Fatalf("bucket %d moved from %s to %s", bucket, oldOwner.ID, newOwner.ID)
 			}
 		}
 	})
@@ -78,7 +78,8 @@
 		}
 		mean := keys / len(list)
 		for id, count := range counts {
-			// The bounds are six standard deviations of a uniform distribution at the smallest mean.
+			// The bounds are six standard deviations of a uniform distribution at the smallest
+			// mean.
 			if count < mean*7/10 || count > mean*13/10 {
 				t.Fatalf("%s owns %d of %d, mean %d", id, count, keys, mean)
 			}
@@ -92,10 +93,10 @@
 		before := newTable(list, 50)
 		after := newTable(rapid.Permutation(list).Draw(t, "order"), 50)
 		for _, endpoint := range endpoints(50) {
-			had, _ := before.EndpointOwner(endpoint.ID)
-			has, _ := after.EndpointOwner(endpoint.ID)
-			if had.ID != has.ID {
-				t.Fatalf("%s has owner %s or %s", endpoint.ID, had.ID, has.ID)
+			oldOwner, _ := before.EndpointOwner(endpoint.ID)
+			newOwner, _ := after.EndpointOwner(endpoint.ID)
+			if oldOwner.ID != newOwner.ID {
+				t.Fatalf("%s has owner %s or %s", endpoint.ID, oldOwner.ID, newOwner.ID)
 			}
 		}
 		if before.Readers()[0].ID != after.Readers()[0].ID || before.Readers()[1].ID != after.Readers()[1].ID {
