--- a/peridotpath/sweep/sweep.go
+++ b/peridotpath/sweep/sweep.go
@@ -1,6 +1,6 @@
 // Package sweep cancels orphaned streams, so that engines free their KV cache. An instance
-// cancels the streams of callers that disconnect; the streams of an instance that is killed
-// are cancelled by nobody, and would occupy KV cache indefinitely.
+// cancels the streams of callers that disconnect; without a sweep, the streams of an
+// instance that is killed would occupy KV cache indefinitely.
 //
 // The instance that owns an endpoint periodically lists its streams and cancels those that
 // have had no reader for longer than the resume window, on the condition that they still
@@ -30,8 +30,8 @@
 	// margin and one failed sweep it bounds the time to free the memory of an orphaned
 	// stream (see Sweeper.MaxReclaimTime).
 	DefaultInterval = 5 * time.Second
-	// DefaultListBytesPerSecond bounds the traffic of listing streams, in bytes a second. The interval
-	// is extended to stay within it.
+	// DefaultListBytesPerSecond bounds the traffic of listing streams, in bytes a second.
+	// The interval is extended to stay within it.
 	DefaultListBytesPerSecond = 500
 	// listBytesPerStream is the size of one stream in a list.
 	listBytesPerStream = 175
@@ -50,11 +50,10 @@
 // before Run.
 type Sweeper struct {
 	Log zerolog.Logger
-	// Engines returns all engine endpoints; Sweeper.IsOwner reports whether this instance owns
-	// one.
+	// Engines returns all engine endpoints; IsOwner reports whether this instance owns one.
 	Engines func() []peridotpath.Endpoint
 	IsOwner func(id peridotpath.EndpointID) bool
-	// ListStreams lists an engine's streams; Sweeper.CancelStream cancels one of them.
+	// ListStreams lists an engine's streams; CancelStream cancels one of them.
 	ListStreams  func(ctx context.Context, address netip.AddrPort) ([]engine.StreamInfo, error)
 	CancelStream func(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error
 	// ResumeWindow is how long a stream without a reader is kept for its caller to resume
@@ -66,9 +65,9 @@
 	Random func() float64
 }
 
-// MaxReclaimTime returns the maximum time from the disconnect of a stream's last reader until its
-// memory is freed, if one sweep fails. If the endpoint's owner died too, the delay until
-// the membership list shows it is added.
+// MaxReclaimTime returns the maximum time from the disconnect of a stream's last reader
+// until its memory is freed, if one sweep fails. If the endpoint's owner died too, the
+// delay until the membership list shows it is added.
 func (sweeper *Sweeper) MaxReclaimTime() time.Duration {
 	return sweeper.ResumeWindow + resumeMargin + 2*sweeper.nextInterval(0)*11/10 + time.Second
 }
--- a/peridotpath/sweep/sweep_test.go
+++ b/peridotpath/sweep/sweep_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// An instance is killed while it relays streams, and nobody cancels them. Their memory on
+// An instance is killed while it relays streams, and does not cancel them. Their memory on
 // the engine must be freed, or long prompts no longer fit on any engine.
 func TestStreamsOfKilledInstanceAreCancelled(t *testing.T) {
 	cases := []struct {
@@ -131,8 +131,8 @@
 					fake.setStream(fmt.Sprint("abandoned-", i), time.Now())
 				}
 				fake.setStream("read", time.Time{})
-				one, two := newSweeper(fake), newSweeper(fake)
-				runSweepers(t, one.MaxReclaimTime(), one, two)
+				first, second := newSweeper(fake), newSweeper(fake)
+				runSweepers(t, first.MaxReclaimTime(), first, second)
 				for i := range 3 {
 					is.True(!fake.hasStream(fmt.Sprint("abandoned-", i)))
 				}
