--- a/peridotpath/cursor/secret.go
+++ b/peridotpath/cursor/secret.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// MarkStoreRestored must be called when the store was restored from an older copy, which may lack
-// the secret. It does not block.
+// MarkStoreRestored must be called when the store was restored from an older copy, which
+// may lack the secret. It does not block.
 func (signer *Signer) MarkStoreRestored() { signer.storeRestored.Raise() }
 
 // loadOrCreateSecret reads the secret from the store. If the key does not exist, it writes
