--- a/peridotpath/engine/body_test.go
+++ b/peridotpath/engine/body_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// TestBodyIsReadableUntilDropped covers a request that the transport retries on a
-// new connection, and one whose body is dropped while it is being sent: the read must
+// TestBodyIsReadableUntilReleased covers a request that the transport retries on a
+// new connection, and one whose body is released while it is being sent: the read must
 // fail, because a regular end would make the truncated body look complete.
-func TestBodyIsReadableUntilDropped(t *testing.T) {
+func TestBodyIsReadableUntilReleased(t *testing.T) {
 	is := is.New(t)
 	body := NewBody([]byte("a prompt"))
 	request := &http.Request{}
--- a/peridotpath/engine/client_test.go
+++ b/peridotpath/engine/client_test.go
@@ -20,7 +20,7 @@
 // the request may have run, and the client does not retry it, although a draining engine
 // refused it before starting it.
 func TestSendClassifiesFailures(t *testing.T) {
-	refused := outbound.ErrNotSent.New("dial")
+	notSent := outbound.ErrNotSent.New("dial")
 	tests := []struct {
 		name   string
 		status int
@@ -37,7 +37,7 @@
 		{"gone", 410, "", nil, &engine.ErrStreamGone},
 		{"not found", 404, "", nil, &engine.ErrStreamGone},
 		{"redirect", 302, "", nil, &engine.ErrFailed},
-		{"no connection", 0, "", refused, &engine.ErrNotConnected},
+		{"no connection", 0, "", notSent, &engine.ErrNotConnected},
 		{"connection lost", 0, "", io.ErrUnexpectedEOF, &engine.ErrFailed},
 	}
 	for _, test := range tests {
@@ -48,8 +48,8 @@
 				header.Set(engine.HeaderNotRun, test.notRun)
 				return &http.Response{StatusCode: test.status, Header: header, Body: io.NopCloser(strings.NewReader("why"))}, test.err
 			}}
-			work := &engine.Request{ID: "r1", Path: engine.PathCompletions, Deadline: time.Now()}
-			_, err := client.Send(context.Background(), netip.MustParseAddrPort("127.0.0.1:1"), work)
+			prompt := &engine.Request{ID: "r1", Path: engine.PathCompletions, Deadline: time.Now()}
+			_, err := client.Send(context.Background(), netip.MustParseAddrPort("127.0.0.1:1"), prompt)
 			classes := []*errs.Class{&engine.ErrNotConnected, &engine.ErrRefused, &engine.ErrBadRequest, &engine.ErrFailed, &engine.ErrStreamGone}
 			for _, class := range classes {
 				is.Equal(class.Has(err), class == test.want) // the class of the failure
