--- a/peridotpath/session/bad_input_test.go
+++ b/peridotpath/session/bad_input_test.go
@@ -87,8 +87,8 @@
 		{"not JSON", path, strings.NewReader("model=line"), nil, peridotpath.CodeBadRequest},
 		{"an array", path, strings.NewReader("[" + good + "]"), nil, peridotpath.CodeBadRequest},
 		{"bad UTF-8", path, strings.NewReader(strings.Replace(good, "patra", "\xff\xfe", 1)), nil, peridotpath.CodeBadRequest},
-		{"cut JSON", path, strings.NewReader(good[:40]), nil, peridotpath.CodeBadRequest},
-		{"brackets without end", path, bytes.NewReader(bytes.Repeat([]byte("["), 15<<20)), nil, peridotpath.CodeBadRequest},
+		{"truncated JSON", path, strings.NewReader(good[:40]), nil, peridotpath.CodeBadRequest},
+		{"unclosed brackets", path, bytes.NewReader(bytes.Repeat([]byte("["), 15<<20)), nil, peridotpath.CodeBadRequest},
 		{"no prompt", path, strings.NewReader(`{"model":"line"}`), nil, peridotpath.CodeBadRequest},
 		{"sender dies", path, truncatedBody{strings.NewReader(good[:40])}, nil, peridotpath.CodeBodyIncomplete},
 		{"too large", path, bytes.NewReader(make([]byte, 16<<20+1)), nil, peridotpath.CodeBodyTooLarge},
@@ -96,17 +96,17 @@
 		{"unknown model", path, strings.NewReader(strings.Replace(good, "line", "gpt", 1)), nil, peridotpath.CodeUnknownProfile},
 		{"unknown profile", path, strings.NewReader(good), map[string]string{caller.HeaderProfile: "nobody's"}, peridotpath.CodeUnknownProfile},
 		{"unknown key", path, strings.NewReader(good), map[string]string{"Authorization": "Bearer x"}, peridotpath.CodeUnauthorized},
-		{"deadline in words", path, strings.NewReader(good), map[string]string{caller.HeaderDeadlineMS: "soon"}, peridotpath.CodeBadDeadline},
+		{"deadline not a number", path, strings.NewReader(good), map[string]string{caller.HeaderDeadlineMS: "soon"}, peridotpath.CodeBadDeadline},
 		{"deadline in the past", path, strings.NewReader(good), map[string]string{caller.HeaderDeadlineMS: "-5"}, peridotpath.CodeBadDeadline},
-		{"deadline beyond numbers", path, strings.NewReader(good), map[string]string{caller.HeaderDeadlineMS: "99999999999999999999"}, peridotpath.CodeBadDeadline},
-		{"cursor of nobody", path, strings.NewReader(good), map[string]string{caller.HeaderLastEventID: "AAAA.3"}, peridotpath.CodeBadCursor},
-		{"long text behind a short one", path, strings.NewReader(`{"model":"line","prompt":"` + strings.Repeat("patra ", 8000) + `","messages":[]}`), nil, peridotpath.CodePromptTooLong},
+		{"deadline overflows", path, strings.NewReader(good), map[string]string{caller.HeaderDeadlineMS: "99999999999999999999"}, peridotpath.CodeBadDeadline},
+		{"forged cursor", path, strings.NewReader(good), map[string]string{caller.HeaderLastEventID: "AAAA.3"}, peridotpath.CodeBadCursor},
+		{"long prompt, empty messages", path, strings.NewReader(`{"model":"line","prompt":"` + strings.Repeat("patra ", 8000) + `","messages":[]}`), nil, peridotpath.CodePromptTooLong},
 		{"headers too large", path, strings.NewReader(good), map[string]string{"X-Note": strings.Repeat("n", 70<<10)}, peridotpath.CodeHeaderTooLarge},
 		{"unknown path", "/v1/embeddings", strings.NewReader(good), nil, peridotpath.CodeNotFound},
 		{"wrong method", "/v1/models", strings.NewReader(good), nil, peridotpath.CodeNotFound},
 		{"unknown service", "/services/nobody/x", strings.NewReader("x"), nil, peridotpath.CodeUnknownProfile},
 		{"empty key", "/services/correction/x", strings.NewReader("x"), map[string]string{caller.HeaderIdempotencyKey: ""}, peridotpath.CodeBadIdempotencyKey},
-		{"endless key", "/services/correction/x", strings.NewReader("x"), map[string]string{caller.HeaderIdempotencyKey: strings.Repeat("k", 300)}, peridotpath.CodeBadIdempotencyKey},
+		{"key too long", "/services/correction/x", strings.NewReader("x"), map[string]string{caller.HeaderIdempotencyKey: strings.Repeat("k", 300)}, peridotpath.CodeBadIdempotencyKey},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -149,13 +149,13 @@
 					fleet := newFleet(t, portalDeployment())
 					defer fleet.stop()
 					fleet.engine.Faults.Set(faults.Fault{Kind: kind})
-					began := time.Now()
+					startedAt := time.Now()
 					body := fmt.Sprintf(`{"model":"line","max_tokens":9,"stream":%t,"messages":[{"role":"user","content":"patra"}]}`, stream)
 					response := fleet.call(t, http.MethodPost, engine.PathChatCompletions, strings.NewReader(body), nil)
 					is.True(response.code() != 0) // a bad answer was delivered as a success
 					is.True(!response.code().NotRun() || kind == faults.Fail)
 					is.True(!strings.Contains(response.body, engine.EndMark))
-					is.True(time.Since(began) <= 11*time.Second)
+					is.True(time.Since(startedAt) <= 11*time.Second)
 					time.Sleep(time.Minute)
 					load := fleet.engine.Load()
 					is.Equal(load.KVUsed, peridotpath.Tokens(0)) // KV cache was not freed
@@ -201,7 +201,7 @@
 				is.Equal(fleet.engine.Load().KVUsed, peridotpath.Tokens(0))
 				want := engine.Count{Runs: 1, Cancelled: 1}
 				if stream {
-					// It ran to its end within the resume window.
+					// The request ran to its end within the resume window.
 					want = engine.Count{Runs: 1, Finished: 1}
 				}
 				is.Equal(fleet.engine.Counts().Total, want)
--- a/peridotpath/session/claims_test.go
+++ b/peridotpath/session/claims_test.go
@@ -46,7 +46,7 @@
 
 // A session of a claims desk: a batch of claims, one claim sent concurrently and
 // again at another instance, an outage of the key-value service, and a service that
-// dies while it runs a claim. Each claim must be acknowledged once or reported as of
+// dies while it runs a claim. Each claim must be acknowledged once or reported with an
 // unknown outcome, and a short lookup must not wait behind a long prompt.
 func TestClaimsDeskSession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -89,10 +89,10 @@
 
 		session.appendTitle("a dossier of 120,000 tokens with a counter lookup behind it")
 		dossier := strings.Repeat("receipt and photograph. ", 120_000*4/24)
-		heavy := session.startRequest(chatRequest(colombo, "dossier", "airline-key", "dossier", dossier, 3, false))
+		awaitDossier := session.startRequest(chatRequest(colombo, "dossier", "airline-key", "dossier", dossier, 3, false))
 		time.Sleep(103 * time.Millisecond) // not at an iteration of the engine
 		session.send(chatRequest(negombo, "lookup", "counter-key", "counter-lookup", strings.Repeat("tag LK 4711? ", 400), 4, true))
-		heavy()
+		awaitDossier()
 
 		time.Sleep(time.Minute)
 		session.finish("claims_desk")
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -100,7 +100,7 @@
 	return fleet
 }
 
-// start starts a task that ends at close.
+// start starts a task that ends when stop is called.
 func (fleet *fleet) start(ctx context.Context, task func(ctx context.Context) error) {
 	ended := make(chan error, 1)
 	fleet.ended = append(fleet.ended, ended)
--- a/peridotpath/session/transcript_test.go
+++ b/peridotpath/session/transcript_test.go
@@ -75,8 +75,9 @@
 	return transcript.startRequest(request)()
 }
 
-// startRequest starts the call and returns a function that waits for its answer. The answer
-// is recorded in that function, so that concurrent calls have a fixed order.
+// startRequest starts the call and returns a function that waits for its answer.
+// The answer is recorded in that function, so that concurrent calls have a fixed
+// order.
 func (transcript *transcript) startRequest(clientRequest clientRequest) (wait func() string) {
 	answer := &recordedAnswer{transcript: transcript, name: clientRequest.name, disconnectAfter: clientRequest.disconnectAfter, ended: make(chan struct{})}
 	request := transcript.newRequest(&clientRequest)
