--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -71,7 +71,7 @@
 
 func (tracker *fleetTracker) initLoadReports(daemon *daemon) {
 	tracker.digests = &digest.PublishedState{Epoch: uint64(daemon.incarnation)}
-	tracker.poller = &fleet.Poller{View: tracker.view, Book: tracker.digests, FetchLoad: daemon.engines.FetchLoad, IsOwner: tracker.ownsEndpoint}
+	tracker.poller = &fleet.Poller{View: tracker.view, Published: tracker.digests, FetchLoad: daemon.engines.FetchLoad, IsOwner: tracker.ownsEndpoint}
 	tracker.sweeper = &sweep.Sweeper{
 		Log: daemon.log, Engines: tracker.view.ListedEngines, IsOwner: tracker.ownsEndpoint,
 		ListStreams: daemon.engines.ListStreams, CancelStream: daemon.engines.Cancel, ResumeWindow: resumeWindow,
@@ -81,7 +81,7 @@
 func (tracker *fleetTracker) initPeerExchange(daemon *daemon) {
 	client := &peer.Client{}
 	tracker.exchanger = &peer.Exchanger{
-		Self: daemon.settings.InstanceID, Book: tracker.digests, Log: daemon.log,
+		Self: daemon.settings.InstanceID, Published: tracker.digests, Log: daemon.log,
 		Peers: tracker.peers, SendDigest: client.Exchange, OnReport: tracker.view.ApplyReport,
 	}
 	tracker.configFollower = &peer.ConfigFollower{ConfigReaders: tracker.readers, OtherInstances: tracker.peers, FetchChanges: client.FetchChanges}
--- a/peridotpath/caller/stack_test.go
+++ b/peridotpath/caller/stack_test.go
@@ -179,7 +179,7 @@
 		switch {
 		case !found:
 			continue
-		case data == engine.EndMark:
+		case data == engine.EndMarker:
 			stream.done = true
 		case strings.Contains(data, `"error":`):
 			stream.failureCode = failureCode(data)
--- a/peridotpath/digest/published_state.go
+++ b/peridotpath/digest/published_state.go
@@ -24,11 +24,11 @@
 )
 
 const (
-	// Protocol is the version of the protocol that this code implements.
-	Protocol = 1
-	// OldestReader is the oldest protocol version whose implementations can
+	// ProtocolVersion is the version of the protocol that this code implements.
+	ProtocolVersion = 1
+	// MinReaderProtocol is the oldest protocol version whose implementations can
 	// read the messages of this one.
-	OldestReader = 1
+	MinReaderProtocol = 1
 	// MaxEntries limits one Digest to about 3 kB. Further entries are sent with
 	// the next one.
 	MaxEntries = 128
@@ -36,13 +36,13 @@
 
 // Version returns the version that is sent with each message.
 func Version() *wire.Version {
-	return &wire.Version{Protocol: Protocol, ReadableBy: OldestReader}
+	return &wire.Version{Protocol: ProtocolVersion, ReadableBy: MinReaderProtocol}
 }
 
 // IsReadable reports whether this code can read a message of the version. A message
 // without a version is not of this protocol.
 func IsReadable(version *wire.Version) bool {
-	return version.GetProtocol() > 0 && version.GetReadableBy() <= Protocol
+	return version.GetProtocol() > 0 && version.GetReadableBy() <= ProtocolVersion
 }
 
 // value is the published state of an endpoint or customer, quantised.
--- a/peridotpath/dispatch/relay.go
+++ b/peridotpath/dispatch/relay.go
@@ -126,7 +126,7 @@
 		if event.Offset > stream.nextOffset {
 			return false, engine.ErrFailed.New("event %d came, %d was due", event.Offset, stream.nextOffset)
 		}
-		if string(event.Data) == engine.EndMark {
+		if string(event.Data) == engine.EndMarker {
 			return true, nil
 		}
 		if !strictjson.Valid(event.Data) {
@@ -181,7 +181,7 @@
 	if !stream.contentSent {
 		return failedAttempt(stream.work, telemetry.RetryBadAnswer, peridotpath.CodeBadAnswer, "stream without content")
 	}
-	return deliveredAttempt(stream.tokens, stream.sink.WriteEvent(stream.nextOffset, []byte(engine.EndMark)))
+	return deliveredAttempt(stream.tokens, stream.sink.WriteEvent(stream.nextOffset, []byte(engine.EndMarker)))
 }
 
 // abandonedAttempt returns the abandoned attempt if the caller disconnected or the
--- a/peridotpath/engine/enginetest/answer.go
+++ b/peridotpath/engine/enginetest/answer.go
@@ -114,7 +114,7 @@
 	index := offset - stream.roleEventCount()
 	output := int64(stream.prompt.outputTokens)
 	if index > output {
-		return []byte(engine.EndMark)
+		return []byte(engine.EndMarker)
 	}
 	part := completion{ID: stream.id, Object: "text_completion", Model: stream.prompt.model}
 	text, reason := "", "length"
--- a/peridotpath/engine/enginetest/engine_test.go
+++ b/peridotpath/engine/enginetest/engine_test.go
@@ -75,7 +75,7 @@
 			return text.String(), last, false
 		}
 		last = event.Offset
-		if string(event.Data) == engine.EndMark {
+		if string(event.Data) == engine.EndMarker {
 			return text.String(), last, true
 		}
 		text.WriteString(gjson.GetBytes(event.Data, "choices.0.text").String())
--- a/peridotpath/engine/enginetest/serve.go
+++ b/peridotpath/engine/enginetest/serve.go
@@ -127,7 +127,7 @@
 func (stream *stream) writeEmpty(writer http.ResponseWriter) {
 	if stream.prompt.stream {
 		writer.Header().Set("Content-Type", "text/event-stream")
-		_, _ = writer.Write([]byte("id: 0\ndata: " + wire.EndMark + "\n\n"))
+		_, _ = writer.Write([]byte("id: 0\ndata: " + wire.EndMarker + "\n\n"))
 		return
 	}
 	writeJSON(writer, completion{ID: stream.id, Object: "text_completion", Choices: []choice{}})
--- a/peridotpath/engine/wire.go
+++ b/peridotpath/engine/wire.go
@@ -40,8 +40,8 @@
 	NotRunLeaving = "leaving"
 )
 
-// EndMark is the data of the last event of a complete stream.
-const EndMark = "[DONE]"
+// EndMarker is the data of the last event of a complete stream.
+const EndMarker = "[DONE]"
 
 // StreamInfo is an engine's report on a stream that it holds.
 type StreamInfo struct {
--- a/peridotpath/fleet/poller.go
+++ b/peridotpath/fleet/poller.go
@@ -44,8 +44,8 @@
 // peers. It also polls a few endpoints whose owner is silent. Set the exported fields before
 // Run.
 type Poller struct {
-	View *View
-	Book *digest.PublishedState
+	View      *View
+	Published *digest.PublishedState
 	// FetchLoad fetches an endpoint's load report.
 	FetchLoad func(ctx context.Context, address netip.AddrPort) (peridotpath.Load, error)
 	// IsOwner reports whether this instance owns the endpoint.
@@ -117,7 +117,7 @@
 			stale = append(stale, endpoint)
 		}
 	}
-	poller.Book.RetainEndpoints(poller.IsOwner)
+	poller.Published.RetainEndpoints(poller.IsOwner)
 	stale = poller.chooseFallbacks(stale)
 	metrics.GetOrCreateCounter(`peridotpath_fallback_polls_total`).Add(len(stale))
 	for _, endpoint := range append(owned, stale...) {
@@ -176,13 +176,13 @@
 	load, err := poller.FetchLoad(ctx, endpoint.Address)
 	if err != nil {
 		metrics.GetOrCreateCounter(`peridotpath_reports_unread_total`).Inc()
-		poller.Book.MarkUnreadable(endpoint.ID)
+		poller.Published.MarkUnreadable(endpoint.ID)
 		return
 	}
 	// The time before the call, since the report may not contain requests dispatched during it.
 	load.AsOf = sentAt
 	poller.View.ApplyReport(time.Now(), endpoint.ID, load)
 	if poller.IsOwner(endpoint.ID) {
-		poller.Book.PutEndpoint(endpoint.ID, load)
+		poller.Published.PutEndpoint(endpoint.ID, load)
 	}
 }
--- a/peridotpath/peer/config_follower_test.go
+++ b/peridotpath/peer/config_follower_test.go
@@ -75,7 +75,7 @@
 	published.PutEndpoint("engine-1", peridotpath.Load{Running: 4, AsOf: time.Now()})
 	service := &peer.Service{
 		WaitForUpdate: source.WaitForUpdate,
-		Exchanger:     &peer.Exchanger{Self: "instance-1", Book: published},
+		Exchanger:     &peer.Exchanger{Self: "instance-1", Published: published},
 	}
 	server := httptest.NewServer(service.Handler())
 	defer server.Close()
--- a/peridotpath/peer/exchange.go
+++ b/peridotpath/peer/exchange.go
@@ -66,9 +66,9 @@
 // Exchanger exchanges digests with the other instances. Set the exported fields before the
 // first call of a method.
 type Exchanger struct {
-	Self peridotpath.InstanceID
-	Book *digest.PublishedState
-	Log  zerolog.Logger
+	Self      peridotpath.InstanceID
+	Published *digest.PublishedState
+	Log       zerolog.Logger
 	// Peers returns the other instances to exchange digests with.
 	Peers func() []peridotpath.Instance
 	// SendDigest sends a digest to a peer and returns the digest in its reply.
@@ -143,7 +143,7 @@
 // listed.
 func (exchanger *Exchanger) startDueExchanges(ctx context.Context, group *errgroup.Group) {
 	now := time.Now()
-	urgent := exchanger.Book.UrgentSequence()
+	urgent := exchanger.Published.UrgentSequence()
 	peers := exchanger.Peers()
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
@@ -184,7 +184,7 @@
 		return false
 	}
 	acked := state.ackedSequence
-	if state.ackedEpoch != exchanger.Book.Epoch {
+	if state.ackedEpoch != exchanger.Published.Epoch {
 		acked = 0
 	}
 	if urgentSequence > acked && now.Sub(state.lastAttempt) >= minUrgentInterval && state.failures == 0 {
@@ -247,7 +247,7 @@
 	exchanger.mu.Lock()
 	epoch, acked := state.ackedEpoch, state.ackedSequence
 	exchanger.mu.Unlock()
-	digest := exchanger.Book.BuildDigest(now, epoch, acked)
+	digest := exchanger.Published.BuildDigest(now, epoch, acked)
 	digest.Instance = string(exchanger.Self)
 	digest.SeenEpoch, digest.Seen = state.mirror.Position()
 	return digest
@@ -314,13 +314,13 @@
 
 // PeerDemands returns the customer demand at every peer that is listed or has recently sent a
 // digest, for the division of customers' limits.
-func (exchanger *Exchanger) PeerDemands() []share.Peer {
+func (exchanger *Exchanger) PeerDemands() []share.PeerDemand {
 	exchanger.init()
 	exchanger.mu.Lock()
 	defer exchanger.mu.Unlock()
-	peers := make([]share.Peer, 0, len(exchanger.peerStates))
+	peers := make([]share.PeerDemand, 0, len(exchanger.peerStates))
 	for _, state := range exchanger.peerStates {
-		peers = append(peers, share.Peer{ReceivedAt: state.mirror.LastAppliedAt(), Demand: state.mirror.DemandByCustomer()})
+		peers = append(peers, share.PeerDemand{ReceivedAt: state.mirror.LastAppliedAt(), Demand: state.mirror.DemandByCustomer()})
 	}
 	return peers
 }
--- a/peridotpath/peer/network_test.go
+++ b/peridotpath/peer/network_test.go
@@ -91,11 +91,11 @@
 	created.view = &fleet.View{OnChange: created.publish, OnLoad: created.report}
 	created.random.Seed(uint64(len(network.nodes)), 7)
 	created.exchanger = &peer.Exchanger{
-		Self: created.ID, Book: created.published, Peers: created.peers, SendDigest: created.sendDigest, OnReport: created.view.ApplyReport,
+		Self: created.ID, Published: created.published, Peers: created.peers, SendDigest: created.sendDigest, OnReport: created.view.ApplyReport,
 		Random: created.randomFloat,
 	}
 	created.poller = &fleet.Poller{
-		View: created.view, Book: created.published, FetchLoad: created.fetchLoad, Random: created.randomFloat,
+		View: created.view, Published: created.published, FetchLoad: created.fetchLoad, Random: created.randomFloat,
 		IsOwner: func(id peridotpath.EndpointID) bool { return created.owners.Current().OwnsEndpoint(id) },
 	}
 	network.nodes = append(network.nodes, created)
--- a/peridotpath/session/bad_input_test.go
+++ b/peridotpath/session/bad_input_test.go
@@ -154,7 +154,7 @@
 					response := fleet.call(t, http.MethodPost, engine.PathChatCompletions, strings.NewReader(body), nil)
 					is.True(response.code() != 0) // a bad answer was delivered as a success
 					is.True(!response.code().NotRun() || kind == faults.Fail)
-					is.True(!strings.Contains(response.body, engine.EndMark))
+					is.True(!strings.Contains(response.body, engine.EndMarker))
 					is.True(time.Since(startedAt) <= 11*time.Second)
 					time.Sleep(time.Minute)
 					load := fleet.engine.Load()
--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -154,7 +154,7 @@
 	view := &endpoints.View{Log: logger, OnChange: scheduler.SetEndpoints, OnLoad: scheduler.ApplyReport}
 	view.SetMembers(time.Now(), fleet.endpoints)
 	poller := &endpoints.Poller{
-		View: view, Book: &digest.PublishedState{Epoch: 1}, FetchLoad: engines.FetchLoad, Random: func() float64 { return 0.5 },
+		View: view, Published: &digest.PublishedState{Epoch: 1}, FetchLoad: engines.FetchLoad, Random: func() float64 { return 0.5 },
 		IsOwner: func(peridotpath.EndpointID) bool { return true },
 	}
 	dispatcher := &dispatch.Dispatcher{
--- a/peridotpath/share/example_test.go
+++ b/peridotpath/share/example_test.go
@@ -12,7 +12,7 @@
 // one is silent, so this one admits half of them and returns a retry delay.
 func Example() {
 	limiter := &share.Limiter{
-		Peers:           func() []share.Peer { return []share.Peer{{}} },
+		Peers:           func() []share.PeerDemand { return []share.PeerDemand{{}} },
 		Publish:         func(peridotpath.CustomerID, float64) {},
 		RetainPublished: func(func(peridotpath.CustomerID) bool) {},
 	}
--- a/peridotpath/share/share.go
+++ b/peridotpath/share/share.go
@@ -66,8 +66,8 @@
 	removeIdleAfter = time.Minute
 )
 
-// Peer is the last received state of another instance.
-type Peer struct {
+// PeerDemand is the last received state of another instance.
+type PeerDemand struct {
 	// ReceivedAt is when it was last received; zero for never.
 	ReceivedAt time.Time
 	// Demand is the demand of each customer at it, in requests per second.
@@ -79,7 +79,7 @@
 type Limiter struct {
 	// Peers returns every other instance that is listed or has recently sent its
 	// demand.
-	Peers func() []Peer
+	Peers func() []PeerDemand
 	// Publish publishes the demand of a customer near its limit.
 	Publish func(customer peridotpath.CustomerID, perSecond float64)
 	// RetainPublished withdraws the demand of the customers for which keep is
@@ -210,7 +210,7 @@
 	demand map[peridotpath.CustomerID]float64
 }
 
-func aggregate(peers []Peer, now time.Time) peerTotals {
+func aggregate(peers []PeerDemand, now time.Time) peerTotals {
 	others := peerTotals{oldestReceivedAt: now, demand: map[peridotpath.CustomerID]float64{}}
 	for _, peer := range peers {
 		if now.Sub(peer.ReceivedAt) > PeerDemandTTL {
--- a/peridotpath/share/share_test.go
+++ b/peridotpath/share/share_test.go
@@ -30,7 +30,7 @@
 	// published is the demand that each instance publishes, and received what
 	// each has received from the others.
 	published         []map[peridotpath.CustomerID]float64
-	received          [][]share.Peer
+	received          [][]share.PeerDemand
 	isCut             func(receiver, sender int) bool
 	random            *rand.Rand
 	admitted          []int
@@ -42,7 +42,7 @@
 	simulation := &simulation{random: rand.New(rand.NewPCG(1, 2)), isCut: func(int, int) bool { return false }}
 	simulation.limiters = make([]*share.Limiter, instances)
 	simulation.published = make([]map[peridotpath.CustomerID]float64, instances)
-	simulation.received = make([][]share.Peer, instances)
+	simulation.received = make([][]share.PeerDemand, instances)
 	for index := range instances {
 		simulation.restart(index)
 	}
@@ -52,9 +52,9 @@
 
 func (simulation *simulation) restart(index int) {
 	simulation.published[index] = map[peridotpath.CustomerID]float64{}
-	simulation.received[index] = make([]share.Peer, instances)
+	simulation.received[index] = make([]share.PeerDemand, instances)
 	simulation.limiters[index] = &share.Limiter{
-		Peers: func() []share.Peer { return simulation.peers(index) },
+		Peers: func() []share.PeerDemand { return simulation.peers(index) },
 		Publish: func(id peridotpath.CustomerID, perSecond float64) {
 			simulation.published[index][id] = digest.QuantisedDemand(perSecond)
 		},
@@ -69,8 +69,8 @@
 	simulation.limiters[index].UpdateShares(time.Now(), 0)
 }
 
-func (simulation *simulation) peers(index int) []share.Peer {
-	var peers []share.Peer
+func (simulation *simulation) peers(index int) []share.PeerDemand {
+	var peers []share.PeerDemand
 	for other, peer := range simulation.received[index] {
 		if other != index {
 			peers = append(peers, peer)
@@ -84,7 +84,7 @@
 	for sender := range instances {
 		for receiver := range instances {
 			if !simulation.isCut(receiver, sender) {
-				simulation.received[receiver][sender] = share.Peer{ReceivedAt: time.Now(), Demand: maps.Clone(simulation.published[sender])}
+				simulation.received[receiver][sender] = share.PeerDemand{ReceivedAt: time.Now(), Demand: maps.Clone(simulation.published[sender])}
 			}
 		}
 	}
@@ -203,8 +203,8 @@
 	small := &peridotpath.Customer{ID: "small", MaxRequestsPerS: 1}
 	elsewhere := 5.0
 	limiter := &share.Limiter{
-		Peers: func() []share.Peer {
-			return []share.Peer{{ReceivedAt: now, Demand: map[peridotpath.CustomerID]float64{"small": elsewhere}}, {ReceivedAt: now}}
+		Peers: func() []share.PeerDemand {
+			return []share.PeerDemand{{ReceivedAt: now, Demand: map[peridotpath.CustomerID]float64{"small": elsewhere}}, {ReceivedAt: now}}
 		},
 		Publish:         func(peridotpath.CustomerID, float64) {},
 		RetainPublished: func(func(peridotpath.CustomerID) bool) {},
--- a/peridotpath/shift/fixture_test.go
+++ b/peridotpath/shift/fixture_test.go
@@ -103,7 +103,7 @@
 	scheduler.SetInstances(2)
 	view := &fleet.View{Log: zerolog.Nop(), OnChange: scheduler.SetEndpoints, OnLoad: scheduler.ApplyReport}
 	poller := &fleet.Poller{
-		View: view, Book: &digest.PublishedState{Epoch: 1}, FetchLoad: client.FetchLoad,
+		View: view, Published: &digest.PublishedState{Epoch: 1}, FetchLoad: client.FetchLoad,
 		IsOwner: func(peridotpath.EndpointID) bool { return true },
 	}
 	started.dispatcher = &dispatch.Dispatcher{
--- a/standin/load/call.go
+++ b/standin/load/call.go
@@ -287,7 +287,7 @@
 		if event.kind == "error" {
 			return call.classifyFailure(event.data)
 		}
-		if string(event.data) == engine.EndMark {
+		if string(event.data) == engine.EndMarker {
 			return call.checkAnswer(call.received.String())
 		}
 		text := gjson.GetBytes(event.data, "choices.0.text").String() + gjson.GetBytes(event.data, "choices.0.delta.content").String()
