--- a/peridotd/daemon.go
+++ b/peridotd/daemon.go
@@ -118,7 +118,7 @@
 }
 
 // ready reports whether the instance can serve new callers: it needs a recent
-// configuration and a membership list. Without the list it refused its first callers
+// configuration and a membership list. Without the list it would refuse its first callers
 // with no_endpoint.
 func (daemon *daemon) ready() bool {
 	return daemon.config.Ready() && daemon.fleet.follower.Current() != nil
--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -125,7 +125,8 @@
 	return tracker.owners.Current().OtherReaders()
 }
 
-// mayBeAlive reports whether that run of the instance may still be executing requests.
+// mayBeAlive reports whether the given incarnation of the instance may still be executing
+// requests.
 func (tracker *fleetTracker) mayBeAlive(id peridotpath.InstanceID, incarnation peridotpath.Incarnation) bool {
 	if id == tracker.settings.InstanceID {
 		return incarnation == tracker.incarnation
@@ -142,14 +143,15 @@
 	return false
 }
 
-// mayStillRun reports whether the claimed run of a listed instance may still be executing
-// requests, given the run on the list and the run last received from the instance. Zero
-// means unknown.
+// mayStillRun reports whether the incarnation that holds a claim may still be executing
+// requests, given the instance's incarnation on the membership list and the latest one
+// received by gossip. Zero means unknown.
 //
 // An instance that was killed is often replaced under its old id, and the list may not
-// distinguish runs: a caller that retries an idempotency key of the killed run would get
-// "running" for a day. A later run received from it proves that the earlier one is dead;
-// the claim ledger waits for the dead run's messages that may still be in transit.
+// distinguish the incarnations: a caller that retries an idempotency key of the killed one
+// would get "running" for a day. A gossiped later incarnation proves that the earlier one
+// has ended; the claim ledger waits for messages of the earlier one that may still be in
+// transit.
 func mayStillRun(claimed, listed, gossiped peridotpath.Incarnation) bool {
 	return claimed >= gossiped && (listed == 0 || claimed >= listed)
 }
--- a/peridotd/shift.go
+++ b/peridotd/shift.go
@@ -20,7 +20,7 @@
 	demandInterval = 2 * time.Second
 	// shiftInterval is the time between two plans of engine groups.
 	shiftInterval = 2 * time.Second
-	// groupIdleTime is how long a group of engines stays without demand.
+	// groupIdleTime is how long a group of engines is kept without demand.
 	groupIdleTime = 10 * time.Minute
 	// candidacyInterval is how often an instance checks for which leases it is a
 	// candidate.
@@ -28,16 +28,16 @@
 	// candidatesPerLease is the number of candidates per lease: the holder and a standby.
 	candidatesPerLease = 2
 
-	// The lease's times bound the failover time after the holder dies, in which the
-	// engines of a data centre get no decisions: the lease must expire, and if engines
-	// ignore fencing tokens, the longest order must end as well.
+	// These times bound the failover after a lease holder crashes, during which the engines
+	// of a data centre get no decisions: the lease must expire, and if engines ignore
+	// fencing tokens, the longest order must end as well.
 	leaseTTLMS    = 15_000
 	leaseMarginMS = 2_000
 	maxOrderMS    = 6_000
 )
 
-// groupController runs the control of engine groups for the sites of whose leases this
-// instance is a candidate. The holder of a site's lease sends orders to its engines.
+// groupController controls the engine groups of the sites for whose leases this instance is
+// a candidate. The holder of a site's lease sends orders to the site's engines.
 type groupController struct {
 	daemon  *daemon
 	counter *shift.DemandCounter
@@ -50,7 +50,8 @@
 	service    peridotpath.Service
 }
 
-// siteTask is the running control of one site, while this instance is a candidate.
+// siteTask is the background task that controls one site while this instance is a
+// candidate for its lease.
 type siteTask struct {
 	cancel context.CancelFunc
 	ended  chan struct{}
@@ -94,7 +95,7 @@
 	}
 }
 
-// stopExcept ends the control of all sites that are not wanted.
+// stopExcept stops the tasks of all sites except the wanted ones.
 func (controller *groupController) stopExcept(wanted []site) {
 	for site, task := range controller.running {
 		if !slices.Contains(wanted, site) {
@@ -105,7 +106,7 @@
 	}
 }
 
-// candidateSites returns the sites of whose leases the instance is a candidate.
+// candidateSites returns the sites for whose leases the instance is a candidate.
 func candidateSites(list *membership.List, self peridotpath.InstanceID) []site {
 	var seen, sites []site
 	for _, endpoint := range list.Endpoints {
@@ -149,15 +150,15 @@
 	daemon := controller.daemon
 	dataCentre, service := site.dataCentre, site.service
 	ctx, cancel := context.WithCancel(ctx)
-	book := &order.DesiredStore{Store: daemon.keyValue, Key: order.Key(dataCentre, service)}
+	desiredStore := &order.DesiredStore{Store: daemon.keyValue, Key: order.Key(dataCentre, service)}
 	holder := &lease.Holder{
 		Store: daemon.keyValue, Key: lease.Key(dataCentre, service),
 		Instance: daemon.settings.InstanceID, Incarnation: daemon.incarnation,
 		Settings:         lease.Settings{TTLMS: leaseTTLMS, MarginMS: leaseMarginMS, LongestOrderMS: maxOrderMS},
 		WaitForOldOrders: controller.anyIgnoresFencing(site), Logger: daemon.log,
 		NeverUsed: func(ctx context.Context) (bool, error) {
-			// Each order is recorded in the book before it is sent.
-			desired, err := book.Get(ctx)
+			// Each order is recorded in the desired state before it is sent.
+			desired, err := desiredStore.Get(ctx)
 			return desired.Revision == 0, err
 		},
 	}
@@ -165,14 +166,14 @@
 		Client: daemon.engines, Endpoints: func() []peridotpath.Endpoint { return controller.enginesOf(site) },
 	}
 	reconciler := &order.Reconciler{
-		Desired: book.Get, Held: holder.Held, Logger: daemon.log,
+		Desired: desiredStore.Get, Held: holder.Held, Logger: daemon.log,
 		Endpoints: engines.Endpoints,
 		ReadState: engines.ReadState, SendOrder: engines.SendOrder,
 		Settings: order.Settings{LongestOrderMS: maxOrderMS},
 	}
-	keeper := &shift.Controller{
+	planner := &shift.Controller{
 		Log: daemon.log, Store: daemon.keyValue, DataCentre: dataCentre, Service: service,
-		DesiredStore: book, Held: holder.Held, Interval: shiftInterval, Limits: shift.Limits{GroupIdleTimeout: groupIdleTime},
+		DesiredStore: desiredStore, Held: holder.Held, Interval: shiftInterval, Limits: shift.Limits{GroupIdleTimeout: groupIdleTime},
 		ReadEngines:     engines.ReadEngines,
 		Sites:           func() []shift.Site { return controller.countEngines(service) },
 		MaxPromptTokens: func() peridotpath.Tokens { return controller.maxRequestTokens(service) },
@@ -180,21 +181,21 @@
 	task := &siteTask{cancel: cancel, ended: make(chan struct{})}
 	go func() {
 		defer close(task.ended)
-		runSite(ctx, holder, reconciler, keeper)
+		runSite(ctx, holder, reconciler, planner)
 	}()
 	return task
 }
 
-// runSite runs the control of one site until ctx ends. The lease is released only after
+// runSite controls one site until ctx ends. The lease is released only after
 // the last order has ended.
-func runSite(ctx context.Context, holder *lease.Holder, reconciler *order.Reconciler, keeper *shift.Controller) {
-	var holding, ordering errgroup.Group
-	holding.Go(func() error { return holder.Run(context.WithoutCancel(ctx)) })
-	ordering.Go(func() error { return reconciler.Run(ctx) })
-	ordering.Go(func() error { return keeper.Run(ctx) })
-	_ = ordering.Wait()
+func runSite(ctx context.Context, holder *lease.Holder, reconciler *order.Reconciler, planner *shift.Controller) {
+	var leaseGroup, orderGroup errgroup.Group
+	leaseGroup.Go(func() error { return holder.Run(context.WithoutCancel(ctx)) })
+	orderGroup.Go(func() error { return reconciler.Run(ctx) })
+	orderGroup.Go(func() error { return planner.Run(ctx) })
+	_ = orderGroup.Wait()
 	_ = holder.Close()
-	_ = holding.Wait()
+	_ = leaseGroup.Wait()
 }
 
 // countEngines counts the live engines of a service by data centre.
--- a/peridotd/shift_test.go
+++ b/peridotd/shift_test.go
@@ -10,10 +10,10 @@
 	"peridotpath.example/peridotpath/membership"
 )
 
-// TestEverySiteHasCandidates guards against a site without candidates for its lease. It
-// occurred when all instances that watch the configuration were in one data centre: in
-// the other one no group formed and no order was repaired. Each site needs two
-// candidates, from its own data centre if that has any instances.
+// TestEverySiteHasCandidates guards against a site without candidates for its lease. If
+// candidates are only instances that watch the configuration, and all of these are in one
+// data centre, no group forms and no order is repaired in the other one. Each site needs
+// two candidates, from its own data centre if that has any instances.
 func TestEverySiteHasCandidates(t *testing.T) {
 	cases := map[string]struct {
 		instances []peridotpath.DataCentre
--- a/peridotd/stop.go
+++ b/peridotd/stop.go
@@ -31,9 +31,9 @@
 //
 // New connections are served until the load balancer has detected the stop: refused
 // ones would have succeeded at another instance. Requests in flight are finished before
-// the claims are closed: a later end would leave the outcome of its idempotency key
-// unknown. The peer listener closes last, since peers fetch state from it until they
-// have taken over the callers.
+// the claims are closed: the outcome of a request that ends later could not be recorded
+// under its idempotency key. The peer listener closes last, since peers fetch state from
+// it until they have taken over the callers.
 func (stop *gracefulStop) run(ctx context.Context) error {
 	stop.SetNotReady()
 	time.Sleep(stop.BalancerNotice)
