--- a/peridotpath/audit/audit.go
+++ b/peridotpath/audit/audit.go
@@ -1,6 +1,6 @@
-// Package audit checks the logs of instances for requests that violate the guarantees to
-// callers, which include at-most-once execution and timely refusal, whatever the answer
-// was. It correlates the log lines of all instances by request id.
+// Package audit checks the logs of instances for violations of the guarantees to callers,
+// such as at-most-once execution and timely refusal. It also finds violations that the
+// caller's answer does not show: it correlates the log lines of all instances by request id.
 package audit
 
 import (
@@ -19,15 +19,16 @@
 
 // Faults, the most harmful to callers first.
 const (
-	// FaultRanThoughRefused means that the answer guarantees that the request was not executed,
-	// although it may have been.
+	// FaultRanThoughRefused means that the answer guarantees that the request was not
+	// executed, although it may have been.
 	FaultRanThoughRefused Fault = iota
 	// FaultRanTwice means that a request that is not idempotent was retried although an
 	// earlier attempt may have been executed.
 	FaultRanTwice
 	// FaultEndedTwice means that more than one end of the request was logged.
 	FaultEndedTwice
-	// FaultHeldNeverSent means that the request was refused too late without having been sent.
+	// FaultHeldNeverSent means that the request was refused too late, and never sent to an
+	// endpoint.
 	FaultHeldNeverSent
 	// FaultNoRetryAfter means that a refusal has no Retry-After.
 	FaultNoRetryAfter
@@ -37,9 +38,9 @@
 
 func (fault Fault) String() string { return faultNames[fault] }
 
-// maxHeldTargets times the latency target is how long a request may be held without being sent.
-// A queued long prompt may miss its target, but its refusal must leave the caller time
-// for a retry.
+// maxHeldTargets bounds the time for which a request may be held without being sent, as a
+// multiple of its latency target. A queued long prompt may miss its target, but its refusal
+// must leave the caller time for a retry.
 const maxHeldTargets = 2
 
 // Finding is a request with a fault and the log lines that prove it.
@@ -108,7 +109,7 @@
 	return time.Duration(number * float64(time.Millisecond))
 }
 
-// pausedTime returns for how long the instance was paused while it held the request.
+// pausedTime returns how long the instance was paused while it held the request.
 func (audit *Audit) pausedTime(end *logline.Line) time.Duration {
 	ended, err := time.Parse(time.RFC3339Nano, end.Pairs["time"])
 	if err != nil {
@@ -163,8 +164,8 @@
 	return faults
 }
 
-// countPossibleRuns counts the failed attempts without a guarantee by the endpoint that the
-// request was not executed.
+// countPossibleRuns counts the failed attempts that may have been executed: those without an
+// endpoint's guarantee of the contrary.
 func (history *history) countPossibleRuns() int {
 	count := 0
 	for i := range history.failedAttempts {
--- a/peridotpath/inbound/inbound.go
+++ b/peridotpath/inbound/inbound.go
@@ -64,14 +64,14 @@
 		// middlewares stay off: load shedding, circuit breaker and logs.
 		Timeout: 0, MaxBytes: 0, MaxConns: 0,
 	}
-	inner, err := rest.NewServer(conf, rest.WithRouter(listener.router()))
+	restServer, err := rest.NewServer(conf, rest.WithRouter(listener.router()))
 	if err != nil {
 		return Error.New("listen on %s: %v", listener.Address, err)
 	}
 	// NewServer enables the log again.
 	logx.Disable()
-	inner.AddRoutes(listener.Routes)
-	err = startServer(inner, func(server *http.Server) {
+	restServer.AddRoutes(listener.Routes)
+	err = startServer(restServer, func(server *http.Server) {
 		server.ReadHeaderTimeout = readHeaderTimeout
 		server.IdleTimeout = idleTimeout
 		server.ReadTimeout = 0
@@ -99,24 +99,24 @@
 	}
 }
 
-// RunShutdownHooks runs go-zero's shutdown hooks, without which Run does not return. Call it once
-// all listeners of the process are closed.
+// RunShutdownHooks runs go-zero's shutdown hooks, without which Run does not return. Call
+// it once all listeners of the process are closed.
 func RunShutdownHooks() { proc.Shutdown() }
 
 // startServer starts the server and converts go-zero's panic on a bind failure to an error.
-func startServer(inner *rest.Server, option func(*http.Server)) (err error) {
+func startServer(restServer *rest.Server, option func(*http.Server)) (err error) {
 	defer func() {
 		if failure := recover(); failure != nil {
 			err = Error.New("%v", failure)
 		}
 	}()
-	inner.StartWithOpts(option)
+	restServer.StartWithOpts(option)
 	return http.ErrServerClosed
 }
 
-// disableGlobalHooks disables go-zero's signal handling and logs. On SIGTERM its proc package closes
-// all listeners after 1 s and terminates the process after 5.5 s, which truncated a
-// stream of 12 s. The daemon controls the shutdown instead.
+// disableGlobalHooks disables go-zero's signal handling and logs. On SIGTERM, go-zero's
+// package proc closes all listeners after 1 s and terminates the process after 5.5 s, which
+// truncates longer streams, such as one of 12 s. The daemon controls the shutdown instead.
 func disableGlobalHooks() {
 	logx.Disable()
 	disableOnce.Do(func() { proc.Setup(proc.ShutdownConf{WrapUpTime: never, WaitTime: 2 * never}) })
--- a/peridotpath/outbound/outbound.go
+++ b/peridotpath/outbound/outbound.go
@@ -1,5 +1,5 @@
 // Package outbound sends all HTTP requests of the system, through go-zero's httpc, with a
-// transport that is configured for long streams to many endpoints. Its errors say
+// transport that is configured for long streams to many endpoints. Its errors show
 // whether a request may have reached the server.
 package outbound
 
@@ -20,7 +20,8 @@
 	// ErrNotSent means that the request's headers were never written to a connection, so
 	// the request was not executed.
 	ErrNotSent = errs.Class("not sent")
-	// ErrNoResponse means that the request may have been executed, but no response was received.
+	// ErrNoResponse means that the request may have been executed, but no response was
+	// received.
 	ErrNoResponse = errs.Class("answer lost")
 )
 
@@ -68,10 +69,11 @@
 // Do sends the request.
 func (Doer) Do(request *http.Request) (*http.Response, error) { return Do(request) }
 
-// configureClient configures the default client, which httpc uses. The default transport keeps only
-// two idle connections per host, so that nearly each request to a busy endpoint needs a
-// new one, and it obeys proxy variables, while addresses are IP addresses from the
-// settings. Redirects are not followed: an endpoint may not send a request elsewhere.
+// configureClient configures the default client, which httpc uses. The default transport
+// keeps only two idle connections per host, so that nearly each request to a busy endpoint
+// needs a new one, and it obeys proxy variables, although addresses are IP addresses from
+// the settings. Redirects are not followed: an endpoint must not divert a request to
+// another server.
 func configureClient() {
 	logx.Disable()
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: keepAliveInterval}
