--- a/peridotpath/config/change.go
+++ b/peridotpath/config/change.go
@@ -81,9 +81,9 @@
 // if that swap took effect. An error is peridotpath.Faults, a *Conflict or of class
 // ErrNotAccepted, all of which mean that nothing changed, or of class ErrOutcomeUnknown.
 //
-// A swap can take effect although its reply is lost. Reported as failed, it would
-// stay unnoticed or be made a second time. The swap is therefore repeated on the same
-// version until the service returns a definite result. The repetition either takes
+// A swap can take effect although its reply is lost. If Change reported it as failed, the
+// change would be active unnoticed or be made a second time. The swap is therefore repeated
+// on the same version until the service returns a definite result. The repetition either takes
 // effect or conflicts, and after a conflict the document's history shows whether the
 // first swap took effect.
 func (store *Store) Change(ctx context.Context, change Change) (Accepted, error) {
--- a/peridotpath/config/change_test.go
+++ b/peridotpath/config/change_test.go
@@ -110,7 +110,7 @@
 }
 
 // The call or the reply of a swap is lost, in some cases followed by another
-// operator's change. Reported as failed, a change that is active would be made again.
+// operator's change. If an active change were reported as failed, it would be made again.
 // It must be accepted and take effect exactly once.
 func TestLostSwapReply(t *testing.T) {
 	tests := []struct {
@@ -119,9 +119,9 @@
 		concurrent bool
 		want       peridotpath.Revision
 	}{
-		{"answer lost", true, false, 1},
+		{"reply lost", true, false, 1},
 		{"call lost", false, false, 1},
-		{"answer lost, then another change", true, true, 1},
+		{"reply lost, then another change", true, true, 1},
 		{"call lost, then another change", false, true, 2},
 	}
 	for _, test := range tests {
@@ -131,12 +131,12 @@
 				if call != "swap" || applied != test.applied || lost.Swap(true) {
 					return nil
 				}
-				return keyvalue.ErrUnavailable.New("the answer was lost")
+				return keyvalue.ErrUnavailable.New("the reply was lost")
 			}
 			withFleet(t, 2, 2, loseOneSwap, func(t *testing.T, is *is.I, fleet *fleet) {
 				if test.concurrent {
 					go func() {
-						time.Sleep(10 * hop)
+						time.Sleep(10 * hopDelay)
 						_, err := fleet.instances[1].store().Change(changeContext(t), putProfile("rival", "dossier", 0, 300))
 						if err != nil {
 							t.Error(err)
@@ -169,7 +169,7 @@
 	loseReplyAndGoDown := func(fleet *fleet, call, _ string, applied bool) error {
 		if call == "swap" && applied && !lost.Swap(true) {
 			fleet.platformDown.Store(true)
-			return keyvalue.ErrUnavailable.New("the answer was lost")
+			return keyvalue.ErrUnavailable.New("the reply was lost")
 		}
 		return nil
 	}
--- a/peridotpath/config/check.go
+++ b/peridotpath/config/check.go
@@ -131,11 +131,11 @@
 	}
 }
 
-// clashes returns names or keys of the changed item that other items already use. It
-// checks the items of the same document as just read, and those of other documents as
-// active on this instance. Two concurrent changes of different documents can therefore
-// both be accepted with the same key; peridotpath.Config then assigns the key to the
-// lower customer id.
+// clashes returns a fault for each name or key of the changed item that another item
+// already uses. It checks the items of the same document as just read, and those of other
+// documents as active on this instance. Two concurrent changes of different documents can
+// therefore both be accepted with the same key; peridotpath.Config then assigns the key to
+// the lower customer id.
 func (change *Change) clashes(current *content, snapshot *Snapshot) (peridotpath.Faults, error) {
 	if change.Value == nil {
 		return nil, nil
--- a/peridotpath/config/config.go
+++ b/peridotpath/config/config.go
@@ -32,8 +32,8 @@
 var Error = errs.Class("config")
 
 // ErrNoPeers is returned by Store.FetchFromPeers if the membership list has no other live
-// instance. It counts as contact, because no other instance could serve callers
-// instead.
+// instance. It counts as contact: the instance stays ready, because no other one could
+// serve callers instead.
 var ErrNoPeers = errs.Class("config: no peers")
 
 // Defaults of the Store's fields.
@@ -67,7 +67,7 @@
 	OnSnapshot func(snapshot *Snapshot)
 	// MaxPollWait is the maximum duration of one watch or long poll; zero for DefaultMaxPollWait.
 	MaxPollWait time.Duration
-	// StaleAfter is the age of the last platform contact of any peer from which a
+	// StaleAfter is the time since the last platform contact of any peer after which a
 	// follower reads the platform itself; zero for DefaultStaleAfter.
 	StaleAfter time.Duration
 	// NotReadyAfter is the time since the last contact with the platform or a peer
@@ -119,7 +119,7 @@
 	return store.lastContact
 }
 
-// recordContact records a response that reflects the platform's state of age ago.
+// recordContact records a response that reflects the platform's state as it was age ago.
 func (store *Store) recordContact(age time.Duration) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
--- a/peridotpath/config/fleet_test.go
+++ b/peridotpath/config/fleet_test.go
@@ -19,8 +19,8 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// hop is the one-way network delay between any two processes of a fleet.
-const hop = time.Millisecond
+// hopDelay is the one-way network delay between any two processes of a fleet.
+const hopDelay = time.Millisecond
 
 // fleet is a group of instances that share one key-value service, on the clock of a
 // synctest bubble.
@@ -61,7 +61,7 @@
 		KeyValue:       instance.keyValue(),
 		Log:            zerolog.Nop(),
 		IsReader:       func() bool { return instance.reader },
-		FetchFromPeers: instance.peers,
+		FetchFromPeers: instance.fetchFromPeers,
 		Random:         func() float64 { return 0.5 },
 	})
 }
@@ -182,16 +182,16 @@
 }
 
 func (instance *instance) callPlatform() error {
-	time.Sleep(hop)
+	time.Sleep(hopDelay)
 	if instance.fleet.platformDown.Load() || instance.partitioned.Load() || instance.withoutPlatform.Load() {
 		return keyvalue.ErrNotSent.New("no route")
 	}
 	return nil
 }
 
-// peers polls one reader or, if wait is zero, all other instances.
-func (instance *instance) peers(ctx context.Context, have config.Revisions, wait time.Duration) ([]config.Update, error) {
-	time.Sleep(hop)
+// fetchFromPeers polls one reader or, if wait is zero, all other instances.
+func (instance *instance) fetchFromPeers(ctx context.Context, have config.Revisions, wait time.Duration) ([]config.Update, error) {
+	time.Sleep(hopDelay)
 	var updates []config.Update
 	for _, other := range instance.fleet.instances {
 		if other == instance || instance.partitioned.Load() || other.partitioned.Load() || wait > 0 && !other.reader {
@@ -210,7 +210,7 @@
 			break
 		}
 	}
-	time.Sleep(hop)
+	time.Sleep(hopDelay)
 	if len(updates) == 0 {
 		return nil, errors.New("no peer responded")
 	}
--- a/peridotpath/config/follow_test.go
+++ b/peridotpath/config/follow_test.go
@@ -151,9 +151,9 @@
 	})
 }
 
-// The platform is down for long, and the data centre has only one reader, which has
-// no other reader to follow. It must stay ready: its callers would otherwise move to
-// the other instances without need.
+// The platform is down for a long time, and the data centre has only one reader, which has
+// no other reader to follow. It must stay ready: its callers would otherwise move to the
+// other instances without need.
 func TestOutageWithOneReader(t *testing.T) {
 	withFleet(t, 3, 1, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		fleet.instances[0].mustChange(t, putProfile("1", "counter", 0, 100))
@@ -167,7 +167,7 @@
 	})
 }
 
-// A follower's peer responds to every poll but has had no platform contact for long,
+// A follower's peer responds to every poll but has had no platform contact for a long time,
 // for example because only its route to the platform is down. The follower must fall
 // back to the platform; otherwise it would keep an outdated configuration.
 func TestFollowerOfStalePeer(t *testing.T) {
@@ -207,7 +207,7 @@
 	want := fleet.instances[len(fleet.instances)-1].mustChange(t, change)
 	for _, instance := range fleet.instances {
 		for instance.revision() < want {
-			time.Sleep(hop)
+			time.Sleep(hopDelay)
 			if time.Since(begin) > time.Minute {
 				t.Fatal("want the change active on every instance within a minute")
 			}
@@ -240,7 +240,7 @@
 		limit time.Duration
 	}{
 		{"no fault", nil, 20 * time.Millisecond},
-		{"platform takes 2 s an answer", func(_ *fleet, call, _ string, applied bool) error {
+		{"platform takes 2 s per reply", func(_ *fleet, call, _ string, applied bool) error {
 			if applied && call != "list" {
 				time.Sleep(2 * time.Second)
 			}
--- a/peridotpath/config/machine_test.go
+++ b/peridotpath/config/machine_test.go
@@ -33,7 +33,7 @@
 	// downAfterLoss takes the platform down with the next lost call or reply.
 	downAfterLoss atomic.Bool
 
-	drawn int // number of changes made so far
+	changeCount int // changes made so far
 
 	mu       sync.Mutex
 	changes  map[config.ChangeID]config.Change
@@ -101,7 +101,7 @@
 	}
 }
 
-// step is one drawn action of a run.
+// step is one randomly drawn action of a run.
 type step struct {
 	action string
 	// targets are the indexes of the affected instances.
@@ -112,7 +112,7 @@
 	span  time.Duration
 }
 
-// edit is a drawn change of one of four items.
+// edit is a randomly drawn change of one of four items.
 type edit struct {
 	customer, deleted bool
 	// overwrite disables the conflict check.
@@ -123,8 +123,8 @@
 
 func drawStep(t *rapid.T) step {
 	actions := []string{
-		"change", "change", "race", "repeat", "lose answers", "lose calls", "lose one and go down", "late watches",
-		"platform", "cut", "astray", "hang", "restart", "wait", "wait",
+		"change", "change", "race", "repeat", "lose replies", "lose calls", "lose one and go down", "delay watches",
+		"toggle platform", "toggle partition", "toggle platform route", "hang", "restart", "wait", "wait",
 	}
 	drawn := step{
 		action: rapid.SampledFrom(actions).Draw(t, "action"),
@@ -132,7 +132,7 @@
 		span:   time.Duration(rapid.IntRange(1, 40_000).Draw(t, "ms")) * time.Millisecond,
 	}
 	for i := range drawn.targets {
-		drawn.targets[i] = rapid.IntRange(0, machineSize-1).Draw(t, "who")
+		drawn.targets[i] = rapid.IntRange(0, machineSize-1).Draw(t, "target")
 		drawn.edits[i] = drawEdit(t)
 	}
 	return drawn
@@ -142,7 +142,7 @@
 	return edit{
 		customer:  rapid.Bool().Draw(t, "customer"),
 		deleted:   rapid.IntRange(0, 4).Draw(t, "deleted") == 0,
-		overwrite: rapid.IntRange(0, 4).Draw(t, "blind") == 0,
+		overwrite: rapid.IntRange(0, 4).Draw(t, "overwrite") == 0,
 		name:      rapid.SampledFrom([]string{"a", "b"}).Draw(t, "name"),
 		deadline:  peridotpath.Millis(rapid.IntRange(100, 999).Draw(t, "deadline")),
 	}
@@ -151,8 +151,8 @@
 // newChange returns the change for an edit, based on the instance's active revision,
 // which may be stale.
 func (machine *machine) newChange(instance *instance, edit edit) config.Change {
-	machine.drawn++
-	id := fmt.Sprintf("change-%d", machine.drawn)
+	machine.changeCount++
+	id := fmt.Sprintf("change-%d", machine.changeCount)
 	change := putProfile(id, edit.name, 0, edit.deadline)
 	if edit.customer {
 		change = putCustomer(id, edit.name, edit.name)
@@ -182,7 +182,7 @@
 		machine.changeConcurrently(step)
 	case "repeat":
 		machine.repeat(instance, step.count)
-	case "lose answers":
+	case "lose replies":
 		machine.loseAfter.Store(int32(step.count/3 + 1))
 	case "lose calls":
 		machine.loseBefore.Store(int32(step.count/3 + 1))
@@ -190,16 +190,16 @@
 		machine.loseAfter.Store(1)
 		machine.downAfterLoss.Store(true)
 		machine.submit(instance, machine.newChange(instance, step.edits[0]))
-	case "late watches":
+	case "delay watches":
 		fleet.delayedWatches.Store(int64(step.count))
 		for i, target := range step.targets {
 			machine.submit(fleet.instances[target], machine.newChange(fleet.instances[target], step.edits[i]))
 		}
-	case "platform":
+	case "toggle platform":
 		toggle(&fleet.platformDown)
-	case "cut":
+	case "toggle partition":
 		toggle(&instance.partitioned)
-	case "astray":
+	case "toggle platform route":
 		toggle(&instance.withoutPlatform)
 	case "hang":
 		toggle(&fleet.firstHangs)
@@ -226,7 +226,7 @@
 	group.Wait()
 }
 
-// repeat submits again one of the changes without a definite refusal.
+// repeat resubmits one of the changes that were not definitely refused.
 func (machine *machine) repeat(instance *instance, choice int) {
 	var repeatable []string
 	for id := range machine.changes {
@@ -287,8 +287,8 @@
 	return documents
 }
 
-// record adds a document's history to events. It checks that a revision always stands
-// for the same change, and a change for one revision.
+// record adds a document's history to events. It checks that each revision always belongs
+// to the same change, and each change to a single revision.
 func (machine *machine) record(document document) {
 	events := machine.events[document.name]
 	if events == nil {
@@ -301,9 +301,9 @@
 		}
 		events[event.Revision] = event.ID
 	}
-	times := map[config.ChangeID]int{}
+	occurrences := map[config.ChangeID]int{}
 	for _, id := range events {
-		if times[id]++; times[id] > 1 {
+		if occurrences[id]++; occurrences[id] > 1 {
 			machine.fail("%s took effect more than once", id)
 		}
 	}
--- a/peridotpath/config/size_test.go
+++ b/peridotpath/config/size_test.go
@@ -19,8 +19,8 @@
 
 func customerName(i int) string { return fmt.Sprintf("customer-of-a-long-name-%06d", i) }
 
-// fill writes manyCustomers to a new key-value service and returns a loaded Store.
-func fill(tb testing.TB) (*config.Store, *keyvalue.Store) {
+// newFilledStore writes manyCustomers to a new key-value service and returns a loaded Store.
+func newFilledStore(tb testing.TB) (*config.Store, *keyvalue.Store) {
 	tb.Helper()
 	items := map[config.DocumentName][]config.Item{}
 	for i := range manyCustomers {
@@ -52,7 +52,7 @@
 
 func TestManyCustomers(t *testing.T) {
 	is := is.New(t)
-	store, platform := fill(t)
+	store, platform := newFilledStore(t)
 	for i := range 100 { // until the history of the changed document is full
 		change := putCustomer(fmt.Sprint(i), customerName(7), fmt.Sprint("new-", i))
 		change.Base = config.AnyRevision
@@ -79,7 +79,7 @@
 // BenchmarkChange measures one change among manyCustomers: validation, swap and
 // applying it to the snapshot.
 func BenchmarkChange(b *testing.B) {
-	store, _ := fill(b)
+	store, _ := newFilledStore(b)
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		change := putCustomer(fmt.Sprint(i), customerName(i%manyCustomers), fmt.Sprint("new-", i))
@@ -126,7 +126,7 @@
 
 // BenchmarkCustomerByKey measures the key lookup that each request makes.
 func BenchmarkCustomerByKey(b *testing.B) {
-	store, _ := fill(b)
+	store, _ := newFilledStore(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		if store.Current().Config.CustomerByKey("12345") == nil {
--- a/peridotpath/operator/server.go
+++ b/peridotpath/operator/server.go
@@ -194,9 +194,9 @@
 	if err == nil {
 		return nil
 	}
-	var known twirp.Error
-	if errors.As(err, &known) {
-		return known
+	var twirpErr twirp.Error
+	if errors.As(err, &twirpErr) {
+		return twirpErr
 	}
 	return twirp.NewError(twirp.Unavailable, err.Error())
 }
