--- a/peridotctl/bound.go
+++ b/peridotctl/bound.go
@@ -65,7 +65,7 @@
 
 // solve returns the share of the long prompts' value that met the TTFT target, and
 // the share that could have. Prompts are admitted greedily by value per second of
-// prefill, each as far as it fits beside those before it. For divisible work this
+// prefill, each with the largest fraction that fits beside those before it. For divisible work this
 // order is optimal, as in the fractional knapsack problem.
 func (upperBound *upperBound) solve() (achieved, possible float64) {
 	slices.SortStableFunc(upperBound.jobs, func(a, b *boundJob) int {
@@ -140,8 +140,8 @@
 func (upperBound *upperBound) enginesAt(milliseconds float64) int {
 	const maxGapSeconds = 60
 	second := int(milliseconds / 1000)
-	for back := range maxGapSeconds {
-		if count := upperBound.engines[second-back]; count > 0 {
+	for age := range maxGapSeconds {
+		if count := upperBound.engines[second-age]; count > 0 {
 			return count
 		}
 	}
--- a/peridotctl/diff.go
+++ b/peridotctl/diff.go
@@ -29,13 +29,13 @@
 	for name := range afterFields {
 		names[name] = true
 	}
-	found := []difference{}
+	differences := []difference{}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		if beforeFields[name] != afterFields[name] {
-			found = append(found, difference{name, orAbsent(beforeFields[name]), orAbsent(afterFields[name])})
+			differences = append(differences, difference{name, orAbsent(beforeFields[name]), orAbsent(afterFields[name])})
 		}
 	}
-	return found
+	return differences
 }
 
 func jsonFields(text string) map[string]string {
@@ -57,8 +57,8 @@
 	return value
 }
 
-func showDifferences(out io.Writer, found []difference) {
-	for _, field := range found {
+func showDifferences(out io.Writer, differences []difference) {
+	for _, field := range differences {
 		fmt.Fprintf(out, "  %s\t%s ->\t%s\n", field.Field, field.Before, field.After)
 	}
 }
--- a/peridotctl/item_diff.go
+++ b/peridotctl/item_diff.go
@@ -19,14 +19,14 @@
 			if err != nil {
 				return err
 			}
-			found := diffFields(current.Value, file.value)
+			differences := diffFields(current.Value, file.value)
 			if console.json {
-				console.showJSON(found)
+				console.showJSON(differences)
 				return nil
 			}
-			fmt.Fprintf(console.out, "%s %s, revision %d, fields that differ: %d\n", kind.kind, file.name, current.Revision, len(found))
+			fmt.Fprintf(console.out, "%s %s, revision %d, fields that differ: %d\n", kind.kind, file.name, current.Revision, len(differences))
 			writer := tabwriter.NewWriter(console.out, 0, 0, 1, ' ', 0)
-			showDifferences(writer, found)
+			showDifferences(writer, differences)
 			return writer.Flush()
 		},
 	}
--- a/peridotctl/losses.go
+++ b/peridotctl/losses.go
@@ -64,7 +64,7 @@
 
 func (losses *losses) add(line logline.Line) {
 	event := line.Pairs["event"]
-	if event != "served" && event != "failed" || line.Pairs["result"] == callerGone {
+	if event != "served" && event != "failed" || line.Pairs["result"] == callerDisconnected {
 		return
 	}
 	losses.upperBound.add(line)
--- a/peridotctl/why.go
+++ b/peridotctl/why.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// callerGone is the result of a request whose caller disconnected. It does not count
-// as a failure.
-const callerGone = "caller_gone"
+// callerDisconnected is the result of a request whose caller disconnected. It does not
+// count as a failure.
+const callerDisconnected = "caller_gone"
 
 func (tally *tally) add(line logline.Line) {
 	switch line.Pairs["event"] {
@@ -55,7 +55,7 @@
 		tally.requests++
 	case "failed", "refused":
 		tally.requests++
-		if line.Pairs["result"] == callerGone {
+		if line.Pairs["result"] == callerDisconnected {
 			return
 		}
 		tally.failed++
