--- a/soak/check.go
+++ b/soak/check.go
@@ -72,30 +72,30 @@
 )
 
 // recordRun checks a request that an endpoint begins to run.
-func (checker *checker) recordRun(endpoint peridotpath.EndpointID, run standin.Execution) {
+func (checker *checker) recordRun(endpoint peridotpath.EndpointID, execution standin.Execution) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
-	checker.runs[run.RequestID] = append(checker.runs[run.RequestID], endpointRun{run, endpoint})
-	sent, known := checker.sent[run.RequestID]
-	if !known {
-		checker.addViolation("%s runs %s, which nobody sent", endpoint, run.RequestID)
+	checker.runs[execution.RequestID] = append(checker.runs[execution.RequestID], endpointRun{execution, endpoint})
+	sent, wasSent := checker.sent[execution.RequestID]
+	if !wasSent {
+		checker.addViolation("%s runs %s, which nobody sent", endpoint, execution.RequestID)
 		return
 	}
-	if run.Body != sent.Body || run.Customer != sent.Customer {
-		checker.addViolation("%s runs %s as %q of %q, sent as %q of %q", endpoint, run.RequestID, run.Body, run.Customer, sent.Body, sent.Customer)
+	if execution.Body != sent.Body || execution.Customer != sent.Customer {
+		checker.addViolation("%s runs %s as %q of %q, sent as %q of %q", endpoint, execution.RequestID, execution.Body, execution.Customer, sent.Body, sent.Customer)
 	}
 	if revokedAt, ok := checker.revokedAt[sent.Key]; ok && sent.SentAt.After(revokedAt.Add(standin.MaxRevocationDelay+schedulingSlack)) {
-		checker.addViolation("%s runs %s, sent %v after its key was taken away", endpoint, run.RequestID, sent.SentAt.Sub(revokedAt))
+		checker.addViolation("%s runs %s, sent %v after its key was taken away", endpoint, execution.RequestID, sent.SentAt.Sub(revokedAt))
 	}
 	if leavingSince, ok := checker.leavingSince[endpoint]; ok && sent.SentAt.After(leavingSince.Add(standin.MaxPropagationDelay+schedulingSlack)) &&
 		time.Since(checker.disturbedAt) > settleTime && leavingSince.After(checker.disturbedAt.Add(settleTime)) {
-		checker.addViolation("%s runs %s, sent %v after it began to leave", endpoint, run.RequestID, sent.SentAt.Sub(leavingSince))
+		checker.addViolation("%s runs %s, sent %v after it began to leave", endpoint, execution.RequestID, sent.SentAt.Sub(leavingSince))
 	}
-	if isFatal(run.Body) {
-		checker.recordCrash(sent, run)
+	if isFatal(execution.Body) {
+		checker.recordCrash(sent, execution)
 	}
-	if sent.Route == standin.RouteNonIdempotent && len(checker.runs[run.RequestID]) > 1 {
-		checker.addViolation("%s runs %d times", run.RequestID, len(checker.runs[run.RequestID]))
+	if sent.Route == standin.RouteNonIdempotent && len(checker.runs[execution.RequestID]) > 1 {
+		checker.addViolation("%s runs %d times", execution.RequestID, len(checker.runs[execution.RequestID]))
 	}
 }
 
--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -32,7 +32,7 @@
 func isFatal(body string) bool { return strings.HasPrefix(body, fatalPrefix) }
 
 // repeatFatalRequest sends a body repeatedly, with a new request ID each time and to a
-// random instance, until it is ended.
+// random instance, until end is called.
 func (fleet *fleet) repeatFatalRequest(random *rand.Rand, body string) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	began, ended := time.Now(), make(chan struct{})
@@ -50,7 +50,7 @@
 			request.ID = peridotpath.RequestID(fmt.Sprintf("%s-%d", strings.ReplaceAll(body, " ", "-"), count))
 			instance := fleet.instances[instanceRandom.IntN(len(fleet.instances))]
 			fleet.checker.recordSent(sentRequest{Request: request, Customer: customer, Instance: instance, SentAt: time.Now()})
-			fleet.goBackground(func() {
+			fleet.runInBackground(func() {
 				reply, err := standin.Send(context.Background(), &http.Client{Timeout: clientTimeout}, instance.IngressAddress, request)
 				if err != nil {
 					reply = nil
@@ -80,7 +80,7 @@
 	endpoint.proxy.stop()
 	endpoint.DiscardState()
 	downtime := minDowntime + time.Duration(rand.Int64N(int64(downtimeSpread)))
-	fleet.goBackground(func() {
+	fleet.runInBackground(func() {
 		sleep(ctx, min(downtime, entryTTL))
 		if downtime > entryTTL {
 			key, _ := endpoint.Entry(endpoint.address, endpoint.startedAt, false)
@@ -116,12 +116,12 @@
 
 // recordCrash records that a fatal body crashes an endpoint, and finds runs that begin
 // after every instance had to quarantine the body.
-func (checker *checker) recordCrash(sent sentRequest, run standin.Execution) {
-	crashes := checker.crashes[run.Body]
-	if len(crashes) >= crashesToQuarantine && run.StartedAt.After(crashes[crashesToQuarantine-1].Add(settleTime+schedulingSlack)) && sent.Instance.hasSettled(run.StartedAt) {
-		if checker.quarantinedRuns[run.Body]++; checker.quarantinedRuns[run.Body] == maxQuarantinedRuns+1 {
-			checker.addViolation("%q runs for the %d. time, %v after the third end under it", run.Body, len(crashes)+1, run.StartedAt.Sub(crashes[crashesToQuarantine-1]))
+func (checker *checker) recordCrash(sent sentRequest, execution standin.Execution) {
+	crashes := checker.crashes[execution.Body]
+	if len(crashes) >= crashesToQuarantine && execution.StartedAt.After(crashes[crashesToQuarantine-1].Add(settleTime+schedulingSlack)) && sent.Instance.hasSettled(execution.StartedAt) {
+		if checker.quarantinedRuns[execution.Body]++; checker.quarantinedRuns[execution.Body] == maxQuarantinedRuns+1 {
+			checker.addViolation("%q runs for the %d. time, %v after the third end under it", execution.Body, len(crashes)+1, execution.StartedAt.Sub(crashes[crashesToQuarantine-1]))
 		}
 	}
-	checker.crashes[run.Body] = append(crashes, run.StartedAt)
+	checker.crashes[execution.Body] = append(crashes, execution.StartedAt)
 }
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -67,7 +67,7 @@
 
 	mutex   sync.Mutex
 	leaving bool
-	// breaksStreams makes some streams break off.
+	// breaksStreams makes the endpoint abort some streams.
 	breaksStreams bool
 	// down is true between a crash and the restart.
 	down bool
@@ -103,12 +103,12 @@
 			return nil, err
 		}
 	}
-	fleet.goBackground(func() { fleet.renewEndpoints(ctx) })
+	fleet.runInBackground(func() { fleet.renewEndpoints(ctx) })
 	return fleet, nil
 }
 
-// goBackground runs a function in a goroutine that close waits for.
-func (fleet *fleet) goBackground(run func()) { fleet.background.Go(run) }
+// runInBackground runs a function in a goroutine that close waits for.
+func (fleet *fleet) runInBackground(run func()) { fleet.background.Go(run) }
 
 // serve serves a handler on a free port until ctx ends.
 func (fleet *fleet) serve(ctx context.Context, handler http.Handler) (netip.AddrPort, error) {
@@ -117,7 +117,7 @@
 		return netip.AddrPort{}, err
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, ErrorLog: discard}
-	fleet.goBackground(func() {
+	fleet.runInBackground(func() {
 		defer context.AfterFunc(ctx, func() { server.Close() })()
 		// The server is closed only when ctx ends.
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
@@ -134,7 +134,7 @@
 		return nil, proxy.address, err
 	}
 	// The error is that of ctx.
-	fleet.goBackground(func() { _ = proxy.run(ctx) })
+	fleet.runInBackground(func() { _ = proxy.run(ctx) })
 	return proxy, proxy.address, nil
 }
 
@@ -142,21 +142,21 @@
 	endpoint := &endpoint{startedAt: time.Now()}
 	endpoint.Endpoint = &standin.Endpoint{
 		ID: id, Service: service, Slots: 16,
-		OnExecution: func(run standin.Execution) { fleet.checker.recordRun(id, run) },
+		OnExecution: func(execution standin.Execution) { fleet.checker.recordRun(id, execution) },
 		ShouldAbortStream: func() bool {
 			endpoint.mutex.Lock()
 			defer endpoint.mutex.Unlock()
 			return endpoint.breaksStreams && rand.IntN(60) == 0
 		},
-		IsFatal:   func(run standin.Execution) bool { return isFatal(run.Body) },
+		IsFatal:   func(execution standin.Execution) bool { return isFatal(execution.Body) },
 		Terminate: func() { fleet.crashEndpoint(ctx, endpoint) },
 		OnArrival: func(request peridotpath.RequestID) { fleet.checker.recordArrival(id, request) },
 	}
-	at, err := fleet.serve(ctx, endpoint.Endpoint)
+	target, err := fleet.serve(ctx, endpoint.Endpoint)
 	if err != nil {
 		return err
 	}
-	endpoint.proxy, endpoint.address, err = fleet.openProxy(ctx, at)
+	endpoint.proxy, endpoint.address, err = fleet.openProxy(ctx, target)
 	fleet.endpoints = append(fleet.endpoints, endpoint)
 	fleet.publishEndpoint(endpoint)
 	return err
@@ -167,16 +167,16 @@
 	if err != nil {
 		return err
 	}
-	store, at, err := fleet.openProxy(ctx, fleet.storeAddress)
+	storeProxy, storeProxyAddress, err := fleet.openProxy(ctx, fleet.storeAddress)
 	if err != nil {
 		return err
 	}
 	instance := &instance{
-		ID: id, Binary: binary, Folder: folder, IngressAddress: loopback(first), ReadinessAddress: loopback(first + 1), FirstPeerPort: first + 2, StoreProxy: store,
+		ID: id, Binary: binary, Folder: folder, IngressAddress: loopback(first), ReadinessAddress: loopback(first + 1), FirstPeerPort: first + 2, StoreProxy: storeProxy,
 	}
 	fleet.instances = append(fleet.instances, instance)
-	fleet.storeProxyAddresses = append(fleet.storeProxyAddresses, at)
-	return instance.start(at)
+	fleet.storeProxyAddresses = append(fleet.storeProxyAddresses, storeProxyAddress)
+	return instance.start(storeProxyAddress)
 }
 
 // publishEndpoint writes an endpoint's entry to the store.
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -27,7 +27,7 @@
 	isReported bool
 }
 
-// announceLimit makes a random endpoint announce a rate limit until it is ended.
+// announceLimit makes a random endpoint announce a rate limit until end is called.
 func (fleet *fleet) announceLimit(random *rand.Rand) (end func()) {
 	endpoint := fleet.endpoints[random.IntN(len(fleet.endpoints))]
 	limit := []peridotpath.Rate{0, 0.5, 1, 2.3, 6}[random.IntN(5)]
--- a/soak/main.go
+++ b/soak/main.go
@@ -142,13 +142,13 @@
 	defer stopLoad()
 	for number := range clientCount {
 		clientRandom := rand.New(rand.NewPCG(seed, uint64(number)+1))
-		fleet.goBackground(func() { fleet.runClient(load, number, clientRandom) })
+		fleet.runInBackground(func() { fleet.runClient(load, number, clientRandom) })
 	}
 	var faultNames []string
 	faultCtx, stopFaults := context.WithTimeout(signalCtx, options.faultTime)
 	faultKinds := faults
 	if options.restoresStore {
-		fleet.goBackground(func() { fleet.keepSnapshots(ctx) })
+		fleet.runInBackground(func() { fleet.keepSnapshots(ctx) })
 		faultKinds = append(slices.Clone(faults), restoreFault, restoreFault)
 	}
 	fleet.injectFaults(faultCtx, faultKinds, random, func(name string) { faultNames = append(faultNames, name) })
--- a/soak/process.go
+++ b/soak/process.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// markDisturbed marks the process as disturbed until the returned function, which runs
-// end, has returned.
+// markDisturbed marks the process as disturbed and returns a function that runs end and
+// then removes the mark.
 func (instance *instance) markDisturbed(end func()) func() {
 	instance.setDisturbedUntil(time.Now().Add(time.Hour))
 	return func() {
--- a/soak/restore.go
+++ b/soak/restore.go
@@ -17,7 +17,7 @@
 	snapshotInterval = 500 * time.Millisecond
 	maxSnapshots     = 14
 	// maxStoreOutage bounds the outage before the store is restored, and maxRewriteDelay
-	// the time until operators have rewritten the changes that it lost.
+	// the time until operators have rewritten the changes that the copy lacks.
 	maxStoreOutage  = 2 * time.Second
 	maxRewriteDelay = 1500 * time.Millisecond
 )
--- a/soak/restore_test.go
+++ b/soak/restore_test.go
@@ -60,7 +60,7 @@
 			t.Errorf("%s: a key that was revoked %v ago is served", instance.ID, standin.MaxRevocationDelay+schedulingSlack)
 		}
 	}
-	// The entries of the copy expire; the entries left belong to live instances.
+	// The entries of the copy expire; the remaining entries belong to live instances.
 	time.Sleep(20 * time.Second)
 	for _, instance := range fleet.instances {
 		prefix := gossip.RegistryPrefix + string(instance.ID) + "/"
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -9,8 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// seeds are the seeds of the short run in CI. It includes seeds that exposed faults, with
-// the failure that each guards against:
+// seeds are the seeds of the short run in CI. Some of them exposed faults; each guards
+// against this failure:
 //
 // 102: half of the requests count as "not served" after the last fault, because the check
 // includes requests with revoked or nonexistent keys.
@@ -21,7 +21,7 @@
 // 9102: requests with a suspected body wait for another one's trial before each of their
 // attempts, and are refused after more than twice their latency target.
 //
-// Two failures to start do not depend on their seeds, 2009 and 4101: an outgoing
+// Two failures to start, of the seeds 2009 and 4101, do not depend on the seed: an outgoing
 // connection takes an instance's port between the check that it is free and its use, and
 // the port ranges of two instances overlap.
 var seeds = []uint64{1, 102, 8002, 9102}
