--- a/measure/ablation/ablation.go
+++ b/measure/ablation/ablation.go
@@ -114,8 +114,8 @@
 	return result, nil
 }
 
-// ClonePatched clones the repository into the folder and applies the patch, unless its path is
-// empty.
+// ClonePatched clones the repository into the folder and applies the patch, unless its path
+// is empty.
 func ClonePatched(ctx context.Context, repository, folder, patch string) error {
 	clone := exec.CommandContext(ctx, "git", "clone", "--quiet", repository, folder)
 	if output, err := clone.CombinedOutput(); err != nil {
@@ -160,8 +160,8 @@
 // without it.
 type Difference struct {
 	Pairs int
-	// Worth is the mean of the worth with the mechanism minus the worth without it,
-	// followed by the standard error of that mean.
+	// Worth is the mean of the worth with the mechanism minus the worth without it, and
+	// StandardError the standard error of that mean.
 	Worth, StandardError float64
 	// Unserved, Late and Refused are the mean increases of the shares of requests
 	// without the mechanism.
@@ -175,16 +175,16 @@
 func Compare(site string, with, without map[Play]*Result) Difference {
 	difference := Difference{}
 	var gains []float64
-	for play, base := range with {
-		other := without[play]
-		if other == nil || play.Site != site {
+	for play, withResult := range with {
+		withoutResult := without[play]
+		if withoutResult == nil || play.Site != site {
 			continue
 		}
-		gains = append(gains, base.Worth-other.Worth)
-		difference.Unserved += other.Unserved - base.Unserved
-		difference.Late += share(other.All.Late, other.All.Requests) - share(base.All.Late, base.All.Requests)
-		difference.Refused += share(other.All.Refused, other.All.Requests) - share(base.All.Refused, base.All.Requests)
-		difference.BrokenRules += len(other.BrokenRules)
+		gains = append(gains, withResult.Worth-withoutResult.Worth)
+		difference.Unserved += withoutResult.Unserved - withResult.Unserved
+		difference.Late += share(withoutResult.All.Late, withoutResult.All.Requests) - share(withResult.All.Late, withResult.All.Requests)
+		difference.Refused += share(withoutResult.All.Refused, withoutResult.All.Requests) - share(withResult.All.Refused, withResult.All.Requests)
+		difference.BrokenRules += len(withoutResult.BrokenRules)
 	}
 	difference.Pairs = len(gains)
 	if difference.Pairs == 0 {
--- a/measure/ablation/ablation_test.go
+++ b/measure/ablation/ablation_test.go
@@ -20,13 +20,13 @@
 		return result
 	}
 	first, second := ablation.Play{Site: "a", Day: "d", Seed: "1"}, ablation.Play{Site: "a", Day: "d", Seed: "2"}
-	elsewhere, alone := ablation.Play{Site: "b", Day: "d", Seed: "1"}, ablation.Play{Site: "a", Day: "d", Seed: "3"}
-	with := map[ablation.Play]*ablation.Result{first: result(0.7, 10), second: result(0.5, 10), elsewhere: result(1, 0), alone: result(1, 0)}
-	without := map[ablation.Play]*ablation.Result{first: result(0.6, 20), second: result(0.2, 12), elsewhere: result(0, 0)}
+	otherSite, unpaired := ablation.Play{Site: "b", Day: "d", Seed: "1"}, ablation.Play{Site: "a", Day: "d", Seed: "3"}
+	with := map[ablation.Play]*ablation.Result{first: result(0.7, 10), second: result(0.5, 10), otherSite: result(1, 0), unpaired: result(1, 0)}
+	without := map[ablation.Play]*ablation.Result{first: result(0.6, 20), second: result(0.2, 12), otherSite: result(0, 0)}
 	difference := ablation.Compare("a", with, without)
-	is.Equal(difference.Pairs, 2) // only what both have, of that site
+	is.Equal(difference.Pairs, 2) // plays of that site with both results
 	is.True(math.Abs(difference.Worth-0.2) < 1e-9)
-	is.True(math.Abs(difference.StandardError-0.1) < 1e-9) // 0.1 and 0.3 about 0.2
+	is.True(math.Abs(difference.StandardError-0.1) < 1e-9) // gains of 0.1 and 0.3 around their mean of 0.2
 	is.True(math.Abs(difference.Late-0.06) < 1e-9)
 	is.Equal(ablation.Compare("c", with, without).Pairs, 0)
 }
@@ -40,7 +40,7 @@
 	is.Equal(len(result.BrokenRules), 1)
 }
 
-func TestKeepJournal(t *testing.T) {
+func TestCopyJournal(t *testing.T) {
 	is := is.New(t)
 	folder, repository := t.TempDir(), t.TempDir()
 	is.NoErr(os.MkdirAll(filepath.Join(folder, "journal", "blobs"), 0o755))
--- a/measure/bench/baseline.go
+++ b/measure/bench/baseline.go
@@ -68,7 +68,7 @@
 	return baseline.submit(now, work)
 }
 
-// decider returns the baseline as a decider without a queue that ignores load reports.
+// decider returns the baseline as a decider that has no queue and ignores load reports.
 func (baseline *baseline) decider() *decider {
 	return &decider{
 		setEndpoints: func(_ time.Time, endpoints []peridotpath.Endpoint) { baseline.endpoints = endpoints },
--- a/measure/bench/cluster.go
+++ b/measure/bench/cluster.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	reportEvery = 250 * time.Millisecond
+	reportInterval = 250 * time.Millisecond
 	// membershipLag is the time for which the membership list still contains a dead
 	// endpoint.
 	membershipLag = 5 * time.Second
@@ -53,7 +53,7 @@
 // request is a caller's request and its outcome.
 type request struct {
 	arrival    *arrival
-	isReturn   bool // the caller's retry of a refused request
+	isRetry    bool // the caller's retry of a refused request
 	arrivedAt  time.Time
 	work       *decide.Work
 	instance   *instance
@@ -146,7 +146,7 @@
 	}
 	cluster.sampleImbalance(loads)
 	cluster.clock.runAfter(cluster.load.ReportLag, func() { cluster.deliverReports(loads) })
-	cluster.clock.runAfter(reportEvery, func() { cluster.sendReports(revision + 1) })
+	cluster.clock.runAfter(reportInterval, func() { cluster.sendReports(revision + 1) })
 }
 
 func (cluster *cluster) deliverReports(loads []peridotpath.Load) {
@@ -195,8 +195,8 @@
 	}
 }
 
-// arrive submits a request to the instance that the balancer picks. For a retry, first is
-// the refused request.
+// arrive submits a request to the instance that the balancer picks. For a retry, refused is
+// the request that was refused, else nil.
 func (cluster *cluster) arrive(arrival *arrival, refused *request) {
 	var live []*instance
 	for _, instance := range cluster.instances {
@@ -210,7 +210,7 @@
 	}
 	profile := profiles[arrival.class]
 	now := cluster.clock.now
-	request := &request{arrival: arrival, arrivedAt: now, instance: live[choice%uint64(len(live))], isReturn: refused != nil}
+	request := &request{arrival: arrival, arrivedAt: now, instance: live[choice%uint64(len(live))], isRetry: refused != nil}
 	request.work = &decide.Work{
 		Customer:        cluster.customers[arrival.customer],
 		Profile:         profile,
@@ -259,8 +259,8 @@
 	})
 }
 
-// handle passes a decision to the instance that received the work. With a shared queue
-// that may be another than the one that decided.
+// handle passes a decision to the instance that received the work. With a shared queue, it
+// can differ from the one that decided.
 func (cluster *cluster) handle(decision decide.Decision, decidedBy *instance) {
 	if decidedBy.works[decision.Work] != nil {
 		decidedBy.handle(decision)
@@ -289,7 +289,7 @@
 func (instance *instance) refuse(request *request, result *peridotpath.Result) {
 	cluster := instance.cluster
 	request.finish(result.Code)
-	if cluster.load.CallersRetry && !request.isReturn && result.RetryAfter > 0 {
+	if cluster.load.CallersRetry && !request.isRetry && result.RetryAfter > 0 {
 		cluster.clock.runAfter(result.RetryAfter, func() { cluster.arrive(request.arrival, request) })
 	}
 }
--- a/measure/bench/engine.go
+++ b/measure/bench/engine.go
@@ -170,23 +170,23 @@
 // fillBatch takes prefill work for one iteration. It returns the number of tokens and the
 // jobs whose prefill completes.
 func (engine *engine) fillBatch() (int64, []*job) {
-	left := int64(maxPrefillChunk)
+	budget := int64(maxPrefillChunk)
 	var completed []*job
 	for _, job := range engine.running {
 		if job.remainingPrefill == 0 {
 			continue
 		}
-		tokens := min(job.remainingPrefill, left)
+		tokens := min(job.remainingPrefill, budget)
 		job.remainingPrefill -= tokens
-		left -= tokens
+		budget -= tokens
 		if job.remainingPrefill == 0 {
 			completed = append(completed, job)
 		}
-		if left == 0 {
+		if budget == 0 {
 			break
 		}
 	}
-	return maxPrefillChunk - left, completed
+	return maxPrefillChunk - budget, completed
 }
 
 // finishIteration ends an iteration: each job whose prefill is complete gets one token.
--- a/measure/bench/joint.go
+++ b/measure/bench/joint.go
@@ -12,14 +12,14 @@
 // JointEndpoints is the number of endpoints in the runs of Joints.
 const JointEndpoints = 32
 
-// Joint is a run with a number of instances that share the endpoints, and the lag of
-// their load reports.
+// Joint is a run in which a number of instances share the endpoints, with a given lag of
+// the load reports.
 type Joint struct {
 	Instances      int
 	ReportLag      time.Duration
 	OfferedPercent int // percent of capacity
-	// ReplacedInstances is the number of instances that crash during the run and restart without
-	// state.
+	// ReplacedInstances is the number of instances that crash during the run and restart
+	// without state.
 	ReplacedInstances int
 	Figures           Figures
 	// Imbalance is the mean over time of the difference between the prefill backlog of
@@ -27,9 +27,8 @@
 	Imbalance float64
 }
 
-// Joints returns the runs: one instance that knows all requests, then several instances
-// that see each other's requests only in load reports, and last 32 instances of which half
-// are replaced at once.
+// Joints returns the runs: one instance that receives all requests, then several instances
+// that share only load reports, and last 32 instances of which half are replaced at once.
 func Joints(offered int) []Joint {
 	joints := []Joint{{Instances: 1, ReportLag: 300 * time.Millisecond, OfferedPercent: offered}}
 	for _, lag := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 9 * time.Second} {
@@ -73,11 +72,11 @@
 	if since < warmUpPeriod || since > arrivalPeriod {
 		return
 	}
-	var most, sum float64
+	var largest, sum float64
 	for _, load := range loads {
-		most = max(most, float64(load.PrefillTokens))
+		largest = max(largest, float64(load.PrefillTokens))
 		sum += float64(load.PrefillTokens)
 	}
-	cluster.imbalanceSum += (most - sum/float64(len(loads))) / busyPrefillPerS * 1000
+	cluster.imbalanceSum += (largest - sum/float64(len(loads))) / busyPrefillPerS * 1000
 	cluster.imbalanceSamples++
 }
--- a/measure/bench/load.go
+++ b/measure/bench/load.go
@@ -39,8 +39,8 @@
 	LengthShares [3]float64
 	// BurstFactor multiplies the rate of arrivals for a minute; zero for none.
 	BurstFactor float64
-	// HeavyCustomerShare is the share of arrivals of the first, heavy customer; zero for the ordinary
-	// shares.
+	// HeavyCustomerShare is the share of arrivals of the first, heavy customer; zero for the
+	// ordinary shares.
 	HeavyCustomerShare float64
 	// SlowFactor multiplies the iteration time of the first endpoint; zero for none.
 	SlowFactor float64
@@ -48,8 +48,8 @@
 	FailsFast bool
 	// KilledShare is the share of the endpoints that crash during the run.
 	KilledShare float64
-	// ReplacedInstances is the number of instances that crash during the run and restart without
-	// state.
+	// ReplacedInstances is the number of instances that crash during the run and restart
+	// without state.
 	ReplacedInstances int
 	// ReportLag is the age of load reports on arrival.
 	ReportLag time.Duration
@@ -120,7 +120,7 @@
 	instanceChoice  uint64
 }
 
-// engineTime is the time in seconds that an engine takes for the request alone.
+// engineTime is the time in seconds that an engine takes for the request if it runs alone.
 func (arrival *arrival) engineTime() float64 {
 	if arrival.isOversize() {
 		return 0
@@ -243,8 +243,8 @@
 
 func (generator *generator) drawCustomer() int {
 	at := generator.random.Float64()
-	if flooder := generator.load.HeavyCustomerShare; flooder > 0 {
-		if at < flooder {
+	if heavyShare := generator.load.HeavyCustomerShare; heavyShare > 0 {
+		if at < heavyShare {
 			return 0
 		}
 		return 1 + generator.random.IntN(len(customerShares)-1)
--- a/measure/bench/outcome_test.go
+++ b/measure/bench/outcome_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Long prompts on the same fleet may hardly delay short ones (head-of-line blocking), and
-// still finish by their deadlines.
+// Long prompts on the same fleet must not delay short ones by much (head-of-line blocking),
+// and must still finish by their deadlines.
 func TestMixedLengths(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -61,9 +61,9 @@
 	is.Equal(nearSaturation.LongInTimeShare, 1.0)
 }
 
-// Minutes of load above the fleet's capacity. Short requests are still answered promptly,
-// requests that cannot finish are refused immediately, and nearly all admitted ones finish
-// in time.
+// The load exceeds the fleet's capacity for minutes. Short requests are still answered
+// promptly, requests that cannot finish are refused immediately, and nearly all admitted
+// ones finish in time.
 func TestSaturation(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -75,7 +75,7 @@
 	is.True(figures.Refused[peridotpath.CodeCannotFinish] > 10*figures.Refused[peridotpath.CodeQueueTimeout])
 }
 
-// A burst of ten times the arrivals for a minute. Refused callers retry at their
+// The arrival rate rises tenfold for a minute. Refused callers retry after their
 // Retry-After, most of them are then served, and the retries do not form a second burst.
 func TestBurstRetries(t *testing.T) {
 	t.Parallel()
@@ -128,8 +128,8 @@
 	}
 }
 
-// Load reports are five seconds old. An instance adds the requests that it sent since the
-// last one.
+// Load reports are five seconds old. Each instance also counts the requests that it has
+// sent since the last report.
 func TestStaleReports(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -138,9 +138,9 @@
 	is.Equal(figures.LongInTimeShare, 1.0)
 }
 
-// The simulated engine keeps to its memory limit and serves a higher priority first. A job
+// The simulated engine respects its memory limit and runs higher priorities first. A job
 // that does not fit waits.
-func TestEngineKeepsMemoryAndPriority(t *testing.T) {
+func TestEngineRespectsMemoryAndPriority(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
 	clock := &clock{now: epoch}
--- a/measure/joint.go
+++ b/measure/joint.go
@@ -11,8 +11,8 @@
 	"peridotpath.example/measure/bench"
 )
 
-// jointCommand compares many instances with partial knowledge of each other's requests
-// with one that knows all requests.
+// jointCommand compares one instance that receives all requests with several instances that
+// share only load reports.
 type jointCommand struct {
 	offered  int
 	seed     uint64
