--- a/standin/examples_test.go
+++ b/standin/examples_test.go
@@ -57,7 +57,7 @@
 				services[string(endpoint.Service)] = true
 			}
 			for _, profile := range snapshot.Config.Profiles {
-				is.True(services[string(profile.Service)]) // a profile's service is in the fleet
+				is.True(services[string(profile.Service)]) // a profile's service is not in the fleet
 			}
 			for i, instance := range list.Instances {
 				read, err := settings.Read(examplePath(t, deployment, "instance-"+string(rune('1'+i))+".json"))
@@ -76,7 +76,7 @@
 				plan, faults := load.ParsePlan(readFile(t, path))
 				is.NoErr(faults.OrNil())
 				for _, key := range plan.Keys {
-					is.True(snapshot.Config.CustomerByKey(key) != nil) // a key of the plan is a customer's
+					is.True(snapshot.Config.CustomerByKey(key) != nil) // a key of the plan belongs to no customer
 				}
 				for _, work := range plan.Work {
 					profile := snapshot.Config.Profile(string(work.Profile))
--- a/standin/load/audit.go
+++ b/standin/load/audit.go
@@ -41,19 +41,22 @@
 
 // Audit counts the requests whose replies contradict what the endpoints ran.
 type Audit struct {
-	// Lost got neither an answer nor an error by their deadline.
+	// Lost counts the requests that got neither an answer nor an error by their deadline.
 	Lost int
-	// RanTwice are not idempotent, and ran more than once.
+	// RanTwice counts the requests that ran more than once although they are not idempotent.
 	RanTwice int
-	// CutOff got a part of an answer that broke off and could not be resumed.
+	// CutOff counts the requests whose answer broke off and could not be resumed.
 	CutOff int
-	// WrongAnswer got an incomplete answer or that of another request.
+	// WrongAnswer counts the requests that got an incomplete answer or that of another request.
 	WrongAnswer int
-	// NotRunButRan ran, although the replies to all copies report that they did not.
+	// NotRunButRan counts the requests that ran although the replies to all copies report
+	// that they did not.
 	NotRunButRan int
-	// AnsweredUnfinished got an answer, although no endpoint finished them.
+	// AnsweredUnfinished counts the requests that got an answer although no endpoint finished
+	// them.
 	AnsweredUnfinished int
-	// OutcomeUnknown got a reply that they may have run, which is not a fault.
+	// OutcomeUnknown counts the requests that may have run according to their reply, which is
+	// not a fault.
 	OutcomeUnknown int
 }
 
--- a/standin/load/call.go
+++ b/standin/load/call.go
@@ -25,10 +25,11 @@
 	replyGrace = 5 * time.Second
 	// reconnectDelay is the pause after a broken connection before the next attempt.
 	reconnectDelay = 50 * time.Millisecond
-	// maxRetryAfter bounds the pause that a refusal asks for.
+	// maxRetryAfter caps the Retry-After of a refusal.
 	maxRetryAfter = 5 * time.Second
 	maxAttempts   = 40
-	// keyRunning is the error code for a key whose request still runs on another instance.
+	// keyRunning is the error code for an idempotency key whose earlier request may still
+	// be running.
 	keyRunning = "key_running"
 )
 
--- a/standin/load/plan.go
+++ b/standin/load/plan.go
@@ -63,7 +63,7 @@
 	DuplicatePercent int `json:"duplicate_percent,omitempty"`
 	// DeadlineMS is the profile's deadline. A request without a reply by then is lost.
 	DeadlineMS peridotpath.Millis `json:"deadline_ms"`
-	// SendsFirst sends one such request at the start, regardless of Share.
+	// SendsFirst adds one such request at the start, regardless of Share.
 	SendsFirst bool `json:"first,omitempty"`
 }
 
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -94,8 +94,8 @@
 	for _, code := range slices.Sorted(maps.Keys(report.refusals)) {
 		fmt.Fprintf(writer, "event=refusal reason=%s count=%d\n", code, report.refusals[code])
 	}
-	for _, what := range slices.Sorted(maps.Keys(report.failures)) {
-		fmt.Fprintf(writer, "event=failure reason=%q count=%d\n", what, report.failures[what])
+	for _, reason := range slices.Sorted(maps.Keys(report.failures)) {
+		fmt.Fprintf(writer, "event=failure reason=%q count=%d\n", reason, report.failures[reason])
 	}
 	fmt.Fprintf(writer, "event=callers connections_broken=%d resumed=%d\n", report.brokenConnections, report.resumptions)
 	audit := report.Audit
--- a/standin/load/run_test.go
+++ b/standin/load/run_test.go
@@ -21,12 +21,12 @@
 )
 
 var (
-	instance = netip.MustParseAddrPort("10.0.0.1:1")
-	other    = netip.MustParseAddrPort("10.0.0.2:1")
-	endpoint = netip.MustParseAddrPort("10.0.0.3:1")
+	instance      = netip.MustParseAddrPort("10.0.0.1:1")
+	otherInstance = netip.MustParseAddrPort("10.0.0.2:1")
+	endpoint      = netip.MustParseAddrPort("10.0.0.3:1")
 )
 
-// system replaces the instances in a test.
+// system simulates the instances, and the engine and the plain service behind them.
 type system struct {
 	engine  *enginetest.Engine
 	service *servicetest.Service
@@ -55,7 +55,8 @@
 
 const notRun = `{"error":{"code":"queue_full","not_run":true}}`
 
-// runPlan sends the plan to instances that run handle, or that forward if it is nil.
+// runPlan sends the plan to simulated instances. They serve requests by handle, or by
+// forward if handle is nil.
 func runPlan(t *testing.T, handle func(system *system, writer http.ResponseWriter, request *http.Request)) (audit *load.Audit, text string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -77,14 +78,14 @@
 			handle(system, writer, request)
 		})
 		system.network.Serve(instance.String(), entry)
-		system.network.Serve(other.String(), entry)
+		system.network.Serve(otherInstance.String(), entry)
 		system.network.Serve(endpoint.String(), system.engine.Handler())
 		services := netip.MustParseAddrPort("10.0.0.4:1")
 		system.network.Serve(services.String(), system.service.Handler())
 		parsed, faults := load.ParsePlan([]byte(plan))
 		is.NoErr(faults.OrNil())
 		report, err := load.Run(ctx, parsed, &load.Target{
-			Instances: []netip.AddrPort{instance, other}, Endpoints: []netip.AddrPort{endpoint, services}, Do: system.network.Do,
+			Instances: []netip.AddrPort{instance, otherInstance}, Endpoints: []netip.AddrPort{endpoint, services}, Do: system.network.Do,
 		}, nil)
 		is.NoErr(err)
 		audit = report.Audit
@@ -130,17 +131,17 @@
 }
 
 func withBody(request *http.Request, text []byte) *http.Request {
-	made := request.Clone(request.Context())
-	made.Body = io.NopCloser(bytes.NewReader(text))
-	return made
+	clone := request.Clone(request.Context())
+	clone.Body = io.NopCloser(bytes.NewReader(text))
+	return clone
 }
 
 // Each system below has one fault; the audit must count it.
 func TestAuditFindsEachViolation(t *testing.T) {
 	tests := []struct {
-		name   string
-		handle func(system *system, writer http.ResponseWriter, request *http.Request)
-		wrong  func(audit *load.Audit) int
+		name       string
+		handle     func(system *system, writer http.ResponseWriter, request *http.Request)
+		violations func(audit *load.Audit) int
 	}{
 		{"runs a keyed call twice", func(system *system, writer http.ResponseWriter, request *http.Request) {
 			text := readBody(request)
@@ -149,7 +150,7 @@
 			}
 			system.forward(writer, withBody(request, text))
 		}, func(audit *load.Audit) int { return audit.RanTwice }},
-		{"says not run of what ran", func(system *system, writer http.ResponseWriter, request *http.Request) {
+		{"reports a request that ran as not run", func(system *system, writer http.ResponseWriter, request *http.Request) {
 			system.forward(&discardWriter{http.Header{}}, request)
 			refuse(writer, notRun)
 		}, func(audit *load.Audit) int { return audit.NotRunButRan }},
@@ -168,7 +169,7 @@
 			}
 			system.forward(writer, request)
 		}, func(audit *load.Audit) int { return audit.CutOff }},
-		{"answers by itself", func(_ *system, writer http.ResponseWriter, request *http.Request) {
+		{"answers without running the request", func(_ *system, writer http.ResponseWriter, request *http.Request) {
 			if text := readBody(request); isPlainServiceCall(request) {
 				fmt.Fprintf(writer, `{"body":%q}`, servicetest.BodySum(text))
 				return
@@ -181,7 +182,7 @@
 			is := is.New(t)
 			audit, text := runPlan(t, test.handle)
 			t.Log(text)
-			is.True(test.wrong(audit) > 0) // the audit did not count the fault
+			is.True(test.violations(audit) > 0) // the audit did not count the fault
 			is.True(!audit.IsClean())
 		})
 	}
