--- a/measure/bench/joint.go
+++ b/measure/bench/joint.go
@@ -9,7 +9,7 @@
 	"peridotpath.example/peridotpath"
 )
 
-// JointEndpoints is the number of endpoints in the runs of Joints.
+// JointEndpoints is the number of endpoints that the instances of a run share.
 const JointEndpoints = 32
 
 // Joint is a run in which a number of instances share the endpoints, with a given lag of
@@ -30,23 +30,23 @@
 // Joints returns the runs: one instance that receives all requests, then several instances
 // that share only load reports, and last 32 instances of which half are replaced at once.
 func Joints(offered int) []Joint {
-	joints := []Joint{{Instances: 1, ReportLag: 300 * time.Millisecond, OfferedPercent: offered}}
+	runs := []Joint{{Instances: 1, ReportLag: 300 * time.Millisecond, OfferedPercent: offered}}
 	for _, lag := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 9 * time.Second} {
 		for _, instances := range []int{2, 8, 32, 64} {
-			joints = append(joints, Joint{Instances: instances, ReportLag: lag, OfferedPercent: offered})
+			runs = append(runs, Joint{Instances: instances, ReportLag: lag, OfferedPercent: offered})
 		}
 	}
-	return append(joints, Joint{Instances: 32, ReportLag: time.Second, OfferedPercent: offered, ReplacedInstances: 16})
+	return append(runs, Joint{Instances: 32, ReportLag: time.Second, OfferedPercent: offered, ReplacedInstances: 16})
 }
 
-// RunJoints runs all joints with the same arrivals.
-func RunJoints(ctx context.Context, joints []Joint, seed uint64, parallel int) error {
+// RunJoints simulates all runs with the same arrivals.
+func RunJoints(ctx context.Context, runs []Joint, seed uint64, parallel int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(parallel)
-	for i := range joints {
+	for i := range runs {
 		group.Go(func() error {
 			if ctx.Err() == nil {
-				joints[i].run(seed)
+				runs[i].run(seed)
 			}
 			return ctx.Err()
 		})
--- a/measure/joint.go
+++ b/measure/joint.go
@@ -37,22 +37,22 @@
 
 // Execute implements subcommands.Command.
 func (command *jointCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	joints := bench.Joints(command.offered)
-	if err := bench.RunJoints(ctx, joints, command.seed, command.parallel); err != nil {
+	runs := bench.Joints(command.offered)
+	if err := bench.RunJoints(ctx, runs, command.seed, command.parallel); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
 	fmt.Println("| instances | replaced | lag s | short p50 | p95 | p99 ms | medium p50 | p95 | p99 ms | long p50 | p95 ms | refused of | imbalance ms |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|---|")
-	for _, joint := range joints {
-		figures := &joint.Figures
+	for _, run := range runs {
+		figures := &run.Figures
 		refused := 0
 		for _, count := range figures.Refused {
 			refused += count
 		}
 		fmt.Printf("| %d | %d | %.1f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %d of %d | %.0f |\n",
-			joint.Instances, joint.ReplacedInstances, joint.ReportLag.Seconds(), figures.P50[0], figures.P95[0], figures.P99[0], figures.P50[1], figures.P95[1], figures.P99[1],
-			figures.P50[2], figures.P95[2], refused, figures.Requests, joint.Imbalance)
+			run.Instances, run.ReplacedInstances, run.ReportLag.Seconds(), figures.P50[0], figures.P95[0], figures.P99[0], figures.P50[1], figures.P95[1], figures.P99[1],
+			figures.P50[2], figures.P95[2], refused, figures.Requests, run.Imbalance)
 	}
 	return subcommands.ExitSuccess
 }
--- a/peridotpath/config/config_test.go
+++ b/peridotpath/config/config_test.go
@@ -17,8 +17,8 @@
 	"peridotpath.example/peridotpath/keyvalue/memory"
 )
 
-// stored returns the JSON of a document with one item.
-func stored(t *testing.T, revision peridotpath.Revision, name string, value any) []byte {
+// documentJSON returns the JSON of a document with one item.
+func documentJSON(t *testing.T, revision peridotpath.Revision, name string, value any) []byte {
 	t.Helper()
 	type item struct {
 		Name     string               `json:"name"`
@@ -47,7 +47,7 @@
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		kv := (&memory.Memory{}).Store()
-		version, err := kv.Swap(ctx, "config/profiles", 0, stored(t, 5, "counter", profile("counter", "gpt")), keyvalue.LeaseID{})
+		version, err := kv.Swap(ctx, "config/profiles", 0, documentJSON(t, 5, "counter", profile("counter", "gpt")), keyvalue.LeaseID{})
 		is.NoErr(err)
 		store := &config.Store{KeyValue: kv}
 		is.True(!store.Ready())
@@ -58,12 +58,12 @@
 		go func() { done <- store.Run(ctx) }()
 
 		shard := "config/" + string(config.DocumentOf(config.KindCustomer, "air"))
-		_, err = kv.Swap(ctx, shard, 0, stored(t, 1, "air", customer("air", "secret")), keyvalue.LeaseID{})
+		_, err = kv.Swap(ctx, shard, 0, documentJSON(t, 1, "air", customer("air", "secret")), keyvalue.LeaseID{})
 		is.NoErr(err)
 		synctest.Wait()
 		is.Equal(store.Current().Config.CustomerByKey("secret").ID, peridotpath.CustomerID("air"))
 
-		_, err = kv.Swap(ctx, "config/profiles", version, stored(t, 4, "old", profile("old")), keyvalue.LeaseID{})
+		_, err = kv.Swap(ctx, "config/profiles", version, documentJSON(t, 4, "old", profile("old")), keyvalue.LeaseID{})
 		is.NoErr(err)
 		time.Sleep(time.Minute)
 		is.Equal(store.ActiveRevisions()["profiles"], peridotpath.Revision(5)) // a lower revision was applied
--- a/peridotpath/config/follow_test.go
+++ b/peridotpath/config/follow_test.go
@@ -190,7 +190,7 @@
 		is.NoErr(err)
 		done := make(chan error, 1)
 		go func() { done <- store.Run(ctx) }()
-		_, err = platform.Swap(ctx, "config/profiles", 0, stored(t, 1, "counter", profile("counter")), keyvalue.LeaseID{})
+		_, err = platform.Swap(ctx, "config/profiles", 0, documentJSON(t, 1, "counter", profile("counter")), keyvalue.LeaseID{})
 		is.NoErr(err)
 		time.Sleep(config.DefaultStaleAfter + config.DefaultMaxPollWait)
 		is.Equal(store.ActiveRevisions()["profiles"], peridotpath.Revision(1)) // the follower did not fall back to the platform
--- a/peridotpath/config/size_test.go
+++ b/peridotpath/config/size_test.go
@@ -34,8 +34,8 @@
 		items[name] = append(items[name], config.Item{Name: customerName(i), Revision: 1, Value: text})
 	}
 	platform := (&memory.Memory{}).Store()
-	for name, held := range items {
-		text, err := json.Marshal(map[string]any{"revision": 1, "items": held})
+	for name, documentItems := range items {
+		text, err := json.Marshal(map[string]any{"revision": 1, "items": documentItems})
 		if err != nil {
 			tb.Fatal(err)
 		}
