--- a/measure/bench/joint.go
+++ b/measure/bench/joint.go
@@ -9,12 +9,12 @@
 	"peridotpath.example/peridotpath"
 )
 
-// JointEndpoints is the number of endpoints that the instances of a run share.
-const JointEndpoints = 32
+// ScaleOutEndpoints is the number of endpoints that the instances of a run share.
+const ScaleOutEndpoints = 32
 
-// Joint is a run in which a number of instances share the endpoints, with a given lag of
+// ScaleOutRun is a run in which a number of instances share the endpoints, with a given lag of
 // the load reports.
-type Joint struct {
+type ScaleOutRun struct {
 	Instances      int
 	ReportLag      time.Duration
 	OfferedPercent int // percent of capacity
@@ -27,20 +27,20 @@
 	Imbalance float64
 }
 
-// Joints returns the runs: one instance that receives all requests, then several instances
+// ScaleOutRuns returns the runs: one instance that receives all requests, then several instances
 // that share only load reports, and last 32 instances of which half are replaced at once.
-func Joints(offered int) []Joint {
-	runs := []Joint{{Instances: 1, ReportLag: 300 * time.Millisecond, OfferedPercent: offered}}
+func ScaleOutRuns(offered int) []ScaleOutRun {
+	runs := []ScaleOutRun{{Instances: 1, ReportLag: 300 * time.Millisecond, OfferedPercent: offered}}
 	for _, lag := range []time.Duration{300 * time.Millisecond, time.Second, 3 * time.Second, 9 * time.Second} {
 		for _, instances := range []int{2, 8, 32, 64} {
-			runs = append(runs, Joint{Instances: instances, ReportLag: lag, OfferedPercent: offered})
+			runs = append(runs, ScaleOutRun{Instances: instances, ReportLag: lag, OfferedPercent: offered})
 		}
 	}
-	return append(runs, Joint{Instances: 32, ReportLag: time.Second, OfferedPercent: offered, ReplacedInstances: 16})
+	return append(runs, ScaleOutRun{Instances: 32, ReportLag: time.Second, OfferedPercent: offered, ReplacedInstances: 16})
 }
 
-// RunJoints simulates all runs with the same arrivals.
-func RunJoints(ctx context.Context, runs []Joint, seed uint64, parallel int) error {
+// RunScaleOut simulates all runs with the same arrivals.
+func RunScaleOut(ctx context.Context, runs []ScaleOutRun, seed uint64, parallel int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(parallel)
 	for i := range runs {
@@ -54,16 +54,16 @@
 	return group.Wait()
 }
 
-func (joint *Joint) run(seed uint64) {
+func (scaleOutRun *ScaleOutRun) run(seed uint64) {
 	load := &Load{
-		Name: "joint", LengthShares: mixedShares, ReportLag: joint.ReportLag, MaxEstimateError: 1.1, ReplacedInstances: joint.ReplacedInstances,
-		Deployment: Deployment{Name: "joint", Endpoints: JointEndpoints, Instances: joint.Instances, Latency: time.Millisecond},
+		Name: "joint", LengthShares: mixedShares, ReportLag: scaleOutRun.ReportLag, MaxEstimateError: 1.1, ReplacedInstances: scaleOutRun.ReplacedInstances,
+		Deployment: Deployment{Name: "joint", Endpoints: ScaleOutEndpoints, Instances: scaleOutRun.Instances, Latency: time.Millisecond},
 	}
-	arrivals := load.arrivals(float64(joint.OfferedPercent)/100, seed)
+	arrivals := load.arrivals(float64(scaleOutRun.OfferedPercent)/100, seed)
 	cluster := run(load, NewPeridotpath("peridotpath", 0), arrivals, seed)
 	cluster.engineCapacity = load.engineCapacity(seed)
-	joint.Figures = cluster.figures(joint.OfferedPercent)
-	joint.Imbalance = cluster.imbalanceSum / float64(max(cluster.imbalanceSamples, 1))
+	scaleOutRun.Figures = cluster.figures(scaleOutRun.OfferedPercent)
+	scaleOutRun.Imbalance = cluster.imbalanceSum / float64(max(cluster.imbalanceSamples, 1))
 }
 
 // sampleImbalance records the imbalance of the prefill backlog between endpoints.
--- a/measure/joint.go
+++ b/measure/joint.go
@@ -37,8 +37,8 @@
 
 // Execute implements subcommands.Command.
 func (command *jointCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
-	runs := bench.Joints(command.offered)
-	if err := bench.RunJoints(ctx, runs, command.seed, command.parallel); err != nil {
+	runs := bench.ScaleOutRuns(command.offered)
+	if err := bench.RunScaleOut(ctx, runs, command.seed, command.parallel); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return subcommands.ExitFailure
 	}
--- a/peridotpath/audit/audit.go
+++ b/peridotpath/audit/audit.go
@@ -27,9 +27,9 @@
 	FaultRanTwice
 	// FaultEndedTwice means that more than one end of the request was logged.
 	FaultEndedTwice
-	// FaultHeldNeverSent means that the request was refused too late, and never sent to an
+	// FaultRefusedTooLate means that the request was refused too late, and never sent to an
 	// endpoint.
-	FaultHeldNeverSent
+	FaultRefusedTooLate
 	// FaultNoRetryAfter means that a refusal has no Retry-After.
 	FaultNoRetryAfter
 )
@@ -158,7 +158,7 @@
 		end := &history.ends[i]
 		notRun := codeOf(end).NotRun()
 		addIf(FaultRanThoughRefused, notRun && possibleRuns > 0)
-		addIf(FaultHeldNeverSent, notRun && end.Event() == "failed" && end.Number("sent") == 0 && audit.heldTooLong(end))
+		addIf(FaultRefusedTooLate, notRun && end.Event() == "failed" && end.Number("sent") == 0 && audit.heldTooLong(end))
 		addIf(FaultNoRetryAfter, notRun && end.Event() == "failed" && end.Number("retry_after") == 0)
 	}
 	return faults
--- a/peridotpath/audit/audit_test.go
+++ b/peridotpath/audit/audit_test.go
@@ -39,9 +39,9 @@
 		"failed, not idempotent, retried":   {[]string{failedAttempt, servedOnce}, []audit.Fault{audit.FaultRanTwice}},
 		"retried without success":           {[]string{failedAttempt, erredAttempt, "event=failed request=r kind=once aim=300 took=80 sent=2 code=3003"}, []audit.Fault{audit.FaultRanTwice}},
 		"ended at two instances":            {[]string{served, "instance=b " + served}, []audit.Fault{audit.FaultEndedTwice}},
-		"held too long, not sent":           {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=2006 retry_after=300"}, []audit.Fault{audit.FaultHeldNeverSent}},
+		"held too long, not sent":           {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=2006 retry_after=300"}, []audit.Fault{audit.FaultRefusedTooLate}},
 		"refused without Retry-After":       {[]string{"event=failed request=r kind=stream aim=300 took=7 sent=0 code=3001 retry_after=0"}, []audit.Fault{audit.FaultNoRetryAfter}},
-		"held, without Retry-After":         {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=3001"}, []audit.Fault{audit.FaultHeldNeverSent, audit.FaultNoRetryAfter}},
+		"held, without Retry-After":         {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=3001"}, []audit.Fault{audit.FaultRefusedTooLate, audit.FaultNoRetryAfter}},
 		"late, but the caller disconnected": {[]string{"event=failed request=r kind=stream aim=300 took=700 sent=0 code=4004"}, nil},
 	}
 	for name, test := range tests {
@@ -101,10 +101,10 @@
 		"paused":                   {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=a span=3400", refused}, nil},
 		"pause logged later":       {[]string{refused, "time=2026-01-01T00:00:09.9Z event=paused instance=a span=3400"}, nil},
 		"two pauses":               {[]string{"time=2026-01-01T00:00:08Z event=paused instance=a span=1900", refused, "time=2026-01-01T00:00:10Z event=paused instance=a span=1800"}, nil},
-		"held after a pause":       {[]string{"time=2026-01-01T00:00:09.2Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeldNeverSent}},
-		"paused before arrival":    {[]string{"time=2026-01-01T00:00:06Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeldNeverSent}},
-		"another instance's pause": {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=b span=3400", refused}, []audit.Fault{audit.FaultHeldNeverSent}},
-		"truncated pause line":     {[]string{"event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultHeldNeverSent}},
+		"held after a pause":       {[]string{"time=2026-01-01T00:00:09.2Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultRefusedTooLate}},
+		"paused before arrival":    {[]string{"time=2026-01-01T00:00:06Z event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultRefusedTooLate}},
+		"another instance's pause": {[]string{"time=2026-01-01T00:00:09.9Z event=paused instance=b span=3400", refused}, []audit.Fault{audit.FaultRefusedTooLate}},
+		"truncated pause line":     {[]string{"event=paused instance=a span=3400", refused}, []audit.Fault{audit.FaultRefusedTooLate}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
