--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -233,8 +233,8 @@
 	instance.gossip = &gossip.Gossip{
 		Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
 		DataCentre: settings.DataCentre, SnapshotPort: settings.SnapshotAddress.Port(),
-		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, Log: instance.Log,
-		LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness,
+		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot,
+		LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness, Log: instance.Log,
 	}
 	adapter.Eras.OnEraChange = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
 	instance.loads.OnChange = instance.gossip.RequestDigest
