--- a/peridotpath/gossip/cells.go
+++ b/peridotpath/gossip/cells.go
@@ -24,9 +24,9 @@
 	endpointCell atomic.Pointer[cell.Cell]
 	// gossipCell is the cell to which digests are sent.
 	gossipCell cell.Cell
-	// latest is the cell according to the latest list of instances, latestSince when it
+	// latestCell is the cell according to the latest list of instances, latestSince when it
 	// last changed, and firstListAt the time of the first list.
-	latest                   cell.Cell
+	latestCell               cell.Cell
 	latestSince, firstListAt time.Time
 }
 
@@ -44,7 +44,7 @@
 	if membership.firstListAt.IsZero() {
 		return 0
 	}
-	return membership.latest.Count()
+	return membership.latestCell.Count()
 }
 
 // update applies the cell that follows from a new list of instances, and reports whether it
@@ -53,9 +53,9 @@
 	if membership.firstListAt.IsZero() {
 		membership.firstListAt = now
 	}
-	changed := listed != membership.latest
+	changed := listed != membership.latestCell
 	if changed {
-		membership.latest, membership.latestSince = listed, now
+		membership.latestCell, membership.latestSince = listed, now
 	}
 	endpointCell := listed
 	// An instance that has just started has no in-flight requests in the views of its peers,
--- a/peridotpath/gossip/cells_test.go
+++ b/peridotpath/gossip/cells_test.go
@@ -10,11 +10,11 @@
 	"peridotpath.example/peridotpath/cell"
 )
 
-// While the fleet grows from two cells to four, instances that have the new number still
-// gossip to the old, larger cell: instances without it send requests to the engines of that
-// cell, and would place prompts on busy ones. While the fleet shrinks again, instances use
-// the endpoints of the smaller cell only, until they have received the load of the larger
-// one.
+// While the fleet grows from two cells to four, instances that have read the new number
+// still gossip to the old, larger cell: instances that have not read it send requests to
+// the engines of that cell, and would place prompts on busy ones. While the fleet shrinks
+// again, instances use the endpoints of the smaller cell only, until they have received
+// the load of the larger one.
 func TestCellChangeOverlaps(t *testing.T) {
 	is := is.New(t)
 	address := netip.MustParseAddrPort("10.0.0.1:1")
--- a/peridotpath/gossip/fact_test.go
+++ b/peridotpath/gossip/fact_test.go
@@ -27,7 +27,7 @@
 	eventually(t, "the fact is received", func() bool { return holdsFact(near, fact) && holdsFact(remote, fact) })
 }
 
-// A fact crosses cells: a request that is quarantined in one cell otherwise goes on to
+// Facts must cross cells: otherwise a request that is quarantined in one cell goes on to
 // crash endpoints in the others.
 func TestFactsReachOtherCells(t *testing.T) {
 	is := is.New(t)
@@ -83,7 +83,7 @@
 }
 
 // A busy instance sends no heartbeats. It must still repeat facts to a new peer, or the
-// peer sends requests that are quarantined.
+// peer sends quarantined requests to endpoints, which crash.
 func TestBusyInstanceRepeatsFactsToNewPeer(t *testing.T) {
 	busy := startNode(t, "one", "a", gossip.Freshness{})
 	fact := facts.Fact{Kind: facts.KindQuarantined, Subject: facts.Subject{7}, Value: 60, ObservedAt: time.Now()}
--- a/peridotpath/gossip/gossip.go
+++ b/peridotpath/gossip/gossip.go
@@ -1,7 +1,8 @@
 // Package gossip exchanges state with the other instances over UDP. Each instance sends
 // digests with its in-flight requests, its queued prompts, the endpoints that it has
-// ejected, new facts, and how fresh its snapshot of the store is. A digest holds the
-// complete state, so that a lost datagram only makes that state older.
+// ejected, new facts, and how fresh its snapshot of the store is. Apart from the facts, a
+// digest holds the complete state, so that a lost datagram only leaves the receiver with an
+// older one.
 //
 // It matters under many concurrent requests through many instances, each of which places
 // requests by the load that the whole cell causes. An instance sends its digests directly
@@ -40,14 +41,15 @@
 	// that the digest states.
 	heartbeatInterval = 250 * time.Millisecond
 	// remoteHeartbeatInterval is the longest time between two digests to another data
-	// centre. Traffic there is metered, and most heartbeats report no change.
+	// centre. Traffic between data centres is metered, and most heartbeats report no change.
 	remoteHeartbeatInterval = 2 * heartbeatInterval
 	// coalesceDelay is how long a change waits for further ones, so that a burst of
 	// requests makes one digest.
 	coalesceDelay = 4 * time.Millisecond
-	// forgetPeerAfter is how long a peer is kept that is silent and unregistered.
+	// forgetPeerAfter is the silence after which an unregistered peer is removed.
 	forgetPeerAfter = 5 * time.Second
-	// peerSilentAfter is the silence after which a peer is not asked to forward digests.
+	// peerSilentAfter is the silence after which a peer is asked to forward digests only if
+	// all others of its data centre are silent too, and does not count in Rank.
 	peerSilentAfter = time.Second
 	// maxDatagramBytes bounds a datagram that is received.
 	maxDatagramBytes = 64 << 10
@@ -118,9 +120,10 @@
 	instance    peridotpath.InstanceID
 	incarnation peridotpath.Incarnation
 	dataCentre  peridotpath.DataCentre
-	// lastSent is the newest value of the peer's clock that was received from it.
-	lastSent   uint64
-	receivedAt time.Time
+	// echoMicros is the newest value of the peer's clock that was received from it, in
+	// microseconds.
+	clockMicros uint64
+	receivedAt  time.Time
 	// registered reports whether the peer is listed in the registry.
 	registered bool
 }
@@ -154,14 +157,14 @@
 		}
 	}
 	if gossip.cells.update(cell.Of(gossip.Address, fleetSize), time.Now()) {
-		gossip.Log.Info().Int("instances", fleetSize).Int("cells", gossip.cells.latest.Count()).Msg("cells_changed")
+		gossip.Log.Info().Int("instances", fleetSize).Int("cells", gossip.cells.latestCell.Count()).Msg("cells_changed")
 	}
 }
 
 // Cell returns the cell to whose endpoints this instance sends requests.
 func (gossip *Gossip) Cell() cell.Cell { return gossip.cells.EndpointCell() }
 
-// findOrAddPeer returns the peer at an address, which it adds if it is new.
+// findOrAddPeer returns the peer at an address. It adds the peer if it is unknown.
 func (gossip *Gossip) findOrAddPeer(address netip.AddrPort) *peer {
 	if gossip.peers == nil {
 		gossip.peers = map[netip.AddrPort]*peer{}
@@ -221,7 +224,7 @@
 		return
 	}
 	for _, target := range targets {
-		gossip.sendDigest(conn, target.address, common, &wire.Digest{Echo: target.lastSent, HandOn: target.forward})
+		gossip.sendDigest(conn, target.address, common, &wire.Digest{Echo: target.echoMicros, HandOn: target.forward})
 	}
 	gossip.sendFactsToOtherCells(conn, encoded, now)
 }
@@ -327,13 +330,13 @@
 	if peer.instance != peridotpath.InstanceID(digest.Instance) || peer.incarnation != peridotpath.Incarnation(digest.Incarnation) {
 		peer.instance, peer.incarnation = peridotpath.InstanceID(digest.Instance), peridotpath.Incarnation(digest.Incarnation)
 		gossip.Log.Info().Str("peer", digest.Instance).Stringer("address", from).Msg("peer_heard")
-		// A peer that has just started lacks the facts sent before.
+		// A peer that has just started lacks the facts sent before its start.
 		gossip.resendDueAt = time.Time{}
 		gossip.RequestDigest()
 	}
 	peer.dataCentre = peridotpath.DataCentre(digest.DataCentre)
 	peer.receivedAt = now
-	peer.lastSent = digest.Sent
+	peer.clockMicros = digest.Sent
 	cellCount := gossip.cells.latestCount()
 	gossip.mutex.Unlock()
 	if cellCount != 0 && digest.Cells != 0 && int(digest.Cells) != cellCount {
--- a/peridotpath/gossip/gossip_test.go
+++ b/peridotpath/gossip/gossip_test.go
@@ -41,7 +41,7 @@
 	echo  time.Duration
 }
 
-// node is an instance that gossips, with what it receives.
+// node is an instance that gossips and records the freshness that it receives.
 type node struct {
 	gossip   *gossip.Gossip
 	loads    *placement.LoadTracker
@@ -271,8 +271,9 @@
 	})
 }
 
-// The fleet has grown and is divided into two cells. A peer has read that; this instance
-// has not, and its next list is due only in most of a minute.
+// The fleet has grown and is divided into two cells. A peer has read the new list of
+// instances, while the next list of this instance may be due only in most of a minute. A
+// digest of that peer must report the other number of cells.
 func TestOtherCellCountIsReported(t *testing.T) {
 	is := is.New(t)
 	node := startNode(t, "one", "a", gossip.Freshness{})
--- a/peridotpath/gossip/registry.go
+++ b/peridotpath/gossip/registry.go
@@ -32,8 +32,8 @@
 	Log  zerolog.Logger
 
 	lease keyvalue.LeaseID
-	// listedAt is when the list of instances was last read, zero if it is due now;
-	// listedCount is its length.
+	// listedAt is when the list of instances was last read, zero if a read is due now.
+	// listedCount is the number of instances in the list.
 	listedAt    time.Time
 	listedCount int
 	// listRequested requests a list before it is due.
@@ -49,9 +49,9 @@
 	storeFailed     atomic.Bool
 }
 
-// RegistryPrefix is the key prefix under which instances register. Each start of an
-// instance has its own key, so that it need not take over the entry of an earlier start,
-// which expires with its lease.
+// RegistryPrefix is the key prefix under which instances register. An instance uses
+// a new key at each start, so that it need not take over the entry of its earlier start,
+// which expires with the lease of that start.
 const RegistryPrefix = "peridotpath/instances/"
 
 const (
@@ -66,7 +66,8 @@
 	gatherDelay = 500 * time.Millisecond
 	// listIntervalPerInstance is multiplied by the number of instances to give the time
 	// between two lists by the same instance. Each list holds an entry for every instance,
-	// so that with a fixed interval the volume would grow with the square of the fleet.
+	// so that with a fixed interval the volume would grow with the square of the fleet's
+	// size.
 	listIntervalPerInstance = 250 * time.Millisecond
 	// reregisterSpreadPerInstance is multiplied by the number of instances to give the span
 	// over which the fleet registers again after the store was restored from an older copy,
@@ -74,7 +75,7 @@
 	reregisterSpreadPerInstance = 10 * time.Millisecond
 	minReregisterSpread         = 500 * time.Millisecond
 	// requestedListJitter is the span over which requested lists are spread: many instances
-	// receive another number of cells at the same moment.
+	// receive a digest with another number of cells at the same moment.
 	requestedListJitter = time.Second
 )
 
@@ -123,7 +124,7 @@
 //
 // After a power loss of all instances their entries are still in the store. The list is
 // read first, so that each instance has its peers before it reads anything else, and fetches
-// the rest from them instead of from the store.
+// the routing and the endpoints from them instead of from the store.
 func (registry *Registry) Run(ctx context.Context) error {
 	err := registry.refreshPeers(ctx, registry.Store.ListStale)
 	registry.recordOutcome(ctx, err)
@@ -160,16 +161,17 @@
 	return renewalInterval
 }
 
-// RequestReregistration requests a new entry soon, after a random delay that spreads those
-// of the fleet: the store was restored from an older copy that may lack this entry. It
+// RequestReregistration requests a new entry soon, after a random delay that spreads the
+// writes of the fleet: the store was restored from an older copy that may lack this entry. It
 // never blocks.
 func (registry *Registry) RequestReregistration() { registry.reregisterRequested.Raise() }
 
 // RequestList requests a list soon, as a peer reports another number of cells. It never blocks.
 func (registry *Registry) RequestList() { registry.listRequested.Raise() }
 
-// waitForRound waits for the given time, and lists the instances if that is requested
-// meanwhile. It returns early for a requested new entry, and false if ctx ended first.
+// waitForRound waits for the given time until the next round, and lists the instances if a
+// list is requested meanwhile. It returns true early if a new entry is requested, and false
+// if ctx ended first.
 func (registry *Registry) waitForRound(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -195,10 +197,10 @@
 	}
 }
 
-// IsFailing reports whether the store was unreachable in the last round.
+// IsFailing reports whether the last access to the store failed.
 func (registry *Registry) IsFailing() bool { return registry.storeFailed.Load() }
 
-// recordOutcome records whether the store was reachable, and logs an error.
+// recordOutcome records whether an access to the store failed, and logs its error.
 func (registry *Registry) recordOutcome(ctx context.Context, err error) {
 	registry.storeFailed.Store(err != nil)
 	if err != nil && ctx.Err() == nil {
@@ -206,7 +208,7 @@
 	}
 }
 
-// runRound renews or creates the entry, and lists the instances if that is due.
+// runRound renews or creates the entry, and lists the instances if a list is due.
 func (registry *Registry) runRound(ctx context.Context) error {
 	if err := registry.renewOrRegister(ctx); err != nil {
 		return err
--- a/peridotpath/gossip/registry_era_test.go
+++ b/peridotpath/gossip/registry_era_test.go
@@ -63,7 +63,7 @@
 // The store is restored from a copy without some instances' entries and leases, and grants
 // the numbers of those leases to other clients. An instance must not go on renewing a lease
 // that is now another client's while it has no entry of its own. An instance cannot find
-// out whether the copy holds its entry, so that all register again, spread over time.
+// out whether the copy holds its entry, so all instances register again, spread over time.
 func TestEntriesLostByRestoreAreRecreated(t *testing.T) {
 	const early, late = 40, 20
 	virtual.Test(t, func(t *testing.T) {
@@ -83,11 +83,11 @@
 		is.Equal(len(registrationCounts(t, service)), early+late)
 
 		service.Restore(before)
-		var foreign []keyvalue.LeaseID
+		var foreignLeases []keyvalue.LeaseID
 		for range late {
 			lease, err := service.Store().Grant(ctx, 15*time.Second)
 			is.NoErr(err)
-			foreign = append(foreign, lease)
+			foreignLeases = append(foreignLeases, lease)
 		}
 		// One instance sees the new era first and gossips it.
 		for _, instance := range all {
@@ -111,7 +111,7 @@
 				t.Errorf("%s has %d entries, want one", name, count)
 			}
 		}
-		for _, lease := range foreign {
+		for _, lease := range foreignLeases {
 			is.True(keyvalue.ErrLeaseExpired.Has(service.Store().Renew(ctx, lease))) // no instance renewed it
 		}
 		cancel()
--- a/peridotpath/gossip/registry_test.go
+++ b/peridotpath/gossip/registry_test.go
@@ -92,8 +92,8 @@
 	mutex     sync.Mutex
 	entries   []keyvalue.Entry
 	createdAt []time.Time
-	// count is the number of lists that were read.
-	count int
+	// readCount is the number of lists that were read.
+	readCount int
 }
 
 const staleListLag = 3 * time.Second
@@ -103,7 +103,7 @@
 	time.Sleep(4 * time.Millisecond)
 	laggingStore.mutex.Lock()
 	defer laggingStore.mutex.Unlock()
-	laggingStore.count++
+	laggingStore.readCount++
 	var entries []keyvalue.Entry
 	for i, entry := range laggingStore.entries {
 		if time.Since(laggingStore.createdAt[i]) >= lag {
@@ -117,7 +117,7 @@
 func (laggingStore *laggingStore) listCount() int {
 	laggingStore.mutex.Lock()
 	defer laggingStore.mutex.Unlock()
-	return laggingStore.count
+	return laggingStore.readCount
 }
 
 func (laggingStore *laggingStore) client() *keyvalue.Store {
@@ -215,8 +215,8 @@
 }
 
 // A peer reports another number of cells. An instance whose next list is due only in most
-// of a minute would keep to its old cell, send requests to engines that others use, and
-// receive nothing of their load.
+// of a minute would keep to its old cell, send requests to engines that other instances use,
+// and receive nothing of their load. It must list the instances soon after the report.
 func TestListIsReadWhenCellCountDiffers(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -245,9 +245,9 @@
 	})
 }
 
-// The store does not answer while an instance starts, and a peer holds the snapshot that it
-// needs. The instance fetches it at once and not after the list of instances timed out,
-// more than a second later.
+// The store does not answer while an instance starts, and a peer holds the snapshot that the
+// instance needs. The instance must fetch it at once, and not only after the list of
+// instances timed out, more than a second later.
 func TestSnapshotIsFetchedWhileStoreDoesNotAnswer(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/gossip/report.go
+++ b/peridotpath/gossip/report.go
@@ -57,8 +57,8 @@
 	}
 	for i, part := range request.Parts {
 		if request.Decoding && i > 0 && part.ReservedKV == 0 {
-			// The helpers have finished prefill; from here on only endpoints that hold KV cache
-			// or decode matter.
+			// The helpers have finished prefill. The endpoints from here on hold no KV
+			// cache of this request and carry no load of it.
 			break
 		}
 		encoded.Endpoints = append(encoded.Endpoints, uint64(part.Endpoint))
--- a/peridotpath/gossip/report_test.go
+++ b/peridotpath/gossip/report_test.go
@@ -15,8 +15,8 @@
 	"peridotpath.example/peridotpath/quarantine"
 )
 
-// Whatever a datagram holds, decoding it yields loads, facts and queued prompts that can be
-// computed with.
+// A datagram may hold anything. The code that uses the decoded loads, facts and queued
+// prompts must not panic, and no load may be negative.
 func FuzzDigest(f *testing.F) {
 	valid, err := proto.Marshal(&wire.Digest{
 		Instance: "a", Sequence: 1, Flights: []*wire.Flight{{Number: 1, Endpoints: []uint64{1, 2}, Reading: 5, Memory: []uint64{7}, Age: 9}},
--- a/peridotpath/gossip/targets.go
+++ b/peridotpath/gossip/targets.go
@@ -11,16 +11,16 @@
 // target is a peer to which a digest is sent.
 type target struct {
 	address netip.AddrPort
-	// lastSent is the newest clock value received from the peer, which the digest returns
+	// echoMicros is the newest clock value received from the peer, which the digest returns
 	// as its echo.
-	lastSent uint64
+	echoMicros uint64
 	// forward asks the peer to forward the digest within its data centre.
 	forward bool
 }
 
-// selectTargets returns the peers of the cell to which a digest is sent: all in this data
-// centre and, with remote, one in each other data centre. It removes unregistered peers that
-// have been silent for longer than forgetPeerAfter.
+// selectTargets returns the peers of the cell to which a digest is sent: all in this or an
+// unknown data centre and, with remote, one in each other data centre. It removes
+// unregistered peers that have been silent for longer than forgetPeerAfter.
 func (gossip *Gossip) selectTargets(now time.Time, remote bool) []target {
 	gossip.mutex.Lock()
 	defer gossip.mutex.Unlock()
@@ -33,7 +33,7 @@
 			delete(gossip.peers, address)
 		case !gossipCell.HasInstance(address):
 		case peer.dataCentre == gossip.DataCentre || peer.dataCentre == "":
-			targets = append(targets, target{address: address, lastSent: peer.lastSent})
+			targets = append(targets, target{address: address, echoMicros: peer.clockMicros})
 		default:
 			byDataCentre[peer.dataCentre] = append(byDataCentre[peer.dataCentre], address)
 		}
@@ -45,7 +45,7 @@
 	gossip.remoteSentAt = now
 	for _, addresses := range byDataCentre {
 		address := gossip.nextForwarder(addresses, now)
-		targets = append(targets, target{address: address, lastSent: gossip.peers[address].lastSent, forward: true})
+		targets = append(targets, target{address: address, echoMicros: gossip.peers[address].clockMicros, forward: true})
 	}
 	return targets
 }
--- a/peridotpath/gossip/targets_test.go
+++ b/peridotpath/gossip/targets_test.go
@@ -10,7 +10,7 @@
 
 // Most traffic between the data centres of an idle fleet is heartbeats that report no
 // change. Other data centres receive them half as often, which still keeps their state from
-// expiring; peers in the same data centre receive them as often as before.
+// expiring; peers in the same data centre receive every one.
 func TestRemoteHeartbeatsAreLessFrequent(t *testing.T) {
 	is := is.New(t)
 	gossip := &Gossip{Address: netip.MustParseAddrPort("10.0.0.1:1"), DataCentre: "a"}
