--- a/peridotpath/directory/directory.go
+++ b/peridotpath/directory/directory.go
@@ -5,7 +5,8 @@
 // It matters when the store is unreachable for a while or is restored from an older copy.
 // Entries then expire although their endpoints run, or reappear although their endpoints
 // have left. For a short, fixed time the directory keeps using the former and goes on
-// excluding the latter. Such a deviation from the content of the store is an exception.
+// excluding the latter. Such a deviation from the content of the store is called an
+// exception.
 package directory
 
 import (
@@ -34,8 +35,8 @@
 	// as having been down. It spans several reads that failed or were skipped.
 	minOutageGap = 2500 * time.Millisecond
 	// departureRetention is how long the departure of an endpoint is remembered. For
-	// restoredEntryTimeout after the store was restored from an older copy, it takes
-	// precedence over the entry in the store: the copy may hold entries of departed
+	// restoredEntryTimeout after the store was restored from an older copy, the departure
+	// takes precedence over the entry in the store: the copy may hold entries of departed
 	// endpoints until they expire.
 	departureRetention   = time.Minute
 	restoredEntryTimeout = 8 * time.Second
@@ -72,7 +73,8 @@
 }
 
 // Filter returns a snapshot with the endpoints for which keep returns true. A service of
-// which no endpoint is kept retains all of its endpoints.
+// which no endpoint would be kept retains all of its endpoints. ByKey still finds every
+// endpoint.
 func (snapshot *Snapshot) Filter(keep func(key peridotpath.EndpointKey, serviceSize int) bool) *Snapshot {
 	filtered := &Snapshot{byService: map[peridotpath.Service][]Member{}, byID: snapshot.byID, byKey: snapshot.byKey}
 	for service, members := range snapshot.byService {
@@ -97,9 +99,10 @@
 	current atomic.Pointer[Snapshot]
 
 	mutex sync.Mutex
-	// confirmedAt is when the last read was known to be the newest, storeReadableAt when
-	// any instance last read the store, and storeRecoveredAt when the store was first
-	// readable after an outage, on a clock that advances while the machine is suspended.
+	// confirmedAt is the latest time at which the last read was known to be the newest,
+	// storeReadableAt when any instance last read the store, and storeRecoveredAt when the
+	// store was first readable after an outage, on a clock that advances while the machine
+	// is suspended.
 	confirmedAt, storeReadableAt, storeRecoveredAt time.Duration
 	// storeRestoredAt is when the store was first known to have been restored from an older
 	// copy.
@@ -112,7 +115,7 @@
 	departedAt map[peridotpath.EndpointKey]time.Duration
 }
 
-// ConfirmedAt returns when the last read was known to be the newest.
+// ConfirmedAt returns the latest time at which the last read was known to be the newest.
 func (directory *Directory) ConfirmedAt() time.Duration {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
@@ -162,9 +165,9 @@
 	directory.storeRestoredAt, directory.storeRecoveredAt = at, max(directory.storeRecoveredAt, at)
 }
 
-// OverdueBy returns for how long the endpoints in use have differed from the last read
-// without an exception that allows it. If it is positive, the store must be read again,
-// even if its content has not changed.
+// OverdueBy returns the time since the end of the first exception by which the endpoints in
+// use still differ from the last read; zero if none has ended. If it is positive, the store
+// must be read again, even if its content has not changed.
 func (directory *Directory) OverdueBy(now time.Duration) time.Duration {
 	directory.mutex.Lock()
 	defer directory.mutex.Unlock()
--- a/peridotpath/directory/directory_test.go
+++ b/peridotpath/directory/directory_test.go
@@ -82,8 +82,8 @@
 	is.Equal(ids(dir), []string{"one"})
 }
 
-// During an outage of the store an address passes to another endpoint. The expired entry
-// must not be kept next to the new one.
+// During an outage of the store an address passes to another endpoint. The endpoint
+// whose entry expired must not be kept next to the new one.
 func TestAddressIsReusedDuringOutage(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
--- a/peridotpath/directory/era_test.go
+++ b/peridotpath/directory/era_test.go
@@ -21,7 +21,8 @@
 )
 
 // The store is restored from an older copy that lists an endpoint which has left, and lacks
-// one which has joined.
+// one which has joined. For a fixed time the former must stay excluded and the latter in
+// use.
 func TestRestoreFromOlderCopy(t *testing.T) {
 	is := is.New(t)
 	dir := &directory.Directory{Log: zerolog.Nop()}
@@ -32,19 +33,19 @@
 	dir.Apply([]peridotpath.Endpoint{stays, leaving, joined}, time.Minute+time.Second)
 	is.Equal(ids(dir), []string{"stays", "joined"})
 
-	restored := time.Minute + 4*time.Second
-	dir.MarkStoreReadable(restored - time.Second)
-	dir.MarkStoreRestored(restored)
-	dir.Apply(inCopy, restored+100*time.Millisecond)
+	restoredAt := time.Minute + 4*time.Second
+	dir.MarkStoreReadable(restoredAt - time.Second)
+	dir.MarkStoreRestored(restoredAt)
+	dir.Apply(inCopy, restoredAt+100*time.Millisecond)
 	is.Equal(ids(dir), []string{"stays", "joined"})
 	// Both exceptions end, at different times, and each makes a read overdue.
-	is.Equal(dir.OverdueBy(restored+2*time.Second), time.Duration(0))
-	is.True(dir.OverdueBy(restored+2300*time.Millisecond) > 0)
-	dir.Apply(inCopy, restored+2300*time.Millisecond)
+	is.Equal(dir.OverdueBy(restoredAt+2*time.Second), time.Duration(0))
+	is.True(dir.OverdueBy(restoredAt+2300*time.Millisecond) > 0)
+	dir.Apply(inCopy, restoredAt+2300*time.Millisecond)
 	is.Equal(ids(dir), []string{"stays"})
-	is.Equal(dir.OverdueBy(restored+7*time.Second), time.Duration(0))
-	is.True(dir.OverdueBy(restored+9*time.Second) > 0)
-	dir.Apply(inCopy, restored+9*time.Second)
+	is.Equal(dir.OverdueBy(restoredAt+7*time.Second), time.Duration(0))
+	is.True(dir.OverdueBy(restoredAt+9*time.Second) > 0)
+	dir.Apply(inCopy, restoredAt+9*time.Second)
 	is.Equal(ids(dir), []string{"stays", "left", "leaving"})
 }
 
@@ -67,7 +68,7 @@
 type followerFleet struct {
 	mutex     sync.Mutex
 	entries   []keyvalue.Entry
-	lists     int
+	listCount int
 	followers []*directory.Follower
 }
 
@@ -76,7 +77,7 @@
 	time.Sleep(4 * time.Millisecond)
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	fleet.lists++
+	fleet.listCount++
 	return slices.Clone(fleet.entries), 0, nil
 }
 
@@ -137,7 +138,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		fleet.mutex.Lock()
-		fleet.entries, fleet.lists = fleet.entries[:1], 0
+		fleet.entries, fleet.listCount = fleet.entries[:1], 0
 		fleet.mutex.Unlock()
 		for _, follower := range fleet.followers {
 			follower.Directory.MarkStoreRestored(now())
@@ -152,8 +153,8 @@
 		}
 		cancel()
 		all.Wait()
-		if fleet.lists > 6 {
-			t.Errorf("%d lists were read from the store by %d instances, want 6 at most", fleet.lists, count)
+		if fleet.listCount > 6 {
+			t.Errorf("%d lists were read from the store by %d instances, want 6 at most", fleet.listCount, count)
 		}
 	})
 }
--- a/peridotpath/directory/follower.go
+++ b/peridotpath/directory/follower.go
@@ -29,7 +29,7 @@
 	// Now returns the time since boot, which advances while the machine is suspended.
 	Now      func() time.Duration
 	Schedule clock.PollSchedule
-	// OnConfirmed is called after each successful read.
+	// OnConfirmed is called after each successful read of the store.
 	OnConfirmed func()
 	Log         zerolog.Logger
 
@@ -71,9 +71,10 @@
 // IsFailing reports whether the last read of the store failed.
 func (follower *Follower) IsFailing() bool { return follower.storeFailed.Load() }
 
-// effectiveAge returns the age that decides when to read next. When an exception of the
-// directory has ended, all instances would read at the same moment; the raised age makes
-// the first in the polling order read at once, and the others receive its snapshot.
+// effectiveAge returns the age that decides when to read next. An exception of the directory
+// ends at the same moment in all instances. From then on the age is raised, but only so far
+// that the first instance in the polling order reads at once, and the others receive its
+// snapshot before their own read is due.
 func (follower *Follower) effectiveAge() time.Duration {
 	if overdue := follower.Directory.OverdueBy(follower.Now()); overdue > 0 {
 		return max(follower.Age(), follower.Schedule.MinAge+overdue)
@@ -102,25 +103,25 @@
 }
 
 // UpdateFromPeer applies the content hash of a peer's snapshot, which was the newest at the
-// time confirmed. It confirms the snapshot held here, or wakes the follower to fetch a newer
+// time confirmedAt. It confirms the snapshot held here, or wakes the follower to fetch a newer
 // one.
-func (follower *Follower) UpdateFromPeer(peer readings.Peer, content uint64, confirmed time.Duration) {
+func (follower *Follower) UpdateFromPeer(peer readings.Peer, content uint64, confirmedAt time.Duration) {
 	if content == 0 {
 		return
 	}
-	follower.Directory.MarkStoreReadable(confirmed)
+	follower.Directory.MarkStoreReadable(confirmedAt)
 	switch {
 	case content == follower.Directory.ContentHash():
-		follower.confirmContent(content, confirmed)
-	case confirmed > follower.Directory.ConfirmedAt(), follower.Directory.ContentHash() == 0:
+		follower.confirmContent(content, confirmedAt)
+	case confirmedAt > follower.Directory.ConfirmedAt(), follower.Directory.ContentHash() == 0:
 		follower.newerPeers.Set(peer)
 		follower.Schedule.Wake()
 	}
 }
 
 // confirmContent records that the last read was still the newest at the given time. If the
-// endpoints in use differ from it without an exception that still allows it, it is applied
-// again.
+// endpoints in use still differ from that read after their exception has ended, the read is
+// applied again.
 func (follower *Follower) confirmContent(content uint64, at time.Duration) {
 	follower.Directory.Confirm(content, at)
 	if follower.Directory.OverdueBy(at) == 0 {
@@ -136,7 +137,7 @@
 func (follower *Follower) readFromPeer(ctx context.Context) bool {
 	peer, ok := follower.newerPeers.Take()
 	if !ok {
-		// The snapshot that caused this wake was fetched after an earlier one.
+		// The snapshot that caused this wake-up was fetched after an earlier wake-up.
 		return !follower.Schedule.IsDue(follower.effectiveAge())
 	}
 	startedAt := follower.Now()
--- a/peridotpath/directory/machine_test.go
+++ b/peridotpath/directory/machine_test.go
@@ -27,8 +27,8 @@
 	// the last outage ended.
 	outageActive bool
 	recoveredAt  time.Duration
-	// read is the last read of the instance.
-	read map[peridotpath.EndpointID]peridotpath.State
+	// lastRead is the last read of the instance.
+	lastRead map[peridotpath.EndpointID]peridotpath.State
 }
 
 type machineEndpoint struct {
@@ -113,12 +113,12 @@
 	if machine.outageActive {
 		return
 	}
-	machine.read = map[peridotpath.EndpointID]peridotpath.State{}
+	machine.lastRead = map[peridotpath.EndpointID]peridotpath.State{}
 	var entries []peridotpath.Endpoint
 	for _, endpoint := range machine.endpoints {
 		if endpoint.listed {
 			entries = append(entries, endpoint.Endpoint)
-			machine.read[endpoint.ID] = endpoint.State
+			machine.lastRead[endpoint.ID] = endpoint.State
 		}
 	}
 	machine.directory.Apply(entries, machine.now)
@@ -134,7 +134,7 @@
 	used := map[peridotpath.EndpointID]bool{}
 	for _, member := range machine.directory.Current().ForService("llm") {
 		used[member.ID] = true
-		state, listed := machine.read[member.ID]
+		state, listed := machine.lastRead[member.ID]
 		switch {
 		case listed && state != peridotpath.StateLive:
 			panic(violation(fmt.Sprintf("%s is leaving and in use", member.ID)))
@@ -142,7 +142,7 @@
 			panic(violation(fmt.Sprintf("%s is missing and in use %s after an outage", member.ID, machine.now-machine.recoveredAt)))
 		}
 	}
-	for id, state := range machine.read {
+	for id, state := range machine.lastRead {
 		if state == peridotpath.StateLive && !used[id] {
 			panic(violation(fmt.Sprintf("%s is live and not in use", id)))
 		}
--- a/peridotpath/routing/era_test.go
+++ b/peridotpath/routing/era_test.go
@@ -37,8 +37,8 @@
 	store.set(version, routing, nil)
 }
 
-// check compares version numbers only, as the service does.
-func (store *restorableStore) check(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
+// getIfChanged compares version numbers only, as the service does.
+func (store *restorableStore) getIfChanged(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
 	store.mutex.Lock()
 	era, version := store.era, store.version
 	store.mutex.Unlock()
@@ -46,7 +46,7 @@
 	if expect.Number() == version.Number() {
 		expect = version
 	}
-	return store.fakeStore.check(ctx, key, expect)
+	return store.fakeStore.getIfChanged(ctx, key, expect)
 }
 
 // runWithRestores runs a follower of a restorableStore until work returns.
@@ -57,7 +57,7 @@
 		follower, state := newFollower(&store.fakeStore)
 		store.eras = &keyvalue.EraTracker{Now: state.Now}
 		follower.Eras = store.eras
-		follower.GetIfChanged = store.eras.Guard(&keyvalue.Store{GetIfChanged: store.check}).GetIfChanged
+		follower.GetIfChanged = store.eras.Guard(&keyvalue.Store{GetIfChanged: store.getIfChanged}).GetIfChanged
 		follower.Schedule = clock.PollSchedule{MinAge: 500 * time.Millisecond, MaxDelay: 400 * time.Millisecond, RetryDelay: 250 * time.Millisecond, MinInterval: 60 * time.Millisecond}
 		store.write(3, 50, 8)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -135,7 +135,7 @@
 		follower, state := newFollower(&store.fakeStore)
 		store.eras = &keyvalue.EraTracker{Now: state.Now}
 		follower.Eras = store.eras
-		follower.GetIfChanged = store.eras.Guard(&keyvalue.Store{GetIfChanged: store.check}).GetIfChanged
+		follower.GetIfChanged = store.eras.Guard(&keyvalue.Store{GetIfChanged: store.getIfChanged}).GetIfChanged
 		newer, err := keyvalue.NewVersion(3, 60)
 		is.NoErr(err)
 		follower.FetchFromPeer = func(context.Context, netip.AddrPort, readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
--- a/peridotpath/routing/fleet_test.go
+++ b/peridotpath/routing/fleet_test.go
@@ -92,7 +92,7 @@
 	return routing, err
 }
 
-func (store *largeStore) check(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
+func (store *largeStore) getIfChanged(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
 	store.mutex.Lock()
 	store.calls++
 	version := store.version
@@ -126,7 +126,7 @@
 		// Instances are assigned to the data centres in turn.
 		rankInDataCentre := i / dataCentres
 		fleet.followers = append(fleet.followers, &routing.Follower{
-			State: state, Key: "routing", Decode: decodeLarge, GetIfChanged: fleet.store.check, Eras: &keyvalue.EraTracker{}, Log: zerolog.Nop(),
+			State: state, Key: "routing", Decode: decodeLarge, GetIfChanged: fleet.store.getIfChanged, Eras: &keyvalue.EraTracker{}, Log: zerolog.Nop(),
 			FetchFromPeer: func(ctx context.Context, peer netip.AddrPort, have readings.RoutingSnapshot) (readings.RoutingSnapshot, error) {
 				return fleet.fetch(ctx, peer, have)
 			},
@@ -241,8 +241,9 @@
 }
 
 // All instances start at once after a power failure, with a routing of 1,100 routes. If
-// each reads the whole from the store, its link is full and no instance is ready for
-// seconds. Only one or two in each data centre may read it; the others get it from them.
+// each read the whole routing from the store, the store's link would be saturated and no
+// instance ready for seconds. Only one or two instances in each data centre may read the
+// store; the others must fetch the routing from them.
 func TestSimultaneousStart(t *testing.T) {
 	for _, count := range []int{40, 100} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
@@ -264,9 +265,9 @@
 }
 
 // Operators change a routing of 1,100 routes 25 times within two seconds. If each instance
-// fetches each version whole from the peer that has it first, that peer's link is full for
-// seconds, and the requests are retried and then go to the store. Only deltas may be sent,
-// once into each data centre.
+// fetched each version whole from the peer that has it first, that peer's link would be
+// saturated for seconds, the fetches would time out, and the instances would read the
+// store. Only deltas may be sent, once into each data centre.
 func TestBurstOfChanges(t *testing.T) {
 	whole := len(largeDocument(1))
 	for _, count := range []int{40, 100} {
@@ -306,7 +307,7 @@
 }
 
 // The store is restored from a copy, and a hundred instances have to read it again. If all
-// do so at once, its link is full.
+// did so at once, the store's link would be saturated.
 func TestFleetReadsRestoredStore(t *testing.T) {
 	const count, dataCentres = 100, 5
 	virtual.Test(t, func(t *testing.T) {
@@ -323,7 +324,7 @@
 				return nil, version, err
 			}
 			store := eras.Guard(&keyvalue.Store{List: list, GetIfChanged: func(ctx context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
-				entry, changed, err := fleet.store.check(ctx, key, keyvalue.Version(expect.Number()))
+				entry, changed, err := fleet.store.getIfChanged(ctx, key, keyvalue.Version(expect.Number()))
 				now := keyvalue.Era(era.Load())
 				eras.Observe(now)
 				if entry.Version != 0 {
--- a/peridotpath/routing/follower.go
+++ b/peridotpath/routing/follower.go
@@ -40,8 +40,8 @@
 
 	isFailing  atomic.Bool
 	newerPeers readings.NewerPeers
-	// applied holds the routings applied last, which are served to peers.
-	applied readings.RoutingHistory
+	// history holds the routings applied last, which are served to peers.
+	history readings.RoutingHistory
 
 	mutex sync.Mutex
 	// lastReadVersion is the store's version at the last read.
@@ -53,14 +53,14 @@
 
 // errStoreNotSettled means that the store was restored from an older copy, so its routing may
 // be older than the one last written.
-var errStoreNotSettled = errs.New("routing: store was restored from an older copy and its routing is not known to be written since")
+var errStoreNotSettled = errs.New("routing: store was restored from an older copy and its routing is not known to have been written since")
 
 // remoteFetchDelay is about the time to fetch a change from a peer in another data centre and to
 // gossip it within this one.
 const remoteFetchDelay = 80 * time.Millisecond
 
 // Run reads the store whenever the routing has not been confirmed for the interval of
-// Pace, until ctx ends. Confirmations by peers postpone the read, so that all instances
+// Schedule, until ctx ends. Confirmations by peers postpone the read, so that all instances
 // together read little more often than a single one would.
 //
 // It polls with conditional gets rather than a watch: a watch that returns nothing
@@ -87,14 +87,15 @@
 // UpdateFromPeer processes a peer's routing version: it confirms the active routing, or notes
 // the peer as the source of a newer one.
 //
-// If the peer is in another data centre, one instance of this one fetches the version, and
-// the next only if no nearby peer has it after remoteFetchDelay: simultaneous requests of
-// all instances would fill the link of the peer that read it first for seconds.
-func (follower *Follower) UpdateFromPeer(peer readings.Peer, version peridotpath.RoutingVersion, confirmed time.Duration) {
+// If the peer is in another data centre, one instance of the local data centre fetches the
+// version first, and the next one only if no nearby peer has it after remoteFetchDelay: with
+// simultaneous requests of all instances, the link of the peer that read the version first
+// would be saturated for seconds.
+func (follower *Follower) UpdateFromPeer(peer readings.Peer, version peridotpath.RoutingVersion, confirmedAt time.Duration) {
 	table := follower.State.Current()
 	switch {
 	case table != nil && table.Routing.Version == version:
-		follower.State.Confirm(version, confirmed)
+		follower.State.Confirm(version, confirmedAt)
 	case table == nil && version > 0, table != nil && table.Routing.Version < version:
 		follower.newerPeers.Set(peer)
 		if peer.InSameDataCentre {
@@ -107,7 +108,7 @@
 
 // Newest returns the active routing for peers; false before the first.
 func (follower *Follower) Newest() (readings.RoutingSnapshot, bool) {
-	snapshot, ok := follower.applied.Newest()
+	snapshot, ok := follower.history.Newest()
 	table := follower.State.Current()
 	if !ok || table == nil || table.Routing.Version != snapshot.RoutingVersion {
 		return readings.RoutingSnapshot{}, false
@@ -118,7 +119,7 @@
 
 // AtVersion returns the routing of that version for peers; false where it is not kept.
 func (follower *Follower) AtVersion(version keyvalue.Version) (readings.RoutingSnapshot, bool) {
-	return follower.applied.ByVersion(version)
+	return follower.history.ByVersion(version)
 }
 
 // IsFailing reports whether the last read of the store failed.
@@ -152,7 +153,7 @@
 // fetchFromPeer fetches the routing from one peer, and reports whether it succeeded.
 func (follower *Follower) fetchFromPeer(ctx context.Context, peer readings.Peer) bool {
 	sentAt := follower.State.Now()
-	have, _ := follower.applied.Newest()
+	have, _ := follower.history.Newest()
 	snapshot, err := follower.FetchFromPeer(ctx, peer.Address, have)
 	if err == nil {
 		follower.Eras.ObservePeer(snapshot.Version.Era(), 0, false)
@@ -229,7 +230,7 @@
 	follower.mutex.Lock()
 	follower.lastReadVersion = max(follower.lastReadVersion, version)
 	follower.mutex.Unlock()
-	follower.applied.Add(readings.RoutingSnapshot{Version: version, RoutingVersion: routing.Version, Value: value})
+	follower.history.Add(readings.RoutingSnapshot{Version: version, RoutingVersion: routing.Version, Value: value})
 	follower.State.Apply(routing, sentAt)
 	return nil
 }
--- a/peridotpath/routing/machine_test.go
+++ b/peridotpath/routing/machine_test.go
@@ -29,8 +29,8 @@
 }
 
 type storedRouting struct {
-	routing *peridotpath.Routing
-	since   time.Duration
+	routing   *peridotpath.Routing
+	writtenAt time.Duration
 }
 
 type replyInTransit struct {
--- a/peridotpath/routing/state_test.go
+++ b/peridotpath/routing/state_test.go
@@ -19,13 +19,13 @@
 	"peridotpath.example/peridotpath/routing"
 )
 
-func state(now *time.Duration) *routing.State {
+func newState(now *time.Duration) *routing.State {
 	return &routing.State{
 		Now: func() time.Duration { return *now }, KeyLifetime: 4500 * time.Millisecond, Log: zerolog.Nop(),
 	}
 }
 
-func version(number peridotpath.RoutingVersion) *peridotpath.Routing {
+func newRouting(number peridotpath.RoutingVersion) *peridotpath.Routing {
 	return &peridotpath.Routing{Version: number, Keys: map[peridotpath.APIKey]peridotpath.KeyHolder{"key": {Customer: "desk"}}}
 }
 
@@ -65,8 +65,8 @@
 func TestKeyAfterFreeze(t *testing.T) {
 	is := is.New(t)
 	now := time.Minute
-	state := state(&now)
-	state.Apply(version(3), now)
+	state := newState(&now)
+	state.Apply(newRouting(3), now)
 	is.True(state.KeysUsable())
 	now += 4 * time.Second
 	is.True(state.KeysUsable())
@@ -78,15 +78,15 @@
 	is.True(state.KeysUsable())
 }
 
-// A revoked key is accepted again if a delayed reply with the version before the
-// revocation is applied after the newer one.
+// A delayed reply with the version before a revocation arrives after the newer version. It
+// must not be applied, or the revoked key would be accepted again.
 func TestOlderRoutingIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Minute
-	state := state(&now)
-	state.Apply(version(9), now)
+	state := newState(&now)
+	state.Apply(newRouting(9), now)
 	now += 3 * time.Second
-	state.Apply(version(4), now)
+	state.Apply(newRouting(4), now)
 	is.Equal(state.Current().Routing.Version, peridotpath.RoutingVersion(9))
 	is.Equal(state.Age(), 3*time.Second) // it confirms nothing
 	state.Confirm(4, now)
@@ -114,7 +114,7 @@
 	return store.calls
 }
 
-func (store *fakeStore) check(_ context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
+func (store *fakeStore) getIfChanged(_ context.Context, key string, expect keyvalue.Version) (keyvalue.Entry, bool, error) {
 	store.mutex.Lock()
 	defer store.mutex.Unlock()
 	store.calls++
@@ -139,7 +139,7 @@
 }
 
 func decode(value []byte) (*peridotpath.Routing, error) {
-	return version(peridotpath.RoutingVersion(value[0])), nil
+	return newRouting(peridotpath.RoutingVersion(value[0])), nil
 }
 
 // newFollower returns a follower that has no peer and reads the store once a minute, and
@@ -150,14 +150,14 @@
 		Now: func() time.Duration { return time.Hour + time.Since(began) }, KeyLifetime: 4500 * time.Millisecond, Log: zerolog.Nop(),
 	}
 	return &routing.Follower{
-		State: state, Key: "routing", Decode: decode, GetIfChanged: store.check, Eras: &keyvalue.EraTracker{}, FetchFromPeer: noPeer, OnConfirmed: func() {}, Log: zerolog.Nop(),
+		State: state, Key: "routing", Decode: decode, GetIfChanged: store.getIfChanged, Eras: &keyvalue.EraTracker{}, FetchFromPeer: noPeer, OnConfirmed: func() {}, Log: zerolog.Nop(),
 		Schedule: clock.PollSchedule{MinAge: time.Minute, MinInterval: 60 * time.Millisecond},
 	}, state
 }
 
 // A change is active within the polling interval, and an unchanged routing is confirmed by
 // a conditional get without a value.
-func TestFollower(t *testing.T) {
+func TestFollowerTracksStore(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		store := &fakeStore{}
@@ -243,9 +243,9 @@
 }
 
 // A peer in another data centre reports a change. If all instances of this data centre
-// fetch it at once, from the peer or the store, its link is full, although one fetch
-// serves all. This instance fetches it only if no nearby peer has it after the delay for
-// its position, and prefers a nearby peer.
+// fetched it at once, the link of the peer or of the store would be saturated, although
+// one fetch serves all. This instance must fetch it only if no nearby peer has it after
+// the delay for its position, and must prefer a nearby peer.
 func TestFollowerDelaysFetchFromRemoteDataCentre(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
