--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -261,7 +261,8 @@
 }
 
 // pollSchedule returns the schedule on which one kind of data is read from the store. The
-// order of the instances depends on the content, so that the reads are shared among them.
+// order in which instances read depends on the content, so that another instance reads first
+// after each change.
 func (instance *Instance) pollSchedule(hasSnapshot func() bool, content func() uint64) clock.PollSchedule {
 	limit := float64(instance.Settings.MaxPropagationDelay)
 	return clock.PollSchedule{
--- a/peridotpath/instance/instance_test.go
+++ b/peridotpath/instance/instance_test.go
@@ -82,8 +82,8 @@
 	return endpoints
 }
 
-// running is an instance under test with the endpoint that it sends to.
-type running struct {
+// runningInstance is an instance under test with the endpoint that it sends to.
+type runningInstance struct {
 	settings *instance.Settings
 	stop     chan os.Signal
 	ended    chan error
@@ -92,11 +92,11 @@
 	calls   atomic.Int64
 }
 
-// run starts an instance and waits until it is ready.
-func run(t *testing.T, grace time.Duration, changes ...func(*instance.Settings)) *running {
+// startInstance starts an instance and waits until it is ready.
+func startInstance(t *testing.T, grace time.Duration, changes ...func(*instance.Settings)) *runningInstance {
 	t.Helper()
 	addresses := freePorts(t, 5)
-	running := &running{stop: make(chan os.Signal, 1), ended: make(chan error, 1), release: make(chan struct{})}
+	running := &runningInstance{stop: make(chan os.Signal, 1), ended: make(chan error, 1), release: make(chan struct{})}
 	running.settings = &instance.Settings{
 		InstanceID: "edge-1", DataCentre: "a", CallerAddress: addresses[0], ReadyAddress: addresses[1], PeerAddress: addresses[2], SnapshotAddress: addresses[3],
 		MetricsAddress: addresses[4], Grace: grace,
@@ -143,7 +143,7 @@
 }
 
 // status returns the status of a GET, or zero without a response.
-func (running *running) status(path string, at netip.AddrPort) int {
+func (running *runningInstance) status(path string, at netip.AddrPort) int {
 	response, err := http.Get(fmt.Sprintf("http://%s%s", at, path))
 	if err != nil {
 		return 0
@@ -156,7 +156,7 @@
 // finish, and the process exits as soon as they have.
 func TestPlannedShutdown(t *testing.T) {
 	is := is.New(t)
-	running := run(t, 4*time.Second)
+	running := startInstance(t, 4*time.Second)
 	answered := make(chan int, 2)
 	go func() { answered <- running.status("/x", running.settings.CallerAddress) }()
 	for running.calls.Load() == 0 {
@@ -191,7 +191,7 @@
 func TestMetricsPortIsTaken(t *testing.T) {
 	is := is.New(t)
 	var taken net.Listener
-	running := run(t, 5*time.Second, func(settings *instance.Settings) {
+	running := startInstance(t, 5*time.Second, func(settings *instance.Settings) {
 		var err error
 		taken, err = net.Listen("tcp", settings.MetricsAddress.String())
 		is.NoErr(err)
@@ -205,7 +205,7 @@
 
 func TestMetricsAreServed(t *testing.T) {
 	is := is.New(t)
-	running := run(t, 5*time.Second)
+	running := startInstance(t, 5*time.Second)
 	is.Equal(running.status("/metrics", running.settings.MetricsAddress), http.StatusOK)
 	running.stop <- os.Interrupt
 	is.NoErr(<-running.ended)
@@ -216,7 +216,7 @@
 // listeners open, on which go-zero waits forever.
 func TestShutdownWithRequestBeyondGrace(t *testing.T) {
 	is := is.New(t)
-	running := run(t, 2*time.Second)
+	running := startInstance(t, 2*time.Second)
 	defer close(running.release)
 	go running.status("/x", running.settings.CallerAddress)
 	for running.calls.Load() == 0 {
--- a/peridotpath/instance/listen.go
+++ b/peridotpath/instance/listen.go
@@ -17,8 +17,8 @@
 const (
 	// bodyMemoryShare is the share of the memory that request bodies may take.
 	bodyMemoryShare = 0.2
-	// initialMaxBody bounds a request body until the routing sets its limit.
-	initialMaxBody = 8 * mebibyte
+	// initialMaxBodyBytes bounds a request body until the routing sets its limit.
+	initialMaxBodyBytes = 8 * mebibyte
 	// bodyReadTimeout bounds the time between two chunks of a body.
 	bodyReadTimeout = 5 * time.Second
 	// maxHeaderBytes bounds the headers of any request. The routing sets a lower limit for
@@ -29,7 +29,7 @@
 // createListeners creates and opens the listeners.
 func (instance *Instance) createListeners() {
 	settings := instance.Settings
-	bodies := caller.NewBodyReader(initialMaxBody, peridotpath.Bytes(bodyMemoryShare*float64(settings.Memory)), bodyReadTimeout)
+	bodies := caller.NewBodyReader(initialMaxBodyBytes, peridotpath.Bytes(bodyMemoryShare*float64(settings.Memory)), bodyReadTimeout)
 	handler := instance.Adapter.Ingress(IngressDependencies{
 		Relay: instance.relay, Bodies: bodies, Stopping: instance.stopping.Load, Closing: instance.closing.Load,
 	})
--- a/peridotpath/instance/parts_test.go
+++ b/peridotpath/instance/parts_test.go
@@ -12,7 +12,7 @@
 )
 
 // Each instance counts the requests of the others to a limited endpoint by sender ID.
-// Instances that shared an ID would not count each other's.
+// Instances that shared an ID would not count each other's requests.
 func TestSenderIDIsUniquePerInstance(t *testing.T) {
 	is := is.New(t)
 	instance := New(&Settings{InstanceID: "edge-1"}, Adapter{
--- a/peridotpath/instance/startup_test.go
+++ b/peridotpath/instance/startup_test.go
@@ -16,7 +16,7 @@
 // an error at once.
 func TestStartupEnds(t *testing.T) {
 	never := time.Hour
-	tests := map[string]struct{ ready, failing, want time.Duration }{
+	tests := map[string]struct{ readyAfter, failingAfter, want time.Duration }{
 		"ready at once":       {0, never, 0},
 		"ready after a while": {300 * time.Millisecond, never, 300 * time.Millisecond},
 		"store unreachable":   {never, 40 * time.Millisecond, 40 * time.Millisecond},
@@ -30,7 +30,7 @@
 				after := func(span time.Duration) func() bool {
 					return func() bool { return time.Since(startedAt) >= span }
 				}
-				startup := newStartup(after(0), after(test.ready), after(test.failing))
+				startup := newStartup(after(0), after(test.readyAfter), after(test.failingAfter))
 				ctx, cancel := context.WithCancel(t.Context())
 				ended := make(chan error, 1)
 				go func() { ended <- startup.Run(ctx) }()
