--- a/peridotpath/readings/endpoints_test.go
+++ b/peridotpath/readings/endpoints_test.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// One of 3,000 endpoints changes. Without differences, every instance fetches the whole
-// list of half a megabyte after each change.
+// One of 3,000 endpoints is replaced. A peer that has the list from before must be sent only
+// the changes; otherwise every instance would fetch half a megabyte after each change.
 func TestOnlyChangesAreSent(t *testing.T) {
 	is := is.New(t)
 	before := make([]keyvalue.Entry, 3000)
--- a/peridotpath/readings/peers.go
+++ b/peridotpath/readings/peers.go
@@ -18,7 +18,8 @@
 	near, far atomic.Pointer[netip.AddrPort]
 }
 
-// Set stores a peer in place of the previous one in the same or in other data centres.
+// Set stores a peer. The peer replaces the previous one of the same data centre, or the
+// previous one elsewhere.
 func (newerPeers *NewerPeers) Set(peer Peer) {
 	if peer.InSameDataCentre {
 		newerPeers.near.Store(&peer.Address)
--- a/peridotpath/readings/readings.go
+++ b/peridotpath/readings/readings.go
@@ -31,7 +31,8 @@
 const maxRoutingBytes = 8 << 20
 
 // Server serves snapshots to peers. NewestRouting and NewestEndpoints return false before the
-// first read of the store, RoutingByVersion and EndpointsByHash if that snapshot is not kept.
+// first read of the store; RoutingByVersion and EndpointsByHash return false for a snapshot
+// that is not kept.
 type Server struct {
 	NewestRouting    func() (RoutingSnapshot, bool)
 	RoutingByVersion func(version keyvalue.Version) (RoutingSnapshot, bool)
@@ -49,7 +50,8 @@
 // service implements the generated interface.
 type service struct{ server *Server }
 
-// Routing sends the newest routing, as a difference to the caller's if that is kept here.
+// Routing sends the newest routing, as a difference to the caller's snapshot if that is kept
+// here.
 func (service service) Routing(_ context.Context, query *wire.RoutingQuery) (*wire.RoutingReading, error) {
 	snapshot, ok := service.server.NewestRouting()
 	if !ok {
@@ -68,8 +70,8 @@
 	}, nil
 }
 
-// Endpoints sends the newest list of endpoints, as changes to the caller's if that is kept
-// here.
+// Endpoints sends the newest list of endpoints, as changes to the caller's snapshot if
+// that is kept here.
 func (service service) Endpoints(_ context.Context, query *wire.EndpointsQuery) (*wire.EndpointsReading, error) {
 	snapshot, ok := service.server.NewestEndpoints()
 	if !ok {
--- a/peridotpath/readings/readings_test.go
+++ b/peridotpath/readings/readings_test.go
@@ -45,8 +45,9 @@
 }
 
 // Operators change one route of a thousand, and hundreds of instances fetch the routing.
-// Sending it whole saturates the links of the serving instances for seconds. A caller with
-// a snapshot that is kept receives only the difference, any other the whole routing.
+// Sent whole, it would saturate the links of the serving instances for seconds. A caller with
+// a snapshot that the peer keeps must receive only the difference, any other caller the whole
+// routing.
 func TestRoutingIsSentAsDifference(t *testing.T) {
 	is := is.New(t)
 	var routings readings.RoutingHistory
@@ -68,7 +69,7 @@
 		maxBytes int
 	}{
 		"has nothing":              {readings.RoutingSnapshot{}, len(after.Value) / 2},
-		"has the one before":       {before, 200},
+		"has the previous one":     {before, 200},
 		"has one that is not kept": {readings.RoutingSnapshot{Version: 3, Value: []byte("x")}, len(after.Value) / 2},
 		"has the newest":           {after, 200},
 	}
@@ -102,9 +103,10 @@
 	return netip.MustParseAddrPort(listener.Listener.Addr().String()), sent
 }
 
-// 300 instances start in a fleet of 3,000 endpoints, and each fetches the list from a peer.
-// Uncompressed, a peer with a 20 Mbit/s link serves two of them within the fetch timeout;
-// the others read the store, all at once and repeatedly.
+// 300 instances start in a fleet of 3,000 endpoints, and each fetches the list from a
+// peer. Uncompressed, a peer with a 20 Mbit/s link serves two of them within the fetch
+// timeout; the others would read the store, all at once and repeatedly. The response must
+// be compressed.
 func TestEndpointsAreCompressed(t *testing.T) {
 	is := is.New(t)
 	var list readings.EndpointsSnapshot
--- a/peridotpath/readings/routing.go
+++ b/peridotpath/readings/routing.go
@@ -30,7 +30,7 @@
 // RoutingHistory holds the last snapshots of the routing, newest last. A whole routing is
 // hundreds of kilobytes. If every instance of a large fleet fetched it whole after each
 // change, the links of the serving instances would be saturated for seconds, and the
-// gossip of load reports would queue behind it.
+// gossip of load reports would queue behind the transfers.
 type RoutingHistory struct{ snapshots snapshots[RoutingSnapshot] }
 
 // Add appends a snapshot unless the same or a newer one is kept.
