--- a/peridotpath/service/servicetest/service.go
+++ b/peridotpath/service/servicetest/service.go
@@ -30,9 +30,11 @@
 	// Faults holds the injected faults. They may change while the service runs.
 	Faults faults.Faults
 
-	mu         sync.Mutex
-	running    int
-	counts     engine.Counts
+	mu      sync.Mutex
+	running int
+	counts  engine.Counts
+	// report is the load report that is served. nextReport replaces it once nextReport is
+	// MinLoadReportAge old.
 	report     peridotpath.Load
 	nextReport peridotpath.Load
 }
