--- a/peridotpath/keyvalue/era.go
+++ b/peridotpath/keyvalue/era.go
@@ -53,9 +53,9 @@
 // Observe records the era of a reply of the service.
 func (eraTracker *EraTracker) Observe(era Era) {
 	eraTracker.mutex.Lock()
-	from, replaced := eraTracker.advance(era, eraTracker.now())
+	from, hasChanged := eraTracker.advance(era, eraTracker.now())
 	eraTracker.mutex.Unlock()
-	if replaced {
+	if hasChanged {
 		eraTracker.reportChange(from, era, "store")
 	}
 }
@@ -65,18 +65,18 @@
 func (eraTracker *EraTracker) ObservePeer(era Era, age time.Duration, ageKnown bool) {
 	eraTracker.mutex.Lock()
 	seenAt := eraTracker.now() - age
-	from, replaced := eraTracker.advance(era, seenAt)
+	from, hasChanged := eraTracker.advance(era, seenAt)
 	if ageKnown && era == eraTracker.Current() && (eraTracker.firstSeenUnknown || seenAt < eraTracker.firstSeenAt) {
 		eraTracker.firstSeenAt, eraTracker.firstSeenUnknown = seenAt, false
 	}
 	eraTracker.mutex.Unlock()
-	if replaced {
+	if hasChanged {
 		eraTracker.reportChange(from, era, "peer")
 	}
 }
 
 // advance makes era the current one if it is newer. It returns the era before and whether
-// that one was replaced; the first era seen replaces none.
+// the era has changed. The first era seen is no change.
 func (eraTracker *EraTracker) advance(era Era, seenAt time.Duration) (Era, bool) {
 	from := eraTracker.Current()
 	switch {
@@ -224,7 +224,7 @@
 		return Entry{}, err
 	}
 	if entry.Version == 0 && before != guard.eras.Current() {
-		// A missing key has no version, and so no era: read again in the new one.
+		// A missing key has no version, and so no era: read again in the new era.
 		return guard.service.Get(ctx, key)
 	}
 	return entry, guard.checkEra(entry.Version)
@@ -314,7 +314,7 @@
 
 // resolveCrossEraWrite handles a write that was sent in one era and applied in the next.
 // A write under a lease is bound to whichever lease has that number now, and is deleted.
-// Of a write with an expected version it is unknown what it replaced.
+// For a write without a lease it is unknown which entry it replaced, as after a lost reply.
 func (guard *guard) resolveCrossEraWrite(ctx context.Context, key string, expect, version Version, lease LeaseID) error {
 	if !lease.IsUnset() {
 		if _, err := guard.service.Swap(ctx, key, version, nil, LeaseID{}); err != nil {
--- a/peridotpath/keyvalue/era_test.go
+++ b/peridotpath/keyvalue/era_test.go
@@ -79,24 +79,25 @@
 }
 
 // A write under a lease is in flight during a restore and is applied in the next era,
-// under another client's lease with the same number.
+// under another client's lease with the same number. The write must be deleted and fail with
+// ErrLeaseExpired.
 func TestLeasedWriteAppliedInNextEraIsDeleted(t *testing.T) {
 	is := is.New(t)
 	eras := &keyvalue.EraTracker{}
 	eras.Observe(3)
 	version, err := keyvalue.NewVersion(4, 70)
 	is.NoErr(err)
-	var removed bool
+	var isDeleted bool
 	store := eras.Guard(&keyvalue.Store{
 		Swap: func(_ context.Context, _ string, expect keyvalue.Version, value []byte, _ keyvalue.LeaseID) (keyvalue.Version, error) {
 			eras.Observe(4)
-			removed = value == nil && expect == version
+			isDeleted = value == nil && expect == version
 			return version, nil
 		},
 	})
 	_, err = store.Swap(t.Context(), "a", 0, []byte("mine"), keyvalue.LeaseID{Era: 3, Number: 5})
 	is.True(keyvalue.ErrLeaseExpired.Has(err))
-	is.True(removed)
+	is.True(isDeleted)
 
 	// Without a lease it is unknown what such a write replaced.
 	eras = &keyvalue.EraTracker{}
@@ -148,7 +149,7 @@
 }
 
 // A conditional get is sent in one era and answered "unchanged" in the next, where the
-// same number identifies another write.
+// same number identifies another write. The entry must be read again.
 func TestUnchangedReplyOfNextEraIsReadAgain(t *testing.T) {
 	is := is.New(t)
 	eras := &keyvalue.EraTracker{}
@@ -177,8 +178,8 @@
 	is.True(!changed)
 }
 
-// After a restore the store holds an older state until its writers have rewritten it; it
-// must not count as the newest.
+// After a restore the store holds an older state until its writers have rewritten it.
+// The older state must not count as the newest.
 func TestRestoredStateIsNotNewest(t *testing.T) {
 	version := func(era keyvalue.Era, number uint64) keyvalue.Version {
 		version, err := keyvalue.NewVersion(era, number)
--- a/peridotpath/keyvalue/memory/memory.go
+++ b/peridotpath/keyvalue/memory/memory.go
@@ -25,20 +25,22 @@
 	// Now is the clock; nil means time.Now.
 	Now func() time.Time
 
-	mu          sync.Mutex
-	entries     map[string]keyvalue.Entry
-	deleted     map[string]keyvalue.Entry
+	mu      sync.Mutex
+	entries map[string]keyvalue.Entry
+	// tombstones holds the deleted entries, which watches report.
+	tombstones  map[string]keyvalue.Entry
 	leases      map[uint64]*lease
 	version     keyvalue.Version
 	lastLeaseID uint64
 	era         keyvalue.Era
-	changed     chan struct{}
-	calls       map[string]int
+	// changed is closed at the next write, which wakes the watches.
+	changed chan struct{}
+	calls   map[string]int
 }
 
 type lease struct {
-	ttl     time.Duration
-	expires time.Time
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // Store returns a Store that calls the service directly.
@@ -66,7 +68,7 @@
 	memory.mu.Lock()
 	if memory.entries == nil {
 		memory.entries = map[string]keyvalue.Entry{}
-		memory.deleted = map[string]keyvalue.Entry{}
+		memory.tombstones = map[string]keyvalue.Entry{}
 		memory.leases = map[uint64]*lease{}
 		memory.calls = map[string]int{}
 		memory.changed = make(chan struct{})
@@ -93,7 +95,7 @@
 func (memory *Memory) expireLeases() {
 	now := memory.now()
 	for id, active := range memory.leases {
-		if !now.Before(active.expires) {
+		if !now.Before(active.expiresAt) {
 			memory.deleteLease(id)
 		}
 	}
@@ -111,7 +113,7 @@
 func (memory *Memory) deleteEntry(key string) {
 	memory.version++
 	delete(memory.entries, key)
-	memory.deleted[key] = keyvalue.Entry{Key: key, Version: memory.version, Deleted: true}
+	memory.tombstones[key] = keyvalue.Entry{Key: key, Version: memory.version, Deleted: true}
 	memory.notifyWatchers()
 }
 
@@ -187,7 +189,7 @@
 		return memory.version, nil
 	}
 	memory.version++
-	delete(memory.deleted, key)
+	delete(memory.tombstones, key)
 	memory.entries[key] = keyvalue.Entry{Key: key, Value: append([]byte{}, value...), Version: memory.version, Lease: keyvalue.LeaseID{Number: id}}
 	memory.notifyWatchers()
 	return memory.version, nil
@@ -199,7 +201,7 @@
 	}
 	memory.lastLeaseID++
 	id := keyvalue.LeaseID{Era: memory.era, Number: memory.lastLeaseID}
-	memory.leases[id.Number] = &lease{ttl: ttl, expires: memory.now().Add(ttl)}
+	memory.leases[id.Number] = &lease{ttl: ttl, expiresAt: memory.now().Add(ttl)}
 	memory.mu.Unlock()
 	return id, memory.injectFault(ctx, keyvalue.CallGrant, "", true)
 }
@@ -210,7 +212,7 @@
 	}
 	active := memory.leases[id.Number]
 	if active != nil {
-		active.expires = memory.now().Add(active.ttl)
+		active.expiresAt = memory.now().Add(active.ttl)
 	}
 	memory.mu.Unlock()
 	if active == nil {
@@ -235,7 +237,7 @@
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
 	for {
-		entries := append(memory.entriesAfter(memory.entries, prefix, after.Number()), memory.entriesAfter(memory.deleted, prefix, after.Number())...)
+		entries := append(memory.entriesAfter(memory.entries, prefix, after.Number()), memory.entriesAfter(memory.tombstones, prefix, after.Number())...)
 		version, changed, untilExpiry := memory.versionInEra(memory.version), memory.changed, memory.untilNextExpiry()
 		memory.mu.Unlock()
 		if len(entries) > 0 {
@@ -261,7 +263,7 @@
 func (memory *Memory) untilNextExpiry() time.Duration {
 	next := maxExpiryWait
 	for _, active := range memory.leases {
-		next = min(next, active.expires.Sub(memory.now()))
+		next = min(next, active.expiresAt.Sub(memory.now()))
 	}
 	return next
 }
--- a/peridotpath/keyvalue/memory/memory_test.go
+++ b/peridotpath/keyvalue/memory/memory_test.go
@@ -27,7 +27,7 @@
 		begin := time.Now()
 		entries, _, err := store.Watch(background, "a", version, time.Minute)
 		is.NoErr(err)
-		is.Equal(time.Since(begin), 10*time.Second) // expires without another call
+		is.Equal(time.Since(begin), 10*time.Second) // the lease expires without another call
 		is.True(entries[0].Deleted)
 		_, err = store.Swap(background, "a", 0, []byte("x"), lease)
 		is.True(keyvalue.ErrLeaseExpired.Has(err))
@@ -50,8 +50,8 @@
 	})
 }
 
-// Each injected fault of a write: the error and delay at the caller, and whether the
-// service applies the write.
+// A fault is injected into a write. The caller must receive the error and the delay of that
+// fault, and the service must apply the write at once, later or never, as the fault requires.
 func TestInjectedFaultsOfWrite(t *testing.T) {
 	tests := map[string]struct {
 		fault        memory.Fault
--- a/peridotpath/keyvalue/memory/snapshot.go
+++ b/peridotpath/keyvalue/memory/snapshot.go
@@ -31,7 +31,7 @@
 	memory.mu.Lock()
 	defer memory.mu.Unlock()
 	memory.era++
-	memory.entries, memory.deleted = maps.Clone(snapshot.entries), map[string]keyvalue.Entry{}
+	memory.entries, memory.tombstones = maps.Clone(snapshot.entries), map[string]keyvalue.Entry{}
 	memory.leases = map[uint64]*lease{}
 	for id, active := range snapshot.leases {
 		memory.leases[id] = &active
--- a/peridotpath/keyvalue/store.go
+++ b/peridotpath/keyvalue/store.go
@@ -72,8 +72,8 @@
 // MaxValueBytes is the largest value that the service holds, in bytes.
 const MaxValueBytes = 1 << 20
 
-// The error classes. After any other error of Swap it is unknown whether the write
-// was applied.
+// The error classes. A Swap that fails with ErrConflict, ErrNotSent or ErrInvalid was not
+// applied; after any other error it is unknown whether it was.
 var (
 	// ErrConflict means that the write was not applied: the key had a version other
 	// than the expected one.
