--- a/peridotpath/lease/lease.go
+++ b/peridotpath/lease/lease.go
@@ -112,8 +112,8 @@
 	}
 	now := holder.Clock.Read()
 	settings := &holder.Settings
-	// The platform counts from when it received the renewal, later than this
-	// process does, so the lease expires there after it ends here.
+	// The platform counts the TTL from the arrival of the renewal, and this process from before
+	// the renewal was sent, so the term ends here before the lease expires there.
 	remaining := (settings.TTLMS - settings.MarginMS).Duration() - tenure.renewalSentAt.Elapsed(now)
 	if remaining <= 0 || !holder.oldOrdersEnded(tenure) {
 		return Term{}, false
--- a/peridotpath/lease/lease_test.go
+++ b/peridotpath/lease/lease_test.go
@@ -112,8 +112,8 @@
 }
 
 // The holder's machine pauses for 30 s. The lease expires and another instance acquires
-// it and sends conflicting orders. The first resumes with its tenure in memory and must
-// not act on it.
+// it and sends conflicting orders. The first holder resumes with its old tenure in memory
+// and must not act on it.
 func TestFrozenHolderDoesNotActAfterExpiry(t *testing.T) {
 	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		before, _ := first.Held()
@@ -127,8 +127,9 @@
 	})
 }
 
-// The platform takes 2 s for each reply. The holder counts its lease from before each
-// renewal was sent, so its term ends before the platform's, and still holds without a gap.
+// Each call takes 2 s to reach the platform. The holder counts its lease from before each
+// renewal was sent, so its term ends before the platform's lease. It must still hold the
+// lease without a gap.
 func TestSlowPlatformCausesNoGapOrOverlap(t *testing.T) {
 	testTwoHolders(t, nil, func(is *is.I, platform *memory.Memory, first, second *process) {
 		slow := func(string) memory.Fault { return memory.Fault{RequestDelay: 2 * time.Second} }
@@ -144,7 +145,8 @@
 }
 
 // Renewals take effect at once but their replies take 4 s, and then the holder is
-// disconnected. The platform has counted since 4 s before the last reply.
+// disconnected. The platform counts the lease from 4 s before the last reply. The
+// holder must not act any more once another instance holds the lease.
 func TestRenewalCountsFromBeforeItWasSent(t *testing.T) {
 	retryOften := func(holder *lease.Holder) { holder.Settings.WaitMS = 500 }
 	testTwoHolders(t, retryOften, func(is *is.I, platform *memory.Memory, first, second *process) {
@@ -269,9 +271,9 @@
 		err    error
 		waits  bool
 	}{
-		"none was ever sent": {true, nil, false},
-		"some were":          {false, nil, true},
-		"cannot tell":        {true, errors.New("platform down"), true},
+		"no order was ever sent": {true, nil, false},
+		"an order was sent":      {false, nil, true},
+		"cannot tell":            {true, errors.New("platform down"), true},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -476,7 +478,7 @@
 	return last
 }
 
-func TestSettingsNameEveryFault(t *testing.T) {
+func TestSettingsReportEveryFault(t *testing.T) {
 	is := is.New(t)
 	settings := lease.Settings{}
 	settings.Defaults()
