--- a/peridotpath/telemetry/relay.go
+++ b/peridotpath/telemetry/relay.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// RecordPrefillQueueWait records how long a long prompt waited in the prefill queue.
+// RecordPrefillQueueWait records the time that a long prompt waited in the prefill queue.
 func RecordPrefillQueueWait(span time.Duration) { prefillQueueWait.Update(span.Seconds()) }
 
 // CountFailedAttempt counts a failed attempt that may be retried, by its outcome.
--- a/peridotpath/telemetry/sampler.go
+++ b/peridotpath/telemetry/sampler.go
@@ -13,9 +13,9 @@
 	// PerSecond is the maximum number of lines in a second.
 	PerSecond int
 
-	mutex  sync.Mutex
-	second time.Time
-	lines  int
+	mutex       sync.Mutex
+	windowStart time.Time
+	windowLines int
 }
 
 var logLinesSampledOut = metrics.NewCounter("peridotpath_log_lines_left_out_total")
@@ -24,13 +24,13 @@
 func (logSampler *LogSampler) Allow(now time.Time) bool {
 	logSampler.mutex.Lock()
 	defer logSampler.mutex.Unlock()
-	if second := now.Truncate(time.Second); !second.Equal(logSampler.second) {
-		logSampler.second, logSampler.lines = second, 0
+	if second := now.Truncate(time.Second); !second.Equal(logSampler.windowStart) {
+		logSampler.windowStart, logSampler.windowLines = second, 0
 	}
-	if logSampler.lines >= logSampler.PerSecond {
+	if logSampler.windowLines >= logSampler.PerSecond {
 		logLinesSampledOut.Inc()
 		return false
 	}
-	logSampler.lines++
+	logSampler.windowLines++
 	return true
 }
--- a/peridotpath/telemetry/writer_test.go
+++ b/peridotpath/telemetry/writer_test.go
@@ -42,7 +42,7 @@
 	is.Equal(out.String(), "one\ntwo\n")
 }
 
-func TestSampler(t *testing.T) {
+func TestSamplerLimitsLinesPerSecond(t *testing.T) {
 	is := is.New(t)
 	sampler := &telemetry.LogSampler{PerSecond: 3}
 	now := time.Unix(1000, 0)
