--- a/peridotpath/logline/logline.go
+++ b/peridotpath/logline/logline.go
@@ -28,7 +28,7 @@
 	return value
 }
 
-// maxLineBytes bounds one line, in bytes. Instances write no longer lines.
+// maxLineBytes bounds one line, in bytes. Lines that instances write are shorter.
 const maxLineBytes = 1 << 20
 
 // Parse parses the pairs of a line; false for a line without an event. Text before the
