--- a/peridotpath/gossip/gossip_test.go
+++ b/peridotpath/gossip/gossip_test.go
@@ -149,7 +149,8 @@
 	eventually(t, "all peers are live", func() bool { return near[2].loads.LivePeerCount(time.Now()) == 3 })
 }
 
-// A digest that arrives out of order or twice is dropped.
+// A digest that arrives out of order, or from an earlier start of its sender, must be
+// dropped.
 func TestOutdatedDigestIsDropped(t *testing.T) {
 	is := is.New(t)
 	loads := &placement.LoadTracker{}
@@ -222,8 +223,8 @@
 }
 
 // With every digest to every peer, an instance in a fleet of 300 receives 1,000 digests a
-// second and more, which takes a third of its processor time. Digests go only to the peers
-// of its own cell.
+// second and more, which takes a third of its processor time. Digests must go only to the
+// peers of the sender's own cell.
 func TestDigestsStayWithinCell(t *testing.T) {
 	is := is.New(t)
 	received := map[netip.AddrPort]*atomic.Bool{}
