--- a/peridotpath/instance/instance.go
+++ b/peridotpath/instance/instance.go
@@ -233,8 +233,8 @@
 	instance.gossip = &gossip.Gossip{
 		Instance: settings.InstanceID, Incarnation: instance.incarnation, Address: settings.PeerAddress,
 		DataCentre: settings.DataCentre, SnapshotPort: settings.SnapshotAddress.Port(),
-		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot, Log: instance.Log,
-		LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness,
+		Loads: instance.loads, Facts: instance.facts, Clock: clock.SinceBoot,
+		LocalFreshness: instance.localFreshness, OnPeerFreshness: instance.handlePeerFreshness, Log: instance.Log,
 	}
 	adapter.Eras.OnEraChange = func(_, _ keyvalue.Era) { instance.handleStoreRestored() }
 	instance.loads.OnChange = instance.gossip.RequestDigest
@@ -261,7 +261,8 @@
 }
 
 // pollSchedule returns the schedule on which one kind of data is read from the store. The
-// order of the instances depends on the content, so that the reads are shared among them.
+// order in which instances read depends on the content, so that another instance reads first
+// after each change.
 func (instance *Instance) pollSchedule(hasSnapshot func() bool, content func() uint64) clock.PollSchedule {
 	limit := float64(instance.Settings.MaxPropagationDelay)
 	return clock.PollSchedule{
