--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -269,7 +269,7 @@
 	}
 	exchange.timeToFirstEvent = time.Since(exchange.request.ArrivedAt)
 	telemetry.RecordTimeToFirstToken(exchange.lengthClass(), exchange.timeToFirstEvent)
-	telemetry.RecordPredictionRatio(exchange.lengthClass(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
+	telemetry.RecordTTFTPredictionRatio(exchange.lengthClass(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
 	exchange.relay.LoadTracker.ObserveFirstEvent(exchange.plan.Writer.Key(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
 }
 
--- a/peridotpath/telemetry/relay.go
+++ b/peridotpath/telemetry/relay.go
@@ -33,8 +33,8 @@
 	relayTime[kind][class].Update(span.Seconds())
 }
 
-// RecordPredictionRatio records the ratio of the actual to the predicted time to first token.
-func RecordPredictionRatio(class peridotpath.LengthClass, predicted, actual time.Duration) {
+// RecordTTFTPredictionRatio records the ratio of the actual to the predicted time to first token.
+func RecordTTFTPredictionRatio(class peridotpath.LengthClass, predicted, actual time.Duration) {
 	if predicted > 0 {
 		ttftPredictionRatio[class].Update(actual.Seconds() / predicted.Seconds())
 	}
