--- a/peridotpath/placement/cost.go
+++ b/peridotpath/placement/cost.go
@@ -16,7 +16,8 @@
 	// latencySlopeCost prefers the sooner of two plans that both meet or both miss the
 	// target.
 	latencySlopeCost = 0.02
-	// remoteCost is the cost of another data centre: traffic between them is charged.
+	// remoteCost is the cost of a primary in another data centre: traffic between data
+	// centres is charged.
 	remoteCost = 0.008
 	// ejectedCost keeps requests away from an endpoint that is ejected.
 	ejectedCost = 0.9
@@ -24,9 +25,9 @@
 	// engine that decodes nothing can prefill long prompts at any time; packing decoding
 	// requests keeps such engines available.
 	idleEngineCost = 0.03
-	// freeSlotCost is the cost per free share of an engine's slots when a decoding
-	// request is placed there. It fills some engines up and leaves others to long
-	// prompts.
+	// freeSlotCost is the cost of placing a decoding request on an engine whose slots are
+	// all free; it decreases linearly with the share of free slots. It fills some engines
+	// up and leaves others to long prompts.
 	freeSlotCost = 0.03
 	// rankCost makes all instances try the engines in the same order.
 	rankCost = 0.002
@@ -69,8 +70,8 @@
 }
 
 // interferenceCost is the value that the requests of an engine lose when prefill of the
-// given duration is added to its backlog. The whole backlog falls between two events
-// of each of them.
+// given duration is added to its backlog. The whole backlog falls between two events of
+// each of these requests.
 func interferenceCost(at *engine, prefill time.Duration) float64 {
 	before := at.iteration + at.load.PrefillBacklog
 	after := before + prefill
@@ -91,22 +92,23 @@
 	return overtakingCost * prefill.Seconds() * at.load.prefillingValue
 }
 
-// confidence is how far the snapshot can be relied on, from 0 to 1. It is 1 if no request
-// of a peer is estimated to be in flight but unreported, 1/2 for one such request and near
-// 0 for two. After a start it grows from 0 while the first reports arrive.
+// confidence is a weight from 0 to 1 for costs that assume a complete snapshot. It is 1 if
+// the estimated number of in-flight requests that peers have not reported yet is 0, 1/2 if
+// that number is 1, and 1/17 if it is 2. After a start the confidence grows from 0 while
+// the first reports arrive.
 //
 // It matters in a burst of short prompts at hundreds of instances, and when all clients
 // reconnect after all instances have restarted. Each instance then places requests by
-// reports that are milliseconds old or missing. All pick the same best engine, and it
-// exceeds its batch size before any of them receives the others' reports.
+// reports that are milliseconds old or missing. All instances pick the same best engine,
+// and that engine exceeds its batch size before any instance receives the others' reports.
 func (snapshot *LoadSnapshot) confidence() float64 {
 	square := snapshot.unreported * snapshot.unreported
 	return snapshot.observedShare / (1 + square*square)
 }
 
 // engineCost is the cost of an engine as the primary, apart from latency. The costs of
-// rank, free slots and an idle engine are scaled by the confidence in the snapshot, that
-// of an idle engine by at least minIdleEngineConfidence. The lower the confidence, the
+// rank, free slots and an idle engine are scaled by the confidence in the snapshot; for an
+// idle engine the scale is at least minIdleEngineConfidence. The lower the confidence, the
 // larger the jitter, which keeps instances from choosing the same engine.
 func engineCost(work Work, primary *engine) float64 {
 	cost := rankCost*primary.confidence*primary.rank + jitterCost*(1-primary.confidence)*primary.jitter
--- a/peridotpath/placement/ejection.go
+++ b/peridotpath/placement/ejection.go
@@ -15,8 +15,8 @@
 	maxEjectionTime  = 4 * time.Second
 	// ejectionMemory is how long after its end an ejection still lengthens the next one.
 	ejectionMemory = time.Minute
-	// fullEjectionTime is how long an endpoint is ejected that reported that it is full:
-	// about the time in which some of its requests end.
+	// fullEjectionTime is how long an endpoint is ejected after it reported that it is
+	// full: about the time in which some of its requests end.
 	fullEjectionTime = 200 * time.Millisecond
 )
 
@@ -24,8 +24,9 @@
 type ejectionState struct {
 	until    time.Time
 	failures int
-	// gossiped is set when the ejection is sent to peers. That of a full endpoint is
-	// not: the endpoint reports to each instance itself that it is full.
+	// gossiped is set when the ejection is sent to peers. The ejection of a full endpoint
+	// is not sent, because the endpoint rejects the requests of each instance and so
+	// reports to each that it is full.
 	gossiped bool
 }
 
@@ -65,7 +66,7 @@
 
 func (tracker *LoadTracker) setEjection(key peridotpath.EndpointKey, ejection ejectionState) {
 	for otherKey, other := range tracker.ejections {
-		// Expired long ago: the endpoint works again or was removed.
+		// The ejection expired long ago: the endpoint works again or was removed.
 		if ejection.until.Sub(other.until) > ejectionMemory {
 			delete(tracker.ejections, otherKey)
 		}
--- a/peridotpath/placement/headroom.go
+++ b/peridotpath/placement/headroom.go
@@ -15,7 +15,7 @@
 	freeSlots, decoding int
 }
 
-// headroom sums over all engines.
+// headroom returns the sum over all engines.
 func (fleet *fleetState) headroom() headroom {
 	var total headroom
 	for _, engine := range fleet.engines {
@@ -32,7 +32,7 @@
 }
 
 // shortPromptSlots is the number of short prompts that the engine can accept now. It is
-// zero while the prefill delay is too long for them to meet their target.
+// zero while the prefill delay is too long for these prompts to meet their target.
 func (engine *engine) shortPromptSlots() int {
 	if engine.prefillDelay > maxShortPromptDelay {
 		return 0
--- a/peridotpath/placement/load.go
+++ b/peridotpath/placement/load.go
@@ -46,7 +46,7 @@
 
 // pendingPrefill is a part of a prompt whose prefill has not finished.
 type pendingPrefill struct {
-	sent     time.Time
+	sentAt   time.Time
 	duration time.Duration
 	// isPrimary is set where the endpoint also decodes the answer.
 	isPrimary bool
@@ -61,9 +61,8 @@
 // RequestCount returns the number of requests at the endpoint.
 func (load *Load) RequestCount() int { return load.Decoding + load.Prefilling }
 
-// overduePrefillShare is the share of its predicted time that a prefill is assumed to take
-// still when it has exceeded that time without a first event. The actual remaining time is
-// unknown.
+// overduePrefillShare is the assumed remaining time of a prefill that has exceeded its
+// predicted time, as a share of the predicted time. The actual remaining time is unknown.
 const overduePrefillShare = 0.125
 
 // LoadSnapshot is the load of every endpoint at one moment.
@@ -72,8 +71,9 @@
 	// shortValuePerSecond is the value of the short prompts that all instances
 	// dispatch in a second.
 	shortValuePerSecond float64
-	// unreported estimates the peers' requests that are in flight but not yet reported
-	// here, from their rate and the lag of the reports.
+	// unreported is the estimated number of peers' requests that are in flight but not yet
+	// reported to this instance. It is the rate of the peers' requests times the lag of
+	// their reports.
 	unreported float64
 	// observedShare is the part of arrivalWindow during which this instance has
 	// received reports, from 0 to 1.
@@ -87,7 +87,7 @@
 	minArrivalWindow = 500 * time.Millisecond
 )
 
-// Snapshot returns the load of every endpoint that has any.
+// Snapshot returns the load of every endpoint that has a request or is slow.
 func (tracker *LoadTracker) Snapshot(now time.Time) LoadSnapshot {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
@@ -126,11 +126,11 @@
 	return snapshot
 }
 
-// UnreportedRequests returns the estimated number of peers' requests that are in flight
-// but not yet reported here.
+// UnreportedRequests returns the estimated number of peers' requests that are in flight but
+// not yet reported to this instance.
 func (snapshot LoadSnapshot) UnreportedRequests() float64 { return snapshot.unreported }
 
-// All returns the endpoints that have any load.
+// All returns the endpoints that have a request or are slow, with their load.
 func (snapshot LoadSnapshot) All() iter.Seq2[peridotpath.EndpointKey, *Load] {
 	return maps.All(snapshot.loads)
 }
@@ -178,7 +178,7 @@
 		// The parts of a prompt finish at about the same time, so the first event
 		// ends the prefill of all of them.
 		if !request.Decoding {
-			load.pending = append(load.pending, pendingPrefill{sent: request.SentAt, duration: part.PrefillTime, isPrimary: i == 0})
+			load.pending = append(load.pending, pendingPrefill{sentAt: request.SentAt, duration: part.PrefillTime, isPrimary: i == 0})
 		}
 	}
 }
@@ -193,11 +193,11 @@
 			}
 			return 1
 		}
-		return cmp.Compare(a.sent.UnixNano(), b.sent.UnixNano())
+		return cmp.Compare(a.sentAt.UnixNano(), b.sentAt.UnixNano())
 	})
 	var end time.Time
 	for _, prefill := range load.pending {
-		start := prefill.sent
+		start := prefill.sentAt
 		if end.After(start) {
 			start = end
 		}
--- a/peridotpath/placement/load_tracker.go
+++ b/peridotpath/placement/load_tracker.go
@@ -40,8 +40,9 @@
 	}
 )
 
-// peerExpiry is the age after which a peer's report is dropped. A peer reports every
-// 250 ms. The requests of a crashed instance end with its connections.
+// peerExpiry is the age after which a peer's report is dropped. A peer reports every 250
+// ms. When an instance crashes, its connections close and its requests end, so its report
+// no longer applies.
 const peerExpiry = 2 * time.Second
 
 // LoadTracker tracks the in-flight and queued requests of this instance and its peers.
@@ -175,8 +176,8 @@
 }
 
 const (
-	// reportLagGain is the weight of a new sample in the moving average. A sample
-	// counts at most maxReportLag, because a lost datagram does not show the usual lag.
+	// reportLagGain is the weight of a new sample in the moving average. A sample counts at
+	// most maxReportLag, because the lag after a lost datagram is not the usual one.
 	reportLagGain = 0.05
 	maxReportLag  = 100 * time.Millisecond
 	// networkDelay is the part of the lag that a request's age does not include:
--- a/peridotpath/placement/memory.go
+++ b/peridotpath/placement/memory.go
@@ -28,9 +28,9 @@
 	return peridotpath.Tokens(maxKVShare*float64(model.Rates.KVTokens)) - at.load.ReservedKV
 }
 
-// splitKV divides the KV cache of a prompt that fits on no engine into equal parts, on
-// the primary and the fewest helpers that have room for them. It returns false where the
-// helpers have too little.
+// splitKV divides the KV cache of a prompt that fits on no engine into equal parts, on the
+// primary and the fewest helpers that have room for them. It returns false where the
+// primary and the helpers have too little free KV cache.
 func (plan *Plan) splitKV(model Model, work Work, primary *engine, engines []*engine) bool {
 	total := work.PromptTokens + work.AnswerTokens
 	var helpers []*engine
--- a/peridotpath/placement/plan.go
+++ b/peridotpath/placement/plan.go
@@ -134,10 +134,10 @@
 // targets. It returns false where no engine can run the prompt before the client
 // disconnects.
 //
-// It is designed for short and long prompts that arrive together. A long prompt that
-// one engine prefills delays everything there for seconds, first events and later ones.
-// Split across the engines with few decoding requests it takes a fraction of a second,
-// and short prompts use the other engines.
+// It is designed for short and long prompts that arrive together. A long prompt that one
+// engine prefills delays all other requests on that engine for seconds, their first events
+// and later ones. If its prefill is split across the engines with few decoding requests, it
+// takes a fraction of a second, and short prompts use the other engines.
 func PlanPrompt(model Model, work Work, candidates []Candidate, snapshot LoadSnapshot) (Plan, bool) {
 	engines := newEngines(model, candidates, snapshot)
 	prefill := model.PrefillTime(work.PromptTokens)
@@ -182,7 +182,7 @@
 
 // sortByPrefillCost returns the engines in ascending order of the cost to prefill a third
 // of the prompt: the delay until it starts and the extra time on a slow engine, in seconds,
-// plus the value that other requests lose by it. Ejected engines come last.
+// plus the value that other requests lose by this prefill. Ejected engines come last.
 func sortByPrefillCost(engines []engine, prefill time.Duration) []*engine {
 	sorted := make([]*engine, len(engines))
 	for i := range engines {
@@ -246,8 +246,8 @@
 	engines []*engine
 }
 
-// bestPlan returns the plan with the lowest cost for that primary, among those with 0 to
-// maxHelpers helpers.
+// bestPlan returns the plan with the lowest cost for the given primary, among those with 0
+// to maxHelpers helpers.
 func bestPlan(model Model, work Work, prefill time.Duration, primary *engine, fleet fleetState) Plan {
 	best := newPlan(model, work, prefill, primary, nil)
 	if prefill < minSplitPrefill {
@@ -303,7 +303,7 @@
 }
 
 // TimeToFreeSlot returns the time until the first of the endpoints has finished its prefill
-// backlog and has a free slot. A retry before that would be rejected again.
+// backlog and has a free slot. A retry before that time would be rejected again.
 func TimeToFreeSlot(model Model, work Work, candidates []Candidate, snapshot LoadSnapshot) time.Duration {
 	soonest := time.Duration(math.MaxInt64)
 	for _, engine := range newEngines(model, candidates, snapshot) {
--- a/peridotpath/placement/plan_test.go
+++ b/peridotpath/placement/plan_test.go
@@ -231,7 +231,8 @@
 		for _, id := range ids {
 			trackers[id] = &placement.LoadTracker{}
 			for range rapid.IntRange(0, 4).Draw(random, "count") {
-				// At least 10 ms apart: network delay may reorder closer ones.
+				// Different due times are at least 10 ms apart: network delay may reorder
+				// closer ones.
 				due := now.Add(time.Duration(rapid.IntRange(0, 50).Draw(random, "due")) * 10 * time.Millisecond)
 				number := trackers[id].Join(placement.QueuedPrompt{Due: due, PrefillTime: time.Second})
 				trackers[id].UpdateQueued(number, rapid.Bool().Draw(random, "late"), false)
@@ -260,7 +261,7 @@
 	})
 }
 
-// The KV cache that plans allocate on an engine never exceeds its capacity.
+// The KV cache that plans allocate on an engine must not exceed the engine's capacity.
 func TestKVCacheIsNotOvercommitted(t *testing.T) {
 	soak.Check(t, 1, func(random *rapid.T) {
 		tracker, all := &placement.LoadTracker{}, candidates(6)
@@ -272,7 +273,7 @@
 				tracker.AddInFlight(plan.InFlight(work, time.Now()))
 			}
 		}
-		// Summed independently of the snapshot that the plans are based on.
+		// held is summed independently of the snapshot that the plans are based on.
 		held := map[peridotpath.EndpointKey]peridotpath.Tokens{}
 		for _, request := range tracker.LocalInFlight() {
 			for _, part := range request.Parts {
@@ -308,9 +309,10 @@
 }
 
 // All clients reconnect at once after a power failure. On most engines one more prompt
-// makes a decoding request miss its ITL target; on one engine it has no cost. Guards
-// against plans that queue all prompts which already miss their target on that one
-// engine, where their clients time out after two seconds without an answer.
+// makes a decoding request miss its ITL target; on one engine it has no cost. A planner
+// that counts only costs queues all prompts that already miss their target on that one
+// engine, where their clients time out after two seconds without an answer. Every plan must
+// start its answer before the client timeout.
 func TestPlanStartsBeforeClientTimeout(t *testing.T) {
 	is := is.New(t)
 	all := candidates(2)
@@ -332,9 +334,9 @@
 	is.True(!found)
 }
 
-// Ten short requests decode on one engine and two on another. Guards against a placement
-// of the next one on the engine with fewer, because its iterations are slightly shorter:
-// all engines then have decoding requests, and any prefill of a long prompt exceeds an
+// Ten short requests decode on one engine and two on another. The engine with two has
+// slightly shorter iterations, but the next short request must go to the one with ten.
+// Otherwise all engines have decoding requests, and any prefill of a long prompt exceeds an
 // ITL target.
 func TestDecodingRequestsFillEngines(t *testing.T) {
 	is := is.New(t)
@@ -358,11 +360,11 @@
 	is.Equal(plan.Writer.ID, all[0].Endpoint.ID)
 }
 
-// All instances have restarted, no request is decoding, and all clients reconnect, one
-// of them with a long prompt, which interferes with no decoding request. Guards against
-// a plan that splits its prefill across all engines and delays the next hundred short
-// prompts by 0.7 s. Fewer engines are enough for its target; the others must keep slots
-// for the short prompts that arrive during the prefill.
+// All instances have restarted, no request is decoding, and all clients reconnect, one of
+// them with a long prompt, which interferes with no decoding request. If its prefill is
+// split across all engines, the next hundred short prompts are delayed by 0.7 s. Fewer
+// engines are enough for its target; the others must keep slots for the short prompts that
+// arrive during the prefill.
 func TestLongPromptLeavesSlotsForShortOnes(t *testing.T) {
 	is := is.New(t)
 	all := candidates(15)
@@ -398,9 +400,9 @@
 }
 
 // All clients reconnect at once and sixteen requests take an engine's slots. None ends
-// before the decode time on a full engine, two seconds. Guards against a plan that sends
-// a seventeenth as if a slot were free after 100 ms: its client times out before the first
-// event. It must be rejected at once with the time until the next free slot.
+// before the decode time on a full engine, two seconds. If a seventeenth request is sent as
+// if a slot were free after 100 ms, its client times out before the first event. The
+// request must be rejected at once with the time until the next free slot.
 func TestPlanPredictsFreeSlots(t *testing.T) {
 	tests := map[string]struct {
 		age   time.Duration
@@ -435,8 +437,8 @@
 	}
 }
 
-// A service may not publish its batch size. Guards against a panic at the second request,
-// since the slot wait divides by the batch size.
+// A service may not publish its batch size. The slot wait divides by the batch size; the
+// second request must not cause a division by zero.
 func TestUnknownBatchSize(t *testing.T) {
 	is := is.New(t)
 	unknown := rates
--- a/peridotpath/placement/prefill_queue.go
+++ b/peridotpath/placement/prefill_queue.go
@@ -22,8 +22,9 @@
 		// MissesTarget is set when the prompt can no longer meet its latency target. It
 		// then yields to prompts that can.
 		MissesTarget bool
-		// Blocked is set when the prompt waits for a resource that others do not
-		// need. It is then skipped, which avoids head-of-line blocking.
+		// Blocked is set when the prompt waits for a resource that other prompts do not
+		// need. Other prompts are then dispatched before it, which avoids head-of-line
+		// blocking.
 		Blocked bool
 	}
 )
--- a/peridotpath/placement/slots.go
+++ b/peridotpath/placement/slots.go
@@ -19,19 +19,20 @@
 func (engine *engine) slotWait(model Model, work Work) time.Duration {
 	excess := engine.load.RequestCount() + 1 - engine.slots
 	if excess <= 0 || engine.slots <= 0 {
-		// A service that does not publish its batch size has no such wait.
+		// No wait is predicted for a service that does not publish its batch size.
 		return 0
 	}
 	decode := model.DecodeTime(work.AnswerTokens, max(engine.iteration, model.IterationTime(1, work.PromptTokens)))
 	lowerBound := time.Duration(excess) * minSlotWait
 	batches, position := (excess-1)/engine.slots, (excess-1)%engine.slots
-	wait := engine.load.untilFree(position, decode) + time.Duration(batches)*decode
+	wait := engine.load.timeUntilSlotFree(position, decode) + time.Duration(batches)*decode
 	return max(lowerBound, wait)
 }
 
-// untilFree is the time until position+1 of the decoding requests have ended, if each
-// decodes for the given time.
-func (load *Load) untilFree(position int, decode time.Duration) time.Duration {
+// timeUntilSlotFree returns the time until position+1 of the engine's requests have ended,
+// if each has the given decode time. Where fewer requests are decoding, the time includes
+// the prefill backlog.
+func (load *Load) timeUntilSlotFree(position int, decode time.Duration) time.Duration {
 	if position >= len(load.decodingAges) {
 		return load.PrefillBacklog + decode
 	}
