--- a/peridotpath/quarantine/evidence.go
+++ b/peridotpath/quarantine/evidence.go
@@ -10,11 +10,11 @@
 // evidence is the set of facts for a decision at one time.
 type evidence struct {
 	now time.Time
-	// crashes maps each request to the endpoints that have crashed under it since one last
-	// survived it, with the time of the crash.
-	crashes  map[peridotpath.Fingerprint]map[peridotpath.EndpointKey]time.Time
-	survived map[peridotpath.Fingerprint]time.Time
-	terms    map[peridotpath.Fingerprint]term
+	// crashes maps each request to the endpoints that have crashed under it since an
+	// endpoint last survived it, with the time of each crash.
+	crashes    map[peridotpath.Fingerprint]map[peridotpath.EndpointKey]time.Time
+	survivedAt map[peridotpath.Fingerprint]time.Time
+	terms      map[peridotpath.Fingerprint]term
 }
 
 // term is the period in which a request is quarantined.
@@ -26,13 +26,13 @@
 
 func (quarantine *Quarantine) evidence(now time.Time) *evidence {
 	evidence := &evidence{
-		now:      now,
-		crashes:  map[peridotpath.Fingerprint]map[peridotpath.EndpointKey]time.Time{},
-		survived: map[peridotpath.Fingerprint]time.Time{},
-		terms:    map[peridotpath.Fingerprint]term{},
+		now:        now,
+		crashes:    map[peridotpath.Fingerprint]map[peridotpath.EndpointKey]time.Time{},
+		survivedAt: map[peridotpath.Fingerprint]time.Time{},
+		terms:      map[peridotpath.Fingerprint]term{},
 	}
 	for _, fact := range quarantine.Facts.ByKind(facts.KindSurvived, now) {
-		evidence.survived[peridotpath.Fingerprint(fact.Subject)] = fact.ObservedAt
+		evidence.survivedAt[peridotpath.Fingerprint(fact.Subject)] = fact.ObservedAt
 	}
 	for _, fact := range quarantine.Facts.ByKind(facts.KindQuarantined, now) {
 		until := fact.ObservedAt.Add(time.Duration(min(fact.Value, maxQuarantine.Seconds()) * float64(time.Second)))
@@ -40,7 +40,7 @@
 	}
 	for _, fact := range quarantine.Facts.ByKind(facts.KindCrashed, now) {
 		content := peridotpath.Fingerprint(fact.Subject)
-		if !fact.ObservedAt.After(evidence.survived[content]) {
+		if !fact.ObservedAt.After(evidence.survivedAt[content]) {
 			continue
 		}
 		if evidence.crashes[content] == nil {
@@ -51,13 +51,13 @@
 	return evidence
 }
 
-// term returns the current or most recent quarantine of a request. An ended one stays
-// relevant for as long again as it lasted; none does once an endpoint has survived the
-// request.
+// term returns the current or most recent quarantine of a request. A quarantine that has
+// ended is still returned for as long again as it lasted. None is returned once an endpoint
+// has survived the request after the quarantine began.
 func (evidence *evidence) term(content peridotpath.Fingerprint) (term, bool) {
-	term, known := evidence.terms[content]
+	term, found := evidence.terms[content]
 	isRelevant := evidence.now.Before(term.until.Add(term.duration()))
-	return term, known && isRelevant && term.from.After(evidence.survived[content])
+	return term, found && isRelevant && term.from.After(evidence.survivedAt[content])
 }
 
 // lastCrash returns the time of the last crash under a request; zero if there is none.
@@ -80,15 +80,15 @@
 // hasChangedSince reports whether an endpoint crashed under the request, or survived it,
 // after the given time.
 func (evidence *evidence) hasChangedSince(since time.Time, content peridotpath.Fingerprint) bool {
-	return evidence.lastCrash(content).After(since) || evidence.survived[content].After(since)
+	return evidence.lastCrash(content).After(since) || evidence.survivedAt[content].After(since)
 }
 
 // judge reports whether a request has to be quarantined, and for which period.
 func (evidence *evidence) judge(content peridotpath.Fingerprint) (term, bool) {
 	lastCrash := evidence.lastCrash(content)
-	if previous, known := evidence.term(content); known {
+	if previous, found := evidence.term(content); found {
 		// Crashes before the end of the previous quarantine come from attempts that were in
-		// flight when it began; they are no new evidence.
+		// flight when that quarantine began; they are no new evidence.
 		return term{from: lastCrash, until: lastCrash.Add(min(2*previous.duration(), maxQuarantine))}, lastCrash.After(previous.until)
 	}
 	crashes := evidence.crashes[content]
--- a/peridotpath/quarantine/quarantine.go
+++ b/peridotpath/quarantine/quarantine.go
@@ -78,8 +78,8 @@
 	})
 }
 
-// RecordSurvival records that an endpoint ran a request without a crash. It is gossiped
-// only if there is evidence against the request.
+// RecordSurvival records that an endpoint ran a request without a crash. The fact is stored
+// and gossiped only if there is evidence against the request.
 func (quarantine *Quarantine) RecordSurvival(content peridotpath.Fingerprint, now time.Time) {
 	subject := facts.Subject(content)
 	if !quarantine.Facts.HasSubject(subject) || !quarantine.hasEvidenceAgainst(content, now) {
@@ -142,8 +142,8 @@
 	quarantine.mutex.Lock()
 	defer quarantine.mutex.Unlock()
 	evidence := quarantine.evidence(now)
-	trial, known := quarantine.Facts.Get(facts.KindTrial, facts.Subject(content), 0, now)
-	if !evidence.isComplete(content) || known && now.Sub(trial.ObservedAt) < trialTimeout && !evidence.hasChangedSince(trial.ObservedAt, content) {
+	trial, found := quarantine.Facts.Get(facts.KindTrial, facts.Subject(content), 0, now)
+	if !evidence.isComplete(content) || found && now.Sub(trial.ObservedAt) < trialTimeout && !evidence.hasChangedSince(trial.ObservedAt, content) {
 		return false
 	}
 	quarantine.Facts.Observe(facts.Fact{Kind: facts.KindTrial, Subject: facts.Subject(content), Value: trial.Value + 1, ObservedAt: now, Source: quarantine.Instance})
--- a/peridotpath/quarantine/quarantine_test.go
+++ b/peridotpath/quarantine/quarantine_test.go
@@ -17,7 +17,7 @@
 	innocent = peridotpath.Fingerprint{2}
 )
 
-// evidenceDelay is the time after a crash at which it is judged.
+// evidenceDelay is the time after a crash at which the evidence of the crash is complete.
 const evidenceDelay = 100 * time.Millisecond
 
 // fixture is a quarantine with a manual clock.
@@ -49,7 +49,7 @@
 
 func (fixture *fixture) advance(duration time.Duration) { fixture.now = fixture.now.Add(duration) }
 
-func TestThirdCrashQuarantines(t *testing.T) {
+func TestCrashesOfThreeEndpointsQuarantine(t *testing.T) {
 	is := is.New(t)
 	fixture := newFixture()
 	is.True(fixture.HasNoEvidence())
@@ -65,8 +65,9 @@
 	is.Equal(remaining, time.Minute-evidenceDelay)
 }
 
-// Requests that run on the same endpoint as a fatal one fail with it, and their retries may
-// run next to it again. They are not quarantined for its crashes.
+// Requests that run on the same endpoint as a fatal one fail when it crashes the endpoint,
+// and their retries may run beside it again. They must not be quarantined for crashes that
+// the fatal request causes.
 func TestRequestsBesideAFatalOneAreNotQuarantined(t *testing.T) {
 	is := is.New(t)
 	fixture := newFixture()
@@ -94,8 +95,8 @@
 	}
 }
 
-// A wrongly quarantined request is sent again as soon as an endpoint survives an attempt
-// that was in flight.
+// A request is wrongly quarantined while an attempt at it is in flight. When the endpoint
+// survives that attempt, the quarantine must end.
 func TestSurvivalEndsQuarantine(t *testing.T) {
 	is := is.New(t)
 	fixture := newFixture()
@@ -108,8 +109,8 @@
 	is.Equal(fixture.state(innocent), quarantine.Clear)
 }
 
-// A quarantine expires. If the request still crashes endpoints, the next one lasts twice as
-// long.
+// A quarantine expires. If the request still crashes endpoints, the next quarantine lasts
+// twice as long.
 func TestQuarantineExpiresAndDoubles(t *testing.T) {
 	is := is.New(t)
 	fixture := newFixture()
