--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -42,7 +42,8 @@
 	defer cancel(nil)
 	now := time.Now()
 	defer relay.LoadTracker.RemoveInFlight(exchange.inFlight)
-	// The process may have been paused since the key was checked.
+	// The process may have been suspended for longer than the keys' lifetime since the key
+	// was checked.
 	if exchange.customer != "" && !relay.Routing.KeysUsable() {
 		return outcomeUnsent, errKeysExpired
 	}
@@ -274,7 +275,7 @@
 }
 
 // relayWhole reads a non-streamed answer to its end before it sends the first byte, so that
-// a truncated answer never looks complete.
+// the caller never takes a truncated answer for a complete one.
 func (exchange *exchange) relayWhole(ctx context.Context, answer *Answer) (outcome, error) {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes+1))
 	if err != nil {
--- a/peridotpath/relay/budget.go
+++ b/peridotpath/relay/budget.go
@@ -7,9 +7,9 @@
 	"peridotpath.example/peridotpath"
 )
 
-// RetryBudget bounds the retries of each service. The bound holds for all instances together:
-// each uses its share. Without it, the retries after an outage of some endpoints
-// overload all others.
+// RetryBudget bounds the retries of each service. The bound holds for all instances
+// together: each instance uses its share. Without it, the retries after an outage of some
+// endpoints overload all others.
 type RetryBudget struct {
 	// Ratio is the number of retries allowed per request, and Slack the number allowed
 	// beyond that, per Window.
@@ -28,8 +28,9 @@
 	requests, retries []time.Time
 }
 
-// usableSlackShare is the fraction that an instance uses of its share of the slack. The rest
-// covers instances that were replaced within the window and had used their share.
+// usableSlackShare is the fraction that an instance uses of its share of the slack. The
+// rest covers the retries of instances that were replaced within the window; their
+// replacements start with an empty history.
 const usableSlackShare = 0.5
 
 // RecordRequest counts one request of the service.
--- a/peridotpath/relay/budget_machine_test.go
+++ b/peridotpath/relay/budget_machine_test.go
@@ -82,9 +82,9 @@
 	return count
 }
 
-// Guards against a retry storm after an outage of some endpoints, in which every
-// instance retries failed requests and replaced instances have an empty history. The
-// retries of the fleet stay within the bound for any order of events.
+// After an outage of some endpoints, every instance retries failed requests, and replaced
+// instances have an empty history. The retries of the fleet must stay within the bound for
+// any order of events.
 func TestRandomRetriesStayWithinBudget(t *testing.T) {
 	soak.Check(t, 5, func(random *rapid.T) {
 		machine := &budgetMachine{now: time.Unix(1000, 0), replaced: make([]bool, machineInstances)}
--- a/peridotpath/relay/burst_test.go
+++ b/peridotpath/relay/burst_test.go
@@ -98,9 +98,9 @@
 	return float64(met) / float64(total)
 }
 
-// A dozen long prompts arrive within two seconds beside a load of short ones. Dispatched
-// on arrival, the long ones are prefilled concurrently on all engines, delay each other's
-// parts, and miss their targets together with the short ones.
+// A dozen long prompts arrive within two seconds beside a load of short ones. Dispatched on
+// arrival, the long ones are prefilled concurrently on all engines, delay each other's
+// parts, and miss their targets, as do the short ones. Queued, both must meet them.
 func TestLongPromptBurst(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	load := poisson(random, 0, 8*time.Second, 12, shortAt(random))
@@ -131,7 +131,7 @@
 }
 
 // Long prompts take 90% of the engines' prefill capacity beside a load of short ones. Both
-// meet their latency targets.
+// must meet their latency targets.
 func TestLongPromptsNearCapacity(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	load := poisson(random, 0, 12*time.Second, 11, shortAt(random))
@@ -146,8 +146,8 @@
 }
 
 // Long prompts arrive for ten seconds at twice the engines' prefill capacity. Requests
-// beyond it are refused with a retry delay and without having run, and short prompts are
-// still served in time.
+// beyond it must be refused with a retry delay and without having run, and short prompts
+// must still meet their targets.
 func TestLongPromptOverload(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 4))
 	load := poisson(random, 0, 10*time.Second, 11, shortAt(random))
--- a/peridotpath/relay/client_timeout_test.go
+++ b/peridotpath/relay/client_timeout_test.go
@@ -29,9 +29,8 @@
 }
 
 // All callers retry at once after an outage: 300 prompts of 15,000 tokens within a tenth of
-// a second on six engines, which take four seconds to prefill them. Each caller either
-// receives its first event within the client timeout, or a refusal with a retry delay; no
-// accepted request times out.
+// a second on six engines, which take four seconds to prefill them. Each caller must
+// receive either its first event within the client timeout or a refusal with a retry delay.
 func TestSimultaneousRetryOfAllCallers(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	load := poisson(random, 0, 100*time.Millisecond, 3000, func(at time.Duration) arrival {
--- a/peridotpath/relay/crash_test.go
+++ b/peridotpath/relay/crash_test.go
@@ -14,8 +14,8 @@
 	"peridotpath.example/peridotpath/relay"
 )
 
-// Guards against a log in which a crash of an endpoint looks like a connection reset, so
-// that the request that crashed it cannot be found.
+// A crash of an endpoint and a connection reset break the connection alike. The log must
+// tell them apart, so that the request that crashed the endpoint can be found.
 func TestLogDistinguishesCrashFromReset(t *testing.T) {
 	for _, test := range []struct {
 		answer error
--- a/peridotpath/relay/crashing_endpoints_test.go
+++ b/peridotpath/relay/crashing_endpoints_test.go
@@ -18,8 +18,8 @@
 const (
 	// crashAfter is the time from the start of a fatal request to the endpoint's crash.
 	crashAfter = 100 * time.Millisecond
-	// restartTime is the time from a crash to the restart.
-	restartTime = 3 * time.Second
+	// restartDelay is the time from a crash to the restart.
+	restartDelay = 3 * time.Second
 	// answerEvents is the number of events of an answer, and eventInterval the time
 	// between two.
 	answerEvents  = 10
@@ -51,7 +51,7 @@
 // endpointProcess is the process of an endpoint, from a start to a crash.
 type endpointProcess struct {
 	crashed chan struct{}
-	down    bool
+	isDown  bool
 }
 
 func newCrashingEndpoints(count int, crashes func(body string) bool) (*crashingEndpoints, []peridotpath.Endpoint) {
@@ -65,21 +65,21 @@
 	return crashing, endpoints
 }
 
-// crash crashes an endpoint, which restarts after restartTime.
+// crash crashes an endpoint, which restarts after restartDelay.
 func (endpoints *crashingEndpoints) crash(id peridotpath.EndpointID) {
 	endpoints.mutex.Lock()
 	defer endpoints.mutex.Unlock()
 	process := endpoints.processes[id]
-	if process.down {
+	if process.isDown {
 		return
 	}
-	process.down = true
+	process.isDown = true
 	endpoints.crashCount++
 	close(process.crashed)
-	time.AfterFunc(restartTime, func() {
+	time.AfterFunc(restartDelay, func() {
 		endpoints.mutex.Lock()
 		defer endpoints.mutex.Unlock()
-		process.down, process.crashed = false, make(chan struct{})
+		process.isDown, process.crashed = false, make(chan struct{})
 	})
 }
 
@@ -87,7 +87,7 @@
 	endpoints.mutex.Lock()
 	defer endpoints.mutex.Unlock()
 	process, body := endpoints.processes[call.Endpoint.ID], string(call.Request.Body)
-	if process.down {
+	if process.isDown {
 		return nil, outbound.ErrNotSent.Wrap(syscall.ECONNREFUSED)
 	}
 	endpoints.runs = append(endpoints.runs, requestRun{body: body, endpoint: call.Endpoint.ID, startedAt: time.Now()})
@@ -100,9 +100,9 @@
 			endpoints.crash(call.Endpoint.ID)
 		})
 	}
-	stream := &crashingStream{ctx: ctx, crashed: process.crashed, next: time.Now().Add(eventInterval)}
+	stream := &crashingStream{ctx: ctx, crashed: process.crashed, nextEventAt: time.Now().Add(eventInterval)}
 	if endpoints.crashes(body) {
-		stream.next = time.Now().Add(time.Hour)
+		stream.nextEventAt = time.Now().Add(time.Hour)
 	}
 	answer := &relay.Answer{Status: http.StatusOK, Header: http.Header{}, MatchesRequest: true, Body: stream, HasNoRateLimit: true}
 	if endpoints.limit != nil {
@@ -116,7 +116,7 @@
 func (endpoints *crashingEndpoints) check(_ context.Context, endpoint *peridotpath.Endpoint) error {
 	endpoints.mutex.Lock()
 	defer endpoints.mutex.Unlock()
-	if endpoints.processes[endpoint.ID].down {
+	if endpoints.processes[endpoint.ID].isDown {
 		return relay.ErrEndpointGone.Wrap(syscall.ECONNREFUSED)
 	}
 	return nil
@@ -124,21 +124,21 @@
 
 // crashingStream is an answer body that fails when its endpoint crashes.
 type crashingStream struct {
-	ctx     context.Context
-	crashed <-chan struct{}
-	next    time.Time
-	sent    int
-	rest    strings.Reader
+	ctx         context.Context
+	crashed     <-chan struct{}
+	nextEventAt time.Time
+	sentEvents  int
+	unread      strings.Reader
 }
 
 func (stream *crashingStream) Read(into []byte) (int, error) {
-	if stream.rest.Len() > 0 {
-		return stream.rest.Read(into)
+	if stream.unread.Len() > 0 {
+		return stream.unread.Read(into)
 	}
-	if stream.sent == answerEvents {
+	if stream.sentEvents == answerEvents {
 		return 0, io.EOF
 	}
-	timer := time.NewTimer(time.Until(stream.next))
+	timer := time.NewTimer(time.Until(stream.nextEventAt))
 	defer timer.Stop()
 	select {
 	case <-stream.ctx.Done():
@@ -147,10 +147,10 @@
 		return 0, io.ErrUnexpectedEOF
 	case <-timer.C:
 	}
-	stream.next = stream.next.Add(eventInterval)
-	stream.sent++
-	stream.rest = *strings.NewReader(fmt.Sprintf("id: %d\ndata: x\n\n", stream.sent))
-	return stream.rest.Read(into)
+	stream.nextEventAt = stream.nextEventAt.Add(eventInterval)
+	stream.sentEvents++
+	stream.unread = *strings.NewReader(fmt.Sprintf("id: %d\ndata: x\n\n", stream.sentEvents))
+	return stream.unread.Read(into)
 }
 
 func (*crashingStream) Close() error { return nil }
--- a/peridotpath/relay/engine_test.go
+++ b/peridotpath/relay/engine_test.go
@@ -28,8 +28,8 @@
 type fakeEngines struct {
 	mutex   sync.Mutex
 	engines map[peridotpath.EndpointID]*fakeEngine
-	// sent holds the calls in the order of their arrival.
-	sent []relay.Call
+	// calls holds the calls in the order of their arrival.
+	calls []relay.Call
 }
 
 // fakeEngine simulates continuous batching. An iteration prefills parts for other primaries
@@ -46,7 +46,7 @@
 }
 
 type fakePrefill struct {
-	left      time.Duration
+	timeLeft  time.Duration
 	isPrimary bool
 	request   *fakeRequest
 }
@@ -64,7 +64,7 @@
 	pendingPrefills int
 	admitted        bool
 	events          chan struct{}
-	left            int
+	eventsLeft      int
 	cancelled       <-chan struct{}
 }
 
@@ -85,7 +85,7 @@
 func (engines *fakeEngines) Send(ctx context.Context, call *relay.Call) (*relay.Answer, error) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
-	engines.sent = append(engines.sent, *call)
+	engines.calls = append(engines.calls, *call)
 	engine := engines.engines[call.Endpoint.ID]
 	if engine == nil {
 		return nil, outbound.ErrNotSent.New("no such engine")
@@ -93,11 +93,11 @@
 	count := 1 + len(call.Helpers)
 	share := engine.model.PrefillTime(call.Request.PromptTokens) / time.Duration(count)
 	events := int(call.Request.MaxAnswerTokens) / engine.model.Rates.StepsPerIteration
-	request := &fakeRequest{primary: engine, prompt: call.Request.PromptTokens, pendingPrefills: count, left: max(events, 1), events: make(chan struct{}, 10_000), cancelled: ctx.Done()}
+	request := &fakeRequest{primary: engine, prompt: call.Request.PromptTokens, pendingPrefills: count, eventsLeft: max(events, 1), events: make(chan struct{}, 10_000), cancelled: ctx.Done()}
 	engine.requests = append(engine.requests, request)
-	engine.add(&fakePrefill{left: share, isPrimary: true, request: request})
+	engine.add(&fakePrefill{timeLeft: share, isPrimary: true, request: request})
 	for _, helper := range call.Helpers {
-		engines.engines[helper.Endpoint.ID].add(&fakePrefill{left: share, request: request})
+		engines.engines[helper.Endpoint.ID].add(&fakePrefill{timeLeft: share, request: request})
 	}
 	return &relay.Answer{
 		Status: http.StatusOK, Header: http.Header{}, MatchesRequest: true,
@@ -162,10 +162,10 @@
 		if part != nil {
 			// A part's time includes its attention cost, which is spread evenly over
 			// its chunks here.
-			worked := min(part.left, perStep)
-			part.left -= worked
+			worked := min(part.timeLeft, perStep)
+			part.timeLeft -= worked
 			duration += worked
-			if part.left <= 0 {
+			if part.timeLeft <= 0 {
 				part.request.pendingPrefills--
 				// The primary may be idle until the last part is prefilled.
 				part.request.primary.wake()
@@ -178,7 +178,7 @@
 	return duration
 }
 
-// setSlow slows the first count engines down.
+// setSlow multiplies the published times of the first count engines by slowdown.
 func (engines *fakeEngines) setSlow(count int, slowdown float64) {
 	engines.mutex.Lock()
 	defer engines.mutex.Unlock()
@@ -203,7 +203,7 @@
 			continue
 		default:
 		}
-		if request.left == 0 {
+		if request.eventsLeft == 0 {
 			continue
 		}
 		kept = append(kept, request)
@@ -223,7 +223,7 @@
 	var primaryPart *fakePrefill
 	kept := engine.prefills[:0]
 	for _, part := range engine.prefills {
-		if part.left > 0 {
+		if part.timeLeft > 0 {
 			kept = append(kept, part)
 		}
 	}
@@ -241,10 +241,10 @@
 
 func (engine *fakeEngine) emitEvents() {
 	for _, request := range engine.requests {
-		if request.pendingPrefills <= 0 && request.left > 0 {
-			request.left--
+		if request.pendingPrefills <= 0 && request.eventsLeft > 0 {
+			request.eventsLeft--
 			request.events <- struct{}{}
-			if request.left == 0 {
+			if request.eventsLeft == 0 {
 				close(request.events)
 			}
 		}
@@ -253,14 +253,14 @@
 
 // fakeStream is the answer body of a fake engine.
 type fakeStream struct {
-	ctx    context.Context
-	events <-chan struct{}
-	number int
-	rest   bytes.Buffer
+	ctx         context.Context
+	events      <-chan struct{}
+	lastEventID int
+	unread      bytes.Buffer
 }
 
 func (stream *fakeStream) Read(into []byte) (int, error) {
-	if stream.rest.Len() == 0 {
+	if stream.unread.Len() == 0 {
 		select {
 		case <-stream.ctx.Done():
 			return 0, stream.ctx.Err()
@@ -268,11 +268,11 @@
 			if !more {
 				return 0, io.EOF
 			}
-			stream.number++
-			fmt.Fprintf(&stream.rest, "id: %d\ndata: x\n\n", stream.number)
+			stream.lastEventID++
+			fmt.Fprintf(&stream.unread, "id: %d\ndata: x\n\n", stream.lastEventID)
 		}
 	}
-	return stream.rest.Read(into)
+	return stream.unread.Read(into)
 }
 
 func (*fakeStream) Close() error { return nil }
--- a/peridotpath/relay/exchange.go
+++ b/peridotpath/relay/exchange.go
@@ -187,7 +187,9 @@
 		answer = min(answer, expected)
 	}
 	if exchange.lastEventID != "" {
-		// A resumed answer may be nearly complete.
+		// A resumed answer may be nearly complete, so only one more token is assumed. With
+		// a longer estimate, the request could be refused because the remaining time looks
+		// too short for it.
 		answer = 1
 	}
 	if exchange.streamBegun {
@@ -202,7 +204,8 @@
 }
 
 // untilClientTimeout returns the time until the client times out if no event arrives; zero
-// if the route sets no client timeout or the stream has begun.
+// if the route sets no client timeout or the stream has begun. An expired timeout yields 1
+// ns, since zero means that there is none.
 func (exchange *exchange) untilClientTimeout(now time.Time) time.Duration {
 	idleTimeout := exchange.route.ClientIdleTimeout
 	if idleTimeout == 0 || exchange.streamBegun {
--- a/peridotpath/relay/fatal_test.go
+++ b/peridotpath/relay/fatal_test.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// fatalBody is a body that no endpoint survives.
+	// fatalBody is a body that crashes every endpoint.
 	fatalBody = "fatal"
 	// maxQuarantineDelay is the time after the third crash by which all instances must have
 	// quarantined a request, and maxLateRuns how often it may run after that.
@@ -103,7 +103,8 @@
 	return successes, total
 }
 
-// Guards against a request that crashes every endpoint on which it is retried.
+// A fatal request crashes every endpoint on which it is retried. All instances must
+// quarantine it within maxQuarantineDelay of its third crash.
 func TestFatalRequestIsQuarantined(t *testing.T) {
 	for _, test := range []struct {
 		route  string
@@ -119,20 +120,20 @@
 				load := workload{}.withPoisson(random, test.route, 0, 20*time.Second, 40, uniqueBody)
 				load = load.withPoisson(random, test.route, 2*time.Second, 18*time.Second, 6, sameBody(fatalBody))
 				outcomes := runRequests(crashing, fleet, random, load)
-				late, ended := crashing.lateRuns(fatalBody)
-				good, asked := served(load, outcomes, func(body string) bool { return body != fatalBody })
-				t.Logf("%d endpoints crashed, %d late runs; %d of %d other requests served", ended, late, good, asked)
+				late, crashes := crashing.lateRuns(fatalBody)
+				successes, total := served(load, outcomes, func(body string) bool { return body != fatalBody })
+				t.Logf("%d endpoints crashed, %d late runs; %d of %d other requests served", crashes, late, successes, total)
 				if late > maxLateRuns {
 					t.Errorf("runs later than %v after the third crash: %d, want %d at most", maxQuarantineDelay, late, maxLateRuns)
 				}
-				time.Sleep(restartTime)
+				time.Sleep(restartDelay)
 			})
 		})
 	}
 }
 
-// Guards against a quarantine that does not reach all instances because digests are lost or
-// an instance is partitioned.
+// Digests are lost and an instance is partitioned. All instances must still quarantine a
+// fatal request within maxQuarantineDelay of its third crash.
 func TestFatalRequestIsQuarantinedDespiteLostDigests(t *testing.T) {
 	for seed := range uint64(5) {
 		virtual.Test(t, func(t *testing.T) {
@@ -150,20 +151,20 @@
 			load := workload{}.withPoisson(random, "look", 0, 20*time.Second, 40, uniqueBody)
 			load = load.withPoisson(random, "look", 2*time.Second, 18*time.Second, 6, sameBody(fatalBody))
 			outcomes := runRequests(crashing, fleet, random, load)
-			late, ended := crashing.lateRuns(fatalBody)
-			good, asked := served(load, outcomes, func(body string) bool { return body != fatalBody })
-			t.Logf("seed %d: %d endpoints crashed, %d late runs; %d of %d other requests served", seed, ended, late, good, asked)
+			late, crashes := crashing.lateRuns(fatalBody)
+			successes, total := served(load, outcomes, func(body string) bool { return body != fatalBody })
+			t.Logf("seed %d: %d endpoints crashed, %d late runs; %d of %d other requests served", seed, crashes, late, successes, total)
 			if late > maxLateRuns {
 				t.Errorf("seed %d: runs later than %v after the third crash: %d, want %d at most", seed, maxQuarantineDelay, late, maxLateRuns)
 			}
 			cancel()
-			time.Sleep(restartTime)
+			time.Sleep(restartDelay)
 		})
 	}
 }
 
-// Guards against a quarantine of content that many callers send while endpoints crash for
-// other reasons.
+// Many callers send the same content while endpoints crash for other reasons. The content
+// must not be quarantined.
 func TestPopularContentIsNotQuarantined(t *testing.T) {
 	for _, test := range []struct {
 		route     string
@@ -183,24 +184,25 @@
 					time.AfterFunc(at, func() { crashing.crash(id) })
 				}
 				outcomes := runRequests(crashing, fleet, random, load)
-				good, asked := served(load, outcomes, func(string) bool { return true })
+				successes, total := served(load, outcomes, func(string) bool { return true })
 				refused := 0
 				for _, outcome := range outcomes {
 					if outcome.result.Code != peridotpath.CodeOK && outcome.result.Code.NotRun() {
 						refused++
 					}
 				}
-				t.Logf("%s, %v a second, seed %d: %d of %d served, %d refused", test.route, test.perSecond, seed, good, asked, refused)
+				t.Logf("%s, %v a second, seed %d: %d of %d served, %d refused", test.route, test.perSecond, seed, successes, total, refused)
 				if refused > 0 {
-					t.Errorf("%s, %v a second, seed %d: refused %d of %d, want none", test.route, test.perSecond, seed, refused, asked)
+					t.Errorf("%s, %v a second, seed %d: refused %d of %d, want none", test.route, test.perSecond, seed, refused, total)
 				}
-				time.Sleep(restartTime)
+				time.Sleep(restartDelay)
 			})
 		}
 	}
 }
 
-// Guards against a suspected request that waits for a trial before each of its attempts.
+// A suspected request is retried. It must wait for a trial once, not before each of its
+// attempts.
 func TestSuspectedRequestWaitsForOneTrial(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		script := &script{steps: []step{unsentCall(), unsentCall()}}
@@ -215,8 +217,8 @@
 		if len(script.calls) != 2 || !outcome.result.Code.NotRun() {
 			t.Errorf("%d calls, %v; want both endpoints tried and none to have run it", len(script.calls), outcome.result)
 		}
-		if most := 500 * time.Millisecond; outcome.took > most {
-			t.Errorf("refused after %v, want %v at most", outcome.took, most)
+		if maxDelay := 500 * time.Millisecond; outcome.took > maxDelay {
+			t.Errorf("refused after %v, want %v at most", outcome.took, maxDelay)
 		}
 	})
 }
--- a/peridotpath/relay/fleet_test.go
+++ b/peridotpath/relay/fleet_test.go
@@ -117,10 +117,10 @@
 }
 
 // Short prompts arrive at two and a half times their usual rate at a hundred instances in
-// front of 56 engines with 60% of their batches full. Guards against herding: each instance
-// receives the others' requests some milliseconds late. If all choose the engine with the
-// lowest reported load, it is full already and a quarter of the requests misses the target;
-// if all avoid the engines that are still empty, a tenth does.
+// front of 56 engines with 60% of their batches full. Each instance receives the others'
+// requests some milliseconds late, which must not lead to herding. If all choose the engine
+// with the lowest reported load, it is full already and a quarter of the requests misses
+// the target; if all avoid the engines that are still empty, a tenth does.
 func TestShortPromptBurstAtManyInstances(t *testing.T) {
 	for _, seed := range []uint64{5, 6, 7} {
 		random := rand.New(rand.NewPCG(seed, seed))
--- a/peridotpath/relay/liveness_test.go
+++ b/peridotpath/relay/liveness_test.go
@@ -118,8 +118,8 @@
 	})
 }
 
-// A slow engine that answers its probes keeps the request. Cancelled, its prompt would be
-// prefilled again on other engines.
+// A slow engine that answers its probes must keep the request. If the request were
+// cancelled, its prompt would be prefilled again on other engines.
 func TestSlowEngineKeepsItsRequest(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/relay/outcome.go
+++ b/peridotpath/relay/outcome.go
@@ -49,7 +49,7 @@
 		Str("endpoint", string(exchange.plan.Writer.ID)).Int("try", exchange.attemptCount).Bool("endpoint_gone", crashed).
 		Stringer("outcome", outcome).Int("events", exchange.eventCount).Err(err).Msg("attempt_failed")
 	if outcome == outcomeNoMemory {
-		// Nothing was sent, and the primary is not the cause.
+		// No request was sent, and the primary did not cause the failure.
 		exchange.attemptCount--
 		return
 	}
--- a/peridotpath/relay/prefill_queue.go
+++ b/peridotpath/relay/prefill_queue.go
@@ -23,9 +23,9 @@
 	// maxUnqueuedPrefill is the prefill time on one engine above which a prompt is queued. A
 	// shorter prefill fits between the events of decoding requests.
 	maxUnqueuedPrefill = 150 * time.Millisecond
-	// minQueuedTTFT is the smallest TTFT target of a request that is queued. A request
-	// with a shorter target misses it after any wait, and its client timeout expires
-	// before the queue of long prompts is prefilled, so that it would never be sent.
+	// minQueuedTTFT is the smallest TTFT target of a request that is queued. A request with
+	// a shorter target misses it after any wait, and its client timeout expires before the
+	// long prompts ahead of it are prefilled, so that it would never be sent.
 	minQueuedTTFT = 4 * maxUnqueuedPrefill
 	// queuePollInterval is the interval at which the position of a queued prompt is
 	// polled, and queuePollPerPeer what each peer adds: the cost of a poll grows with the
@@ -35,8 +35,8 @@
 	// delayPerRank is how much later a prompt is queued for each rank of lower priority:
 	// one rank outweighs an arrival that is up to a second earlier.
 	delayPerRank = time.Second
-	// dispatchLead is how long before the engines are free the next prompt is
-	// dispatched, so that they are not idle while it is on its way.
+	// dispatchLead is how long before the engines are free the next prompt is dispatched,
+	// so that the engines are not idle while the prompt is sent to them.
 	dispatchLead = 120 * time.Millisecond
 	// The interference cost that a prompt may impose on others is bounded by a share of
 	// its own value. The share is initialCostShare on arrival and grows by
@@ -47,9 +47,9 @@
 	// maxLateQueueShare is the share of the time from arrival to deadline after which a
 	// prompt that misses its target is refused: its caller then has time for a retry.
 	maxLateQueueShare = 0.4
-	// maxPrefillShare is the largest share of the engines' time that long prompts use:
-	// some engines decode other requests, and parts of a split prefill do not end at
-	// the same time.
+	// maxPrefillShare is the largest share of the engines' time that long prompts can use:
+	// some engines decode other requests, and parts of a split prefill do not end at the
+	// same time.
 	maxPrefillShare = 0.6
 )
 
@@ -89,7 +89,7 @@
 				return nil
 			}
 			// The head of the queue waits for KV cache, or for engines with less
-			// interference cost: later prompts need not wait for that (head-of-line
+			// interference cost. Later prompts must not wait with it (head-of-line
 			// blocking).
 			blocked = !found || plan.PrefillDelay <= dispatchLead
 		}
--- a/peridotpath/relay/quarantine.go
+++ b/peridotpath/relay/quarantine.go
@@ -39,13 +39,13 @@
 	}
 	for {
 		now := time.Now()
-		standing, remaining := decider.Check(content, now)
+		state, remaining := decider.Check(content, now)
 		switch {
-		case standing == quarantine.Quarantined:
+		case state == quarantine.Quarantined:
 			return exchange.refusal(peridotpath.CodeQuarantined, remaining)
-		case standing == quarantine.Clear, decider.ReserveTrial(content, now):
+		case state == quarantine.Clear, decider.ReserveTrial(content, now):
 			return nil
-		case standing == quarantine.OnTrial:
+		case state == quarantine.OnTrial:
 			return exchange.refusal(peridotpath.CodeQuarantined, trialRetryAfter)
 		case now.Sub(exchange.trialWaitSince) > maxTrialWait:
 			return nil
@@ -63,7 +63,7 @@
 	if decider.HasNoEvidence() {
 		return nil
 	}
-	if standing, remaining := decider.Check(exchange.fingerprint(), time.Now()); standing == quarantine.Quarantined {
+	if state, remaining := decider.Check(exchange.fingerprint(), time.Now()); state == quarantine.Quarantined {
 		return exchange.refusal(peridotpath.CodeQuarantined, remaining)
 	}
 	return nil
@@ -78,7 +78,8 @@
 	exchange.relay.Quarantine.RecordCrash(exchange.fingerprint(), exchange.plan.Writer.Key(), now)
 }
 
-// recordProgress records an event of the attempt, and its survival after crashWindow.
+// recordProgress records an event of the attempt. From crashWindow after the first event,
+// it also records that the endpoint survived the request.
 func (exchange *exchange) recordProgress() {
 	now := time.Now()
 	if exchange.decodingSince.IsZero() {
@@ -89,7 +90,7 @@
 	}
 }
 
-// recordSurvival records that the attempt did not crash its endpoint.
+// recordSurvival records that the endpoint survived the request.
 func (exchange *exchange) recordSurvival() {
 	exchange.survivalRecorded = true
 	if decider := exchange.relay.Quarantine; !decider.HasNoEvidence() {
--- a/peridotpath/relay/rate_limit.go
+++ b/peridotpath/relay/rate_limit.go
@@ -21,7 +21,8 @@
 }
 
 // rateLimitFilter returns a function that reports whether an endpoint's rate limit admits a
-// request now. The function records the shortest wait for an endpoint that does not.
+// request now. The function records the shortest wait of the endpoints whose limit does
+// not.
 func (exchange *exchange) rateLimitFilter(now time.Time) func(peridotpath.EndpointKey) bool {
 	throttle := exchange.relay.Throttle
 	if throttle.HasNoLimits() {
--- a/peridotpath/relay/rate_limit_test.go
+++ b/peridotpath/relay/rate_limit_test.go
@@ -56,8 +56,8 @@
 	return most
 }
 
-// Guards against an endpoint that receives its announced limit from each instance instead of
-// from all instances together.
+// An endpoint announces a rate limit. All instances together must keep to it; if each
+// applied it by itself, the endpoint would receive a multiple.
 func TestRateLimitHoldsAcrossInstances(t *testing.T) {
 	const announcedAt, liftedAt, end = 2 * time.Second, 20 * time.Second, 30 * time.Second
 	for _, test := range []struct {
@@ -118,8 +118,7 @@
 	}
 }
 
-// Guards against requests that are held, instead of refused at once, while all endpoints are
-// at their limits.
+// All endpoints are at their limits. Further requests must be refused at once and not held.
 func TestRefusalWhenAllEndpointsAreRateLimited(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		const end = 20 * time.Second
--- a/peridotpath/relay/relay_test.go
+++ b/peridotpath/relay/relay_test.go
@@ -342,7 +342,7 @@
 	})
 }
 
-// Guards against more retries than an instance's share of the fleet's budget.
+// An instance must not make more retries than its share of the fleet's budget.
 func TestRetryBudget(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -361,8 +361,8 @@
 	is.True(budget.TakeRetry("llm", now.Add(11*time.Second))) // the slack is available again
 }
 
-// All endpoints refuse all requests. Callers receive refusals with a retry delay, and the
-// attempts stay within the retry budget.
+// All endpoints refuse all requests. Callers must receive refusals with a retry delay, and
+// the attempts must stay within the retry budget.
 func TestRetryBudgetUnderRefusals(t *testing.T) {
 	is := is.New(t)
 	calls := 0
--- a/peridotpath/relay/start.go
+++ b/peridotpath/relay/start.go
@@ -14,9 +14,9 @@
 
 // awaitRouting holds a request while a starting instance loads its routing.
 //
-// It matters in the second after an outage of all instances: every caller whose request
-// was cut retries at once, and mostly only once. A refusal at that moment loses most of
-// these requests, though the routing is loaded half a second later.
+// It matters in the second after an outage of all instances: every caller whose request was
+// cut retries at once, and most callers retry only once. A refusal at that moment loses
+// most of these requests, though the routing is loaded half a second later.
 func (relay *Relay) awaitRouting(ctx context.Context, request *Request) {
 	awaitClosed(ctx, relay.RoutingReady, startHoldLimit(request))
 }
