--- a/peridotpath/throttle/throttle.go
+++ b/peridotpath/throttle/throttle.go
@@ -51,7 +51,7 @@
 type bucket struct {
 	rate peridotpath.Rate
 	// tokens is the number of requests that may be sent now. It is negative after other
-	// instances sent at the same time.
+	// instances have sent requests at the same time.
 	tokens              float64
 	createdAt, filledAt time.Time
 	// ownSent is the number of requests that this instance has sent, and peerSent the
@@ -67,8 +67,8 @@
 
 // RecordLimit records the limit that an endpoint reported in a response.
 func (throttle *Throttle) RecordLimit(endpoint *peridotpath.Endpoint, limit peridotpath.Rate, now time.Time) {
-	before, known := throttle.limit(endpoint.Key(), now)
-	if !known || before != limit {
+	before, found := throttle.limit(endpoint.Key(), now)
+	if !found || before != limit {
 		throttle.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("limit", float64(limit)).Float64("before", float64(before)).Msg("limit_changed")
 	}
 	throttle.publishLimit(endpoint.Key(), limit, now)
@@ -80,8 +80,8 @@
 	if throttle.HasNoLimits() {
 		return
 	}
-	reported, known := throttle.Facts.Get(facts.KindRateLimit, facts.EndpointSubject(endpoint.Key()), 0, now)
-	if !known || peridotpath.Rate(reported.Value) >= noLimit || !sentAt.After(reported.ObservedAt) {
+	reported, found := throttle.Facts.Get(facts.KindRateLimit, facts.EndpointSubject(endpoint.Key()), 0, now)
+	if !found || peridotpath.Rate(reported.Value) >= noLimit || !sentAt.After(reported.ObservedAt) {
 		return
 	}
 	throttle.Log.Info().Str("endpoint", string(endpoint.ID)).Float64("before", reported.Value).Msg("limit_ended")
@@ -96,18 +96,18 @@
 
 // limit returns an endpoint's limit; false if it has none.
 func (throttle *Throttle) limit(endpoint peridotpath.EndpointKey, now time.Time) (peridotpath.Rate, bool) {
-	fact, known := throttle.Facts.Get(facts.KindRateLimit, facts.EndpointSubject(endpoint), 0, now)
+	fact, found := throttle.Facts.Get(facts.KindRateLimit, facts.EndpointSubject(endpoint), 0, now)
 	limit := peridotpath.Rate(fact.Value)
-	return limit, known && limit < noLimit
+	return limit, found && limit < noLimit
 }
 
 // HasNoLimits reports whether no limit of any endpoint is stored.
 func (throttle *Throttle) HasNoLimits() bool { return !throttle.Facts.Has(facts.KindRateLimit) }
 
-// TimeUntilAllowed returns the time until a request may be sent to an endpoint; zero if
-// one may be sent now; contenders is the estimated number of competing requests elsewhere
-// that have not been gossiped yet; a request is then admitted with a probability of
-// 1/(1+contenders).
+// TimeUntilAllowed returns the time until a request may be sent to an endpoint; zero if one
+// may be sent now. contenders is the estimated number of competing requests at other
+// instances that have not been gossiped yet. Where a token is left, the request is admitted
+// with a probability of 1/(1+contenders).
 func (throttle *Throttle) TimeUntilAllowed(endpoint peridotpath.EndpointKey, contenders float64, now time.Time) time.Duration {
 	throttle.mutex.Lock()
 	defer throttle.mutex.Unlock()
@@ -146,7 +146,8 @@
 	return true
 }
 
-// refilledBucket returns an endpoint's bucket, updated to now; nil if it has no limit.
+// refilledBucket returns an endpoint's bucket, updated to now; nil if the endpoint has no
+// limit.
 func (throttle *Throttle) refilledBucket(endpoint peridotpath.EndpointKey, now time.Time) *bucket {
 	limit, isLimited := throttle.limit(endpoint, now)
 	if !isLimited {
@@ -175,8 +176,8 @@
 
 // deductPeer deducts the requests that a peer has sent since its previous report.
 func (bucket *bucket) deductPeer(sent *facts.Fact) {
-	before, known := bucket.peerSent[sent.Detail]
-	if !known {
+	before, found := bucket.peerSent[sent.Detail]
+	if !found {
 		before = sent.Value
 		if sent.ObservedAt.After(bucket.createdAt) {
 			before--
--- a/peridotpath/throttle/throttle_test.go
+++ b/peridotpath/throttle/throttle_test.go
@@ -117,7 +117,8 @@
 	is.True(sent <= 21)
 }
 
-// Instances that send at the same time exceed the limit. The debt delays later requests.
+// Instances that send at the same time exceed the limit. The resulting debt in tokens
+// delays later requests.
 func TestOvershootDelaysLaterRequests(t *testing.T) {
 	is := is.New(t)
 	fleet := newFleet(4)
@@ -142,7 +143,8 @@
 	fleet.gossip()
 	is.True(first.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
 	is.True(second.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
-	// The response to a request sent before the limit was reported does not end it.
+	// A request was sent before the limit was reported. The response to it does not end the
+	// limit.
 	first.RecordNoLimit(limitedEndpoint, fleet.now.Add(-time.Second), fleet.now.Add(time.Second))
 	fleet.gossip()
 	is.True(second.TimeUntilAllowed(limitedEndpoint.Key(), 0, fleet.now) > 0)
