--- a/peridotpath/facts/facts.go
+++ b/peridotpath/facts/facts.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// merge keeps the newer of two facts with the same key, and reports whether the given
-// one was stored.
+// merge stores the fact unless a newer or duplicate fact with the same key is stored, and
+// reports whether it did. With send, the fact is scheduled for gossip.
 func (table *Table) merge(fact Fact, send bool) bool {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
@@ -284,8 +284,8 @@
 }
 
 // TakeDue returns the facts to send now and counts them as sent: those sent least often
-// first, then the newest. With resend, it includes facts of the periodically repeated
-// kinds that were sent before. Expired facts are removed.
+// first, then the newest. With resend, it includes facts of the periodically repeated kinds
+// that were sent before. TakeDue also removes expired facts.
 func (table *Table) TakeDue(now time.Time, resend bool) []Fact {
 	table.mutex.Lock()
 	defer table.mutex.Unlock()
--- a/peridotpath/facts/facts_test.go
+++ b/peridotpath/facts/facts_test.go
@@ -13,8 +13,8 @@
 	return facts.Fact{Kind: kind, Subject: facts.Subject{subject}, ObservedAt: at}
 }
 
-// A fact is sent five times, so that a lost datagram does not lose it. After that only
-// the periodically repeated kinds are sent.
+// A fact is sent five times, so that a lost datagram does not lose it. After that, only
+// facts of the periodically repeated kinds are sent.
 func TestFactIsSentABoundedNumberOfTimes(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
@@ -67,8 +67,8 @@
 	is.Equal(stored(), 120.0)
 }
 
-// A caller that sends many different crashing requests neither exhausts memory nor evicts
-// facts of other kinds.
+// A caller that sends many different crashing requests must neither exhaust memory nor
+// evict facts of other kinds.
 func TestTableIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
