--- a/peridotpath/pace/pace.go
+++ b/peridotpath/pace/pace.go
@@ -137,7 +137,7 @@
 // claimProbe reports whether a probe of the engine is due, and records it as started. None
 // is due within probeInterval of the last probe by this or any other instance.
 func (prober *Prober) claimProbe(key peridotpath.EndpointKey, now time.Time) bool {
-	if fact, known := prober.Facts.Get(facts.KindSlowdown, facts.EndpointSubject(key), uint64(key), now); known && now.Sub(fact.ObservedAt) < probeInterval {
+	if fact, found := prober.Facts.Get(facts.KindSlowdown, facts.EndpointSubject(key), uint64(key), now); found && now.Sub(fact.ObservedAt) < probeInterval {
 		return false
 	}
 	prober.mutex.Lock()
--- a/peridotpath/pace/pace_test.go
+++ b/peridotpath/pace/pace_test.go
@@ -74,8 +74,9 @@
 	})
 }
 
-// Many requests are overdue at the same engines. Each engine is probed once, a slow one
-// repeatedly until it has recovered. No engine is probed while nothing is overdue.
+// Many requests are overdue at the same engines. Each engine must be probed once, and a
+// slow one repeatedly until it has recovered. No engine may be probed while no request is
+// overdue.
 func TestOverdueEnginesAreProbed(t *testing.T) {
 	withProber(t, true, func(is *is.I, engines *fakeEngines, prober *pace.Prober) {
 		engines.set("engine-0", 1)
@@ -103,7 +104,7 @@
 	})
 }
 
-// The slowdown of an engine that another instance owns expires when that instance stops
+// The slowdown of an engine that another instance owns must expire when that instance stops
 // reporting it.
 func TestSlowdownExpiresWithoutReports(t *testing.T) {
 	withProber(t, false, func(is *is.I, engines *fakeEngines, prober *pace.Prober) {
@@ -117,7 +118,8 @@
 	})
 }
 
-// Overdue requests are reported faster than probes run. Reports do not block the request.
+// Overdue requests are reported faster than probes run. A report must not block the request
+// that makes it.
 func TestReportingOverdueEnginesNeverBlocks(t *testing.T) {
 	is := is.New(t)
 	prober := &pace.Prober{Facts: &facts.Table{}, Log: zerolog.Nop()}
