--- a/peridotpath/reservation/manager.go
+++ b/peridotpath/reservation/manager.go
@@ -1,8 +1,9 @@
-// Package reservation reserves KV cache on engines for prompts whose KV cache is split
-// over several of them, because no engine can hold it alone. It acquires all parts or
-// none, which avoids deadlock between prompts under memory pressure. Reservations are
-// leases: they are renewed while in use and expire by their TTL when the instance crashes.
-// Releases are repeated while an earlier call without an answer may still take effect.
+// Package reservation reserves KV cache on engines for prompts whose KV cache is split over
+// several of them, because no engine can hold it alone. It acquires all parts or none,
+// which avoids deadlock between prompts under memory pressure. Reservations are leases:
+// they are renewed while in use and expire by their TTL when the instance crashes. A
+// release is repeated as long as an earlier unanswered call to reserve may still take
+// effect.
 package reservation
 
 import (
@@ -240,13 +241,13 @@
 }
 
 // release ends one reservation. If the outcome of an earlier call is unknown, the release
-// is repeated, since that call may take effect after this one.
+// is repeated, since the earlier call may take effect after this release.
 func (manager *Manager) release(ctx context.Context, release *pendingRelease) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := manager.Release(ctx, release.reservation.Request.Endpoint, release.reservation.ID)
 	if err != nil {
-		// The release is repeated, and logged when it expires without success.
+		// releaseDue repeats the release, and logs it when it expires without success.
 		return
 	}
 	if release.reservation.outcomeUnknown.Load() {
--- a/peridotpath/reservation/manager_test.go
+++ b/peridotpath/reservation/manager_test.go
@@ -129,8 +129,9 @@
 	}
 }
 
-// A prefill takes twelve seconds, longer than the TTL of a reservation. Renewals keep the
-// memory reserved, and it is free within 100 ms of the end.
+// A prefill takes twelve seconds, longer than the TTL of a reservation. Renewals must keep
+// the memory reserved until the prefill ends, and the memory must be free within 100 ms of
+// that.
 func TestRenewedWhileInUse(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -150,8 +151,8 @@
 	})
 }
 
-// One of two engines has too little memory. The reservation on the other is released:
-// two prompts that each kept a part would deadlock.
+// One of two engines has too little memory. The reservation on the other engine must be
+// released: two prompts that each kept a part would deadlock.
 func TestAllOrNothing(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -169,7 +170,8 @@
 }
 
 // A call to reserve times out and takes effect eight seconds later, long after the request
-// was sent elsewhere. Unless it is released then, the memory stays reserved but unused.
+// was sent elsewhere. If the reservation is not released after that, the memory stays
+// reserved but unused.
 func TestReservationThatTakesEffectLate(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -193,7 +195,7 @@
 	})
 }
 
-// After an instance crashes nothing is renewed, and the memory is free within four
+// After an instance crashes nothing is renewed, and the memory must be free within four
 // seconds of its last use.
 func TestInstanceCrash(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
@@ -210,8 +212,8 @@
 	})
 }
 
-// For any sequence of reservations, releases and delayed calls, all memory is free within
-// the window for late effects and one TTL, and no id is used twice.
+// For any sequence of reservations, releases and delayed calls, all memory must be free
+// within the window for late effects and one TTL, and no id may be used twice.
 func TestEveryReservationEnds(t *testing.T) {
 	soak.Check(t, 1, func(random *rapid.T) {
 		delays := rapid.SliceOfN(rapid.IntRange(0, 12), 40, 40).Draw(random, "delays")
