--- a/peridotpath/cell/cell.go
+++ b/peridotpath/cell/cell.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// maxInstancesPerCell bounds the mean number of instances in a cell: each receives
-	// every request of its cell.
+	// maxInstancesPerCell bounds the mean number of instances in a cell: each instance
+	// receives reports of every in-flight request of its cell.
 	maxInstancesPerCell = 100
 	// minEndpointsPerCell is the minimum mean number of a service's endpoints in a cell.
 	// Cells share the endpoints of a smaller service. The prefill of a prompt is split
