--- a/peridotpath/clock/poll_schedule.go
+++ b/peridotpath/clock/poll_schedule.go
@@ -20,7 +20,7 @@
 	// MinInterval is the minimum time between two polls, regardless of the age and of wakes.
 	MinInterval time.Duration
 	// PrecedingPeers returns how many nearby instances poll before this one; nil for a
-	// random order. HasData reports whether valid data was read yet; nil means that it was.
+	// random order. HasData reports whether valid data has been read; nil means true.
 	// PrecedingPeers is required if HasData is set.
 	PrecedingPeers func() int
 	HasData        func() bool
@@ -46,10 +46,11 @@
 // its result: the transfer of a whole routing over a small machine's link and to a peer.
 const firstPollTime = 300 * time.Millisecond
 
-// firstPollDelay returns the delay before a poll while no valid data was read yet. Hundreds of
-// instances that start at once would saturate the store's link with the same reply for each
-// of them, which delays all of them by a second. With staggered polls, the first
-// instance of each location reads the data and shares it, which ends the others' delays.
+// firstPollDelay returns the delay before a poll until valid data has been read. Without
+// it, hundreds of instances that start at once would saturate the store's link with the
+// same reply for each instance, which delays all replies by a second. With staggered polls,
+// the first instance of each location reads the data and shares it, which ends the others'
+// delays.
 func (schedule *PollSchedule) firstPollDelay() time.Duration {
 	if schedule.HasData == nil || schedule.HasData() {
 		return 0
@@ -102,7 +103,8 @@
 const retryDelayPerInstance = 60 * time.Millisecond
 
 // WaitAfterFailure waits after a failed poll and returns false if ctx ends first. A wake
-// ends it: the service may be unreachable only from here while a peer has newer data.
+// ends the wait: the service may be unreachable only from this instance, while a peer has
+// newer data.
 func (schedule *PollSchedule) WaitAfterFailure(ctx context.Context) bool {
 	delay := schedule.RetryDelay
 	if schedule.PeerCount != nil {
@@ -112,8 +114,8 @@
 }
 
 // sleepJittered waits for the duration, with jitter of up to half of it so that instances
-// do not poll in step, and returns false if ctx ends first. A wake ends it, and also the
-// next WaitUntilDue.
+// do not poll in step, and returns false if ctx ends first. A wake ends the wait, and also
+// the next WaitUntilDue.
 func (schedule *PollSchedule) sleepJittered(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(time.Duration((0.5 + rand.Float64()) * float64(delay)))
 	defer timer.Stop()
--- a/peridotpath/clock/poll_schedule_test.go
+++ b/peridotpath/clock/poll_schedule_test.go
@@ -12,8 +12,8 @@
 	"peridotpath.example/peridotpath/internal/virtual"
 )
 
-// Eight instances share the data that they read. Together they poll hardly more often than
-// one instance alone.
+// Eight instances share the data that they read. Together they must poll hardly more often
+// than one instance alone.
 func TestInstancesSharePolls(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -57,9 +57,9 @@
 	})
 }
 
-// Eighty instances start together, seconds before any data is written. Guards against each
-// polling ten times a second: a poll without data is followed by a longer delay, which data
-// from a peer ends.
+// Eighty instances start together, seconds before any data is written. Without a delay
+// after an empty poll, each would poll ten times a second. A poll without data must be
+// followed by a longer delay, which data from a peer ends.
 func TestDelayAfterPollWithoutData(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -89,9 +89,9 @@
 	})
 }
 
-// One of many instances cannot reach the store and backs off for seconds. Guards against an
-// instance that keeps an outdated configuration until the end of the delay although a peer
-// has sent a newer one.
+// One of many instances cannot reach the store and backs off for seconds. A peer sends a
+// newer configuration meanwhile. This must end the delay, or the instance would keep the
+// outdated configuration until its end.
 func TestWakeEndsRetryDelay(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -124,8 +124,8 @@
 	}
 }
 
-// All instances start at once and have no data. Those later in the order wait for data from
-// the first one, and poll themselves if it does not arrive.
+// All instances start at once and have no data. Instances later in the order must wait for
+// data from the first one, and poll themselves if the data does not arrive.
 func TestFirstPollIsStaggered(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		for _, test := range []struct {
--- a/peridotpath/clock/signal.go
+++ b/peridotpath/clock/signal.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// Signal wakes one waiting goroutine. Signals that are raised before it wakes are merged
-// into one.
+// Signal wakes one waiting goroutine. Signals that are raised before the goroutine wakes
+// are merged into one.
 type Signal struct {
 	once    sync.Once
 	pending chan struct{}
