--- a/peridotpath/relay/crashing_endpoints_test.go
+++ b/peridotpath/relay/crashing_endpoints_test.go
@@ -26,7 +26,7 @@
 	eventInterval = 80 * time.Millisecond
 )
 
-// crashingEndpoints are endpoints that crash on some bodies, or when the test ends them.
+// crashingEndpoints are endpoints that crash on some bodies, or when the test calls crash.
 type crashingEndpoints struct {
 	// crashes reports whether a body crashes endpoints.
 	crashes func(body string) bool
--- a/peridotpath/relay/relay_test.go
+++ b/peridotpath/relay/relay_test.go
@@ -142,10 +142,10 @@
 		{name: "misdirected", route: "save", steps: []step{answer(421, "", func(answer *relay.Answer) { answer.Misdirected, answer.NotRun = true, true }), answer(200, "done", nil)}, status: 200, body: "done", calls: 2},
 		{name: "stream", route: "short", steps: []step{answer(200, events12+events34, nil)}, status: 200, body: events12 + events34, calls: 1},
 		// The endpoint crashes within an event: the partial event is dropped, and the
-		// stream resumes at another endpoint after the last whole one.
+		// stream resumes at another endpoint after the last whole event.
 		{name: "stream resumes at another endpoint", route: "short", steps: []step{cutAnswer(events12 + "id: 3\nda"), answer(200, events34, nil)}, status: 200, body: events12 + events34, calls: 2},
 		{name: "stream cut twice", route: "short", steps: []step{cutAnswer(events12), cutAnswer("")}, status: 200, body: events12, calls: 2, aborted: true},
-		// The connection is closed regularly, but within an event.
+		// The connection is closed without an error, but within an event.
 		{name: "stream ends within an event", route: "short", steps: []step{answer(200, events12+"id: 3\nda", nil), answer(200, events34, nil)}, status: 200, body: events12 + events34, calls: 2},
 		{name: "empty stream is no answer", route: "short", steps: []step{answer(200, "", nil), answer(200, events12, nil)}, status: 200, body: events12, calls: 2},
 	}
@@ -184,6 +184,7 @@
 }
 
 // A caller reconnects after a connection failure with the id of the last event it received.
+// The stream must continue after that event.
 func TestCallerResumes(t *testing.T) {
 	is := is.New(t)
 	script := &script{steps: []step{answer(200, events34, nil)}}
@@ -269,8 +270,8 @@
 	is.Equal(outcome.status, http.StatusServiceUnavailable)
 }
 
-// An endpoint never answers. At the deadline the caller receives a result, and the call to
-// the endpoint is cancelled.
+// An endpoint never answers. At the deadline the caller must receive a result, and the call
+// to the endpoint must be cancelled.
 func TestDeadline(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -284,7 +285,7 @@
 	})
 }
 
-// The caller disconnects: the call to the endpoint is cancelled and not retried.
+// The caller disconnects. The call to the endpoint must be cancelled and not retried.
 func TestCallerDisconnects(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -299,8 +300,9 @@
 }
 
 // An engine that shares prompts with others becomes unreachable, and all requests at those
-// engines stall for a second and a half. A timeout of 1.4 s would cancel these streams and
-// prefill all of them again on other engines at the same moment.
+// engines stall for a second and a half. The requests must not be cancelled: a timeout of
+// 1.4 s would cancel these streams, and all their prompts would be prefilled again on other
+// engines at the same moment.
 func TestShortStallIsTolerated(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -312,8 +314,8 @@
 	})
 }
 
-// A stream that stalls for longer resumes at another endpoint before the client timeout of
-// two seconds.
+// A stream stalls for longer than engines stall for each other. It must resume at another
+// endpoint before the client timeout of two seconds.
 func TestStalledStreamFailsOver(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/relay/slow_test.go
+++ b/peridotpath/relay/slow_test.go
@@ -54,9 +54,9 @@
 }
 
 // Long prompts arrive at nearly three times their usual rate, and eight of 45 engines turn
-// slow. Split across a third of the engines, every prompt has a part on a slow engine if
-// these are not avoided: the parts queue up there, and within seconds every prompt waits for
-// them.
+// slow. Each prompt is split across a third of the engines. If the slow engines are not
+// avoided, every prompt has a part on one of them: the parts queue up there, and within
+// seconds every prompt waits for the slow engines.
 func TestLongPromptsAmongSlowEngines(t *testing.T) {
 	const seeds, instances, engineCount, lag = 3, 20, 45, 25 * time.Millisecond
 	var short, long float64
--- a/peridotpath/relay/start_test.go
+++ b/peridotpath/relay/start_test.go
@@ -16,8 +16,8 @@
 )
 
 // All instances restart after a power failure, and callers retry at once and only once. A
-// refusal while the routing is loaded loses these requests: they are held until it is
-// loaded, and refused if it is not loaded in time.
+// refusal while the routing is still being loaded loses these requests. They must be held
+// until the routing is loaded, and refused if it is not loaded in time.
 func TestRequestDuringStart(t *testing.T) {
 	const never = 24 * time.Hour
 	tests := map[string]struct {
@@ -72,8 +72,8 @@
 }
 
 // An instance starts and receives the routing from its peers, but no endpoints. A short
-// request is refused while its caller still has time for a retry at another instance, and a
-// quarantined one at once.
+// request must be refused while its caller still has time for a retry at another instance,
+// and a quarantined one at once.
 func TestRequestBeforeEndpointsAreLoaded(t *testing.T) {
 	tests := map[string]struct {
 		route       string
