--- a/peridotpath/config.go
+++ b/peridotpath/config.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// ReplaceProfiles returns an indexed copy with other profiles. The copy shares the
-// customers' lookup table with config.
+// ReplaceProfiles returns an indexed copy of config with the given profiles. The copy
+// shares the customers' lookup table with config.
 func (config *Config) ReplaceProfiles(profiles []Profile) *Config {
 	next := *config
 	next.Profiles = profiles
@@ -82,10 +82,10 @@
 	return &next
 }
 
-// ReplaceCustomers returns an indexed copy without the customers of before and with those
-// of after. Its cost depends on the two lists and not on the number of customers, so
-// Customers, the plain list, is nil in the copy. Each customer must be allocated
-// separately, because the index keeps pointers into both lists.
+// ReplaceCustomers returns an indexed copy of config without the customers of before and
+// with those of after. Its cost depends on the two lists and not on the number of
+// customers, so Customers, the plain list, is nil in the copy. Each customer must be
+// allocated separately, because the index keeps pointers into both lists.
 func (config *Config) ReplaceCustomers(before, after []*Customer) *Config {
 	next := *config
 	next.Customers = nil
--- a/peridotpath/customer_index.go
+++ b/peridotpath/customer_index.go
@@ -27,10 +27,10 @@
 	return int(first)
 }
 
-// compareByKey orders by key and then by id. Two customers can temporarily have the same
-// key when two operators add it to different documents at the same time, which a
-// compare-and-swap of one document cannot prevent. Every instance then resolves the key
-// to the lower id, in whichever order the documents arrive.
+// compareByKey orders customers by hashed key and then by id. Two customers can temporarily
+// have the same key when two operators add the key to different documents at the same time,
+// which a compare-and-swap of one document cannot prevent. Every instance then resolves the
+// key to the lower id, in whichever order the documents arrive.
 func compareByKey(a, b *Customer) int {
 	if order := strings.Compare(a.KeySHA256, b.KeySHA256); order != 0 {
 		return order
@@ -92,7 +92,8 @@
 	return buckets
 }
 
-// rebuild returns a copy of one bucket without before and with after.
+// rebuild returns a copy of one bucket without the customers of before and with those of
+// after.
 func rebuild(current []*Customer, bucket int, before, after []*Customer) []*Customer {
 	removed := make(map[CustomerID]bool, len(before))
 	for _, customer := range before {
--- a/peridotpath/customer_index_test.go
+++ b/peridotpath/customer_index_test.go
@@ -27,9 +27,9 @@
 	return customers
 }
 
-// An index that is updated document by document finds the same customers as one built from
-// all customers, also where two customers have the same key. Earlier indexes keep their
-// results.
+// An index that is updated document by document must find the same customers as one built
+// from all customers, also where two customers have the same key. Indexes from before an
+// update must keep their results.
 func TestReplaceCustomersMatchesIndex(t *testing.T) {
 	soak.Check(t, 3, func(t *rapid.T) {
 		config := &peridotpath.Config{}
--- a/peridotpath/result.go
+++ b/peridotpath/result.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Code is a result code that clients receive. Codes are stable: clients and alerts match
-// on them. A test checks that docs/CODES.md lists them as they are here. 1xxx are client
-// errors, 2xxx limits, 3xxx endpoint failures, 4xxx outcomes of an attempt, 5xxx failures
-// of the platform or of this system.
+// Code is a result code that clients receive. Codes are stable: clients and alerts match on
+// them. A test checks that docs/CODES.md lists each code with the properties that it has
+// here. 1xxx are client errors, 2xxx limits, 3xxx endpoint failures, 4xxx outcomes of an
+// attempt, 5xxx failures of the platform or of this system.
 type Code int
 
 // The codes.
--- a/peridotpath/result_test.go
+++ b/peridotpath/result_test.go
@@ -50,8 +50,8 @@
 }
 
 // TestRequestsThatMayHaveRunAreNotRetried checks the statuses against common client
-// libraries, which retry on 408, 409, 429 and 5xx. With status 502 for an unknown outcome
-// a library retried a request that had run, and it ran twice.
+// libraries, which retry on 408, 409, 429 and 5xx. With status 502 for an unknown outcome a
+// library retried a request that had run, and the request ran twice.
 func TestRequestsThatMayHaveRunAreNotRetried(t *testing.T) {
 	for _, code := range []peridotpath.Code{peridotpath.CodeOutcomeUnknown, peridotpath.CodeAnswerGone, peridotpath.CodeKeyReused} {
 		status := code.Status()
--- a/peridotpath/route.go
+++ b/peridotpath/route.go
@@ -95,7 +95,7 @@
 // KeyHolder is the Customer that an API key authenticates.
 type KeyHolder struct {
 	Customer CustomerID
-	// Priority overrides that of the route where HasPriority is set.
+	// Priority overrides the route's priority where HasPriority is set.
 	Priority    int
 	HasPriority bool
 }
