--- a/peridotpath/relay/relay_test.go
+++ b/peridotpath/relay/relay_test.go
@@ -209,7 +209,7 @@
 			fixture.clock += 2 * time.Second
 			request.Key = "other"
 		}, peridotpath.CodeNotReady},
-		// The key may have been revoked since.
+		// The key may have been revoked since the routing was last confirmed.
 		{"key, routing too old", "save", func(fixture *fixture, _ *relay.Request) { fixture.clock += 2 * time.Hour }, peridotpath.CodePlatformDown},
 		{"no endpoint", "save", func(fixture *fixture, _ *relay.Request) {
 			fixture.directory.Apply(nil, fixture.routing.Now())
@@ -314,8 +314,8 @@
 	})
 }
 
-// A stream stalls for longer than engines stall for each other. It must resume at another
-// endpoint before the client timeout of two seconds.
+// A stream stalls for longer than Relay.EngineStallTime. It must resume at another endpoint
+// before the client timeout of two seconds.
 func TestStalledStreamFailsOver(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
