--- a/peridotpath/placement/plain.go
+++ b/peridotpath/placement/plain.go
@@ -24,7 +24,7 @@
 			cost += remoteCost
 		}
 		if !found || cost < best.Cost {
-			best, found = Plan{Writer: candidate.Endpoint, Cost: cost}, true
+			best, found = Plan{Primary: candidate.Endpoint, Cost: cost}, true
 		}
 	}
 	return best, found
--- a/peridotpath/placement/plan.go
+++ b/peridotpath/placement/plan.go
@@ -51,9 +51,9 @@
 
 // Plan is the placement of a request.
 type Plan struct {
-	// Writer is the primary: it prefills the first part of the prompt and decodes
+	// Primary is the primary: it prefills the first part of the prompt and decodes
 	// the answer.
-	Writer *peridotpath.Endpoint
+	Primary *peridotpath.Endpoint
 	// Helpers prefill the other parts.
 	Helpers []*peridotpath.Endpoint
 	// HelperReservations is the KV cache to reserve at helpers, in their order, where the
@@ -76,7 +76,7 @@
 // InFlight returns the in-flight request that results from the plan.
 func (plan *Plan) InFlight(work Work, now time.Time) InFlight {
 	parts := make([]PrefillPart, 0, 1+len(plan.Helpers))
-	parts = append(parts, PrefillPart{Endpoint: plan.Writer.Key(), PrefillTime: plan.PrefillTime, ReservedKV: plan.PrimaryKV})
+	parts = append(parts, PrefillPart{Endpoint: plan.Primary.Key(), PrefillTime: plan.PrefillTime, ReservedKV: plan.PrimaryKV})
 	for i, helper := range plan.Helpers {
 		part := PrefillPart{Endpoint: helper.Key(), PrefillTime: plan.PrefillTime}
 		if i < len(plan.HelperReservations) {
@@ -292,7 +292,7 @@
 	}
 	firstEvent := prefillDelay + partPrefill + primary.load.slowed(model.IterationTime(primary.load.Decoding+1, primary.load.Context+work.PromptTokens))
 	firstEvent += primary.slotWait(model, work)
-	plan := Plan{Writer: primary.Endpoint, PrefillTime: partPrefill, TimeToFirstEvent: firstEvent, PrefillDelay: prefillDelay, InterferenceCost: interference}
+	plan := Plan{Primary: primary.Endpoint, PrefillTime: partPrefill, TimeToFirstEvent: firstEvent, PrefillDelay: prefillDelay, InterferenceCost: interference}
 	value := PromptValue(work.PromptTokens)
 	plan.Cost = interference + value*(ttftCost(work.Waited+firstEvent, work.TTFTTarget)+itlRiskCost(work, primary))
 	plan.Cost += engineCost(work, primary) * value
--- a/peridotpath/placement/plan_test.go
+++ b/peridotpath/placement/plan_test.go
@@ -92,7 +92,7 @@
 	}
 	plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.Snapshot(time.Now()))
 	is.True(found)
-	is.Equal(plan.Writer.ID, all[3].Endpoint.ID)
+	is.Equal(plan.Primary.ID, all[3].Endpoint.ID)
 	is.Equal(len(plan.Helpers), 0)
 }
 
@@ -112,9 +112,9 @@
 	for range 8 {
 		plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.Snapshot(time.Now()))
 		is.True(found)
-		used[plan.Writer.ID]++
+		used[plan.Primary.ID]++
 		for _, candidate := range all {
-			if candidate.Endpoint.ID == plan.Writer.ID {
+			if candidate.Endpoint.ID == plan.Primary.ID {
 				addDecoding(tracker, candidate)
 			}
 		}
@@ -136,7 +136,7 @@
 	plan, found := placement.PlanPrompt(model, longWork(210_000), all, tracker.Snapshot(time.Now()))
 	is.True(found)
 	is.Equal(len(plan.Helpers), 4)
-	for _, endpoint := range append(plan.Helpers, plan.Writer) {
+	for _, endpoint := range append(plan.Helpers, plan.Primary) {
 		is.True(!busy[endpoint.ID])
 	}
 	is.Equal(plan.InterferenceCost, 0.0)
@@ -170,11 +170,11 @@
 	all[0].IsEjected, all[1].IsEjected = true, true
 	snapshot := tracker.Snapshot(time.Now())
 	plan, _ := placement.PlanPrompt(model, shortWork(), all, snapshot)
-	is.Equal(plan.Writer.ID, all[2].Endpoint.ID)
+	is.Equal(plan.Primary.ID, all[2].Endpoint.ID)
 	plan, _ = placement.PlanPlain(shortWork(), all, snapshot)
-	is.Equal(plan.Writer.ID, all[2].Endpoint.ID)
+	is.Equal(plan.Primary.ID, all[2].Endpoint.ID)
 	plan, found := placement.PlanPrompt(model, shortWork(), all[:2], snapshot)
-	is.True(found && plan.Writer != nil) // an ejected endpoint is used when there is no other
+	is.True(found && plan.Primary != nil) // an ejected endpoint is used when there is no other
 	plan, _ = placement.PlanPrompt(model, longWork(210_000), all, snapshot)
 	is.Equal(len(plan.Helpers), 0) // an unreachable helper would delay the whole prefill
 }
@@ -189,7 +189,7 @@
 	}
 	plan, found := placement.PlanPlain(placement.Work{DataCentre: "a"}, all, tracker.Snapshot(time.Now()))
 	is.True(found)
-	is.Equal(plan.Writer.ID, all[1].Endpoint.ID)
+	is.Equal(plan.Primary.ID, all[1].Endpoint.ID)
 	for range 20 {
 		for _, candidate := range all {
 			addDecoding(tracker, candidate)
@@ -327,7 +327,7 @@
 	work.ClientTimeout = 1600 * time.Millisecond
 	plan, found := placement.PlanPrompt(model, work, all, tracker.Snapshot(time.Now()))
 	is.True(found)
-	is.Equal(plan.Writer.ID, all[1].Endpoint.ID)
+	is.Equal(plan.Primary.ID, all[1].Endpoint.ID)
 	is.True(plan.TimeToFirstEvent <= work.ClientTimeout)
 	// Without a plan that starts before the client timeout, PlanPrompt finds none.
 	_, found = placement.PlanPrompt(model, work, all[:1], tracker.Snapshot(time.Now()))
@@ -350,14 +350,14 @@
 	}
 	plan, found := placement.PlanPrompt(model, shortWork(), all, tracker.Snapshot(time.Now()))
 	is.True(found)
-	is.Equal(plan.Writer.ID, all[1].Endpoint.ID)
+	is.Equal(plan.Primary.ID, all[1].Endpoint.ID)
 	// When the slots of that engine are taken, another is used.
 	for range 6 {
 		addDecoding(tracker, all[1])
 	}
 	plan, found = placement.PlanPrompt(model, shortWork(), all, tracker.Snapshot(time.Now()))
 	is.True(found)
-	is.Equal(plan.Writer.ID, all[0].Endpoint.ID)
+	is.Equal(plan.Primary.ID, all[0].Endpoint.ID)
 }
 
 // All instances have restarted, no request is decoding, and all clients reconnect, one of
@@ -381,7 +381,7 @@
 	now := sent.Add(time.Second)
 	plan, found := placement.PlanPrompt(model, longWork(300_000), all, tracker.Snapshot(now.Add(-time.Millisecond)))
 	is.True(found)
-	prefilling := map[peridotpath.EndpointID]bool{plan.Writer.ID: true}
+	prefilling := map[peridotpath.EndpointID]bool{plan.Primary.ID: true}
 	for _, helper := range plan.Helpers {
 		prefilling[helper.ID] = true
 	}
--- a/peridotpath/relay/attempt.go
+++ b/peridotpath/relay/attempt.go
@@ -111,7 +111,7 @@
 
 func (exchange *exchange) newCall(now time.Time, reservations []*reservation.Reservation) *Call {
 	call := &Call{
-		Request: exchange.request, Endpoint: exchange.plan.Writer, Customer: exchange.customer,
+		Request: exchange.request, Endpoint: exchange.plan.Primary, Customer: exchange.customer,
 		TimeLeft: exchange.deadline.Sub(now), Priority: enginePriority(exchange.route, exchange.priority), LastEventID: exchange.lastEventID,
 	}
 	for i, endpoint := range exchange.plan.Helpers {
@@ -185,7 +185,7 @@
 	overdueAfter := time.Duration(overdueFactor*float64(plan.TimeToFirstEvent)) + overdueMargin
 	return time.AfterFunc(overdueAfter, func() {
 		if exchange.relay.LoadTracker.AwaitsFirstEvent(inFlight) {
-			exchange.relay.OnOverdueFirstEvent(append([]*peridotpath.Endpoint{plan.Writer}, plan.Helpers...)...)
+			exchange.relay.OnOverdueFirstEvent(append([]*peridotpath.Endpoint{plan.Primary}, plan.Helpers...)...)
 		}
 	})
 }
@@ -223,7 +223,7 @@
 		if errors.Is(err, io.EOF) && received > 0 {
 			exchange.beginStream(answer)
 			exchange.caller.End()
-			exchange.relay.LoadTracker.ClearEjection(exchange.plan.Writer.Key())
+			exchange.relay.LoadTracker.ClearEjection(exchange.plan.Primary.Key())
 			return outcomeDone, nil
 		}
 		if err != nil {
@@ -271,7 +271,7 @@
 	exchange.timeToFirstEvent = time.Since(exchange.request.ArrivedAt)
 	telemetry.RecordTimeToFirstToken(exchange.lengthClass(), exchange.timeToFirstEvent)
 	telemetry.RecordTTFTPredictionRatio(exchange.lengthClass(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
-	exchange.relay.LoadTracker.ObserveFirstEvent(exchange.plan.Writer.Key(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
+	exchange.relay.LoadTracker.ObserveFirstEvent(exchange.plan.Primary.Key(), exchange.plan.TimeToFirstEvent, time.Since(exchange.sentAt))
 }
 
 // relayWhole reads a non-streamed answer to its end before it sends the first byte, so that
@@ -288,7 +288,7 @@
 		exchange.lastFailure = &failedAnswer{answer: answer, body: body}
 		return outcomeErrored, nil
 	}
-	exchange.relay.LoadTracker.ClearEjection(exchange.plan.Writer.Key())
+	exchange.relay.LoadTracker.ClearEjection(exchange.plan.Primary.Key())
 	exchange.caller.Answer(answer.Status, answer.Header, body)
 	return outcomeDone, nil
 }
--- a/peridotpath/relay/liveness.go
+++ b/peridotpath/relay/liveness.go
@@ -45,7 +45,7 @@
 	probe := &livenessProbe{done: make(chan struct{}), stop: stop}
 	go func() {
 		defer close(probe.done)
-		probe.run(ctx, exchange.relay.Check, exchange.plan.Writer, cancel)
+		probe.run(ctx, exchange.relay.Check, exchange.plan.Primary, cancel)
 	}()
 	return probe
 }
--- a/peridotpath/relay/outcome.go
+++ b/peridotpath/relay/outcome.go
@@ -44,16 +44,16 @@
 // recordFailure logs a failed attempt and updates the state of its endpoint.
 func (exchange *exchange) recordFailure(ctx context.Context, outcome outcome, err error) {
 	telemetry.CountFailedAttempt(outcome.String())
-	crashed := outcome == outcomeBroken && exchange.relay.hasCrashed(ctx, exchange.plan.Writer)
+	crashed := outcome == outcomeBroken && exchange.relay.hasCrashed(ctx, exchange.plan.Primary)
 	exchange.relay.Log.Info().Str("request", string(exchange.request.ID)).Stringer("content", exchange.fingerprint()).
-		Str("endpoint", string(exchange.plan.Writer.ID)).Int("try", exchange.attemptCount).Bool("endpoint_gone", crashed).
+		Str("endpoint", string(exchange.plan.Primary.ID)).Int("try", exchange.attemptCount).Bool("endpoint_gone", crashed).
 		Stringer("outcome", outcome).Int("events", exchange.eventCount).Err(err).Msg("attempt_failed")
 	if outcome == outcomeNoMemory {
 		// No request was sent, and the primary did not cause the failure.
 		exchange.attemptCount--
 		return
 	}
-	now, key := time.Now(), exchange.plan.Writer.Key()
+	now, key := time.Now(), exchange.plan.Primary.Key()
 	if crashed {
 		exchange.recordCrash(now)
 	}
--- a/peridotpath/relay/quarantine.go
+++ b/peridotpath/relay/quarantine.go
@@ -75,7 +75,7 @@
 	if !exchange.decodingSince.IsZero() && now.Sub(exchange.decodingSince) > crashWindow {
 		return
 	}
-	exchange.relay.Quarantine.RecordCrash(exchange.fingerprint(), exchange.plan.Writer.Key(), now)
+	exchange.relay.Quarantine.RecordCrash(exchange.fingerprint(), exchange.plan.Primary.Key(), now)
 }
 
 // recordProgress records an event of the attempt. From crashWindow after the first event,
--- a/peridotpath/relay/rate_limit.go
+++ b/peridotpath/relay/rate_limit.go
@@ -9,7 +9,7 @@
 
 // recordRateLimit records the rate limit that the attempt's endpoint announces.
 func (exchange *exchange) recordRateLimit(answer *Answer) {
-	primary, now := exchange.plan.Writer, time.Now()
+	primary, now := exchange.plan.Primary, time.Now()
 	switch {
 	case answer.Misdirected || !answer.NotRun && !answer.MatchesRequest:
 		// Another endpoint gave the answer.
@@ -52,7 +52,7 @@
 	if exchange.relay.Throttle.HasNoLimits() {
 		return true
 	}
-	keys := []peridotpath.EndpointKey{plan.Writer.Key()}
+	keys := []peridotpath.EndpointKey{plan.Primary.Key()}
 	for _, helper := range plan.Helpers {
 		keys = append(keys, helper.Key())
 	}
--- a/peridotpath/relay/telemetry.go
+++ b/peridotpath/relay/telemetry.go
@@ -40,8 +40,8 @@
 	if exchange.prefillTime > 0 {
 		event = event.Dur("reading", exchange.prefillTime).Int("engines", exchange.engineCount)
 	}
-	if exchange.plan.Writer != nil {
-		event = event.Str("endpoint", string(exchange.plan.Writer.ID)).Int("helpers", len(exchange.plan.Helpers)).
+	if exchange.plan.Primary != nil {
+		event = event.Str("endpoint", string(exchange.plan.Primary.ID)).Int("helpers", len(exchange.plan.Helpers)).
 			Dur("predicted", exchange.plan.TimeToFirstEvent).Dur("waited", exchange.sentAt.Sub(exchange.request.ArrivedAt)).Float64("loss", exchange.plan.Cost)
 	}
 	if exchange.timeToFirstEvent > 0 {
