--- a/peridotpath/claim/answers.go
+++ b/peridotpath/claim/answers.go
@@ -6,7 +6,7 @@
 )
 
 // answerCache caches the latest answers of this process that are too large for the store.
-// Beyond a number of bytes the oldest are evicted first.
+// Beyond maxBytes it evicts the oldest answers first.
 type answerCache struct {
 	maxBytes int
 
--- a/peridotpath/claim/bounds_test.go
+++ b/peridotpath/claim/bounds_test.go
@@ -132,7 +132,7 @@
 }
 
 // The number of buckets is changed while keys are kept. Keys would be looked up in other
-// buckets, not found, and run again.
+// buckets and not found, and their requests would run again. Claims must be refused.
 func TestChangedNumberOfBucketsIsRefused(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first := fleet.start("a", 1, nil)
--- a/peridotpath/claim/bucket.go
+++ b/peridotpath/claim/bucket.go
@@ -24,10 +24,10 @@
 
 // bucket queues operations on its keys and commits each batch with one write.
 type bucket struct {
-	ledger  *Ledger
-	name    string
-	limiter *rate.Limiter
-	wake    chan struct{}
+	ledger   *Ledger
+	storeKey string
+	limiter  *rate.Limiter
+	wake     chan struct{}
 
 	mu    sync.Mutex
 	queue []*operation
@@ -58,8 +58,8 @@
 func newBucket(ledger *Ledger, number int) *bucket {
 	calls := ledger.Settings.BucketCallsPerSecond
 	return &bucket{
-		ledger: ledger, name: BucketKeyPrefix + strconv.Itoa(number),
-		limiter:    rate.NewLimiter(rate.Limit(calls), max(calls, callsPerRound)),
+		ledger: ledger, storeKey: BucketKeyPrefix + strconv.Itoa(number),
+		limiter:    rate.NewLimiter(rate.Limit(calls), max(calls, storeCallsPerRound)),
 		wake:       make(chan struct{}, 1),
 		openClaims: map[keyID]*operation{},
 		firstSeen:  map[attemptID]clock.Instant{},
@@ -167,7 +167,7 @@
 	bucket.cached = nil
 	bucket.backoff = min(max(2*bucket.backoff, minBackoff), maxBackoff)
 	bucket.retryAt = bucket.ledger.Clock.Read().Monotonic.Add(bucket.backoff)
-	bucket.ledger.Logger.Warn().Str("event", "claim_commit_failed").Str("bucket", bucket.name).
+	bucket.ledger.Logger.Warn().Str("event", "claim_commit_failed").Str("bucket", bucket.storeKey).
 		Int("operations", len(batch)).Dur("pause", bucket.backoff).Err(err).Send()
 	refusal := platformDownResult(reasonNotRecorded, max(bucket.backoff, defaultRetryAfter))
 	for _, operation := range batch {
--- a/peridotpath/claim/claim.go
+++ b/peridotpath/claim/claim.go
@@ -23,10 +23,11 @@
 
 // BeginDispatch must be called right before each time the request is sent to an endpoint.
 // If the claim's dispatch window has passed, for example because the request was queued,
-// the claim is renewed first, which takes a store call and at most the claim timeout. An error means
-// that the request must not be sent, because other callers may already have received a
-// final outcome for the key; it is a *peridotpath.Result that means "not run". The caller
-// must then call Release, or MarkUnknown if an earlier send may have run.
+// BeginDispatch first renews the claim, which takes a store call and at most the claim
+// timeout. An error means that the request must not be sent, because other callers may
+// already have received a final outcome for the key. The error is a *peridotpath.Result
+// that means "not run". The caller must then call Release, or MarkUnknown if an earlier
+// send may have run.
 //
 // A process that freezes between this check and its send can still send late.
 // docs/CLAIMS.md describes the effects.
@@ -91,8 +92,8 @@
 	return claim.recordEnd(ctx, kindFinish, claim.storedAnswer(kept))
 }
 
-// storedAnswer returns the answer in the form that is stored. It returns nil for an answer
-// that is too large for the store, and caches that in this process.
+// storedAnswer returns the answer in the form that is stored. For an answer that
+// is too large for the store it returns nil, and caches the answer in this process.
 func (claim *Claim) storedAnswer(answer *Answer) *ledgerpb.Answer {
 	ledger := claim.bucket.ledger
 	if answer.size() <= int(ledger.Settings.MaxStoredAnswer) {
@@ -113,7 +114,7 @@
 }
 
 // Release records that the request certainly did not run, so that the key can be claimed
-// again. Callers that wait for this run receive the result.
+// again. Callers that wait for the request's answer receive the result instead.
 func (claim *Claim) Release(ctx context.Context, result *peridotpath.Result) error {
 	if claim.ended.Swap(true) {
 		return Error.New("release: claim has ended")
@@ -125,7 +126,8 @@
 	return claim.recordEnd(ctx, kindRelease, nil)
 }
 
-// MarkUnknown records that the request may have run, and must never run again.
+// MarkUnknown records that the request may have run, so that the key is never granted again
+// while its record is kept.
 func (claim *Claim) MarkUnknown(ctx context.Context) error {
 	if claim.ended.Swap(true) {
 		return Error.New("mark unknown: claim has ended")
--- a/peridotpath/claim/commit.go
+++ b/peridotpath/claim/commit.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	// maxCommitRounds bounds how often one batch is decided again after another instance's
-	// write.
+	// maxCommitRounds bounds the rounds of one commit. A round decides on the batch and
+	// writes the result. Another round follows if the decision needs a newer state, the
+	// write conflicts or its reply is lost.
 	maxCommitRounds = 8
-	// callsPerRound is the number of store calls that a round takes from the bucket's rate
-	// limit.
-	callsPerRound = 2
+	// storeCallsPerRound is the maximum number of store calls of a round, a read and a write, which both
+	// count towards the bucket's limit of calls a second.
+	storeCallsPerRound = 2
 	// callTimeout bounds one store call, whatever the adapter does.
 	callTimeout = 4 * time.Second
 )
 
 // commit decides on the batch and writes the result to the store. Each round starts from
-// the newest known state; the compare-and-swap verifies a state that was cached.
+// the cached state or from a new read. If the cached state is outdated, the compare-and-swap
+// conflicts.
 //
 // A bucket that only this instance writes to is read only while no state is cached. If
 // other instances write to it, a swap on the cached state nearly always conflicts, and the
@@ -55,8 +57,8 @@
 			return
 		}
 		bucket.contended = keyvalue.ErrConflict.Has(err)
-		// Either another instance wrote, or the write's reply was lost. A read resolves
-		// both: a write that took effect in spite of its lost reply shows its attempt id.
+		// Either another instance wrote, or the write's reply was lost. A read shows which:
+		// if the write took effect, the record has its attempt id.
 		mustRead = true
 	}
 	bucket.failBatch(batch, Error.New("bucket not written in %d rounds of conflicts or lost replies", maxCommitRounds))
@@ -76,7 +78,8 @@
 	}
 }
 
-// dispatchWindowLeft returns how long the claimer may still dispatch.
+// dispatchWindowLeft returns how long the attempt's claimer may still dispatch, counted from
+// when this instance first saw the attempt.
 func (bucket *bucket) dispatchWindowLeft(attempt attemptID) time.Duration {
 	firstSeen, ok := bucket.firstSeen[attempt]
 	window := bucket.ledger.Settings.DispatchWindowMS.Duration() + clockRateMargin
@@ -88,14 +91,15 @@
 
 // read reads the bucket from the store.
 func (bucket *bucket) read(ctx context.Context) error {
-	// The rate limit is charged for the read and the write at once. A wait between them
-	// gives others time to write, and the swap then conflicts again.
-	if err := bucket.limiter.WaitN(ctx, callsPerRound); err != nil {
+	// The rate limit is charged for the read and the write at once. If the write waited for
+	// the limit after the read, other instances could write meanwhile, and the swap would
+	// conflict again.
+	if err := bucket.limiter.WaitN(ctx, storeCallsPerRound); err != nil {
 		return Error.Wrap(err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	entry, err := bucket.ledger.Store.Get(ctx, bucket.name)
+	entry, err := bucket.ledger.Store.Get(ctx, bucket.storeKey)
 	bucket.countCall("get", err)
 	if err != nil {
 		return err
@@ -130,7 +134,7 @@
 	defer cancel()
 	expectedVersion := decision.next.version
 	recordSendTime(batch, bucket.ledger.Clock.Read())
-	version, err := bucket.ledger.Store.Swap(ctx, bucket.name, expectedVersion, value, keyvalue.LeaseID{})
+	version, err := bucket.ledger.Store.Swap(ctx, bucket.storeKey, expectedVersion, value, keyvalue.LeaseID{})
 	bucket.countCall("swap", err)
 	if err != nil {
 		recordWriteFailure(batch, expectedVersion, err)
@@ -141,8 +145,8 @@
 	return nil
 }
 
-// recordSendTime records the time before the first write of each operation that may have
-// taken effect.
+// recordSendTime sets sentAt to now for operations that have none, before a write is sent.
+// recordWriteFailure clears it if no write can have taken effect.
 func recordSendTime(batch []*operation, now clock.Instant) {
 	for _, operation := range batch {
 		if operation.sentAt.Monotonic.IsZero() {
--- a/peridotpath/claim/decide.go
+++ b/peridotpath/claim/decide.go
@@ -28,8 +28,8 @@
 	body []byte
 	// customer is 32 bits of a hash of the customer.
 	customer uint32
-	// attempt is the newest attempt id. earlierAttempts are those before, which the record
-	// may still have if the reply to a renewal was lost.
+	// attempt is the newest attempt id. earlierAttempts are the ids before it; the
+	// record may still have one of them if the reply to a renewal was lost.
 	attempt         attemptID
 	earlierAttempts []attemptID
 	answer          *ledgerpb.Answer
@@ -116,8 +116,8 @@
 
 // decideRenewal gives a claim whose dispatch window has passed a new attempt id, and with
 // it a new window. An instance that was about to mark the old attempt unknown has to wait
-// for the new window. If it has already marked it, the renewal is refused and the request
-// must not be dispatched.
+// for the new window. If the record is already marked unknown, the renewal is refused and
+// the request must not be dispatched.
 func (decision *decision) decideRenewal(operation *operation, rules rules) Verdict {
 	record := decision.next.records[operation.key]
 	if record == nil || !operation.ownsRecord(record) || record.GetState() != ledgerpb.State_STATE_RUNNING {
@@ -140,9 +140,9 @@
 	record := next.records[operation.key]
 	if record == nil || !operation.ownsRecord(record) {
 		// A write without a reply can still take effect while the bucket has the version
-		// that it expected. It would then claim the key until it expires, for a request
-		// whose caller received "not run". Writing the unchanged bucket advances the
-		// version, so that the late write conflicts.
+		// that the write expected. The late write would claim the key for the whole
+		// retention time, although the caller received "not run". Writing the unchanged
+		// bucket advances the version, so that the late write conflicts.
 		return operation.kind == kindRelease && operation.writeUncertain && next.version == operation.uncertainVersion
 	}
 	switch {
@@ -177,14 +177,14 @@
 	case record == nil:
 		return decision.decideNewKey(operation, rules)
 	case attemptIDOf(record) == operation.attempt && rules.restoreWindowLeft > 0:
-		// The write took effect after the store was restored, on a value that lacks lost
-		// claims; other instances may still restore one for this key.
+		// The claim was written after the store was restored, to a value that lacks the lost
+		// claims. Another instance may still write back a lost claim of this key.
 		decision.next.remove(operation.key)
 		decision.changed = true
 		return Verdict{Status: storeRestored, RetryAfter: rules.restoreWindowLeft}
 	case attemptIDOf(record) == operation.attempt:
 		// An earlier write without a reply did take effect. If other instances have marked
-		// the outcome unknown since, that is final.
+		// the outcome unknown meanwhile, that is final.
 		if record.GetState() == ledgerpb.State_STATE_RUNNING {
 			return Verdict{Status: Granted}
 		}
--- a/peridotpath/claim/dispatch_test.go
+++ b/peridotpath/claim/dispatch_test.go
@@ -14,7 +14,7 @@
 // An instance freezes between claim and dispatch, and the membership list removes it. A
 // caller repeats at another instance, receives an unknown outcome, and sends the request
 // again under another key. If the frozen instance resumed and dispatched then, the request
-// would run twice. Its clock may also run slow.
+// would run twice. BeginDispatch must refuse, also if the frozen instance's clock runs slow.
 func TestFrozenInstanceCannotDispatchAfterResuming(t *testing.T) {
 	for name, clockRate := range map[string]time.Duration{"clocks alike": 20, "claimer's clock a twentieth slow": 19} {
 		t.Run(name, func(t *testing.T) {
@@ -42,8 +42,9 @@
 }
 
 // The machine of an instance is suspended, which stops Linux's monotonic clock; or the
-// write of the claim takes most of the dispatch window. In both cases the window has passed
-// although little of it was measured since the claim was granted.
+// write of the claim takes most of the dispatch window. In both cases
+// BeginDispatch must count the window as passed, although less than the
+// window has passed on the monotonic clock since the claim was granted.
 func TestDispatchWindowCountsFromBeforeTheWriteByEitherClock(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		var suspended clockOffset
@@ -70,9 +71,11 @@
 	})
 }
 
-// A request is queued for half a minute after its key was claimed, longer than the dispatch
-// window. It must still run. The reply to one renewal is lost; the claim's end must still
-// find its record.
+// A request is queued for half a minute after its key was claimed, which is longer than the
+// dispatch window (the time in which a claim may be dispatched). BeginDispatch must renew
+// the claim, so that the request can run. The reply to a second renewal is lost, which
+// leaves the record under the new attempt id. The release must find the record under that
+// id too, or the key would stay claimed.
 func TestQueuedClaimIsRenewed(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first, second := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
@@ -95,9 +98,9 @@
 }
 
 // An instance is wrongly removed from the membership list while its request is queued, and
-// renews its claim just before another instance would mark it unknown. That instance must
-// wait for a new window, or it would report a final outcome for a request that is about to
-// run.
+// renews its claim just before another instance would mark it unknown. The other instance
+// must wait for the renewed claim's dispatch window, or it would report a final outcome for
+// a request that is about to run.
 func TestRenewalRestartsTheDispatchWindow(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		claimer, observer := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
--- a/peridotpath/claim/doc.go
+++ b/peridotpath/claim/doc.go
@@ -5,10 +5,10 @@
 // store. A claim is a compare-and-swap on the bucket's value before the request is
 // dispatched. While a write is in progress, further claims and ends of claims queue up and
 // are committed together by the next write (group commit), so the number of store writes
-// under heavy load depends on the number of buckets and not of requests. The
-// compare-and-swap alone guarantees exclusion: any number of instances may write to a
-// bucket. Each claim carries a unique attempt id, and may be dispatched only for a limited
-// time after its write, as with a lease.
+// under heavy load depends on the number of buckets and not on that of requests.
+// The compare-and-swap alone guarantees exclusion: any number of instances may write to a
+// bucket. Each claim carries a unique attempt id. Its request may be dispatched only within
+// the dispatch window, a limited time after the claim's write, as with a lease.
 //
 // docs/CLAIMS.md describes the mechanism and the remaining race conditions.
 package claim
--- a/peridotpath/claim/era_test.go
+++ b/peridotpath/claim/era_test.go
@@ -25,8 +25,7 @@
 }
 
 // The store loses a claim, or its end, in a restore. A repeat at another instance must not
-// be granted, neither right after the restore nor once the lost
-// records are written back.
+// be granted, neither right after the restore nor once the lost records are written back.
 func TestClaimLostInARestoreIsNotGrantedAgain(t *testing.T) {
 	for name, test := range map[string]struct {
 		end  func(is *is.I, held *claim.Claim)
@@ -65,9 +64,10 @@
 	}
 }
 
-// An instance holds an older state of the bucket and writes just as the store is restored
-// to that state. It must not grant a key that another instance claimed since.
-func TestClaimWrittenDuringARestoreIsNotGranted(t *testing.T) {
+// Instance b caches a version of the bucket, instance a claims a key, and the store is
+// restored to exactly the version that b has cached. A compare-and-swap by b would succeed,
+// although the store has lost a's claim. Instance b must not grant the key.
+func TestClaimOnARestoredVersionIsNotGranted(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first, second := fleet.startWithEras("a"), fleet.startWithEras("b")
 		defer closeAll(is, second)
--- a/peridotpath/claim/fixture_test.go
+++ b/peridotpath/claim/fixture_test.go
@@ -46,7 +46,7 @@
 	instance := &instance{ended: make(chan error, 1)}
 	instance.Ledger = &claim.Ledger{
 		Store: instance.link.Store(&fleet.store), Instance: id, Incarnation: incarnation,
-		Settings: claim.Settings{Buckets: 1}, IsAlive: fleet.alive,
+		Settings: claim.Settings{Buckets: 1}, IsAlive: fleet.isAlive,
 		Logger: zerolog.Nop(), Metrics: metrics.NewSet(),
 	}
 	if change != nil {
@@ -58,7 +58,7 @@
 	return instance
 }
 
-func (fleet *fleet) alive(id peridotpath.InstanceID, incarnation peridotpath.Incarnation) bool {
+func (fleet *fleet) isAlive(id peridotpath.InstanceID, incarnation peridotpath.Incarnation) bool {
 	fleet.mu.Lock()
 	defer fleet.mu.Unlock()
 	return fleet.dead[id] < incarnation
@@ -85,8 +85,8 @@
 	fleet.dead[instance.Instance] = instance.Incarnation
 }
 
-// swaps returns the number of writes that the store received.
-func (fleet *fleet) swaps() int { return fleet.store.Calls()["swap"] }
+// swapCount returns the number of writes that the store received.
+func (fleet *fleet) swapCount() int { return fleet.store.Calls()["swap"] }
 
 func hash(body string) claim.BodyHash { return sha256.Sum256([]byte(body)) }
 
--- a/peridotpath/claim/ledger.go
+++ b/peridotpath/claim/ledger.go
@@ -26,7 +26,8 @@
 // clockRateMargin allows for monotonic clocks that run at slightly different rates.
 const clockRateMargin = time.Second
 
-// defaultRetryAfter is the Retry-After time of refusals without a better estimate.
+// defaultRetryAfter is the time in the Retry-After header of refusals without a better
+// estimate.
 const defaultRetryAfter = time.Second
 
 // BodyHash is the hash of a request's body and of everything else that must be equal when a
@@ -41,11 +42,11 @@
 	Incarnation peridotpath.Incarnation
 	Settings    Settings
 	// IsAlive reports whether the process with that incarnation of the instance may still be
-	// running. It may lag. If it wrongly returns false, a caller receives an unknown
-	// outcome; if it wrongly returns true, callers wait longer. Neither makes a request run
-	// twice.
+	// running. Its information may be outdated. If it wrongly returns false, a caller
+	// receives an unknown outcome; if it wrongly returns true, callers wait longer. Neither
+	// makes a request run twice.
 	IsAlive func(peridotpath.InstanceID, peridotpath.Incarnation) bool
-	// Clock is the source of time; the zero value reads the machine's clocks.
+	// Clock is the source of time; its zero value reads the machine's clocks.
 	Clock clock.Clock
 	// Logger receives an event for each failed commit, such as during an outage of the
 	// store.
@@ -53,16 +54,16 @@
 	// Metrics is where the counters are registered; nil means the default set.
 	Metrics *metrics.Set
 
-	once           sync.Once
-	buckets        []*bucket
-	answerCache    answerCache
-	startedAt      clock.Instant
-	lastAttempt    atomic.Uint64
-	openCount      atomic.Int64
-	closing        atomic.Bool
-	closeRequested chan struct{}
-	runStarted     atomic.Bool
-	runEnded       chan struct{}
+	once              sync.Once
+	buckets           []*bucket
+	answerCache       answerCache
+	startedAt         clock.Instant
+	lastAttemptNumber atomic.Uint64
+	openCount         atomic.Int64
+	closing           atomic.Bool
+	closeRequested    chan struct{}
+	runStarted        atomic.Bool
+	runEnded          chan struct{}
 }
 
 func (ledger *Ledger) initialise() {
@@ -72,7 +73,7 @@
 			ledger.Metrics = metrics.GetDefaultSet()
 		}
 		ledger.startedAt = ledger.Clock.Read()
-		ledger.lastAttempt.Store(rand.Uint64() >> 1)
+		ledger.lastAttemptNumber.Store(rand.Uint64() >> 1)
 		ledger.answerCache.maxBytes = int(ledger.Settings.AnswerCacheSize)
 		ledger.closeRequested, ledger.runEnded = make(chan struct{}), make(chan struct{})
 		for number := range ledger.Settings.Buckets {
@@ -208,11 +209,13 @@
 	return byMonotonic, now.Wall
 }
 
+// hasEnded reports whether the process that made the attempt has ended or no longer has the
+// claim open.
 func (ledger *Ledger) hasEnded(attempt attemptID) bool {
 	self := attemptID{instance: ledger.Instance, incarnation: ledger.Incarnation}
 	if attempt.instance == self.instance && attempt.incarnation <= self.incarnation {
-		// The claimer is an earlier process of this instance, or a claim of this process
-		// that is no longer open here.
+		// The attempt is of an earlier process of this instance, or of this process. A
+		// repeat of a key whose claim is open here joins that claim instead.
 		return true
 	}
 	return ledger.IsAlive != nil && !ledger.IsAlive(attempt.instance, attempt.incarnation)
--- a/peridotpath/claim/ledger_test.go
+++ b/peridotpath/claim/ledger_test.go
@@ -77,7 +77,8 @@
 }
 
 // An instance restarts after a kill, with a higher incarnation, before the membership list
-// has changed. The earlier process must count as dead without the list.
+// has changed. The restarted instance must treat its earlier process as dead
+// although the list still has it.
 func TestEarlierProcessOfTheInstanceIsDead(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first := fleet.start("a", 1, nil)
@@ -163,7 +164,8 @@
 }
 
 // A caller repeats a running request at the same instance, with the same and with another
-// body, and another customer uses the same key by chance.
+// body, and another customer uses the same key by chance. The repeat must receive the answer
+// of the run, the other body must be refused, and the other customer must get a claim.
 func TestRepeatsWhileRunningHere(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		instance := fleet.start("a", 1, nil)
@@ -211,7 +213,8 @@
 }
 
 // The membership list is outdated, and an instance marks the claim of a slow but live
-// instance unknown. When that one finishes, its answer must replace the unknown outcome.
+// instance unknown. When the slow instance finishes, its answer must replace the unknown
+// outcome.
 func TestFinishAfterBeingMarkedDead(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first, second := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
@@ -242,8 +245,8 @@
 	})
 }
 
-// An answer was too large to be recorded by the instance that ran the request. Repeats must
-// receive that it ran, at any instance, and must not run it again.
+// The instance that ran a request kept no answer, for example because it was too large.
+// Repeats at any instance must receive "answer gone" and must not run the request again.
 func TestFinishWithoutAnAnswer(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		first, second := fleet.start("a", 1, nil), fleet.start("b", 1, nil)
@@ -275,7 +278,7 @@
 }
 
 // An instance is stopped while requests run. It must refuse new claims and wait until the
-// ends of the others are recorded; otherwise repeats would receive an unknown outcome for
+// ends of the running requests are recorded; otherwise repeats would receive an unknown outcome for
 // requests that succeeded.
 func TestCloseWaitsForRecordedEnds(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
--- a/peridotpath/claim/queue.go
+++ b/peridotpath/claim/queue.go
@@ -26,7 +26,7 @@
 	ledger := bucket.ledger
 	operation := &operation{
 		kind: kindClaim, key: key, customer: customer, body: body[:bodyHashBytes], done: make(chan struct{}),
-		attempt: attemptID{ledger.Instance, ledger.Incarnation, ledger.lastAttempt.Add(1)},
+		attempt: attemptID{ledger.Instance, ledger.Incarnation, ledger.lastAttemptNumber.Add(1)},
 		waiters: 1,
 	}
 	ledger.openCount.Add(1)
@@ -114,7 +114,7 @@
 	bucket.mu.Lock()
 	defer bucket.mu.Unlock()
 	attempt := claimed.attempt
-	attempt.number = bucket.ledger.lastAttempt.Add(1)
+	attempt.number = bucket.ledger.lastAttemptNumber.Add(1)
 	claimed.earlierAttempts = append(claimed.earlierAttempts, claimed.attempt)
 	claimed.attempt = attempt
 	renewal := &operation{
--- a/peridotpath/claim/random_test.go
+++ b/peridotpath/claim/random_test.go
@@ -73,7 +73,7 @@
 
 	mu              sync.Mutex
 	runs            map[int]int
-	ended           map[int]bool // the answer is recorded in the store
+	answerRecorded  map[int]bool // the answer is recorded in the store
 	reportedUnknown map[int]bool // a caller received an unknown outcome
 	mayBeUnknown    map[int]bool // the outcome may be unknown: so marked, or claimed at an instance that was marked dead
 	violations      []string
@@ -178,7 +178,7 @@
 		return
 	}
 	if held.Finish(background, okAnswer(fmt.Sprint(step.key))) == nil {
-		model.withLock(func() { model.ended[step.key] = true })
+		model.withLock(func() { model.answerRecorded[step.key] = true })
 	}
 }
 
@@ -252,7 +252,7 @@
 			model.addViolation("key %d: %v after all faults ended", key, err)
 		case model.runs[key] > 0 && verdict.Status == claim.Granted:
 			model.addViolation("key %d: granted again after it ran", key)
-		case model.ended[key] && verdict.Status != claim.Done:
+		case model.answerRecorded[key] && verdict.Status != claim.Done:
 			model.addViolation("key %d: status is %v though its answer is recorded", key, verdict.Status)
 		case model.runs[key] == 0 && !model.mayBeUnknown[key] && verdict.Status != claim.Granted:
 			model.addViolation("key %d: status is %v though it never ran and no claimer was marked dead", key, verdict.Status)
@@ -279,7 +279,7 @@
 		var violations []string
 		synctest.Test(t, func(t *testing.T) {
 			model := &model{
-				fleet: newFleet(t), runs: map[int]int{}, ended: map[int]bool{},
+				fleet: newFleet(t), runs: map[int]int{}, answerRecorded: map[int]bool{},
 				reportedUnknown: map[int]bool{}, mayBeUnknown: map[int]bool{},
 			}
 			for number := range randomInstances {
--- a/peridotpath/claim/restore.go
+++ b/peridotpath/claim/restore.go
@@ -21,7 +21,7 @@
 )
 
 // MarkStoreRestored must be called when the store was restored from an older copy, which
-// lacks the claims made since. It does not block.
+// lacks the claims made after the copy. It does not block.
 func (ledger *Ledger) MarkStoreRestored() {
 	ledger.initialise()
 	for _, bucket := range ledger.buckets {
@@ -29,8 +29,8 @@
 	}
 }
 
-// restoreWindowLeft returns how much longer a key without a record may have one that the
-// store lost.
+// restoreWindowLeft returns how much longer a key without a record may have had one that
+// the store lost in a restore; zero or less once the restore window has passed.
 func (bucket *bucket) restoreWindowLeft() time.Duration {
 	if bucket.ledger.Store.TimeSinceDataLoss == nil {
 		return 0
@@ -46,13 +46,13 @@
 	bucket.cached = nil
 	bucket.commit(ctx, nil)
 	if bucket.needsRestore = bucket.cached == nil; bucket.needsRestore {
-		// The call failed; run tries again.
+		// The store call failed; the raised signal makes run try again.
 		bucket.storeRestored.Raise()
 	}
 }
 
 // hasRecentRecords reports whether the last known state has records that are recent enough
-// to be lost.
+// to have been lost in a restore.
 func (bucket *bucket) hasRecentRecords() bool {
 	if bucket.lastKnown == nil {
 		return false
@@ -68,7 +68,7 @@
 
 // addLostRecords adds the records that the store lost to a state of a new era: ends of
 // claims, and the open claims of this process. The open claims of other instances are
-// left to those instances, which may have released them meanwhile.
+// left to those instances, which may have released them already.
 func (bucket *bucket) addLostRecords(state *state) {
 	self := attemptID{instance: bucket.ledger.Instance, incarnation: bucket.ledger.Incarnation}
 	_, now := bucket.ledger.wallTimeBounds()
--- a/peridotpath/claim/settings.go
+++ b/peridotpath/claim/settings.go
@@ -18,8 +18,8 @@
 	// kept this much longer than RetentionMS.
 	ClockMarginMS peridotpath.Millis `json:"clock_margin_ms"`
 	// DispatchWindowMS is how long a granted claim may be dispatched, from the time before its
-	// write was sent. It is also how long other instances wait before they mark a claim of
-	// a dead instance unknown.
+	// write was sent. It is also how long other instances wait before they mark the
+	// outcome of a dead instance's claim unknown.
 	DispatchWindowMS peridotpath.Millis `json:"dispatch_ms"`
 	// ClaimTimeoutMS is how long a caller waits for a claim.
 	ClaimTimeoutMS peridotpath.Millis `json:"claim_timeout_ms"`
@@ -36,7 +36,7 @@
 	// MaxStoredAnswer is the largest answer that is kept in the store, counted over body and
 	// headers.
 	MaxStoredAnswer peridotpath.Bytes `json:"max_answer"`
-	// AnswerCacheSize bounds this process's cache of larger answers.
+	// AnswerCacheSize bounds this process's cache of larger answers, in bytes.
 	AnswerCacheSize peridotpath.Bytes `json:"answer_memory"`
 	// StoredHeaders are the names of the headers that are kept with an answer.
 	StoredHeaders []string `json:"headers"`
@@ -66,7 +66,8 @@
 	const day = int64(24 * time.Hour / time.Millisecond)
 	var faults peridotpath.Faults
 	faults.Range(prefix+".buckets", int64(settings.Buckets), 1, 4096)
-	// A record must outlive the dispatch window of a frozen claimer by far.
+	// A record must be kept much longer than its claim may be dispatched, or the key could
+	// expire and be granted again while a frozen claimer can still dispatch it.
 	faults.Range(prefix+".retention_ms", int64(settings.RetentionMS), 10*int64(settings.DispatchWindowMS), 30*day)
 	faults.Range(prefix+".clock_margin_ms", int64(settings.ClockMarginMS), 1_000, day)
 	faults.Range(prefix+".dispatch_ms", int64(settings.DispatchWindowMS), 1_000, 60_000)
--- a/peridotpath/claim/store_test.go
+++ b/peridotpath/claim/store_test.go
@@ -15,9 +15,9 @@
 )
 
 // The store applies a claim's write, but the reply is lost. A second write would conflict
-// with the first, which looks like another instance's claim. The attempt id in the record
-// shows that the claim was recorded, and the caller notices nothing.
-func TestLostReplyIsResolvedByARead(t *testing.T) {
+// with the first, as if another instance had claimed the key. The instance must read the
+// bucket, find its attempt id in the record, and grant the claim without another write.
+func TestClaimWithLostReplyIsFoundByARead(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		instance := fleet.start("a", 1, nil)
 		defer closeAll(is, instance)
@@ -28,7 +28,7 @@
 			return fault{ReplyLost: lost}
 		})
 		held := instance.mustClaim(is, "k")
-		is.Equal(fleet.swaps(), 1)
+		is.Equal(fleet.swapCount(), 1)
 		is.NoErr(held.BeginDispatch())
 	})
 }
@@ -60,8 +60,8 @@
 	})
 }
 
-// As above, but the write is still in transit when the release reads the bucket and finds
-// no record. If the write arrived afterwards, the key would stay claimed and every repeat
+// A claim's write is delayed in transit, and its caller receives "not run". The release
+// reads the bucket before the write arrives and finds no record. If the write then applied, the key would stay claimed and every repeat
 // would receive "running elsewhere" although nothing ran. The release must therefore
 // advance the bucket's version, so that the late write conflicts.
 func TestReleaseFencesOffALateWrite(t *testing.T) {
@@ -107,7 +107,7 @@
 		is.NoErr(held.BeginDispatch())
 		ctx, cancel := context.WithTimeout(background, time.Minute)
 		defer cancel()
-		is.True(held.Finish(ctx, okAnswer("yes")) != nil) // it is not recorded yet
+		is.True(held.Finish(ctx, okAnswer("yes")) != nil) // the end is not recorded yet
 		verdict, err := instance.claimKey("running")
 		is.NoErr(err)
 		answer, err := verdict.InFlight.Wait(background)
@@ -122,8 +122,8 @@
 }
 
 // A burst of new keys arrives just as the store becomes unreachable. Each claim whose write
-// got no reply has to be released later; without a bound, their list would take the
-// instance's memory.
+// got no reply has to be released later; without a bound, the
+// list of these claims would fill the instance's memory.
 func TestOpenClaimsAreBounded(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
 		instance := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.MaxOpenClaims = 10 })
--- a/peridotpath/claim/verdict.go
+++ b/peridotpath/claim/verdict.go
@@ -18,8 +18,8 @@
 	// RunningHere means that this process runs the request; Verdict.InFlight waits for its
 	// answer.
 	RunningHere
-	// RunningElsewhere means that another instance runs the request, or that an instance
-	// seems dead but could still dispatch it.
+	// RunningElsewhere means that another instance runs the request, or that the instance
+	// that claimed the key seems dead but could still dispatch it.
 	RunningElsewhere
 	// Done means that the request ended. Verdict.Answer is its answer, or nil if that is no
 	// longer kept.
