--- a/peridotpath/order/fixture_test.go
+++ b/peridotpath/order/fixture_test.go
@@ -80,6 +80,7 @@
 	return nil
 }
 
+// setLimit sets the limit and returns the number of loads refused so far.
 func (store *weightStore) setLimit(limit int) (refused int) {
 	store.mu.Lock()
 	defer store.mu.Unlock()
--- a/peridotpath/order/order_test.go
+++ b/peridotpath/order/order_test.go
@@ -24,8 +24,8 @@
 // The holder passes its lease check, then its machine freezes for longer than the
 // lease with orders not yet sent. A second instance takes over and applies
 // another version; then the first resumes and sends its stale orders. Engines that
-// check fencing tokens refuse them; the others take the old state until the new
-// holder corrects it.
+// check fencing tokens must refuse these orders. Engines that ignore the tokens apply
+// them, and the new holder must correct the stale state.
 func TestStaleHolderResumesAfterLeaseExpiry(t *testing.T) {
 	for name, checksFencing := range map[string]bool{"engines check fencing tokens": true, "engines ignore fencing tokens": false} {
 		t.Run(name, func(t *testing.T) {
@@ -119,7 +119,8 @@
 }
 
 // An engine loses its state or receives an order by hand. No event reports that,
-// so it serves the wrong version until its state is polled.
+// so the engine serves the wrong version until its state is polled. The holder must
+// poll and correct it.
 func TestDriftedStateIsCorrected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/order/reconciler.go
+++ b/peridotpath/order/reconciler.go
@@ -144,7 +144,8 @@
 	return reconciler.SendOrder(ctx, endpoint, Order{Desired: due.desired, Fencing: term.Fencing, Timeout: limit})
 }
 
-// recordResult records the outcome of an order. Its effect is read at the next interval.
+// recordResult records the outcome of an order. The engine's new
+// state is read at the next interval.
 func (reconciler *Reconciler) recordResult(result orderResult) {
 	delete(reconciler.inFlight, result.order.endpoint)
 	reconciler.planner.recordResult(time.Now(), result.order, result.err)
