--- a/peridotpath/shift/controller.go
+++ b/peridotpath/shift/controller.go
@@ -17,9 +17,9 @@
 const (
 	// demandAveragingTime is the time constant of the moving average of the demand.
 	demandAveragingTime = time.Minute
-	// readTimeout is half the time limit of one plan, including the reads of the engines'
-	// roles and memory.
-	readTimeout = 2 * time.Second
+	// halfPlanTimeout is half the time limit of making and applying one plan, which includes
+	// the reads of the engines' roles and memory.
+	halfPlanTimeout = 2 * time.Second
 )
 
 // Controller changes the roles of the engines of one data centre and service by the
@@ -43,17 +43,18 @@
 	Interval time.Duration
 
 	demandRate demandEstimator
-	// missedReads counts the consecutive reads that an engine did not respond to.
-	missedReads map[peridotpath.EndpointID]int
+	// failedStateReads counts, for each engine, the consecutive reads of its state (role,
+	// load and streams) that failed.
+	failedStateReads map[peridotpath.EndpointID]int
 }
 
-// maxMissedReads is the number of consecutive reads without a response after which an
-// engine counts as lost. Dissolving a group aborts its prompts, so a single slow
+// maxFailedStateReads is the number of consecutive failed reads of an engine's state
+// after which the engine counts as lost. Dissolving a group aborts its prompts, so a single slow
 // response must not cause it.
-const maxMissedReads = 3
+const maxFailedStateReads = 3
 
-// demandEstimator computes a moving average of the rate from the totals, by the lease
-// holder's clock.
+// demandEstimator computes a moving average of the demand in tokens a second from
+// successive totals, on the lease holder's own clock.
 type demandEstimator struct {
 	initialised     bool
 	lastTotal       DemandTotal
@@ -75,7 +76,7 @@
 		return
 	}
 	if total.Prompts < estimator.lastTotal.Prompts {
-		// The store was restored from an older copy; the lost counts are no demand.
+		// The store was restored from an older copy; the decrease is lost counts, not demand.
 		estimator.lastTotal, estimator.sampledAt = total, now
 		return
 	}
@@ -103,7 +104,7 @@
 		case <-ticker.C:
 		}
 		if _, held := controller.Held(); !held {
-			controller.demandRate, controller.missedReads = demandEstimator{}, nil
+			controller.demandRate, controller.failedStateReads = demandEstimator{}, nil
 			continue
 		}
 		if err := controller.replan(ctx); err != nil {
@@ -114,9 +115,9 @@
 
 // replan makes one plan and applies it with one compare-and-swap. The desired roles
 // are read together with their revision, so a plan based on roles that have changed
-// since is refused and recomputed at the next interval.
+// after that read is refused and recomputed at the next interval.
 func (controller *Controller) replan(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*readTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*halfPlanTimeout)
 	defer cancel()
 	total, _, err := readTotal(ctx, controller.Store, demandKey(controller.Service))
 	if err != nil {
@@ -158,17 +159,18 @@
 	return false
 }
 
-// isResponsive reports whether the engine responded to one of the last reads.
+// isResponsive records whether the last read of the engine's state succeeded, and reports
+// whether fewer than maxFailedStateReads consecutive reads have failed.
 func (controller *Controller) isResponsive(engine Engine) bool {
-	if controller.missedReads == nil {
-		controller.missedReads = map[peridotpath.EndpointID]int{}
+	if controller.failedStateReads == nil {
+		controller.failedStateReads = map[peridotpath.EndpointID]int{}
 	}
 	if engine.Responded {
-		delete(controller.missedReads, engine.ID)
+		delete(controller.failedStateReads, engine.ID)
 		return true
 	}
-	controller.missedReads[engine.ID]++
-	return controller.missedReads[engine.ID] < maxMissedReads
+	controller.failedStateReads[engine.ID]++
+	return controller.failedStateReads[engine.ID] < maxFailedStateReads
 }
 
 // applyMoves writes the moves to the desired state. Only roles change: model, version
--- a/peridotpath/shift/engines.go
+++ b/peridotpath/shift/engines.go
@@ -14,10 +14,11 @@
 // maxConcurrentReads bounds the engines that are read concurrently.
 const maxConcurrentReads = 16
 
-// EngineClient reads the state of a site's engines and sends them orders.
+// EngineClient reads the state of the engines of one data centre and service, and sends
+// them orders.
 type EngineClient struct {
 	Client *engine.Client
-	// Endpoints returns the listed engines of the site.
+	// Endpoints returns those engines that are on the membership list.
 	Endpoints func() []peridotpath.Endpoint
 }
 
--- a/peridotpath/shift/group_test.go
+++ b/peridotpath/shift/group_test.go
@@ -195,7 +195,8 @@
 
 // TestPersistentGroupIsFaster compares a persistent group with one that is formed for each
 // prompt and dissolved once the client has had time to retry. Ten long prompts arrive, one
-// every three minutes. It verifies that keeping a group while there is demand pays off.
+// every three minutes. With the persistent group the mean time to the first token must be
+// less than half, since no prompt but the first waits for a group to form.
 func TestPersistentGroupIsFaster(t *testing.T) {
 	mean := map[string]time.Duration{}
 	for name, groupIdleTimeout := range map[string]time.Duration{"persistent": groupIdleTimeout, "for each prompt": 40 * time.Second} {
@@ -219,9 +220,9 @@
 	is.True(mean["persistent"] < mean["for each prompt"]/2)
 }
 
-// TestNoEngineReadsWithoutDemand checks that engines are not read without demand and
-// groups. Otherwise each engine would be read every two seconds, of which the largest
-// data centre that the system is designed for has 750.
+// TestNoEngineReadsWithoutDemand checks that engines are not read while there is neither
+// demand nor a group. Otherwise each engine would be read every two seconds, and the
+// largest data centre that the system is designed for has 750 engines.
 func TestNoEngineReadsWithoutDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/shift/plan.go
+++ b/peridotpath/shift/plan.go
@@ -68,14 +68,14 @@
 	Reason   string
 }
 
-// Plan returns the next moves. It depends only on the desired and the actual
-// states and keeps none of its own, so a new lease holder continues at whatever
-// step the last one froze or died.
+// Plan returns the next role changes. Its result depends only on its arguments, the
+// desired and actual states among them, so a new lease holder continues at whatever
+// step the last holder froze or died.
 //
 // A group forms in steps, each after the engines report that the previous one is
 // complete: the members drain, they reserve their memory, the leader begins to
 // serve. All memory of a group is therefore reserved before it serves, and two
-// groups cannot deadlock with half of it each. Only one group forms or dissolves
+// groups cannot deadlock, each holding half of the memory that it needs. Only one group forms or dissolves
 // at a time, which bounds the number of engines out of service.
 func Plan(engines []Engine, demand Demand, limits Limits) []RoleChange {
 	planner := &planner{engines: map[peridotpath.EndpointID]*Engine{}, demand: demand, limits: limits}
--- a/peridotpath/shift/plan_test.go
+++ b/peridotpath/shift/plan_test.go
@@ -219,7 +219,7 @@
 }
 
 // TestPlansUnderRandomEvents makes plans after random events: engines die, return,
-// respond late and run requests, and demand starts and ends, as also happens when the
+// stop responding and run requests, and demand starts and ends, as also happens when the
 // lease changes its holder. No engine may be in two groups or lead without its
 // members' memory, and without further events the moves must stop.
 func TestPlansUnderRandomEvents(t *testing.T) {
--- a/peridotpath/shift/role.go
+++ b/peridotpath/shift/role.go
@@ -2,8 +2,8 @@
 // pool their KV memory in a group that serves prompts too long for one engine. It
 // sizes the groups by the demand of such prompts, averaged over the region, and
 // forms and dissolves them in steps: members drain, reserve their memory, then the
-// leader serves. Plan is a pure function and does no I/O; the holder of the site's
-// lease runs it and writes the new roles to the desired state of package order.
+// leader serves. Plan is a pure function and does no I/O; the holder of the lease
+// of the data centre and service runs it and writes the new roles to the desired state of package order.
 package shift
 
 import (
--- a/peridotpath/shift/size.go
+++ b/peridotpath/shift/size.go
@@ -22,8 +22,8 @@
 	minServingShare = 0.25
 )
 
-// desiredGroupCount returns the number of groups for the demand. It never shrinks while
-// there is demand and drops to zero once there was none for the idle timeout: with
+// desiredGroupCount returns the number of groups for the demand. The number never
+// falls while there is demand, and drops to zero after the idle timeout without demand: with
 // this hysteresis, demand near a boundary does not form and dissolve groups in turn.
 func (planner *planner) desiredGroupCount() int {
 	existing := len(planner.groups())
