--- a/peridotpath/engine/body.go
+++ b/peridotpath/engine/body.go
@@ -10,8 +10,8 @@
 //
 // net/http keeps a request, and so its body, reachable until the response has been
 // read to its end. A long prompt's body is 4 to 6 MB and its answer takes minutes;
-// about forty of them would use up an instance's memory limit, and it would refuse
-// all other requests.
+// about forty such requests at once would use up an instance's memory limit, and the
+// instance would refuse all others.
 type Body struct {
 	bytes atomic.Pointer[[]byte]
 }
--- a/peridotpath/engine/client_test.go
+++ b/peridotpath/engine/client_test.go
@@ -16,9 +16,9 @@
 	"peridotpath.example/peridotpath/outbound"
 )
 
-// Guards against a refusal that is classified as ErrFailed: the result then states that
-// the request may have run, and the client does not retry it, although a draining engine
-// refused it before starting it.
+// Each failed attempt must get the class that states whether its request may have run. If
+// the refusal of a draining engine were classified as ErrFailed, the client would not retry
+// a request that the engine never started.
 func TestSendClassifiesFailures(t *testing.T) {
 	notSent := outbound.ErrNotSent.New("dial")
 	tests := []struct {
--- a/peridotpath/engine/enginetest/engine.go
+++ b/peridotpath/engine/enginetest/engine.go
@@ -70,8 +70,8 @@
 	streams    map[string]*stream
 	// activeStreams lists the streams that hold memory, oldest first.
 	activeStreams []*stream
-	// readStreams lists the streams that were read to their end, in that order.
-	readStreams []*stream
+	// fullyReadStreams lists the streams that were read to their end, in that order.
+	fullyReadStreams []*stream
 	// privateKV is the memory that streams do not share; the cache has the rest.
 	privateKV peridotpath.Tokens
 	cache     cache
--- a/peridotpath/engine/enginetest/engine_test.go
+++ b/peridotpath/engine/enginetest/engine_test.go
@@ -153,8 +153,8 @@
 	})
 }
 
-// firstToken returns how long the first token of a prompt took.
-func (bench *bench) firstToken(id string, body []byte, priority int) time.Duration {
+// timeToFirstToken returns how long the first token of a prompt took.
+func (bench *bench) timeToFirstToken(id string, body []byte, priority int) time.Duration {
 	sent := time.Now()
 	answer, err := bench.send(context.Background(), id, body, priority)
 	if err != nil {
@@ -172,9 +172,9 @@
 		long, err := bench.send(context.Background(), "long", body(makePrompt("long", 300_000), 10, true), 0)
 		is.NoErr(err)
 		defer long.Body.Close()
-		urgent := bench.firstToken("urgent", body(makePrompt("u", 1_000), 10, true), 5)
+		urgent := bench.timeToFirstToken("urgent", body(makePrompt("u", 1_000), 10, true), 5)
 		is.True(urgent < 50*time.Millisecond) // a prompt of higher priority queued
-		equal := bench.firstToken("equal", body(makePrompt("e", 1_000), 10, true), 0)
+		equal := bench.timeToFirstToken("equal", body(makePrompt("e", 1_000), 10, true), 0)
 		is.True(equal > 2*time.Second) // a prompt overtook an older one of its priority
 	})
 }
--- a/peridotpath/engine/enginetest/stream.go
+++ b/peridotpath/engine/enginetest/stream.go
@@ -46,8 +46,8 @@
 	// readers counts the attached readers; detachedAt is the time at which the last one left.
 	readers    int
 	detachedAt time.Time
-	// readAt is the time at which a reader received the whole answer.
-	readAt time.Time
+	// fullyReadAt is the time at which a reader received the whole answer.
+	fullyReadAt time.Time
 	// changed is closed when there is more to read or the stream ends.
 	changed chan struct{}
 }
@@ -81,7 +81,7 @@
 	if hold > 0 && stream.readers == 0 && now.Sub(stream.detachedAt) >= hold {
 		stream.cancel()
 	}
-	if stream.finished && !stream.readAt.IsZero() {
+	if stream.finished && !stream.fullyReadAt.IsZero() {
 		stream.free()
 	}
 }
@@ -145,10 +145,10 @@
 	stream.engine.mu.Lock()
 	defer stream.engine.mu.Unlock()
 	now := time.Now()
-	if stream.readAt.IsZero() {
-		stream.engine.readStreams = append(stream.engine.readStreams, stream)
+	if stream.fullyReadAt.IsZero() {
+		stream.engine.fullyReadStreams = append(stream.engine.fullyReadStreams, stream)
 	}
-	stream.readAt = now
+	stream.fullyReadAt = now
 	stream.free()
 }
 
@@ -219,8 +219,8 @@
 
 // removeExpired removes streams that were read to their end at least finishedRetention ago.
 func (engine *Engine) removeExpired(now time.Time) {
-	for len(engine.readStreams) > 0 && now.Sub(engine.readStreams[0].readAt) >= finishedRetention {
-		delete(engine.streams, engine.readStreams[0].id)
-		engine.readStreams = engine.readStreams[1:]
+	for len(engine.fullyReadStreams) > 0 && now.Sub(engine.fullyReadStreams[0].fullyReadAt) >= finishedRetention {
+		delete(engine.streams, engine.fullyReadStreams[0].id)
+		engine.fullyReadStreams = engine.fullyReadStreams[1:]
 	}
 }
