--- a/peridotpath/sweep/sweep_test.go
+++ b/peridotpath/sweep/sweep_test.go
@@ -21,9 +21,9 @@
 
 // fakeEngine keeps streams and cancels them conditionally, like an engine.
 type fakeEngine struct {
-	mu       sync.Mutex
-	detached map[string]time.Time // zero while a reader is attached
-	cancels  int
+	mu         sync.Mutex
+	detachedAt map[string]time.Time // zero while a reader is attached
+	cancels    int
 	// losesCall reports whether the numbered call is lost: its request, or its reply.
 	losesCall func(call int) (requestLost, replyLost bool)
 	// callDuration is the duration of a call.
@@ -35,16 +35,16 @@
 func (fake *fakeEngine) setStream(stream string, detached time.Time) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	if fake.detached == nil {
-		fake.detached = map[string]time.Time{}
+	if fake.detachedAt == nil {
+		fake.detachedAt = map[string]time.Time{}
 	}
-	fake.detached[stream] = detached
+	fake.detachedAt[stream] = detached
 }
 
 func (fake *fakeEngine) hasStream(stream string) bool {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	_, held := fake.detached[stream]
+	_, held := fake.detachedAt[stream]
 	return held
 }
 
@@ -52,7 +52,7 @@
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	var list []engine.StreamInfo
-	for id, detached := range fake.detached {
+	for id, detached := range fake.detachedAt {
 		info := engine.StreamInfo{ID: id, KVTokens: 1000}
 		if !detached.IsZero() {
 			info.DetachedMS = peridotpath.Millis(time.Since(detached).Milliseconds())
@@ -74,8 +74,8 @@
 	if requestLost {
 		return errLost
 	}
-	if detached, held := fake.detached[stream]; held && (!onlyDetached || !detached.IsZero()) {
-		delete(fake.detached, stream)
+	if detached, held := fake.detachedAt[stream]; held && (!onlyDetached || !detached.IsZero()) {
+		delete(fake.detachedAt, stream)
 	}
 	if replyLost {
 		return errLost
@@ -169,7 +169,8 @@
 	})
 }
 
-// The stream is resumed between the list and its cancellation, and must not be cancelled.
+// A caller resumes a stream after the sweeper listed it and before the sweeper cancels it.
+// The stream must not be cancelled.
 func TestStreamResumedAfterTheListIsNotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
