--- a/peridotpath/cursor/secret.go
+++ b/peridotpath/cursor/secret.go
@@ -16,12 +16,13 @@
 	secretRetryDelay = 2 * time.Second
 )
 
-// Run loads the secret that all instances share from the key-value store, and creates it if
-// there is none. It loads it again after MarkStoreRestored, until ctx ends. During an outage it
-// retries, and new streams have no cursors.
+// Run loads the secret that all instances share from the key-value store, and creates the
+// secret if there is none. Until ctx ends, Run loads the secret again after each call of
+// MarkStoreRestored. During an outage Run retries; until it has the secret, new streams have
+// no cursors.
 //
 // An instance whose write of a new secret conflicts reads the other instance's secret at
-// once. If it waited first, streams that begin meanwhile would have no cursors, and their
+// once. If the instance waited first, streams that begin meanwhile would have no cursors, and their
 // callers could not resume them.
 func (signer *Signer) Run(ctx context.Context, store *keyvalue.Store) error {
 	var current []byte
