--- a/peridotpath/claim/answers.go
+++ b/peridotpath/claim/answers.go
@@ -36,14 +36,14 @@
 	if answerCache.byKey == nil {
 		answerCache.byKey = map[keyID]*list.Element{}
 	}
-	if answerCache.byKey[key] != nil || answer.size() > answerCache.maxBytes {
+	if answerCache.byKey[key] != nil || answer.sizeBytes() > answerCache.maxBytes {
 		return
 	}
 	answerCache.byKey[key] = answerCache.insertionOrder.PushBack(cachedAnswer{key, answer})
-	answerCache.usedBytes += answer.size()
+	answerCache.usedBytes += answer.sizeBytes()
 	for answerCache.usedBytes > answerCache.maxBytes {
 		oldest := answerCache.insertionOrder.Remove(answerCache.insertionOrder.Front()).(cachedAnswer)
 		delete(answerCache.byKey, oldest.key)
-		answerCache.usedBytes -= oldest.answer.size()
+		answerCache.usedBytes -= oldest.answer.sizeBytes()
 	}
 }
--- a/peridotpath/claim/claim.go
+++ b/peridotpath/claim/claim.go
@@ -50,9 +50,9 @@
 func (claim *Claim) windowPassed() bool {
 	ledger := claim.bucket.ledger
 	claim.bucket.mu.Lock()
-	sent := claim.operation.sentAt
+	sentAt := claim.operation.sentAt
 	claim.bucket.mu.Unlock()
-	return sent.Elapsed(ledger.Clock.Read()) >= ledger.Settings.DispatchWindowMS.Duration()
+	return sentAt.Elapsed(ledger.Clock.Read()) >= ledger.Settings.DispatchWindowMS.Duration()
 }
 
 // renew writes the claim again under a new attempt id, and reports whether it is still
@@ -96,7 +96,7 @@
 // is too large for the store it returns nil, and caches the answer in this process.
 func (claim *Claim) storedAnswer(answer *Answer) *ledgerpb.Answer {
 	ledger := claim.bucket.ledger
-	if answer.size() <= int(ledger.Settings.MaxStoredAnswer) {
+	if answer.sizeBytes() <= int(ledger.Settings.MaxStoredAnswer) {
 		return toProto(answer)
 	}
 	ledger.answerCache.put(claim.operation.key, answer)
--- a/peridotpath/claim/commit.go
+++ b/peridotpath/claim/commit.go
@@ -72,7 +72,7 @@
 	return rules{
 		self: attemptID{instance: ledger.Instance, incarnation: ledger.Incarnation},
 		now:  later.Unix(), expireBefore: earlier.Add(-keepFor),
-		maxRecords: settings.MaxBucketRecords, maxSize: int(settings.MaxBucketBytes),
+		maxRecords: settings.MaxBucketRecords, maxBytes: int(settings.MaxBucketBytes),
 		retryAfter: defaultRetryAfter, dispatchWindowLeft: bucket.dispatchWindowLeft,
 		hasEnded: ledger.hasEnded, restoreWindowLeft: bucket.restoreWindowLeft(),
 	}
--- a/peridotpath/claim/decide.go
+++ b/peridotpath/claim/decide.go
@@ -59,7 +59,7 @@
 	now          int64
 	expireBefore time.Time
 	maxRecords   int
-	maxSize      int
+	maxBytes     int
 	retryAfter   time.Duration
 	// dispatchWindowLeft returns how long a record's claimer may still dispatch; zero or less
 	// once its dispatch window has certainly passed.
@@ -101,7 +101,7 @@
 			decision.verdicts[i] = decision.decideRenewal(operation, rules)
 		}
 	}
-	decision.next.evictAnswers(rules.maxSize)
+	decision.next.evictAnswers(rules.maxBytes)
 	return decision
 }
 
@@ -225,12 +225,12 @@
 		Instance: string(rules.self.instance), Incarnation: uint64(rules.self.incarnation),
 		Attempt: operation.attempt.number, Customer: operation.customer,
 	})
-	next.evictAnswers(rules.maxSize)
+	next.evictAnswers(rules.maxBytes)
 	// Without a bound, a burst of new keys would fill the value up to the store's limit of
 	// one megabyte, and then not even the end of a claim could be recorded. Refusing new
 	// keys reserves room for ends, which enlarge a record by no more than evictAnswers can
 	// free.
-	if len(next.records) > rules.maxRecords || next.size > rules.maxSize {
+	if len(next.records) > rules.maxRecords || next.sizeBytes > rules.maxBytes {
 		next.remove(operation.key)
 		decision.needsCurrentState = true
 		return refused
@@ -246,7 +246,7 @@
 // would be refused. Once a bucket is half full of records, a customer that owns half of
 // them may add no more; below that level anyone may use the free room.
 func (state *state) mayAddRecord(customer uint32, rules rules) bool {
-	if len(state.records) < rules.maxRecords/2 && state.size-state.answerSize < rules.maxSize/2 {
+	if len(state.records) < rules.maxRecords/2 && state.sizeBytes-state.answerBytes < rules.maxBytes/2 {
 		return true
 	}
 	recordCount := 0
--- a/peridotpath/claim/ledger.go
+++ b/peridotpath/claim/ledger.go
@@ -111,10 +111,10 @@
 		return nil
 	case <-ledger.closeRequested:
 	}
-	const poll = 10 * time.Millisecond
+	const pollInterval = 10 * time.Millisecond
 	deadline := time.NewTimer(ledger.Settings.DrainTimeoutMS.Duration())
 	defer deadline.Stop()
-	ticker := time.NewTicker(poll)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for ledger.openCount.Load() > 0 {
 		select {
--- a/peridotpath/claim/state.go
+++ b/peridotpath/claim/state.go
@@ -43,10 +43,10 @@
 type state struct {
 	version keyvalue.Version
 	records map[keyID]*ledgerpb.Record
-	// size is the encoded size of the records, including answers; answerSize is the part
+	// sizeBytes is the encoded size of the records, including answers; answerBytes is the part
 	// that the answers take.
-	size       int
-	answerSize int
+	sizeBytes   int
+	answerBytes int
 	// hasRestoredRecords reports that records were added that the store had lost.
 	hasRestoredRecords bool
 }
@@ -92,14 +92,14 @@
 func (state *state) put(key keyID, record *ledgerpb.Record) {
 	state.remove(key)
 	state.records[key] = record
-	state.size += proto.Size(record) + recordOverhead
-	state.answerSize += proto.Size(record.GetAnswer())
+	state.sizeBytes += proto.Size(record) + recordOverhead
+	state.answerBytes += proto.Size(record.GetAnswer())
 }
 
 func (state *state) remove(key keyID) {
 	if record := state.records[key]; record != nil {
-		state.size -= proto.Size(record) + recordOverhead
-		state.answerSize -= proto.Size(record.GetAnswer())
+		state.sizeBytes -= proto.Size(record) + recordOverhead
+		state.answerBytes -= proto.Size(record.GetAnswer())
 		delete(state.records, key)
 	}
 }
@@ -127,14 +127,14 @@
 // removed before claims are refused. It continues down to an eighth below the limit, so
 // that a full bucket is not sorted at every write.
 func (state *state) evictAnswers(limit int) {
-	if state.size <= limit {
+	if state.sizeBytes <= limit {
 		return
 	}
 	oldest := slices.SortedFunc(maps.Values(state.records), func(a, b *ledgerpb.Record) int {
 		return int(a.GetStamp() - b.GetStamp())
 	})
 	for _, record := range oldest {
-		if state.size <= limit-limit/8 {
+		if state.sizeBytes <= limit-limit/8 {
 			return
 		}
 		if record.GetAnswer() != nil {
--- a/peridotpath/claim/verdict.go
+++ b/peridotpath/claim/verdict.go
@@ -50,8 +50,8 @@
 	Body   []byte
 }
 
-// size is the approximate memory that the answer takes, in bytes.
-func (answer *Answer) size() int {
+// sizeBytes is the approximate memory that the answer takes, in bytes.
+func (answer *Answer) sizeBytes() int {
 	size := len(answer.Body)
 	for name, values := range answer.Header {
 		for _, value := range values {
