--- a/peridotpath/order/reconciler.go
+++ b/peridotpath/order/reconciler.go
@@ -128,8 +128,8 @@
 	return states
 }
 
-// send sends one order. It checks the lease immediately before, because the
-// process may have been paused since the states were read. The rest of the lease
+// send sends one order. It checks the lease immediately before sending, because the
+// process may have been paused after it read the states. The rest of the lease
 // must cover the order's time limit: an order that outlives the lease could
 // overwrite one of the next holder, and one that is cut short has loaded weights
 // in vain.
