--- a/peridotpath/engine/client.go
+++ b/peridotpath/engine/client.go
@@ -38,7 +38,7 @@
 type Request struct {
 	ID   peridotpath.RequestID
 	Path string
-	// Body may be nil for none.
+	// Body is the request's body; nil means none.
 	Body     *Body
 	Priority int
 	Deadline time.Time
@@ -97,8 +97,9 @@
 	return nil, refusalError(response, string(text))
 }
 
-// refusalError returns an error of the class for the status. The class is a pointer
-// because errs compares classes by address; a copy would match none.
+// refusalError returns an error of the class for the status. The variable class is a
+// pointer because errs compares classes by address: errors of a copied class would match
+// no class.
 func refusalError(response *http.Response, text string) error {
 	if response.Header.Get(HeaderNotRun) == NotRunLeaving {
 		return ErrRefused.Wrap(ErrLeaving.New("status %d: %s", response.StatusCode, text))
@@ -127,8 +128,8 @@
 	return classify(client.do(request))
 }
 
-// Cancel ends a stream and frees its memory. With onlyDetached the engine does so
-// only if no reader is attached, so that a stream that another process has resumed
+// Cancel ends a stream and frees its memory. With onlyDetached the engine ends the
+// stream only if no reader is attached, so that a stream that another process has resumed
 // continues. Cancelling a stream that no longer exists succeeds.
 func (client *Client) Cancel(ctx context.Context, address netip.AddrPort, stream string, onlyDetached bool) error {
 	target := "http://" + address.String() + PathStreams + "/" + url.PathEscape(stream)
--- a/peridotpath/engine/enginetest/cache.go
+++ b/peridotpath/engine/enginetest/cache.go
@@ -54,14 +54,14 @@
 	cache.lossRate = loss
 }
 
-// tokens returns the memory of all blocks.
-func (cache *cache) tokens() peridotpath.Tokens {
+// cachedTokens returns the memory of all blocks.
+func (cache *cache) cachedTokens() peridotpath.Tokens {
 	return peridotpath.Tokens(len(cache.blocks) * blockTokens)
 }
 
-// pinned returns the memory of the pinned blocks, which cannot be evicted.
-func (cache *cache) pinned() peridotpath.Tokens {
-	return cache.tokens() - peridotpath.Tokens(cache.unpinned.Len()*blockTokens)
+// pinnedTokens returns the memory of the pinned blocks, which cannot be evicted.
+func (cache *cache) pinnedTokens() peridotpath.Tokens {
+	return cache.cachedTokens() - peridotpath.Tokens(cache.unpinned.Len()*blockTokens)
 }
 
 // prefixHashes returns the hashes of the text up to the end of each complete block.
@@ -122,7 +122,7 @@
 
 // evictTo evicts blocks until the cache uses no more than room or all are pinned.
 func (cache *cache) evictTo(room peridotpath.Tokens, now time.Time) {
-	for cache.unpinned.Len() > 0 && cache.tokens() > room {
+	for cache.unpinned.Len() > 0 && cache.cachedTokens() > room {
 		oldest, _ := cache.unpinned.Remove(cache.unpinned.Back()).(*block)
 		delete(cache.blocks, oldest.hash)
 		cache.publish(engine.CacheEvent{Prefix: oldest.hash, Evicted: true}, now)
--- a/peridotpath/engine/enginetest/engine.go
+++ b/peridotpath/engine/enginetest/engine.go
@@ -37,9 +37,10 @@
 	// PrefillPerS is the prefill rate of the engine, which serves the prompts in order
 	// of priority and arrival.
 	PrefillPerS peridotpath.Tokens
-	// DecodePerS is the decode rate of a stream while the batch is not exceeded.
+	// DecodePerS is the decode rate of a stream while at most FullRateStreams streams decode.
 	DecodePerS peridotpath.Tokens
-	// FullRateStreams is the number of streams that decode at the full rate; more share the total.
+	// FullRateStreams is the maximum number of streams that decode at the full rate. More
+	// streams share the total rate of that many.
 	FullRateStreams int
 	// MaxWaiting bounds the prompts whose prefill is not complete; more are refused.
 	MaxWaiting int
@@ -72,15 +73,17 @@
 	activeStreams []*stream
 	// fullyReadStreams lists the streams that were read to their end, in that order.
 	fullyReadStreams []*stream
-	// privateKV is the memory that streams do not share; the cache has the rest.
+	// privateKV is the memory of the streams outside the cache; the cache may use the rest.
 	privateKV peridotpath.Tokens
 	cache     cache
 	orders    orders
 	counts    wire.Counts
 
 	reportRevision uint64
-	report         peridotpath.Load
-	nextReport     peridotpath.Load
+	// report is the report that Load returns if MinLoadReportAge is set. nextReport replaces
+	// report once nextReport is at least MinLoadReportAge old.
+	report     peridotpath.Load
+	nextReport peridotpath.Load
 }
 
 // Defaults sets zero fields: 400,000 KV tokens, prefill at 100,000 tokens a second,
@@ -121,7 +124,7 @@
 func (engine *Engine) Run(ctx context.Context) error {
 	engine.initialise()
 	for {
-		if engine.idle() {
+		if engine.isIdle() {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -138,13 +141,13 @@
 	}
 }
 
-func (engine *Engine) idle() bool {
+func (engine *Engine) isIdle() bool {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	return len(engine.activeStreams) == 0
 }
 
-// admit accepts a prompt, or returns an error if it refuses it without running it.
+// admit accepts a prompt, or returns an error for a prompt that is refused and does not run.
 func (engine *Engine) admit(sender *sender, prompt *prompt, seed uint64) (*stream, error) {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
@@ -162,7 +165,7 @@
 		engine: engine, id: engine.Name + "-" + strconv.FormatUint(engine.nextID, 10), sender: *sender,
 		prompt: prompt, seed: seed, blockHashes: blockHashes, pinnedBlocks: sharedBlocks, privateKV: need, readers: 1, changed: make(chan struct{}),
 	}
-	admitted.prefillLeft = float64(max(need-prompt.outputTokens, 1))
+	admitted.prefillTokensLeft = float64(max(need-prompt.outputTokens, 1))
 	engine.cache.pin(blockHashes[:sharedBlocks])
 	engine.privateKV += need
 	engine.cache.evictTo(engine.capacity()-engine.privateKV, now)
@@ -180,7 +183,7 @@
 	if err := engine.orders.checkServing(now); err != nil {
 		return err
 	}
-	free := engine.capacity() - engine.privateKV - engine.cache.pinned()
+	free := engine.capacity() - engine.privateKV - engine.cache.pinnedTokens()
 	for _, hash := range shared {
 		if engine.cache.blocks[hash].pins == 0 {
 			free -= blockTokens
@@ -200,9 +203,9 @@
 func (engine *Engine) prefillQueue() (int, float64) {
 	waiting, tokens := 0, 0.0
 	for _, stream := range engine.activeStreams {
-		if stream.prefillLeft > 0 {
+		if stream.prefillTokensLeft > 0 {
 			waiting++
-			tokens += stream.prefillLeft
+			tokens += stream.prefillTokensLeft
 		}
 	}
 	return waiting, tokens
@@ -244,13 +247,13 @@
 		if budget <= 0 {
 			return
 		}
-		if stream.prefillLeft <= 0 {
+		if stream.prefillTokensLeft <= 0 {
 			continue
 		}
-		spent := min(budget, stream.prefillLeft)
-		stream.prefillLeft -= spent
+		spent := min(budget, stream.prefillTokensLeft)
+		stream.prefillTokensLeft -= spent
 		budget -= spent
-		if stream.prefillLeft <= 0 {
+		if stream.prefillTokensLeft <= 0 {
 			stream.shareBlocks(engine.advancedAt)
 			stream.produce(1)
 		}
@@ -289,8 +292,8 @@
 	defer engine.mu.Unlock()
 	counts := engine.counts
 	counts.Requests = make(map[string]count, len(engine.counts.Requests))
-	for id, one := range engine.counts.Requests {
-		counts.Requests[id] = one
+	for id, requestCount := range engine.counts.Requests {
+		counts.Requests[id] = requestCount
 	}
 	return counts
 }
@@ -319,7 +322,7 @@
 	return peridotpath.Load{
 		AsOf: now, Running: len(engine.activeStreams) - waiting, Waiting: waiting,
 		PrefillTokens: peridotpath.Tokens(math.Ceil(queuedTokens)),
-		KVUsed:        engine.privateKV + engine.cache.pinned(), KVTokens: engine.capacity(),
+		KVUsed:        engine.privateKV + engine.cache.pinnedTokens(), KVTokens: engine.capacity(),
 		PrefillPerS: engine.prefillRate(), DecodePerS: engine.DecodePerS,
 		Revision: engine.reportRevision, Leaving: leaving,
 	}
--- a/peridotpath/engine/enginetest/engine_test.go
+++ b/peridotpath/engine/enginetest/engine_test.go
@@ -101,7 +101,7 @@
 		streams, err := bench.client.ListStreams(context.Background(), address)
 		is.NoErr(err)
 		is.Equal(len(streams), 1)           // a detached stream keeps its memory
-		is.True(streams[0].DetachedMS >= 4) // and reports how long it has been detached
+		is.True(streams[0].DetachedMS >= 4) // a detached stream reports for how long
 		second, err := bench.client.Resume(context.Background(), address, first.StreamID, last)
 		is.NoErr(err)
 		after, _, whole := readEvents(second, allEvents)
@@ -241,7 +241,7 @@
 }
 
 // After faults.CutResumable a stream can be resumed, after faults.CutUnresumable it cannot.
-func TestCutAndHalf(t *testing.T) {
+func TestCutStreams(t *testing.T) {
 	fake := &enginetest.Engine{}
 	runWith(t, fake, func(is *is.I, bench *bench) {
 		for _, kind := range []faults.Kind{faults.CutResumable, faults.CutUnresumable} {
--- a/peridotpath/engine/enginetest/orders.go
+++ b/peridotpath/engine/enginetest/orders.go
@@ -13,14 +13,15 @@
 type orders struct {
 	mu    sync.Mutex
 	state wire.OrderState
-	// loadedAt is the time at which the weights are loaded.
-	loadedAt time.Time
+	// weightsLoadedAt is the time at which the load of the weights completes.
+	weightsLoadedAt time.Time
 }
 
 func (orders *orders) initialise() { orders.state.Role = wire.RoleServe }
 
-// accept accepts an order and reports whether it did. With check it refuses one with a
-// lower fencing token than the highest received: its sender no longer holds the lease.
+// accept adopts an order and returns true. With check it refuses an order whose fencing token
+// is lower than the highest received, because the sender no longer holds the lease, and
+// returns false.
 func (orders *orders) accept(order wire.Order, check bool, load time.Duration, now time.Time) bool {
 	orders.mu.Lock()
 	defer orders.mu.Unlock()
@@ -29,7 +30,7 @@
 	}
 	current := orders.state.Order
 	if order.Model != current.Model || order.Adapter != current.Adapter || order.Version != current.Version {
-		orders.loadedAt = now.Add(load)
+		orders.weightsLoadedAt = now.Add(load)
 	}
 	orders.state.Order = order
 	orders.state.HighestFencing = max(orders.state.HighestFencing, order.Fencing)
@@ -40,11 +41,11 @@
 	orders.mu.Lock()
 	defer orders.mu.Unlock()
 	state := orders.state
-	state.Loading = now.Before(orders.loadedAt)
+	state.Loading = now.Before(orders.weightsLoadedAt)
 	return state
 }
 
-// checkServing returns an error while weights load and if the role accepts no requests.
+// checkServing returns an error while weights load, or if the role accepts no requests.
 func (orders *orders) checkServing(now time.Time) error {
 	state := orders.current(now)
 	if state.Loading {
@@ -56,7 +57,8 @@
 	return nil
 }
 
-// groupSize returns the number of engines whose memory this one serves with.
+// groupSize returns the number of engines, this one included, whose memory this engine
+// serves with.
 func (orders *orders) groupSize() int {
 	orders.mu.Lock()
 	defer orders.mu.Unlock()
@@ -67,7 +69,8 @@
 	return 1
 }
 
-// groupEfficiency is the ratio of a group's prefill rate to the sum of its engines'.
+// groupEfficiency is the ratio of a group's prefill rate to the sum of its engines' prefill
+// rates.
 const groupEfficiency = 0.85
 
 // capacity returns the KV memory that the engine serves with.
@@ -88,7 +91,7 @@
 func (engine *Engine) cancelIfOverCapacity() {
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
-	if engine.privateKV+engine.cache.pinned() <= engine.capacity() {
+	if engine.privateKV+engine.cache.pinnedTokens() <= engine.capacity() {
 		return
 	}
 	for _, stream := range slices.Clone(engine.activeStreams) {
--- a/peridotpath/engine/enginetest/serve.go
+++ b/peridotpath/engine/enginetest/serve.go
@@ -187,7 +187,7 @@
 				_ = controller.Flush()
 				panic(http.ErrAbortHandler)
 			}
-			buffer = stream.appendEvent(buffer, next)
+			buffer = stream.formatEvent(buffer, next)
 			if _, err := writer.Write(buffer); err != nil {
 				return
 			}
@@ -273,7 +273,7 @@
 	engine.mu.Lock()
 	defer engine.mu.Unlock()
 	found := engine.streams[request.URL.Query().Get("stream")]
-	if found == nil || found.prefillLeft > 0 {
+	if found == nil || found.prefillTokensLeft > 0 {
 		http.Error(writer, "no such stream, or its prompt is not processed yet", http.StatusNotFound)
 		return
 	}
--- a/peridotpath/engine/enginetest/stream.go
+++ b/peridotpath/engine/enginetest/stream.go
@@ -35,14 +35,14 @@
 	seed        uint64
 	blockHashes []uint64
 	// pinnedBlocks is the number of blockHashes that the stream pins in the cache;
-	// privateKV is the KV memory that it does not share.
-	pinnedBlocks int
-	privateKV    peridotpath.Tokens
-	prefillLeft  float64
-	produced     float64
-	finished     bool
-	cancelled    bool
-	notResumable bool
+	// privateKV is the KV memory that the stream does not share.
+	pinnedBlocks      int
+	privateKV         peridotpath.Tokens
+	prefillTokensLeft float64
+	producedTokens    float64
+	finished          bool
+	cancelled         bool
+	notResumable      bool
 	// readers counts the attached readers; detachedAt is the time at which the last one left.
 	readers    int
 	detachedAt time.Time
@@ -53,18 +53,18 @@
 }
 
 func (stream *stream) isDecoding() bool {
-	return stream.prefillLeft <= 0 && !stream.finished
+	return stream.prefillTokensLeft <= 0 && !stream.finished
 }
 
 // produce adds tokens to the answer.
 func (stream *stream) produce(tokens float64) {
-	before := int(stream.produced)
-	stream.produced = min(stream.produced+tokens, float64(stream.prompt.outputTokens))
-	if stream.produced >= float64(stream.prompt.outputTokens) {
+	before := int(stream.producedTokens)
+	stream.producedTokens = min(stream.producedTokens+tokens, float64(stream.prompt.outputTokens))
+	if stream.producedTokens >= float64(stream.prompt.outputTokens) {
 		stream.finished = true
 		stream.engine.updateCounts(stream.sender.id, func(count *count) { count.Finished++ })
 	}
-	if int(stream.produced) > before {
+	if int(stream.producedTokens) > before {
 		stream.notifyReaders()
 	}
 }
@@ -74,8 +74,8 @@
 	stream.changed = make(chan struct{})
 }
 
-// freeUnneeded frees memory that is no longer needed. A finished stream keeps its memory
-// until a reader has received the whole answer.
+// freeUnneeded cancels the stream once it has had no reader for DetachedRetention, and frees
+// the memory of a finished stream once a reader has received the whole answer.
 func (stream *stream) freeUnneeded(now time.Time) {
 	hold := stream.engine.DetachedRetention
 	if hold > 0 && stream.readers == 0 && now.Sub(stream.detachedAt) >= hold {
@@ -122,8 +122,8 @@
 	stream.notifyReaders()
 }
 
-// available returns the number of events that can be read, whether that is final, and a
-// channel that is closed when it changes.
+// available returns the number of events that can be read, whether no more will follow, and
+// a channel that is closed when either changes.
 func (stream *stream) available() (int64, bool, <-chan struct{}) {
 	engine := stream.engine
 	engine.mu.Lock()
@@ -134,10 +134,10 @@
 	if stream.finished {
 		return stream.eventCount(), true, stream.changed
 	}
-	if stream.produced < 1 {
+	if stream.producedTokens < 1 {
 		return 0, false, stream.changed
 	}
-	return stream.roleEventCount() + int64(stream.produced), false, stream.changed
+	return stream.roleEventCount() + int64(stream.producedTokens), false, stream.changed
 }
 
 // markRead records that a reader has received the whole answer, and frees the memory.
@@ -208,8 +208,9 @@
 	return infos
 }
 
-// appendEvent returns an event in the server-sent events format.
-func (stream *stream) appendEvent(buffer []byte, offset int64) []byte {
+// formatEvent replaces the content of buffer by the event at offset, in the server-sent events
+// format, and returns the buffer.
+func (stream *stream) formatEvent(buffer []byte, offset int64) []byte {
 	buffer = append(buffer[:0], "id: "...)
 	buffer = strconv.AppendInt(buffer, offset, 10)
 	buffer = append(buffer, "\ndata: "...)
--- a/peridotpath/engine/events.go
+++ b/peridotpath/engine/events.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// readLine returns one line without its line ending. It is valid until the next call.
+// readLine returns one line without its line ending. The line is valid until the next call.
 func (eventReader *EventReader) readLine() ([]byte, error) {
 	eventReader.line = eventReader.line[:0]
 	for {
