--- a/peridotpath/sweep/sweep.go
+++ b/peridotpath/sweep/sweep.go
@@ -2,7 +2,7 @@
 // cancels the streams of callers that disconnect; without a sweep, the streams of an
 // instance that is killed would occupy KV cache indefinitely.
 //
-// The instance that owns an endpoint periodically lists its streams and cancels those that
+// The instance that owns an endpoint periodically lists the endpoint's streams and cancels those that
 // have had no reader for longer than the resume window, on the condition that they still
 // have none. The engine checks this condition when it cancels. Two owners at once, an
 // outdated membership list or a repeated cancellation therefore never cancel a stream that
@@ -67,7 +67,7 @@
 
 // MaxReclaimTime returns the maximum time from the disconnect of a stream's last reader
 // until its memory is freed, if one sweep fails. If the endpoint's owner died too, the
-// delay until the membership list shows it is added.
+// delay until the membership list shows the owner's death is added.
 func (sweeper *Sweeper) MaxReclaimTime() time.Duration {
 	return sweeper.ResumeWindow + resumeMargin + 2*sweeper.nextInterval(0)*11/10 + time.Second
 }
--- a/peridotpath/sweep/sweep_test.go
+++ b/peridotpath/sweep/sweep_test.go
@@ -21,9 +21,9 @@
 
 // fakeEngine keeps streams and cancels them conditionally, like an engine.
 type fakeEngine struct {
-	mu         sync.Mutex
-	detachedAt map[string]time.Time // zero while a reader is attached
-	cancels    int
+	mu          sync.Mutex
+	detachedAt  map[string]time.Time // zero while a reader is attached
+	cancelCount int
 	// losesCall reports whether the numbered call is lost: its request, or its reply.
 	losesCall func(call int) (requestLost, replyLost bool)
 	// callDuration is the duration of a call.
@@ -32,13 +32,13 @@
 
 var errLost = errors.New("no reply")
 
-func (fake *fakeEngine) setStream(stream string, detached time.Time) {
+func (fake *fakeEngine) setStream(stream string, detachedAt time.Time) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	if fake.detachedAt == nil {
 		fake.detachedAt = map[string]time.Time{}
 	}
-	fake.detachedAt[stream] = detached
+	fake.detachedAt[stream] = detachedAt
 }
 
 func (fake *fakeEngine) hasStream(stream string) bool {
@@ -48,14 +48,14 @@
 	return held
 }
 
-func (fake *fakeEngine) streams(context.Context, netip.AddrPort) ([]engine.StreamInfo, error) {
+func (fake *fakeEngine) listStreams(context.Context, netip.AddrPort) ([]engine.StreamInfo, error) {
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
 	var list []engine.StreamInfo
-	for id, detached := range fake.detachedAt {
+	for id, detachedAt := range fake.detachedAt {
 		info := engine.StreamInfo{ID: id, KVTokens: 1000}
-		if !detached.IsZero() {
-			info.DetachedMS = peridotpath.Millis(time.Since(detached).Milliseconds())
+		if !detachedAt.IsZero() {
+			info.DetachedMS = peridotpath.Millis(time.Since(detachedAt).Milliseconds())
 		}
 		list = append(list, info)
 	}
@@ -66,15 +66,15 @@
 	time.Sleep(fake.callDuration)
 	fake.mu.Lock()
 	defer fake.mu.Unlock()
-	fake.cancels++
+	fake.cancelCount++
 	requestLost, replyLost := false, false
 	if fake.losesCall != nil {
-		requestLost, replyLost = fake.losesCall(fake.cancels)
+		requestLost, replyLost = fake.losesCall(fake.cancelCount)
 	}
 	if requestLost {
 		return errLost
 	}
-	if detached, held := fake.detachedAt[stream]; held && (!onlyDetached || !detached.IsZero()) {
+	if detachedAt, held := fake.detachedAt[stream]; held && (!onlyDetached || !detachedAt.IsZero()) {
 		delete(fake.detachedAt, stream)
 	}
 	if replyLost {
@@ -89,7 +89,7 @@
 			return []peridotpath.Endpoint{{ID: "engine-1", Kind: peridotpath.KindEngine}}
 		},
 		IsOwner:      func(peridotpath.EndpointID) bool { return true },
-		ListStreams:  fake.streams,
+		ListStreams:  fake.listStreams,
 		CancelStream: fake.cancel,
 		ResumeWindow: resumeWindow,
 		Random:       func() float64 { return 0.5 },
@@ -181,13 +181,13 @@
 			fake.setStream("resumed", time.Time{})
 		}()
 		runSweepers(t, time.Second, newSweeper(fake))
-		is.Equal(fake.cancels, 1)
+		is.Equal(fake.cancelCount, 1)
 		is.True(fake.hasStream("resumed"))
 	})
 }
 
 // An engine is so slow that a list is seconds old before its last stream is reached, and
-// the caller of that stream has resumed and left again meanwhile. Cancellations must not be
+// the caller of that stream has resumed it and disconnected again meanwhile. Cancellations must not be
 // based on the outdated list.
 func TestOutdatedListIsDiscarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -203,6 +203,6 @@
 			}
 		}()
 		runSweepers(t, 4*time.Second, newSweeper(fake))
-		is.Equal(fake.cancels, 1)
+		is.Equal(fake.cancelCount, 1)
 	})
 }
