--- a/peridotpath/cursor/secret.go
+++ b/peridotpath/cursor/secret.go
@@ -22,8 +22,8 @@
 // no cursors.
 //
 // An instance whose write of a new secret conflicts reads the other instance's secret at
-// once. If the instance waited first, streams that begin meanwhile would have no cursors, and their
-// callers could not resume them.
+// once. If the instance waited first, streams that begin meanwhile would have no cursors,
+// and their callers could not resume them.
 func (signer *Signer) Run(ctx context.Context, store *keyvalue.Store) error {
 	var current []byte
 	for {
