--- a/peridotpath/engine/control.go
+++ b/peridotpath/engine/control.go
@@ -57,8 +57,8 @@
 	return Role(name), strings.Split(engines, ",")
 }
 
-// Order instructs an engine to reach a state. It holds the complete state, so it is
-// idempotent.
+// Order instructs an engine to reach a state. An order holds the complete state, so
+// sending it again has no further effect.
 type Order struct {
 	Fencing peridotpath.FencingNumber `json:"fencing"`
 	Model   string                    `json:"model"`
@@ -80,7 +80,7 @@
 const weightLoadPollInterval = 500 * time.Millisecond
 
 // SendOrder sends an order and returns once the engine has executed it, including the
-// load of its weights.
+// load of its weights. If ctx ends between two polls of the load, SendOrder returns nil.
 func (client *Client) SendOrder(ctx context.Context, address netip.AddrPort, order Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -113,7 +113,8 @@
 			return err
 		}
 		if !clock.SleepContext(ctx, weightLoadPollInterval) {
-			// The engine has accepted the order; its state shows that it still loads.
+			// The engine has accepted the order, and later reads of its state show
+			// whether it still loads.
 			return nil
 		}
 	}
