--- a/peridotpath/cursor/cursor.go
+++ b/peridotpath/cursor/cursor.go
@@ -20,8 +20,8 @@
 	"peridotpath.example/peridotpath/clock"
 )
 
-// Error is the class of this package's errors: the cursor was not issued by this system to
-// this Customer.
+// Error is the class of this package's errors. An error of Signer.Verify means that the
+// cursor was not issued by this system to this Customer, unless it is also an ErrNoSecret.
 var Error = errs.Class("cursor")
 
 // ErrNoSecret is the class of Signer.Verify's error while the secret is not loaded. The
@@ -56,9 +56,9 @@
 // SetSecret sets the secret.
 func (signer *Signer) SetSecret(secret []byte) { signer.secret.Store(&secret) }
 
-// StreamToken returns the signed part of a cursor, which all events of a stream share. It is
-// computed once for each stream; the offset of each event is appended. It is empty while
-// there is no secret: the stream then has no cursors.
+// StreamToken returns the signed part of a cursor, which all events of a stream share. The
+// token is computed once for each stream; Append adds the offset of each event. The token is
+// empty while there is no secret: the stream then has no cursors.
 func (signer *Signer) StreamToken(customer peridotpath.CustomerID, stream Stream) string {
 	secret := signer.secret.Load()
 	payload, err := json.Marshal(stream)
