--- a/peridotpath/engine/enginetest/engine_test.go
+++ b/peridotpath/engine/enginetest/engine_test.go
@@ -101,7 +101,7 @@
 		streams, err := bench.client.ListStreams(context.Background(), address)
 		is.NoErr(err)
 		is.Equal(len(streams), 1)           // a detached stream keeps its memory
-		is.True(streams[0].DetachedMS >= 4) // and reports how long it has been detached
+		is.True(streams[0].DetachedMS >= 4) // a detached stream reports for how long
 		second, err := bench.client.Resume(context.Background(), address, first.StreamID, last)
 		is.NoErr(err)
 		after, _, whole := readEvents(second, allEvents)
@@ -153,8 +153,8 @@
 	})
 }
 
-// firstToken returns how long the first token of a prompt took.
-func (bench *bench) firstToken(id string, body []byte, priority int) time.Duration {
+// timeToFirstToken returns how long the first token of a prompt took.
+func (bench *bench) timeToFirstToken(id string, body []byte, priority int) time.Duration {
 	sent := time.Now()
 	answer, err := bench.send(context.Background(), id, body, priority)
 	if err != nil {
@@ -172,9 +172,9 @@
 		long, err := bench.send(context.Background(), "long", body(makePrompt("long", 300_000), 10, true), 0)
 		is.NoErr(err)
 		defer long.Body.Close()
-		urgent := bench.firstToken("urgent", body(makePrompt("u", 1_000), 10, true), 5)
+		urgent := bench.timeToFirstToken("urgent", body(makePrompt("u", 1_000), 10, true), 5)
 		is.True(urgent < 50*time.Millisecond) // a prompt of higher priority queued
-		equal := bench.firstToken("equal", body(makePrompt("e", 1_000), 10, true), 0)
+		equal := bench.timeToFirstToken("equal", body(makePrompt("e", 1_000), 10, true), 0)
 		is.True(equal > 2*time.Second) // a prompt overtook an older one of its priority
 	})
 }
@@ -241,7 +241,7 @@
 }
 
 // After faults.CutResumable a stream can be resumed, after faults.CutUnresumable it cannot.
-func TestCutAndHalf(t *testing.T) {
+func TestCutStreams(t *testing.T) {
 	fake := &enginetest.Engine{}
 	runWith(t, fake, func(is *is.I, bench *bench) {
 		for _, kind := range []faults.Kind{faults.CutResumable, faults.CutUnresumable} {
--- a/peridotpath/order/reconciler.go
+++ b/peridotpath/order/reconciler.go
@@ -128,8 +128,8 @@
 	return states
 }
 
-// send sends one order. It checks the lease immediately before, because the
-// process may have been paused since the states were read. The rest of the lease
+// send sends one order. It checks the lease immediately before sending, because the
+// process may have been paused after it read the states. The rest of the lease
 // must cover the order's time limit: an order that outlives the lease could
 // overwrite one of the next holder, and one that is cut short has loaded weights
 // in vain.
@@ -144,7 +144,8 @@
 	return reconciler.SendOrder(ctx, endpoint, Order{Desired: due.desired, Fencing: term.Fencing, Timeout: limit})
 }
 
-// recordResult records the outcome of an order. Its effect is read at the next interval.
+// recordResult records the outcome of an order. The engine's new
+// state is read at the next interval.
 func (reconciler *Reconciler) recordResult(result orderResult) {
 	delete(reconciler.inFlight, result.order.endpoint)
 	reconciler.planner.recordResult(time.Now(), result.order, result.err)
