--- a/peridotpath/claim/bounds_test.go
+++ b/peridotpath/claim/bounds_test.go
@@ -16,7 +16,7 @@
 // until the cache is full. Another instance can only report that the request ran.
 func TestLargeAnswerIsCachedByItsInstance(t *testing.T) {
 	runWithFleet(t, func(is *is.I, fleet *fleet) {
-		first := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.AnswerCacheSize = 5000 })
+		first := fleet.start("a", 1, func(ledger *claim.Ledger) { ledger.Settings.AnswerCacheBytes = 5000 })
 		second := fleet.start("b", 1, nil)
 		defer closeAll(is, first, second)
 		large := strings.Repeat("x", 3000)
--- a/peridotpath/claim/claim.go
+++ b/peridotpath/claim/claim.go
@@ -96,7 +96,7 @@
 // is too large for the store it returns nil, and caches the answer in this process.
 func (claim *Claim) storedAnswer(answer *Answer) *ledgerpb.Answer {
 	ledger := claim.bucket.ledger
-	if answer.sizeBytes() <= int(ledger.Settings.MaxStoredAnswer) {
+	if answer.sizeBytes() <= int(ledger.Settings.MaxStoredAnswerBytes) {
 		return toProto(answer)
 	}
 	ledger.answerCache.put(claim.operation.key, answer)
--- a/peridotpath/claim/ledger.go
+++ b/peridotpath/claim/ledger.go
@@ -74,7 +74,7 @@
 		}
 		ledger.startedAt = ledger.Clock.Read()
 		ledger.lastAttemptNumber.Store(rand.Uint64() >> 1)
-		ledger.answerCache.maxBytes = int(ledger.Settings.AnswerCacheSize)
+		ledger.answerCache.maxBytes = int(ledger.Settings.AnswerCacheBytes)
 		ledger.closeRequested, ledger.runEnded = make(chan struct{}), make(chan struct{})
 		for number := range ledger.Settings.Buckets {
 			ledger.buckets = append(ledger.buckets, newBucket(ledger, number))
--- a/peridotpath/claim/settings.go
+++ b/peridotpath/claim/settings.go
@@ -33,11 +33,11 @@
 	// MaxBucketRecords and MaxBucketBytes bound the size of one bucket.
 	MaxBucketRecords int               `json:"max_records"`
 	MaxBucketBytes   peridotpath.Bytes `json:"max_bytes"`
-	// MaxStoredAnswer is the largest answer that is kept in the store, counted over body and
+	// MaxStoredAnswerBytes is the largest answer that is kept in the store, counted over body and
 	// headers.
-	MaxStoredAnswer peridotpath.Bytes `json:"max_answer"`
-	// AnswerCacheSize bounds this process's cache of larger answers, in bytes.
-	AnswerCacheSize peridotpath.Bytes `json:"answer_memory"`
+	MaxStoredAnswerBytes peridotpath.Bytes `json:"max_answer"`
+	// AnswerCacheBytes bounds this process's cache of larger answers, in bytes.
+	AnswerCacheBytes peridotpath.Bytes `json:"answer_memory"`
 	// StoredHeaders are the names of the headers that are kept with an answer.
 	StoredHeaders []string `json:"headers"`
 }
@@ -54,8 +54,8 @@
 	peridotpath.SetDefault(&settings.MaxOpenClaims, 10_000)
 	peridotpath.SetDefault(&settings.MaxBucketRecords, 10_000)
 	peridotpath.SetDefault(&settings.MaxBucketBytes, 900<<10)
-	peridotpath.SetDefault(&settings.MaxStoredAnswer, 1<<10)
-	peridotpath.SetDefault(&settings.AnswerCacheSize, 32<<20)
+	peridotpath.SetDefault(&settings.MaxStoredAnswerBytes, 1<<10)
+	peridotpath.SetDefault(&settings.AnswerCacheBytes, 32<<20)
 	if settings.StoredHeaders == nil {
 		settings.StoredHeaders = []string{"Content-Type", "Content-Encoding", "Etag", "Location"}
 	}
@@ -77,7 +77,7 @@
 	faults.Range(prefix+".max_open", int64(settings.MaxOpenClaims), 1, 1_000_000)
 	faults.Range(prefix+".max_records", int64(settings.MaxBucketRecords), 1, 100_000)
 	faults.Range(prefix+".max_bytes", int64(settings.MaxBucketBytes), 1<<10, keyvalue.MaxValueBytes-(64<<10))
-	faults.Range(prefix+".max_answer", int64(settings.MaxStoredAnswer), 0, 16<<10)
-	faults.Range(prefix+".answer_memory", int64(settings.AnswerCacheSize), 0, 1<<30)
+	faults.Range(prefix+".max_answer", int64(settings.MaxStoredAnswerBytes), 0, 16<<10)
+	faults.Range(prefix+".answer_memory", int64(settings.AnswerCacheBytes), 0, 1<<30)
 	return faults
 }
--- a/peridotpath/engine/control.go
+++ b/peridotpath/engine/control.go
@@ -65,8 +65,8 @@
 	Adapter string                    `json:"adapter,omitempty"`
 	Version string                    `json:"version"`
 	Role    Role                      `json:"role"`
-	// LimitMS is the time after which the engine abandons the order.
-	LimitMS peridotpath.Millis `json:"limit_ms,omitempty"`
+	// TimeoutMS is the time after which the engine abandons the order.
+	TimeoutMS peridotpath.Millis `json:"limit_ms,omitempty"`
 }
 
 // FetchOrderState returns the order that the engine follows.
--- a/peridotpath/engine/enginetest/engine.go
+++ b/peridotpath/engine/enginetest/engine.go
@@ -37,13 +37,13 @@
 	// PrefillPerS is the prefill rate of the engine, which serves the prompts in order
 	// of priority and arrival.
 	PrefillPerS peridotpath.Tokens
-	// DecodePerS is the decode rate of a stream while at most FullRateStreams streams decode.
+	// DecodePerS is the decode rate of a stream while at most MaxFullRateStreams streams decode.
 	DecodePerS peridotpath.Tokens
-	// FullRateStreams is the maximum number of streams that decode at the full rate. More
+	// MaxFullRateStreams is the maximum number of streams that decode at the full rate. More
 	// streams share the total rate of that many.
-	FullRateStreams int
-	// MaxWaiting bounds the prompts whose prefill is not complete; more are refused.
-	MaxWaiting int
+	MaxFullRateStreams int
+	// MaxWaitingPrompts bounds the prompts whose prefill is not complete; more are refused.
+	MaxWaitingPrompts int
 	// MinLoadReportAge is the minimum age of a load report.
 	MinLoadReportAge time.Duration
 	// CacheEventDelay delays cache events; CacheEventLossRate is the share that is lost (0 to 1).
@@ -93,8 +93,8 @@
 	setDefault(&engine.KVTokens, 400_000)
 	setDefault(&engine.PrefillPerS, 100_000)
 	setDefault(&engine.DecodePerS, 50)
-	setDefault(&engine.FullRateStreams, 32)
-	setDefault(&engine.MaxWaiting, 256)
+	setDefault(&engine.MaxFullRateStreams, 32)
+	setDefault(&engine.MaxWaitingPrompts, 256)
 }
 
 func setDefault[T comparable](field *T, value T) {
@@ -192,7 +192,7 @@
 	if need > free {
 		return errNoMemory.New("%d tokens wanted, %d of %d free", need, free, engine.capacity())
 	}
-	if waiting, _ := engine.prefillQueue(); waiting >= engine.MaxWaiting {
+	if waiting, _ := engine.prefillQueue(); waiting >= engine.MaxWaitingPrompts {
 		return errBusy.New("%d prompts wait", waiting)
 	}
 	return nil
@@ -270,7 +270,7 @@
 	if decoding == 0 {
 		return
 	}
-	tokens := seconds * float64(engine.DecodePerS) * min(1, float64(engine.FullRateStreams)/float64(decoding))
+	tokens := seconds * float64(engine.DecodePerS) * min(1, float64(engine.MaxFullRateStreams)/float64(decoding))
 	for _, stream := range engine.activeStreams {
 		if stream.isDecoding() {
 			stream.produce(tokens)
--- a/peridotpath/shift/engines.go
+++ b/peridotpath/shift/engines.go
@@ -88,6 +88,6 @@
 	return engineClient.Client.SendOrder(ctx, endpoint.Address, engine.Order{
 		Fencing: sent.Fencing, Model: sent.Desired.Model, Version: sent.Desired.Version,
 		Adapter: strings.Join(sent.Desired.Adapters, adapterSeparator),
-		Role:    engine.Role(sent.Desired.Role), LimitMS: peridotpath.Millis(sent.Timeout.Milliseconds()),
+		Role:    engine.Role(sent.Desired.Role), TimeoutMS: peridotpath.Millis(sent.Timeout.Milliseconds()),
 	})
 }
