--- a/peridotpath/decide/admit.go
+++ b/peridotpath/decide/admit.go
@@ -10,16 +10,18 @@
 	// serviceTimeMargin is the safety factor on the predicted time of prefill and
 	// decoding.
 	serviceTimeMargin = 1.3
-	// longestWaitMargin times the longest wait so far is the lower bound of the
-	// wait predicted for new work. Work at the head of the queue that cannot be
-	// placed (head-of-line blocking) predicts the wait better than a drain
-	// rate.
+	// longestWaitMargin is the factor on the longest wait of queued work. The
+	// product is the lower bound of the wait predicted for new work: while the
+	// head of the queue cannot be placed (head-of-line blocking), its wait
+	// predicts that of new work better than the drain rate does.
 	longestWaitMargin = 3
-	// assumedDrainShare is the share of the endpoints' prefill rate at which a
-	// queue is assumed to drain until it has been observed for drainWindow.
+	// assumedDrainShare is the drain rate that is assumed of a queue, as a share of
+	// this Instance's equal part of the endpoints' prefill rate. The assumed drain
+	// rate is the lower bound of the measured one until the queue has been
+	// non-empty for drainWindow.
 	assumedDrainShare = 0.7
-	// minDrainShare is the lower bound of the measured drain rate, as a share
-	// of the assumed one.
+	// minDrainShare is the lower bound of the measured drain rate after drainWindow,
+	// as a share of the assumed drain rate.
 	minDrainShare = 0.1
 	// concurrencyRetryDelay is the retry delay for a customer above its
 	// concurrency limit.
@@ -154,18 +156,18 @@
 }
 
 // drainRate is the rate in tokens per second at which this Instance's queue of
-// the class drains. The measured rate is used once the queue has been non-empty
-// for a whole drainWindow. A newer queue has drained little and would appear
-// slow, so a share of the prefill rate that the endpoints report is its lower
-// bound.
+// the class drains. Once the queue has been non-empty for a whole drainWindow, it
+// is the measured rate. A queue that formed more recently has drained little and
+// would appear slow, so its drain rate is at least assumedDrainShare of the
+// Instance's part of the prefill rate.
 func (scheduler *Scheduler) drainRate(at int64, group *group, class peridotpath.LengthClass) float64 {
-	assumed := assumedDrainShare * totalPrefillRate(group.poolFor(class)) / float64(scheduler.instanceCount.Load())
-	measured := group.drained[class].perSecond(at)
+	assumedRate := assumedDrainShare * totalPrefillRate(group.poolFor(class)) / float64(scheduler.instanceCount.Load())
+	measuredRate := group.drained[class].perSecond(at)
 	nonEmptySince := group.backlogSince[class]
 	if nonEmptySince != 0 && at-nonEmptySince >= int64(drainWindow[class]) {
-		return max(measured, minDrainShare*assumed, 1)
+		return max(measuredRate, minDrainShare*assumedRate, 1)
 	}
-	return max(measured, assumed, 1)
+	return max(measuredRate, assumedRate, 1)
 }
 
 func seconds(value float64) time.Duration {
--- a/peridotpath/decide/budget.go
+++ b/peridotpath/decide/budget.go
@@ -11,7 +11,7 @@
 	// the work that one endpoint holds when it crashes.
 	maxSavedRetries = 50
 	// initialEndpointRetries is the initial number of retries of an endpoint.
-	// One that fails from the start is ejected before it has accumulated a
+	// An endpoint that fails from the start is ejected before it has accumulated a
 	// single retry, and the requests that failed on it could not be retried.
 	// The customers' budgets limit the load that this adds.
 	initialEndpointRetries = 10
--- a/peridotpath/decide/group.go
+++ b/peridotpath/decide/group.go
@@ -28,8 +28,8 @@
 	drained [classCount]window
 
 	queues [classCount]queue
-	// backlogSince is since when the queue of a class has been non-empty, in Unix
-	// nanoseconds; zero if it is empty.
+	// backlogSince is the time at which the queue of a class became non-empty, in
+	// Unix nanoseconds; zero while the queue is empty.
 	backlogSince   [classCount]int64
 	subset         subset
 	retrySchedules [classCount]retrySchedule
--- a/peridotpath/decide/health.go
+++ b/peridotpath/decide/health.go
@@ -30,22 +30,22 @@
 	probeAnyClassAfter = 10 * time.Second
 	// probeNonIdempotentAfter is the time after an ejection from which a
 	// non-idempotent call may probe the endpoint. Such a call may end as
-	// outcome_unknown, so it probes last; without it, a service with only
+	// outcome_unknown, so it probes last. Without such probes, a service with only
 	// non-idempotent calls would permanently lose each endpoint after a brief
 	// failure, up to maxEjectedShare.
 	probeNonIdempotentAfter = 30 * time.Second
 	// slownessWeight is the weight of one observation in the moving average of
 	// slowness, which follows a change within about ten observations.
 	slownessWeight = 0.1
-	// maxSlowness limits the correction, so that an endpoint still receives an
+	// maxSlowness is the maximum slowness, so that an endpoint still receives an
 	// occasional request by which its recovery is observed.
 	maxSlowness = 10
 	// minSlownessRatio is the ratio to the predicted time from which an
 	// endpoint counts as slow. Smaller ratios are within the error of the
 	// prediction.
 	minSlownessRatio = 1.5
-	// slownessDecayPerSecond is the factor on the slowness per second, so that
-	// an avoided endpoint is tried again after a minute.
+	// slownessDecayPerSecond is the factor per second by which the logarithm of the
+	// slowness decays, so that an avoided endpoint is tried again after a minute.
 	slownessDecayPerSecond = 0.97
 	// decodeRateWeight is the weight of one answer in the moving average of the
 	// decode rate, and minDecodedTokens is the minimum length of an answer that
--- a/peridotpath/decide/ledger.go
+++ b/peridotpath/decide/ledger.go
@@ -9,9 +9,9 @@
 const (
 	// ledgerStep is the time resolution of the ledger.
 	ledgerStep = int64(50 * time.Millisecond)
-	// ledgerStepCount is the length of the ring. Times ledgerStep it is the
-	// maximum age at which a report is corrected in full: 12.8 s, twice the
-	// longest planned reporting delay.
+	// ledgerStepCount is the number of steps in the ring. The ring spans 12.8 s,
+	// the maximum age at which a report is corrected in full: twice the longest
+	// planned reporting delay.
 	ledgerStepCount = 256
 )
 
@@ -22,8 +22,8 @@
 	// reservedKV is the KV memory of this Instance's running work below Long, in
 	// tokens.
 	reservedKV int64
-	// longKV is the KV memory of its running Long work, which may still be queued
-	// for it inside the engine.
+	// longKV is the KV memory of this Instance's running Long work, in tokens.
+	// Inside the engine, that work may still be queued for the memory.
 	longKV int64
 	// runningCount counts this Instance's running work.
 	runningCount int64
--- a/peridotpath/decide/member.go
+++ b/peridotpath/decide/member.go
@@ -14,9 +14,9 @@
 
 const bandCount = 2 * int(peridotpath.Oversize)
 
-func bandOf(class peridotpath.LengthClass, over bool) band {
+func bandOf(class peridotpath.LengthClass, isOverShare bool) band {
 	class = min(class, peridotpath.Long)
-	if over {
+	if isOverShare {
 		return band(2*class + 1)
 	}
 	return band(2 * class)
@@ -36,7 +36,7 @@
 	totals totals
 }
 
-// state is this Instance's state of one endpoint while that is in the fleet.
+// state is this Instance's state of one endpoint while the endpoint is in the fleet.
 type state struct {
 	// liveMember is the live member, nil once the endpoint is leaving or removed.
 	liveMember atomic.Pointer[member]
@@ -92,8 +92,9 @@
 }
 
 // prefillBacklog predicts the prefill backlog of the endpoint, in tokens: the
-// reported one, minus the prefill since, plus the pending work sent since. This
-// Instance's own pending work is a lower bound.
+// reported backlog, minus what the endpoint has prefilled since the report, plus
+// the pending work sent since the report. This Instance's own pending work is the
+// lower bound.
 func (member *member) prefillBacklog(at int64, addSent bool) float64 {
 	ownPending := float64(member.pendingUpTo(band(bandCount - 1)))
 	load := member.load.Load()
@@ -123,20 +124,20 @@
 // shorter work of higher priority overtakes it; so the memory that long work has
 // yet to receive counts only for other long work.
 func (member *member) usedKV(class peridotpath.LengthClass, addSent bool) int64 {
-	own, long := member.ledger.reservedKV.Load(), member.ledger.longKV.Load()
+	ownKV, ownLongKV := member.ledger.reservedKV.Load(), member.ledger.longKV.Load()
 	load := member.load.Load()
 	if load == nil {
-		return own + long
+		return ownKV + ownLongKV
 	}
 	if !addSent {
 		return int64(load.KVUsed)
 	}
-	addedSince := own - load.totals.reservedKV
-	longAddedSince := long - load.totals.longKV
+	addedSince := ownKV - load.totals.reservedKV
+	longAddedSince := ownLongKV - load.totals.longKV
 	if class >= peridotpath.Long {
-		return max(own+long, int64(load.KVUsed)+addedSince+longAddedSince)
+		return max(ownKV+ownLongKV, int64(load.KVUsed)+addedSince+longAddedSince)
 	}
-	return max(own, int64(load.KVUsed)+addedSince+min(longAddedSince, 0))
+	return max(ownKV, int64(load.KVUsed)+addedSince+min(longAddedSince, 0))
 }
 
 // totalKV is the endpoint's KV memory in tokens; zero if unknown.
@@ -149,16 +150,16 @@
 
 // inFlightCount predicts the number of requests on the endpoint.
 func (member *member) inFlightCount(addSent bool) int64 {
-	own := member.ledger.runningCount.Load()
+	ownCount := member.ledger.runningCount.Load()
 	load := member.load.Load()
 	if load == nil {
-		return own
+		return ownCount
 	}
 	count := int64(load.Running + load.Waiting)
 	if !addSent {
 		return count
 	}
-	return max(own, count+own-load.totals.runningCount)
+	return max(ownCount, count+ownCount-load.totals.runningCount)
 }
 
 // report stores a load report unless a newer one is held.
--- a/peridotpath/decide/queue.go
+++ b/peridotpath/decide/queue.go
@@ -134,24 +134,24 @@
 }
 
 // tokensAhead returns the tokens that are served before new work of the
-// customer, and how many of them are its own: all queued tokens, or fewer if
-// the customer's own flow is short, since the others receive only their fair
-// shares until then.
-func (queue *queue) tokensAhead(customer *customer) (tokens, own int64) {
+// customer, and how many of them are the customer's own. These are all queued
+// tokens, or fewer if the customer's own flow is short: until the new work is
+// served, the other customers receive only their fair shares.
+func (queue *queue) tokensAhead(customer *customer) (tokens, ownTokens int64) {
 	if queue.fifo {
 		return queue.tokens, queue.tokens
 	}
 	weight := customer.weight.Load()
 	if customerFlow := queue.flows[customer]; customerFlow != nil {
-		own = customerFlow.tokens
+		ownTokens = customerFlow.tokens
 	}
-	ahead := own
+	ahead := ownTokens
 	for _, customerFlow := range queue.ring {
 		if customerFlow.customer != customer {
-			ahead += min(customerFlow.tokens, (own+quantum[queue.class]*weight)*customerFlow.weight()/weight)
+			ahead += min(customerFlow.tokens, (ownTokens+quantum[queue.class]*weight)*customerFlow.weight()/weight)
 		}
 	}
-	return min(ahead, queue.tokens), own
+	return min(ahead, queue.tokens), ownTokens
 }
 
 // longestWait returns the longest wait so far among the flows that precede new
@@ -159,9 +159,9 @@
 // otherwise those of customers within theirs.
 func (queue *queue) longestWait(at int64, customer *customer) time.Duration {
 	var longest int64
-	over := customer.isOverShare[queue.class].Load()
+	isOverShare := customer.isOverShare[queue.class].Load()
 	for _, customerFlow := range queue.ring {
-		if !over && customerFlow.customer != nil && customerFlow.customer.isOverShare[queue.class].Load() {
+		if !isOverShare && customerFlow.customer != nil && customerFlow.customer.isOverShare[queue.class].Load() {
 			continue
 		}
 		for _, work := range customerFlow.works {
@@ -173,16 +173,16 @@
 
 // removeExpired removes and returns the work for which isExpired is true.
 func (queue *queue) removeExpired(isExpired func(*Work) bool) []*Work {
-	var out []*Work
+	var removed []*Work
 	for _, customerFlow := range slices.Clone(queue.ring) {
 		for _, work := range slices.Clone(customerFlow.works) {
 			if isExpired(work) {
-				out = append(out, work)
+				removed = append(removed, work)
 				queue.remove(work)
 			}
 		}
 	}
-	return out
+	return removed
 }
 
 // byDeadline is a heap of work, earliest deadline first.
--- a/peridotpath/decide/retry.go
+++ b/peridotpath/decide/retry.go
@@ -30,13 +30,13 @@
 }
 
 const (
-	// hungFactor times the predicted time to first token without a first token
-	// counts as a failure. Slow or full endpoints exceed the prediction a few
+	// hungFactor is the multiple of the predicted time to first token after which
+	// an attempt without a first token counts as a failure. Slow or full endpoints exceed the prediction a few
 	// times over; an endpoint that accepts connections and then hangs exceeds it
 	// tenfold.
 	hungFactor = 10
 	// minHungTime is the minimum time without a first token that counts as a
-	// failure, so that callers which disconnect early do not count.
+	// failure, so that attempts whose callers disconnect early do not count.
 	minHungTime = 5 * time.Second
 )
 
--- a/peridotpath/decide/retry_schedule.go
+++ b/peridotpath/decide/retry_schedule.go
@@ -4,8 +4,8 @@
 
 const (
 	// retryDrainShare is the share of the drain rate that is reserved for the
-	// retries of refused callers. New requests use the rest; retries that were
-	// scheduled at the full rate would find the capacity taken by them.
+	// retries of refused callers. New requests use the rest: retries scheduled at
+	// the full drain rate would find a part of it used by new requests.
 	retryDrainShare = 0.4
 	// minRetryDelay is the minimum retry delay, so that a refused caller does not
 	// retry within the same overload.
@@ -25,7 +25,7 @@
 // a part of the future drain rate, so that the retries of ten thousand refused
 // requests arrive at a rate that the fleet can serve and not as a second burst.
 type retrySchedule struct {
-	reservedUntil int64 // until when the reserved share is taken, in Unix nanoseconds
+	reservedUntil int64 // when the capacity reserved so far ends, in Unix nanoseconds
 	overloadSince int64 // when the current overload began, in Unix nanoseconds
 	lastRefusal   int64 // when the latest refusal was made, in Unix nanoseconds
 }
--- a/peridotpath/decide/scheduler.go
+++ b/peridotpath/decide/scheduler.go
@@ -169,8 +169,8 @@
 // placeOrQueue places the work if its class has an empty queue and an endpoint
 // can take it; otherwise it queues or refuses it.
 func (scheduler *Scheduler) placeOrQueue(at int64, group *group, work *Work) Decision {
-	over := scheduler.isEnabled(MechanismDemotion) && work.customer.isOverShare[work.queueClass()].Load()
-	work.placement = placement{band: bandOf(work.Class, over)}
+	isOverShare := scheduler.isEnabled(MechanismDemotion) && work.customer.isOverShare[work.queueClass()].Load()
+	work.placement = placement{band: bandOf(work.Class, isOverShare)}
 	reasons := obstacleBacklog
 	if group.queuedCount[work.queueClass()].Load() == 0 {
 		chosen, obstacles := scheduler.chooseCandidate(at, group, work)
@@ -343,8 +343,8 @@
 		placed.member.health.observeDecode(tokens, time.Duration(at-placed.firstTokenAt))
 	case !placed.hasFirstToken && outcome == Abandoned:
 		// The caller disconnected before the first token. The elapsed time is a
-		// lower bound of the time to first token; without it the slowest
-		// endpoints would never be observed.
+		// lower bound of the time to first token. If it were not observed, the
+		// slowness of the slowest endpoints would never be.
 		scheduler.observeTTFT(at, placed)
 	}
 	charged := outcome
