--- a/peridotpath/dispatch/attempt.go
+++ b/peridotpath/dispatch/attempt.go
@@ -21,7 +21,7 @@
 	reason  telemetry.RetryReason
 	// result is nil for a whole answer.
 	result *peridotpath.Result
-	// contentSent is set once content was sent to the caller: the work is not retried.
+	// contentSent is set once content was sent to the caller; the work is then not retried.
 	contentSent bool
 	// tokens is the number of answer tokens that were delivered.
 	tokens peridotpath.Tokens
--- a/peridotpath/dispatch/cancel.go
+++ b/peridotpath/dispatch/cancel.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// maxPendingCancellations bounds the streams whose cancellation is pending. The
-	// sweep of detached streams frees those beyond it.
+	// maxPendingCancellations bounds the pending cancellations. When it is reached, they
+	// are sent before they are due. A cancellation that finds the channel full is dropped;
+	// the sweep of detached streams frees its stream.
 	maxPendingCancellations = 1024
 	// cancelInterval is the time between two checks for due cancellations.
 	cancelInterval = 100 * time.Millisecond
--- a/peridotpath/dispatch/dispatch.go
+++ b/peridotpath/dispatch/dispatch.go
@@ -29,7 +29,7 @@
 	Work *decide.Work
 	// Path is the engine's path that the caller requested.
 	Path string
-	// Body is released at the first content: the request is not sent again after it.
+	// Body is released at the first content; after that the request is not sent again.
 	Body *engine.Body
 	// OnBodyReleased, when set, is called after Body was released.
 	OnBodyReleased func()
--- a/peridotpath/dispatch/run.go
+++ b/peridotpath/dispatch/run.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// resultForCaller returns the result for the caller. A retry that is refused did not run,
-// but an earlier attempt may have: after "not run" the caller would send the
-// request again as a new one, so it gets the earlier attempt's result.
+// resultForCaller returns the result for the caller. If the last attempt did not run, but
+// an earlier one may have, the caller gets the result of the earlier attempt: after "not
+// run" the caller would send the request again as a new one.
 func resultForCaller(result, lastRun *peridotpath.Result) *peridotpath.Result {
 	if result != nil && lastRun != nil && result.Code.NotRun() {
 		return lastRun
@@ -56,8 +56,9 @@
 	return result
 }
 
-// checkMaySend returns an unsent attempt with a result if maySend fails, and an empty
-// attempt otherwise.
+// checkMaySend calls maySend, if it is set, before an attempt is sent. If maySend fails, the
+// returned attempt has the outcome NeverSent and the result for the error; otherwise it has
+// no result, and the attempt may be sent.
 func checkMaySend(maySend func() error) attempt {
 	if maySend == nil {
 		return attempt{}
