--- a/peridotpath/decide/place.go
+++ b/peridotpath/decide/place.go
@@ -23,7 +23,7 @@
 )
 
 // maxMemoryFill is the share of an endpoint's KV memory up to which work of a
-// class may fill it. Medium work leaves room for short work: it holds its
+// class may fill it. Medium work leaves room for short work: medium work holds its
 // memory for tens of seconds, during which a short prompt would be queued if
 // all endpoints were full. The remainder absorbs underestimated lengths, which
 // would otherwise queue inside the engine, where they can no longer be
@@ -98,8 +98,8 @@
 	var best candidate
 	var reasons obstacle
 	if scheduler.isEnabled(MechanismAffinity) {
-		if member, cached := scheduler.affinity.findMember(at, work); member != nil && slices.Contains(pool, member) {
-			scheduler.consider(at, work, member, cached, &best, &reasons)
+		if member, cachedTokens := scheduler.affinity.findMember(at, work); member != nil && slices.Contains(pool, member) {
+			scheduler.consider(at, work, member, cachedTokens, &best, &reasons)
 		}
 	}
 	samples := min(sampleSize, len(pool))
@@ -121,8 +121,8 @@
 
 // consider replaces best if member is a better candidate, or adds to reasons the
 // obstacle by which member cannot take the work.
-func (scheduler *Scheduler) consider(at int64, work *Work, member *member, cached int64, best *candidate, reasons *obstacle) {
-	next := candidate{member: member, uncachedTokens: max(int64(work.PromptTokens)-cached, 0)}
+func (scheduler *Scheduler) consider(at int64, work *Work, member *member, cachedTokens int64, best *candidate, reasons *obstacle) {
+	next := candidate{member: member, uncachedTokens: max(int64(work.PromptTokens)-cachedTokens, 0)}
 	if scheduler.isEnabled(MechanismEjection) {
 		usable, probe := member.health.canTake(at, work)
 		if !usable {
@@ -201,11 +201,11 @@
 
 // maxFill is the share of an endpoint's memory up to which the work may fill
 // it. The largest prompts need nearly all memory of an engine, which is never
-// free at once while shorter ones arrive. After half of its queue timeout, long
+// free at once while shorter prompts arrive. After half of its queue timeout, long
 // work is sent to wait inside the engine, which reserves freed memory for it.
 func (scheduler *Scheduler) maxFill(at int64, work *Work) float64 {
-	aged := work.queuedAt != 0 && at-work.queuedAt > int64(work.Profile.MaxQueueMS.Duration())/2
-	if aged && work.queueClass() == peridotpath.Long && scheduler.isEnabled(MechanismAgeing) {
+	isAged := work.queuedAt != 0 && at-work.queuedAt > int64(work.Profile.MaxQueueMS.Duration())/2
+	if isAged && work.queueClass() == peridotpath.Long && scheduler.isEnabled(MechanismAgeing) {
 		return 2
 	}
 	if work.placement.band%2 == 1 {
@@ -215,23 +215,23 @@
 }
 
 // memoryPressure is a penalty in seconds for filling an endpoint: a nearly full
-// one evicts cached prefixes and cannot take the next long prompt.
+// endpoint evicts cached prefixes and cannot take the next long prompt.
 func memoryPressure(fill float64) float64 {
 	return 0.2*max(fill-0.5, 0) + 10*max(fill-0.9, 0)
 }
 
 const (
 	// reportStaleAfter is the age above which a report hardly predicts the
-	// delay of a short prompt. Instances that weighed it in full would all pick
-	// the same endpoints.
+	// delay of a short prompt. Instances that weighed such a report in full would
+	// all pick the same endpoints.
 	reportStaleAfter = 2 * time.Second
 	// staleBacklogWeight is the factor on the backlog from a stale report.
 	staleBacklogWeight = 0.25
 )
 
 // delayingBacklog is the prefill backlog, in tokens, that delays the work: this
-// Instance's own in the same or an earlier band, and the share of the rest that
-// delays its class.
+// Instance's own backlog in the work's band and earlier ones, and the share of the
+// remaining backlog that delays the work's class.
 func (scheduler *Scheduler) delayingBacklog(work *Work, ownPending, backlog float64, age time.Duration) float64 {
 	if !scheduler.isEnabled(MechanismPriority) {
 		return backlog
--- a/peridotpath/decide/view.go
+++ b/peridotpath/decide/view.go
@@ -39,12 +39,13 @@
 // Explanation is the decision that work would get now, with its reasons.
 type Explanation struct {
 	Verdict Verdict
-	// Endpoint is set for Place. It is the best of all endpoints, whereas Submit
-	// compares a sample.
+	// Endpoint is set for Place. It is the best of all Candidates, whereas Submit
+	// compares a sample of them.
 	Endpoint peridotpath.EndpointID
 	// Result is set for Refuse.
 	Result *peridotpath.Result
-	// Candidates are all endpoints of the service, best first.
+	// Candidates are the endpoints on which work of the class may be placed, best
+	// first.
 	Candidates []Candidate
 }
 
--- a/peridotpath/decide/window.go
+++ b/peridotpath/decide/window.go
@@ -6,7 +6,7 @@
 )
 
 // window is a sliding-window rate estimate over two counters, of the current and
-// the previous span. Updates take no lock; concurrent ones at a span's boundary
+// the previous span. Updates take no lock; concurrent updates at a span's boundary
 // may lose a count, which only makes the estimate less exact.
 type window struct {
 	span      time.Duration
--- a/peridotpath/decide/work.go
+++ b/peridotpath/decide/work.go
@@ -53,8 +53,8 @@
 	placement placement
 	// outcome is how the latest attempt ended.
 	outcome Outcome
-	// queuedAt is when the work was queued, in Unix nanoseconds; zero if it is
-	// not.
+	// queuedAt is when the work was queued, in Unix nanoseconds; zero if the
+	// work is not queued.
 	queuedAt int64
 	// sequence orders queued work with equal deadlines by arrival.
 	sequence uint64
@@ -93,7 +93,8 @@
 	Verdict  Verdict
 	Endpoint peridotpath.Endpoint
 	// Priority is sent to the engine with the request; higher runs first. It is
-	// twice the profile's, plus one while the customer is within its fair share.
+	// twice the profile's priority, plus one while the customer is within its fair
+	// share, and plus two if the work was placed after half of its time.
 	Priority int
 	Result   *peridotpath.Result
 }
@@ -109,7 +110,8 @@
 	Rejected
 	// NotConnected means that no connection was established.
 	NotConnected
-	// Failed means that the attempt failed after the endpoint may have started.
+	// Failed means that the attempt failed after the endpoint may have started the
+	// work.
 	Failed
 	// Abandoned means that the caller disconnected or the deadline passed. It
 	// counts against the endpoint only if the time far exceeded the prediction.
