--- a/peridotpath/dispatch/cancel.go
+++ b/peridotpath/dispatch/cancel.go
@@ -31,12 +31,12 @@
 	if stream == "" {
 		return
 	}
-	due := time.Now()
+	dueAt := time.Now()
 	if mayResume {
-		due = due.Add(dispatcher.ResumeWindow)
+		dueAt = dueAt.Add(dispatcher.ResumeWindow)
 	}
 	select {
-	case dispatcher.cancellations <- cancellation{address, stream, due, mayResume}:
+	case dispatcher.cancellations <- cancellation{address, stream, dueAt, mayResume}:
 	default:
 	}
 }
--- a/peridotpath/dispatch/dispatch_test.go
+++ b/peridotpath/dispatch/dispatch_test.go
@@ -20,7 +20,7 @@
 // TestRetriesOnlyWhatIsSafe runs an idempotent and a non-idempotent request
 // against each kind of failure of the first attempt.
 //
-// It guards against running a claim twice: an endpoint reads the body, runs it and
+// A claim must not run twice. An endpoint reads a claim's body, runs the claim and
 // loses the connection; if that counted as "not run", the same body would be sent
 // to a second endpoint.
 func TestRetriesOnlyWhatIsSafe(t *testing.T) {
@@ -217,10 +217,10 @@
 	}
 }
 
-// TestBodyIsReleasedAtFirstToken guards against bodies that are held until the
-// end of the answer: forty callers with prompts of a million tokens, whose answers
-// take minutes, used up the body memory, and every other caller was refused with
-// body_memory.
+// TestBodyIsReleasedAtFirstToken checks that a body is not held until the end of the
+// answer. Held that long, the bodies of forty callers with prompts of a million
+// tokens, whose answers take minutes, use up the body memory, and every other caller
+// is refused with body_memory.
 func TestBodyIsReleasedAtFirstToken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -230,18 +230,18 @@
 		}
 		defer fixture.start(t)()
 		request := request(true)
-		releases := 0
-		request.OnBodyReleased = func() { releases++ }
+		releaseCount := 0
+		request.OnBodyReleased = func() { releaseCount++ }
 		received := &received{}
 		sink := received.sink()
 		sink.WriteEvent = func(int64, []byte) error {
-			is.Equal(releases, 1)
+			is.Equal(releaseCount, 1)
 			is.Equal(request.Body.Len(), 0)
 			return nil
 		}
 		result := fixture.Do(t.Context(), request, sink)
 		is.Equal(result.Code, peridotpath.CodeDeadline)
-		is.Equal(releases, 1)
+		is.Equal(releaseCount, 1)
 	})
 }
 
--- a/peridotpath/dispatch/relay.go
+++ b/peridotpath/dispatch/relay.go
@@ -107,7 +107,8 @@
 // errCallerWrite is the class of failures to write to the caller.
 var errCallerWrite = errs.Class("dispatch: write to the caller")
 
-// relayEvents relays events until the end marker, for which it returns true, or an error.
+// relayEvents relays events until the end marker and then returns true. If reading or
+// writing fails earlier, it returns the error.
 func (stream *stream) relayEvents(ctx context.Context, events *engine.EventReader) (bool, error) {
 	for {
 		event, err := events.Next()
@@ -200,10 +201,10 @@
 }
 
 // resume reattaches to the stream after the last relayed event, with one attempt
-// after each delay. relay drops the first delay for each resumed answer without
-// events: a caller that resumes after the last event of a complete stream, which
-// browsers do on their own, would otherwise cause a busy loop of requests to the
-// endpoint until the deadline.
+// after each delay. For each consecutive resumed answer without events, relay omits
+// one more delay at the start of the list. Otherwise a caller that resumes after the
+// last event of a complete stream, which browsers do on their own, would cause a busy
+// loop of requests to the endpoint until the deadline.
 func (stream *stream) resume(ctx context.Context, delays []time.Duration) (*engine.Answer, error) {
 	err := engine.ErrStreamGone.New("the endpoint named no stream")
 	for _, delay := range delays {
