--- a/peridotpath/caller/body.go
+++ b/peridotpath/caller/body.go
@@ -68,8 +68,8 @@
 
 // Read returns the whole body and a function that releases its memory, to be called
 // once, when the body is no longer needed; after a failure it is already released.
-// The body must arrive by the given time, unless that is zero: a later one could
-// only be refused, after the caller's own deadline.
+// The body must arrive by deadline, unless that is zero: a body that arrives later
+// could only be refused, after the caller's own deadline.
 func (bodyReader *BodyReader) Read(writer http.ResponseWriter, request *http.Request, deadline time.Time) ([]byte, func(), *peridotpath.Result) {
 	if request.ContentLength > int64(bodyReader.MaxBodySize) {
 		return nil, nil, &peridotpath.Result{Code: peridotpath.CodeBodyTooLarge}
@@ -118,9 +118,9 @@
 		return false
 	}
 	bodyBuffer.reserved += more
-	grown := make([]byte, len(bodyBuffer.data), bodyBuffer.reserved)
-	copy(grown, bodyBuffer.data)
-	bodyBuffer.data = grown
+	largerData := make([]byte, len(bodyBuffer.data), bodyBuffer.reserved)
+	copy(largerData, bodyBuffer.data)
+	bodyBuffer.data = largerData
 	return true
 }
 
--- a/peridotpath/caller/complete.go
+++ b/peridotpath/caller/complete.go
@@ -196,11 +196,11 @@
 func prefixHashes(text string) []uint64 {
 	var hashes []uint64
 	hash := xxhash.New()
-	hashed := 0
+	hashedSize := 0
 	for end := firstPrefixSize; end <= len(text); end *= prefixGrowth {
-		_, _ = hash.WriteString(text[hashed:end])
+		_, _ = hash.WriteString(text[hashedSize:end])
 		hashes = append(hashes, hash.Sum64())
-		hashed = end
+		hashedSize = end
 	}
 	return hashes
 }
--- a/peridotpath/caller/once.go
+++ b/peridotpath/caller/once.go
@@ -70,8 +70,9 @@
 	return &peridotpath.Result{Code: peridotpath.CodeInternal, Detail: err.Error()}
 }
 
-// runClaimed serves the request and records its outcome. The ledger completes the
-// record in the background; the caller's answer does not wait for it.
+// runClaimed serves the request and records its outcome. The ledger gets a cancelled
+// context and completes the record in the background, so that the caller's answer does
+// not wait for it.
 func (server *Server) runClaimed(ctx context.Context, exchange *exchange, granted *claim.Claim, serve func(ctx context.Context, maySend func() error) *peridotpath.Result) *peridotpath.Result {
 	recorder := &answerRecorder{ResponseWriter: exchange.writer}
 	exchange.writer = recorder
--- a/peridotpath/caller/once_test.go
+++ b/peridotpath/caller/once_test.go
@@ -141,8 +141,8 @@
 	})
 }
 
-// TestKeyRunsAgainOnlyIfNotRun checks that a request that certainly did not
-// run may run again with the same key, and that one that may have run does not.
+// TestKeyRunsAgainOnlyIfNotRun sends a request twice with one key. The second must run if
+// the first certainly did not run, and must not run if the first may have run.
 func TestKeyRunsAgainOnlyIfNotRun(t *testing.T) {
 	cases := []struct {
 		code peridotpath.Code
--- a/peridotpath/caller/resume_test.go
+++ b/peridotpath/caller/resume_test.go
@@ -163,7 +163,7 @@
 }
 
 // An instance dies during an outage of the key-value service, and the client resumes
-// at one that has just started and cannot verify cursors yet. After a bad_cursor
+// at an instance that has just started and cannot verify cursors yet. After a bad_cursor
 // failure the client would discard the stream; after a retryable failure it gets the
 // rest when the outage is over.
 func TestResumeDuringOutage(t *testing.T) {
--- a/peridotpath/caller/server.go
+++ b/peridotpath/caller/server.go
@@ -145,8 +145,8 @@
 const writeGracePeriod = time.Second
 
 // setWork sets the exchange's work and the write deadline. A caller may stop reading
-// without closing the connection. Without a deadline its writes would block
-// indefinitely and hold an engine's stream or a service's connection, and with them
+// without closing the connection. Without a deadline the writes to this caller would
+// block indefinitely and hold an engine's stream or a service's connection, and with them
 // a planned stop.
 func (exchange *exchange) setWork(work *decide.Work) {
 	exchange.work = work
