--- a/peridotpath/digest/digest_test.go
+++ b/peridotpath/digest/digest_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-// A Mirror converges to the published state when messages are lost, repeated
+// A Mirror must converge to the published state when messages are lost, repeated
 // and delayed and either side restarts. A receiver that keeps a withdrawn
 // entry, or lacks one, would route by a wrong load until the entry changes
 // again.
@@ -85,8 +85,8 @@
 	})
 }
 
-// A Digest that arrives after a newer one is dropped. Applied, it would report a
-// loaded endpoint as idle, with a current AsOf.
+// A Digest that arrives after a newer one must be dropped. Otherwise a loaded
+// endpoint would be reported as idle, with a current AsOf.
 func TestLateDigestIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -100,9 +100,9 @@
 	is.Equal(reports[0].Load.Running, 9)
 }
 
-// A Digest that is based on the state of the receiver before its restart is
-// dropped. Applied, it would leave the receiver without the endpoints that have
-// not changed since, while it reports to hold them.
+// A Digest that is based on the state of the receiver before its restart must be
+// dropped. Otherwise the receiver would acknowledge endpoints that it does not hold:
+// those that have not changed since the restart.
 func TestDigestForAnEarlierRunIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -133,7 +133,7 @@
 	return sent, mirror.Apply(at, sent)
 }
 
-// The age of a report is independent of the clock difference between instances.
+// The age of a report must be independent of the clock difference between instances.
 // With the sender's timestamps, a clock that differs by a minute would make a
 // report stale, or place it in the future where it supersedes all later reports.
 func TestReportAgeIsIndependentOfClocks(t *testing.T) {
@@ -160,6 +160,8 @@
 	is.Equal(receiver.Add(2*time.Second).Sub(reports[0].Load.AsOf), 50*time.Millisecond)
 }
 
+// A digest must not exceed 10,000 bytes for any number of endpoints. Entries that do not
+// fit must follow in the next digests.
 func TestDigestIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -169,8 +171,8 @@
 		published.PutEndpoint(id, peridotpath.Load{Running: 900, PrefillTokens: 1e9, KVUsed: 1e9, KVTokens: 1e9, AsOf: now, Revision: 1 << 40})
 	}
 	var reports []digest.Report
-	for rounds := 0; len(reports) < 1000; rounds++ {
-		is.True(rounds < 8) // eight messages contain a thousand entries
+	for messageCount := 0; len(reports) < 1000; messageCount++ {
+		is.True(messageCount < 8) // at most eight messages for a thousand entries
 		var sent *wire.Digest
 		sent, reports = exchange(now, published, mirror, now)
 		is.True(proto.Size(sent) <= 10_000)
--- a/peridotpath/digest/mirror.go
+++ b/peridotpath/digest/mirror.go
@@ -30,7 +30,7 @@
 // customerDemand is the demand of one customer at another instance.
 type customerDemand struct {
 	customer peridotpath.CustomerID
-	// perSecond is in requests, including refused ones.
+	// perSecond is the number of requests per second, including refused ones.
 	perSecond float64
 }
 
--- a/peridotpath/digest/published_state.go
+++ b/peridotpath/digest/published_state.go
@@ -30,7 +30,7 @@
 	// read the messages of this one.
 	MinReaderProtocol = 1
 	// MaxEntries limits one Digest to about 3 kB. Further entries are sent with
-	// the next one.
+	// the next Digest.
 	MaxEntries = 128
 )
 
@@ -67,8 +67,8 @@
 	revision uint64
 	asOf     time.Time
 	// changedSequence is the sequence of the last change, and namedSequence
-	// that of the last change to the name or to the figures that are sent with
-	// it.
+	// that of the last change to the name or to the rareFields, which are sent
+	// with the name.
 	changedSequence, namedSequence uint64
 }
 
@@ -106,7 +106,7 @@
 }
 
 // MarkUnreadable publishes that this instance cannot read the endpoint's report at
-// present, so that the other instances do not treat the last one as confirmed.
+// present, so that the other instances do not treat the last report as confirmed.
 // They may then poll the endpoint themselves, since the failure can lie between
 // this instance and the endpoint.
 func (publishedState *PublishedState) MarkUnreadable(id peridotpath.EndpointID) {
@@ -204,8 +204,8 @@
 	if needsName || entry.value.rareFields() != next.rareFields() {
 		entry.namedSequence = publishedState.sequence
 	}
-	// A leaving endpoint is published without waiting for the next exchange. Until
-	// then every other instance would continue to send it work.
+	// That an endpoint is leaving is sent without waiting for the next exchange:
+	// until they receive it, the other instances continue to send it work.
 	if next.state == wire.State_STATE_LEAVING && entry.value.state != next.state {
 		publishedState.urgentSequence = publishedState.sequence
 	}
@@ -287,7 +287,8 @@
 	digest.Endpoints = append(digest.Endpoints, encoded)
 }
 
-// oldestAge returns the age of the oldest report that is still being updated.
+// oldestAge returns the age of the oldest report, without those of unreadable and of
+// dropped endpoints.
 func (publishedState *PublishedState) oldestAge(now time.Time) uint32 {
 	oldest := now
 	for _, found := range publishedState.endpoints {
