--- a/peridotpath/share/share.go
+++ b/peridotpath/share/share.go
@@ -1,7 +1,7 @@
 // Package share is a distributed rate limiter: it enforces the customers'
 // request rates over all instances without a remote call on the request path.
 // It matters when a load balancer sends most of a customer's requests to few
-// instances, where equal parts of the limit would refuse requests within it.
+// instances, where equal parts of the limit would refuse requests below the limit.
 // Each instance gossips its demand per customer and takes the share of the
 // limit that corresponds to its share of the total demand.
 //
@@ -14,8 +14,9 @@
 //     partition in which the demand moves to both sides, since neither side
 //     receives the demand of the other;
 //   - its limit again after that, because each side reserves an equal part for
-//     every silent instance, as long as the membership list still contains all.
-//     When the lists differ, the limit times the number of lists.
+//     every silent instance, as long as the membership lists of both sides still
+//     contain all instances; when the instances read different lists, the limit
+//     times the number of these lists.
 package share
 
 import (
@@ -35,29 +36,29 @@
 	// adds little to it.
 	UpdateInterval = 250 * time.Millisecond
 	// PeerDemandTTL is the time after which the last demand of a peer expires. It
-	// is longer than the interval between exchanges at its longest, which is
-	// about seven seconds when 33 instances share a budget, so that no peer is
-	// silent in normal operation.
+	// is longer than the longest interval between exchanges, which is about seven
+	// seconds when 33 instances share a budget, so that no peer is silent in
+	// normal operation.
 	PeerDemandTTL = 10 * time.Second
 	// burstTime is the bucket depth, in time at the full rate. Arrivals are
 	// random, and a shallower bucket would refuse a customer that is within its
 	// limit; a deeper one admits more at the start of a flood.
 	burstTime = time.Second
 	// demandTimeConstant is the time constant of the moving average of demand.
-	// Shares follow demand with this delay; a shorter one would make the figure
-	// for ten requests per second unstable.
+	// Shares follow demand with this delay; a shorter time constant would
+	// make the average of ten requests per second unstable.
 	demandTimeConstant = time.Second
 	// publishThreshold is the part of an equal share below which an instance
 	// does not publish a customer's demand. The demand of 34,000 customers
-	// would exceed the budget of the exchange, and those far below their limit
-	// need no division. The unpublished demand is at most a tenth of the limit.
+	// would exceed the budget of the exchange, and customers far below
+	// their limit need no division of it. The unpublished demand is at most a tenth of the limit.
 	publishThreshold = 0.1
 	// minSharePart is the minimum share of an instance, as a part of an equal
 	// share, so that the first request of a customer is admitted at any
 	// instance.
 	minSharePart = 0.05
-	// maxRetryDelay is the maximum retry delay. Within it a small share has
-	// adapted to the demand.
+	// maxRetryDelay is the maximum retry delay. Within this time a small share
+	// has grown with the demand.
 	maxRetryDelay = 2 * time.Second
 	// historyLength is the number of computations for which the demand is kept.
 	historyLength = int(PeerDemandTTL/UpdateInterval) + 1
@@ -68,9 +69,9 @@
 
 // PeerDemand is the last received state of another instance.
 type PeerDemand struct {
-	// ReceivedAt is when it was last received; zero for never.
+	// ReceivedAt is when the instance's demand was last received; zero for never.
 	ReceivedAt time.Time
-	// Demand is the demand of each customer at it, in requests per second.
+	// Demand is the demand of each customer at the instance, in requests per second.
 	Demand map[peridotpath.CustomerID]float64
 }
 
@@ -102,7 +103,7 @@
 
 	// The fields below are used by Limiter.UpdateShares only.
 	demand      float64                // requests per second
-	history     [historyLength]float64 // demand by computation, a ring
+	history     [historyLength]float64 // demand at the latest computations, a ring
 	isPublished bool
 }
 
@@ -161,14 +162,14 @@
 func (limiter *Limiter) Run(ctx context.Context) error {
 	ticker := time.NewTicker(UpdateInterval)
 	defer ticker.Stop()
-	last := time.Now()
+	lastUpdateAt := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ticker.C:
-			limiter.UpdateShares(now, now.Sub(last))
-			last = now
+			limiter.UpdateShares(now, now.Sub(lastUpdateAt))
+			lastUpdateAt = now
 		}
 	}
 }
@@ -178,8 +179,8 @@
 	others := aggregate(limiter.Peers(), now)
 	limiter.instanceCount.Store(int64(others.currentCount + others.silentCount + 1))
 	limiter.roundCount++
-	// The others are assumed to hold this instance's demand of roundsBack
-	// updates ago.
+	// The other instances are assumed to have this instance's demand of
+	// roundsBack computations ago.
 	roundsBack := min(int((now.Sub(others.oldestReceivedAt)+UpdateInterval-1)/UpdateInterval), historyLength-1)
 	published := map[peridotpath.CustomerID]bool{}
 	limiter.customers.Range(func(key, value any) bool {
@@ -279,8 +280,8 @@
 }
 
 // setShare sets the rate. With a low rate, the next request can be due far in the
-// future; its time is capped, so that the customer does not wait according to a
-// share that has since grown.
+// future. The time at which it is due is capped, so that a customer whose share has
+// grown does not wait by its earlier, lower rate.
 func (customer *customer) setShare(now time.Time, perSecond float64) {
 	interval := intervalFor(perSecond)
 	customer.interval.Store(interval)
--- a/peridotpath/share/share_test.go
+++ b/peridotpath/share/share_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	instances = 8
-	limit     = 100
+	instanceCount = 8
+	limit         = 100
 	// exchangeDelay is the delay with which instances receive one another's
 	// demand.
 	exchangeDelay = time.Second
@@ -40,19 +40,19 @@
 
 func newSimulation() *simulation {
 	simulation := &simulation{random: rand.New(rand.NewPCG(1, 2)), isCut: func(int, int) bool { return false }}
-	simulation.limiters = make([]*share.Limiter, instances)
-	simulation.published = make([]map[peridotpath.CustomerID]float64, instances)
-	simulation.received = make([][]share.PeerDemand, instances)
-	for index := range instances {
+	simulation.limiters = make([]*share.Limiter, instanceCount)
+	simulation.published = make([]map[peridotpath.CustomerID]float64, instanceCount)
+	simulation.received = make([][]share.PeerDemand, instanceCount)
+	for index := range instanceCount {
 		simulation.restart(index)
 	}
-	simulation.admitted, simulation.offered = make([]int, instances), make([]int, instances)
+	simulation.admitted, simulation.offered = make([]int, instanceCount), make([]int, instanceCount)
 	return simulation
 }
 
 func (simulation *simulation) restart(index int) {
 	simulation.published[index] = map[peridotpath.CustomerID]float64{}
-	simulation.received[index] = make([]share.PeerDemand, instances)
+	simulation.received[index] = make([]share.PeerDemand, instanceCount)
 	simulation.limiters[index] = &share.Limiter{
 		Peers: func() []share.PeerDemand { return simulation.peers(index) },
 		Publish: func(id peridotpath.CustomerID, perSecond float64) {
@@ -81,8 +81,8 @@
 
 // exchange delivers the published demand between instances that are connected.
 func (simulation *simulation) exchange() {
-	for sender := range instances {
-		for receiver := range instances {
+	for sender := range instanceCount {
+		for receiver := range instanceCount {
 			if !simulation.isCut(receiver, sender) {
 				simulation.received[receiver][sender] = share.PeerDemand{ReceivedAt: time.Now(), Demand: maps.Clone(simulation.published[sender])}
 			}
@@ -142,7 +142,7 @@
 	singleOther = []float64{0, 0, 0, 0, 0, 0, 0, 1}
 )
 
-// The limit holds for any distribution of a customer's requests over the
+// The limit must hold for any distribution of a customer's requests over the
 // instances. With equal parts, a customer whose requests all arrive at one
 // instance would be granted an eighth of its limit; with the whole limit at
 // each instance, a customer with evenly distributed requests would be granted
@@ -176,7 +176,7 @@
 	}
 }
 
-// A share follows the demand when the load balancer moves a customer from one
+// A share must follow the demand when the load balancer moves a customer from one
 // instance to another.
 func TestShareFollowsDemand(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -193,7 +193,7 @@
 	})
 }
 
-// A customer is not refused according to an earlier, lower share. One request
+// A customer must not be refused by an earlier, lower share. One request
 // at an instance with a minimum share moves the time of the next one far ahead;
 // without a cap, the customer would be refused for a minute after its demand
 // has moved to this instance.
@@ -221,7 +221,7 @@
 	is.True(ok)
 }
 
-// A flood that begins at all instances at once stays within the bound of the
+// A flood that begins at all instances at once must stay within the bound of the
 // package comment, also before the instances have received one another's
 // demand.
 func TestFloodIsBoundedFromTheStart(t *testing.T) {
@@ -234,7 +234,7 @@
 }
 
 // After a network partition into two halves, with a flood on both sides, each
-// side reserves the parts of its silent peers. Otherwise each would grant the
+// side must reserve the parts of its silent peers. Otherwise each would grant the
 // whole limit.
 func TestSilentPeersKeepTheirShares(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -257,14 +257,14 @@
 	})
 }
 
-// A rolling restart of half of the instances during a flood does not exceed the
+// A rolling restart of half of the instances during a flood must not exceed the
 // limit, although a restarted instance has no state of the customer or its peers.
 func TestRestartsDoNotExceedLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		simulation := newSimulation()
 		simulation.run(10*time.Second, 3*limit, even)
 		admitted := 0
-		for index := range instances / 2 {
+		for index := range instanceCount / 2 {
 			simulation.restart(index)
 			simulation.run(5*time.Second, 3*limit, even)
 			admitted += sum(simulation.admitted)
