--- a/peridotpath/peer/config_follower.go
+++ b/peridotpath/peer/config_follower.go
@@ -18,7 +18,7 @@
 
 const (
 	// maxStartPeers bounds the peers that an instance without a configuration polls at its
-	// start. The highest revision among several is newer than that of one random peer. Each
+	// start. The newest documents of several peers are mostly newer than those of one. Each
 	// further peer adds one request to each of 850 restarts per day.
 	maxStartPeers = 3
 	// unappliedRetryDelay delays the next request after a document that was not applied.
@@ -64,7 +64,8 @@
 // them was applied, and returns the time slept.
 //
 // A newer version may write a document that this version rejects. The reader would then send
-// it again in reply to each request, and the two would loop without a pause.
+// the document again in reply to each request, and the follower would repeat its request without
+// a pause.
 func (configFollower *ConfigFollower) delayIfUnapplied(ctx context.Context, have uint64) time.Duration {
 	configFollower.mu.Lock()
 	unapplied := configFollower.unappliedHash == have
--- a/peridotpath/peer/config_follower_test.go
+++ b/peridotpath/peer/config_follower_test.go
@@ -151,9 +151,9 @@
 	})
 }
 
-// Guards against a request loop between follower and reader after a newer version wrote a
-// document that the follower rejects. The loop would not affect callers, but would load the
-// network and the processors of both instances.
+// A newer version wrote a document that the follower rejects, and the reader sends it in reply to
+// each request. The follower must limit the rate of its requests: a loop would not affect callers,
+// but would load the network and the processors of both instances.
 func TestRejectedDocumentIsRequestedAtLimitedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/peer/exchange.go
+++ b/peridotpath/peer/exchange.go
@@ -44,7 +44,7 @@
 	// MessageOverheadBytes is the number of bytes that HTTP and TCP headers add to a message
 	// and its reply.
 	MessageOverheadBytes = 500
-	// dueCheckInterval is how often Exchanger.Run checks which exchanges are due.
+	// dueCheckInterval is the time between two checks of Exchanger.Run for due exchanges.
 	dueCheckInterval = 50 * time.Millisecond
 	// exchangeTimeout bounds one exchange. Load that takes longer to arrive is too old for
 	// placement decisions.
@@ -59,7 +59,8 @@
 	maxSilentIntervals = 3
 	// minUrgentInterval is the minimum time between two attempts to send an urgent change.
 	minUrgentInterval = 250 * time.Millisecond
-	// unlistedRetention is how long the state of a peer is kept after it is no longer listed.
+	// unlistedRetention is how long the state of a peer that is no longer listed is kept after
+	// the peer's last message.
 	unlistedRetention = time.Minute
 )
 
@@ -176,7 +177,7 @@
 //
 // An exchange transfers both digests, so only one side of a pair, selected by a hash,
 // initiates. The passive side starts an exchange when it has received nothing for
-// maxSilentIntervals, since the initiator's membership list may not contain it yet. Only an
+// maxSilentIntervals, since the initiator may not have it on the membership list yet. Only an
 // urgent change, an endpoint that starts to leave, is sent regardless of the budget; its
 // bytes are charged to later exchanges.
 func (exchanger *Exchanger) isDue(now time.Time, id peridotpath.InstanceID, state *peerState, urgentSequence uint64) bool {
@@ -340,7 +341,7 @@
 }
 
 // PeerEpoch returns the epoch of a peer's digests as last received, or zero if none was received
-// yet. It identifies the peer's current run earlier than the membership list does.
+// yet. The epoch identifies the peer's current run earlier than the membership list does.
 func (exchanger *Exchanger) PeerEpoch(id peridotpath.InstanceID) uint64 {
 	exchanger.init()
 	exchanger.mu.Lock()
--- a/peridotpath/peer/exchange_test.go
+++ b/peridotpath/peer/exchange_test.go
@@ -13,8 +13,8 @@
 	"peridotpath.example/peridotpath/peer"
 )
 
-// Only the owner polls an endpoint, and every instance has a load of it that is at most two
-// seconds old.
+// While only the owner polls an endpoint, every instance must have a load of the endpoint that is
+// at most two seconds old.
 func TestLoadReachesEveryInstanceThroughItsOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -38,9 +38,9 @@
 	})
 }
 
-// Guards against requests sent to an endpoint that is leaving. The membership list shows the
-// endpoint as live for 30 seconds more and then flaps; an instance that relied on the list
-// would cause refusals and retries in that time.
+// An endpoint is leaving, while the membership list shows it as live for 30 seconds more and then
+// flaps. Every instance must stop sending requests to the endpoint: an instance that relied on the
+// list would cause refusals and retries in that time.
 func TestLeavingStatePropagatesToEveryInstance(t *testing.T) {
 	for _, size := range []struct{ instances, engines int }{{8, 20}, {33, 150}} {
 		t.Run(fmt.Sprint(size.instances), func(t *testing.T) { testLeavingPropagates(t, size.instances, size.engines) })
@@ -80,8 +80,8 @@
 	})
 }
 
-// Guards against stale loads when an owner hangs: it is listed as live and answers no peer.
-// Without fallback polls the others would use its last loads until it is unlisted.
+// An owner hangs: it is listed as live, but answers no peer. The other instances must poll its
+// endpoints; without fallback polls they would use its last loads until it is unlisted.
 func TestFallbackPollsReplaceUnresponsiveOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -113,8 +113,8 @@
 	})
 }
 
-// Guards against stale loads when an owner cannot reach an endpoint that its peers can reach.
-// The owner must not confirm the last load, since peers would use it for minutes, and the
+// An owner cannot reach an endpoint that its peers can reach, and their loads of it must not
+// become stale. The owner must not confirm the last load, since peers would use it for minutes, and the
 // loads of its other endpoints must stay fresh.
 func TestFallbackPollsWhenOwnerCannotReachEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -132,8 +132,8 @@
 				is.Equal(node.load("engine-003").Running, 9)
 			}
 			for _, engine := range network.engines {
-				stale := time.Since(node.load(engine.ID).AsOf) > 3*time.Second
-				is.True(!stale || engine.ID == "engine-003") // another endpoint's load is old
+				isStale := time.Since(node.load(engine.ID).AsOf) > 3*time.Second
+				is.True(!isStale || engine.ID == "engine-003") // another endpoint's load is old
 			}
 		}
 	})
@@ -200,8 +200,8 @@
 	})
 }
 
-// Guards against a new instance without loads while the others do not list it yet, since
-// their lists lag by half a minute. Both sides of each pair must receive the other's digest
+// The other instances do not list a new instance yet, since their lists lag by half a minute. The
+// new instance must not be without loads in that time. Both sides of each pair must receive the other's digest
 // soon, whichever of them is the initiator.
 func TestExchangeWithInstanceNotYetListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/peridotpath/peer/partition_test.go
+++ b/peridotpath/peer/partition_test.go
@@ -21,9 +21,9 @@
 	return oldest
 }
 
-// Guards against stale loads during a partition of two minutes between two data centres. Both
-// still reach all endpoints, but receive no digests from the owners on the other side, so
-// placement would use loads that are two minutes old.
+// Two data centres are partitioned for two minutes. The instances of both still reach all
+// endpoints, but receive no digests from the owners on the other side. They must poll the
+// endpoints of these owners, or placement would use loads that are two minutes old.
 func TestPartitionBetweenDataCentres(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -48,14 +48,14 @@
 			engine.resetReads()
 		}
 		setSplit(false)
-		healed := time.Now()
+		healedAt := time.Now()
 		for network.maxLoadAge(network.nodes) > 2*time.Second {
 			time.Sleep(100 * time.Millisecond)
 		}
-		took := time.Since(healed)
-		t.Logf("oldest load during the partition %v; loads from owners again after %v", maxAge, took)
-		is.True(took < 15*time.Second)
-		time.Sleep(15*time.Second - took)
+		recoveryTime := time.Since(healedAt)
+		t.Logf("oldest load during the partition %v; loads from owners again after %v", maxAge, recoveryTime)
+		is.True(recoveryTime < 15*time.Second)
+		time.Sleep(15*time.Second - recoveryTime)
 		for _, engine := range network.engines {
 			engine.resetReads()
 		}
@@ -66,8 +66,8 @@
 	})
 }
 
-// Guards against permanently stale loads when an instance flaps: the membership list adds and
-// removes it every three seconds, and the instances read the list at different times.
+// An instance flaps, and no load may stay stale: the membership list adds and removes the
+// instance every three seconds, and the instances read the list at different times.
 // Ownership of its endpoints moves each time; if the new owner's entries or the old owner's
 // withdrawal were lost, some instance would keep an old load.
 func TestFlappingMembership(t *testing.T) {
@@ -93,8 +93,8 @@
 	})
 }
 
-// Guards against stale loads after an instance is killed, while the membership list still
-// contains it for 30 seconds.
+// An instance is killed, while the membership list still contains it for 30 seconds. The loads
+// of its endpoints must not become stale.
 func TestDeadInstanceStillListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/peer/service.go
+++ b/peridotpath/peer/service.go
@@ -96,8 +96,8 @@
 	return answer, classifyError(err)
 }
 
-// FetchChanges requests the configuration documents that are newer than those of the request,
-// and waits for one for up to the request's WaitMs.
+// FetchChanges requests the configuration documents that are newer than those of the request.
+// If there are none, the instance waits for one for up to the request's WaitMs.
 func (client *Client) FetchChanges(ctx context.Context, peer peridotpath.Instance, request *wire.ChangesRequest) (*wire.ChangesReply, error) {
 	reply, err := client.connect(peer.Peer).Changes(ctx, request)
 	return reply, classifyError(err)
