--- a/peridotpath/fleet/poller.go
+++ b/peridotpath/fleet/poller.go
@@ -24,7 +24,7 @@
 	DefaultBytesPerSecond = 2500
 	// bytesPerPoll is the traffic of one poll, request and response together.
 	bytesPerPoll = 450
-	// pollTimeout bounds one poll. An endpoint that takes longer is published as unread, so
+	// pollTimeout bounds one poll. An endpoint that takes longer is published as unreadable, so
 	// that peers do not treat its last load as confirmed.
 	pollTimeout = time.Second
 	// maxConcurrentPolls bounds the polls that run at the same time.
@@ -74,9 +74,9 @@
 	group.SetLimit(maxConcurrentPolls)
 	defer func() { _ = group.Wait() }()
 	for {
-		owned := poller.startPolls(ctx, &group)
+		ownedCount := poller.startPolls(ctx, &group)
 		// The jitter spreads the polls of instances that started at the same time.
-		if !clock.SleepContext(ctx, clock.Jitter(poller.extendedInterval(owned), poller.Random())) {
+		if !clock.SleepContext(ctx, clock.Jitter(poller.extendedInterval(ownedCount), poller.Random())) {
 			return ctx.Err()
 		}
 	}
@@ -100,30 +100,30 @@
 
 // extendedInterval returns the poll interval for the number of owned endpoints, extended so
 // that the polls stay within the budget.
-func (poller *Poller) extendedInterval(owned int) time.Duration {
-	return max(poller.Interval, time.Duration(owned*bytesPerPoll)*time.Second/time.Duration(poller.BytesPerSecond))
+func (poller *Poller) extendedInterval(ownedCount int) time.Duration {
+	return max(poller.Interval, time.Duration(ownedCount*bytesPerPoll)*time.Second/time.Duration(poller.BytesPerSecond))
 }
 
 // startPolls starts one poll of each owned endpoint and of some stale ones, and returns the
 // number of owned endpoints.
 func (poller *Poller) startPolls(ctx context.Context, group *errgroup.Group) int {
 	now := time.Now()
-	var owned, stale []peridotpath.Endpoint
+	var ownedEndpoints, staleEndpoints []peridotpath.Endpoint
 	for _, endpoint := range poller.View.ListedEngines() {
 		switch {
 		case poller.IsOwner(endpoint.ID):
-			owned = append(owned, endpoint)
+			ownedEndpoints = append(ownedEndpoints, endpoint)
 		case poller.View.ReportAge(now, endpoint.ID) > poller.StaleAfter:
-			stale = append(stale, endpoint)
+			staleEndpoints = append(staleEndpoints, endpoint)
 		}
 	}
 	poller.Published.RetainEndpoints(poller.IsOwner)
-	stale = poller.chooseFallbacks(stale)
-	metrics.GetOrCreateCounter(`peridotpath_fallback_polls_total`).Add(len(stale))
-	for _, endpoint := range append(owned, stale...) {
+	staleEndpoints = poller.chooseFallbacks(staleEndpoints)
+	metrics.GetOrCreateCounter(`peridotpath_fallback_polls_total`).Add(len(staleEndpoints))
+	for _, endpoint := range append(ownedEndpoints, staleEndpoints...) {
 		poller.startPoll(ctx, group, endpoint)
 	}
-	return len(owned)
+	return len(ownedEndpoints)
 }
 
 // chooseFallbacks returns at most MaxFallbackPolls random endpoints, so that instances with the
@@ -179,7 +179,8 @@
 		poller.Published.MarkUnreadable(endpoint.ID)
 		return
 	}
-	// The time before the call, since the report may not contain requests dispatched during it.
+	// AsOf is the time before the poll: the report may not contain requests that were
+	// dispatched during the poll.
 	load.AsOf = sentAt
 	poller.View.ApplyReport(time.Now(), endpoint.ID, load)
 	if poller.IsOwner(endpoint.ID) {
--- a/peridotpath/fleet/view.go
+++ b/peridotpath/fleet/view.go
@@ -140,8 +140,8 @@
 }
 
 func (view *View) takesNoWork(found *member) bool {
-	drained := view.IsDrained != nil && view.IsDrained(found.endpoint.ID)
-	return drained || !found.leavingAsOf.IsZero() || !found.unlistedSince.IsZero()
+	isDrained := view.IsDrained != nil && view.IsDrained(found.endpoint.ID)
+	return isDrained || !found.leavingAsOf.IsZero() || !found.unlistedSince.IsZero()
 }
 
 // ApplyReport applies an endpoint's load report, whose AsOf is a time of this instance's clock.
@@ -168,9 +168,9 @@
 	}
 }
 
-// RecordRefusal records that the endpoint refused a request because it is leaving. It is
-// published as leaving until a later load report of its own overrides the refusal. The
-// membership list does not override it, since the list lags.
+// RecordRefusal records that the endpoint refused a request because it is leaving. The
+// endpoint is published as leaving until a later load report of its own overrides the refusal.
+// The membership list does not override the refusal, since the list lags.
 func (view *View) RecordRefusal(now time.Time, id peridotpath.EndpointID) {
 	view.mu.Lock()
 	defer view.mu.Unlock()
--- a/peridotpath/fleet/view_test.go
+++ b/peridotpath/fleet/view_test.go
@@ -44,8 +44,8 @@
 	}, seen
 }
 
-// Guards against refusing every request after a restart of the membership service, which
-// returns an empty list for a while.
+// A membership service that has restarted returns an empty list for a while. The view must keep
+// its endpoints, or every request would be refused.
 func TestEmptyMembershipListIsIgnored(t *testing.T) {
 	is := is.New(t)
 	view, seen := newView(nil)
@@ -59,9 +59,9 @@
 	is.Equal(len(view.ListedEngines()), 1)
 }
 
-// Guards against sending requests to a leaving engine again. The engine refuses a request while
-// an earlier report, from before it was leaving, is still in transit through its owner. If that
-// report counted as newer, the engine would be sent requests that it refuses.
+// A leaving engine refuses a request while a report from before the engine was leaving is still
+// in transit through the engine's owner. The report must not override the refusal: the engine
+// would again be sent requests, which it refuses.
 func TestRefusalOverridesEarlierReports(t *testing.T) {
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 	cases := []struct {
@@ -105,6 +105,7 @@
 }
 
 // Two instances both act as owner of an endpoint, and the older of their reports arrives last.
+// The older report must be dropped.
 func TestOlderReportIsDropped(t *testing.T) {
 	is := is.New(t)
 	view, seen := newView(nil)
