--- a/peridotpath/ownership/ownership.go
+++ b/peridotpath/ownership/ownership.go
@@ -103,8 +103,8 @@
 const keyKindLease = "lease/"
 
 // LeaseCandidates returns at most count live instances that try to acquire the named lease of a
-// data centre. They are instances of the data centre or, if it has none, of any other, since
-// its engine groups would otherwise never change.
+// data centre. They are instances of the data centre or, if the data centre has none, of any
+// other. Otherwise nothing would change the engine groups of a data centre without instances.
 func LeaseCandidates(instances []peridotpath.Instance, dataCentre peridotpath.DataCentre, name string, count int) []peridotpath.Instance {
 	live := liveCandidates(dataCentre, instances)
 	if len(live) == 0 {
--- a/peridotpath/ownership/ownership_test.go
+++ b/peridotpath/ownership/ownership_test.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	buckets = 512
-	// seeds is the number of random seeds per property in CI, with 100 cases each.
-	seeds = 1
+	bucketCount = 512
+	// seedCount is the number of random seeds per property in CI, with 100 cases each.
+	seedCount = 1
 )
 
 func instances(first, count int) []peridotpath.Instance {
@@ -36,15 +36,15 @@
 }
 
 func newTable(list []peridotpath.Instance, count int) *ownership.Table {
-	scope := ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", BucketCount: buckets, ReaderCount: 2}
+	scope := ownership.Scope{Self: "instance-0", DataCentre: "colombo-a", BucketCount: bucketCount, ReaderCount: 2}
 	return ownership.New(scope, list, endpoints(count))
 }
 
-// Guards against moving nearly all endpoints and buckets when one instance fails, as
-// partitioning by position would. Each move costs a full poll or a read of the bucket's ledger,
-// while the fleet has the least spare capacity.
+// When one instance fails, only its own endpoints and buckets may move. Partitioning by position
+// in the list would move nearly all of them. Each move costs a full poll or a read of the bucket's
+// ledger, while the fleet has the least spare capacity.
 func TestRemovalMovesOnlyKeysOfRemovedInstance(t *testing.T) {
-	soak.Check(t, seeds, func(t *rapid.T) {
+	soak.Check(t, seedCount, func(t *rapid.T) {
 		list := instances(rapid.IntRange(0, 1000).Draw(t, "first"), rapid.IntRange(2, 40).Draw(t, "count"))
 		removed := rapid.IntRange(0, len(list)-1).Draw(t, "lost")
 		before := newTable(list, 200)
@@ -56,7 +56,7 @@
 				t.Fatalf("endpoint %s moved from %s to %s, removed %s", endpoint.ID, oldOwner.ID, newOwner.ID, list[removed].ID)
 			}
 		}
-		for bucket := range ownership.Bucket(buckets) {
+		for bucket := range ownership.Bucket(bucketCount) {
 			oldOwner, _ := before.BucketOwner(bucket)
 			newOwner, _ := after.BucketOwner(bucket)
 			if oldOwner.ID != list[removed].ID && oldOwner.ID != newOwner.ID {
@@ -67,7 +67,7 @@
 }
 
 func TestKeysAreEvenlyDistributed(t *testing.T) {
-	soak.Check(t, seeds, func(t *rapid.T) {
+	soak.Check(t, seedCount, func(t *rapid.T) {
 		list := instances(rapid.IntRange(0, 1000).Draw(t, "first"), rapid.IntRange(2, 16).Draw(t, "count"))
 		table := newTable(list, 0)
 		counts := map[peridotpath.InstanceID]int{}
@@ -88,7 +88,7 @@
 }
 
 func TestTableIsIndependentOfListOrder(t *testing.T) {
-	soak.Check(t, seeds, func(t *rapid.T) {
+	soak.Check(t, seedCount, func(t *rapid.T) {
 		list := instances(0, 12)
 		before := newTable(list, 50)
 		after := newTable(rapid.Permutation(list).Draw(t, "order"), 50)
@@ -150,8 +150,8 @@
 	}
 }
 
-// Guards against acting on the empty list that a restarted membership service returns for a
-// while. Every instance would watch the platform, with 530 concurrent long polls, and no
+// A membership service that has restarted returns an empty list for a while, which must be
+// ignored. Otherwise every instance would watch the platform, with 530 concurrent long polls, and no
 // endpoint would be polled by an owner.
 func TestEmptyMembershipListIsIgnored(t *testing.T) {
 	is := is.New(t)
