--- a/peridotpath/session/bad_input_test.go
+++ b/peridotpath/session/bad_input_test.go
@@ -137,7 +137,7 @@
 	return len(piece), nil
 }
 
-// An endpoint that answers badly must cause a failure with a code, never an answer
+// An endpoint with an invalid answer must cause a failure with a code, never an answer
 // that looks complete, and no KV cache may stay in use at the engine.
 func TestInvalidEndpointAnswers(t *testing.T) {
 	kinds := []faults.Kind{faults.Empty, faults.Garbage, faults.CutUnresumable, faults.CloseUnanswered, faults.Fail, faults.Hang}
