--- a/peridotpath/caller/server.go
+++ b/peridotpath/caller/server.go
@@ -75,9 +75,9 @@
 	Signer           *cursor.Signer
 	BodyReader       *BodyReader
 
-	estimator tokenEstimator
-	stopping  atomic.Bool
-	active    atomic.Int64
+	estimator   tokenEstimator
+	isStopping  atomic.Bool
+	activeCount atomic.Int64
 }
 
 // Routes returns the routes for go-zero's rest.
@@ -93,21 +93,21 @@
 }
 
 // BeginStop makes the instance not ready. Requests that still arrive are served.
-func (server *Server) BeginStop() { server.stopping.Store(true) }
+func (server *Server) BeginStop() { server.isStopping.Store(true) }
 
 // IsStopping reports whether BeginStop was called.
-func (server *Server) IsStopping() bool { return server.stopping.Load() }
+func (server *Server) IsStopping() bool { return server.isStopping.Load() }
 
 // IsReady reports whether the balancer may send new callers.
 func (server *Server) IsReady() bool {
-	if server.stopping.Load() || server.ActiveConfig() == nil {
+	if server.isStopping.Load() || server.ActiveConfig() == nil {
 		return false
 	}
 	return server.IsConfigRecent == nil || server.IsConfigRecent()
 }
 
 // ActiveRequests returns the number of requests that are being served.
-func (server *Server) ActiveRequests() int64 { return server.active.Load() }
+func (server *Server) ActiveRequests() int64 { return server.activeCount.Load() }
 
 func (server *Server) serveLive(writer http.ResponseWriter, _ *http.Request) {
 	writer.WriteHeader(http.StatusOK)
@@ -161,8 +161,8 @@
 // authentication, the limits, the failure response, one log line and the counters.
 func (server *Server) newHandler(serve func(*exchange) *peridotpath.Result) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
-		server.active.Add(1)
-		defer server.active.Add(-1)
+		server.activeCount.Add(1)
+		defer server.activeCount.Add(-1)
 		exchange := &exchange{id: requestID(request), request: request, writer: writer, arrivedAt: time.Now()}
 		exchange.bodyConsumed = request.ContentLength == 0
 		writer.Header().Set(HeaderRequestID, string(exchange.id))
