--- a/peridotpath/peer/config_follower.go
+++ b/peridotpath/peer/config_follower.go
@@ -115,26 +115,26 @@
 // pollRandomPeers polls up to maxStartPeers instances concurrently and returns the updates of
 // those that replied.
 func (configFollower *ConfigFollower) pollRandomPeers(ctx context.Context, have config.Revisions, others []peridotpath.Instance) ([]config.Update, error) {
-	chosen := slices.Clone(others)
-	rand.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
-	chosen = chosen[:min(len(chosen), maxStartPeers)]
-	updates := make([]config.Update, len(chosen))
-	failures := make([]error, len(chosen))
+	chosenPeers := slices.Clone(others)
+	rand.Shuffle(len(chosenPeers), func(i, j int) { chosenPeers[i], chosenPeers[j] = chosenPeers[j], chosenPeers[i] })
+	chosenPeers = chosenPeers[:min(len(chosenPeers), maxStartPeers)]
+	updates := make([]config.Update, len(chosenPeers))
+	failures := make([]error, len(chosenPeers))
 	var group sync.WaitGroup
-	for i, peer := range chosen {
+	for i, peer := range chosenPeers {
 		group.Go(func() { updates[i], failures[i] = configFollower.fetchUpdate(ctx, peer, have, 0) })
 	}
 	group.Wait()
-	var answered []config.Update
+	var receivedUpdates []config.Update
 	for i, err := range failures {
 		if err == nil {
-			answered = append(answered, updates[i])
+			receivedUpdates = append(receivedUpdates, updates[i])
 		}
 	}
-	if len(answered) == 0 {
+	if len(receivedUpdates) == 0 {
 		return nil, errs.Combine(failures...)
 	}
-	return answered, nil
+	return receivedUpdates, nil
 }
 
 // fetchUpdate sends the hash of the revisions, and the revisions themselves if the peer has not
