--- a/peridotpath/ownership/ownership_test.go
+++ b/peridotpath/ownership/ownership_test.go
@@ -46,20 +46,20 @@
 func TestRemovalMovesOnlyKeysOfRemovedInstance(t *testing.T) {
 	soak.Check(t, seedCount, func(t *rapid.T) {
 		list := instances(rapid.IntRange(0, 1000).Draw(t, "first"), rapid.IntRange(2, 40).Draw(t, "count"))
-		removed := rapid.IntRange(0, len(list)-1).Draw(t, "lost")
+		removedIndex := rapid.IntRange(0, len(list)-1).Draw(t, "lost")
 		before := newTable(list, 200)
-		after := newTable(append(list[:removed:removed], list[removed+1:]...), 200)
+		after := newTable(append(list[:removedIndex:removedIndex], list[removedIndex+1:]...), 200)
 		for _, endpoint := range endpoints(200) {
 			oldOwner, _ := before.EndpointOwner(endpoint.ID)
 			newOwner, _ := after.EndpointOwner(endpoint.ID)
-			if oldOwner.ID != list[removed].ID && oldOwner.ID != newOwner.ID {
-				t.Fatalf("endpoint %s moved from %s to %s, removed %s", endpoint.ID, oldOwner.ID, newOwner.ID, list[removed].ID)
+			if oldOwner.ID != list[removedIndex].ID && oldOwner.ID != newOwner.ID {
+				t.Fatalf("endpoint %s moved from %s to %s, removed %s", endpoint.ID, oldOwner.ID, newOwner.ID, list[removedIndex].ID)
 			}
 		}
 		for bucket := range ownership.Bucket(bucketCount) {
 			oldOwner, _ := before.BucketOwner(bucket)
 			newOwner, _ := after.BucketOwner(bucket)
-			if oldOwner.ID != list[removed].ID && oldOwner.ID != newOwner.ID {
+			if oldOwner.ID != list[removedIndex].ID && oldOwner.ID != newOwner.ID {
 				t.Fatalf("bucket %d moved from %s to %s", bucket, oldOwner.ID, newOwner.ID)
 			}
 		}
@@ -71,17 +71,17 @@
 		list := instances(rapid.IntRange(0, 1000).Draw(t, "first"), rapid.IntRange(2, 16).Draw(t, "count"))
 		table := newTable(list, 0)
 		counts := map[peridotpath.InstanceID]int{}
-		const keys = 8000
-		for i := range keys {
+		const keyCount = 8000
+		for i := range keyCount {
 			owner, _ := table.EndpointOwner(peridotpath.EndpointID(fmt.Sprintf("engine-%d", i)))
 			counts[owner.ID]++
 		}
-		mean := keys / len(list)
+		mean := keyCount / len(list)
 		for id, count := range counts {
 			// The bounds are six standard deviations of a uniform distribution at the smallest
 			// mean.
 			if count < mean*7/10 || count > mean*13/10 {
-				t.Fatalf("%s owns %d of %d, mean %d", id, count, keys, mean)
+				t.Fatalf("%s owns %d of %d, mean %d", id, count, keyCount, mean)
 			}
 		}
 	})
