--- a/peridotpath/decide/retry.go
+++ b/peridotpath/decide/retry.go
@@ -30,10 +30,10 @@
 }
 
 const (
-	// hungFactor is the multiple of the predicted time to first token after which
-	// an attempt without a first token counts as a failure. Slow or full endpoints exceed the prediction a few
-	// times over; an endpoint that accepts connections and then hangs exceeds it
-	// tenfold.
+	// hungFactor is the multiple of the predicted time to first token after
+	// which an attempt without a first token counts as a failure. Slow or full
+	// endpoints exceed the prediction a few times over; an endpoint that
+	// accepts connections and then hangs exceeds it tenfold.
 	hungFactor = 10
 	// minHungTime is the minimum time without a first token that counts as a
 	// failure, so that attempts whose callers disconnect early do not count.
