--- a/peridotpath/digest/digest_test.go
+++ b/peridotpath/digest/digest_test.go
@@ -100,9 +100,9 @@
 	is.Equal(reports[0].Load.Running, 9)
 }
 
-// A Digest that is based on the state of the receiver before its restart must be
-// dropped. Otherwise the receiver would acknowledge endpoints that it does not hold:
-// those that have not changed since the restart.
+// A Digest that is based on the state of the receiver before its restart must
+// be dropped. Otherwise the receiver would acknowledge endpoints that it does
+// not hold: those that have not changed since the restart.
 func TestDigestForAnEarlierRunIsDropped(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
@@ -133,9 +133,10 @@
 	return sent, mirror.Apply(at, sent)
 }
 
-// The age of a report must be independent of the clock difference between instances.
-// With the sender's timestamps, a clock that differs by a minute would make a
-// report stale, or place it in the future where it supersedes all later reports.
+// The age of a report must be independent of the clock difference between
+// instances. With the sender's timestamps, a clock that differs by a minute
+// would make a report stale, or place it in the future where it supersedes all
+// later reports.
 func TestReportAgeIsIndependentOfClocks(t *testing.T) {
 	is := is.New(t)
 	sender := time.Unix(1_000_000, 0)
@@ -160,8 +161,8 @@
 	is.Equal(receiver.Add(2*time.Second).Sub(reports[0].Load.AsOf), 50*time.Millisecond)
 }
 
-// A digest must not exceed 10,000 bytes for any number of endpoints. Entries that do not
-// fit must follow in the next digests.
+// A digest must not exceed 10,000 bytes for any number of endpoints. Entries
+// that do not fit must follow in the next digests.
 func TestDigestIsBounded(t *testing.T) {
 	is := is.New(t)
 	now := time.Unix(1_000_000, 0)
--- a/peridotpath/digest/published_state.go
+++ b/peridotpath/digest/published_state.go
@@ -287,8 +287,8 @@
 	digest.Endpoints = append(digest.Endpoints, encoded)
 }
 
-// oldestAge returns the age of the oldest report, without those of unreadable and of
-// dropped endpoints.
+// oldestAge returns the age of the oldest report, without those of unreadable and
+// of dropped endpoints.
 func (publishedState *PublishedState) oldestAge(now time.Time) uint32 {
 	oldest := now
 	for _, found := range publishedState.endpoints {
