--- a/peridotpath/dispatch/run.go
+++ b/peridotpath/dispatch/run.go
@@ -56,9 +56,9 @@
 	return result
 }
 
-// checkMaySend calls maySend, if it is set, before an attempt is sent. If maySend fails, the
-// returned attempt has the outcome NeverSent and the result for the error; otherwise it has
-// no result, and the attempt may be sent.
+// checkMaySend calls maySend, if it is set, before an attempt is sent. If maySend
+// fails, the returned attempt has the outcome NeverSent and the result for the error;
+// otherwise it has no result, and the attempt may be sent.
 func checkMaySend(maySend func() error) attempt {
 	if maySend == nil {
 		return attempt{}
