--- a/peridotpath/peer/exchange_test.go
+++ b/peridotpath/peer/exchange_test.go
@@ -114,8 +114,8 @@
 }
 
 // An owner cannot reach an endpoint that its peers can reach, and their loads of it must not
-// become stale. The owner must not confirm the last load, since peers would use it for minutes, and the
-// loads of its other endpoints must stay fresh.
+// become stale. The owner must not confirm the last load, since peers would use it for minutes,
+// and the loads of its other endpoints must stay fresh.
 func TestFallbackPollsWhenOwnerCannotReachEndpoint(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -201,8 +201,8 @@
 }
 
 // The other instances do not list a new instance yet, since their lists lag by half a minute. The
-// new instance must not be without loads in that time. Both sides of each pair must receive the other's digest
-// soon, whichever of them is the initiator.
+// new instance must not be without loads in that time. Both sides of each pair must receive the
+// other's digest soon, whichever of them is the initiator.
 func TestExchangeWithInstanceNotYetListed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
