--- a/peridotpath/share/share.go
+++ b/peridotpath/share/share.go
@@ -50,8 +50,9 @@
 	demandTimeConstant = time.Second
 	// publishThreshold is the part of an equal share below which an instance
 	// does not publish a customer's demand. The demand of 34,000 customers
-	// would exceed the budget of the exchange, and customers far below
-	// their limit need no division of it. The unpublished demand is at most a tenth of the limit.
+	// would exceed the budget of the exchange, and customers far below their
+	// limit need no division of it. The unpublished demand is at most a tenth
+	// of the limit.
 	publishThreshold = 0.1
 	// minSharePart is the minimum share of an instance, as a part of an equal
 	// share, so that the first request of a customer is admitted at any
