--- a/peridotpath/session/fleet_test.go
+++ b/peridotpath/session/fleet_test.go
@@ -93,8 +93,8 @@
 	for i, id := range deployment.instances {
 		fleet.startInstance(ctx, t, id, netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 8080))
 	}
-	// The first load reports arrive within this time. It is no whole number of seconds,
-	// so that later reports do not coincide with the session's steps.
+	// The first load reports arrive within this time. It is no whole number of
+	// seconds, so that later reports do not coincide with the session's steps.
 	time.Sleep(1101 * time.Millisecond)
 	fleet.transcript.startedAt = time.Now()
 	return fleet
