--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -18,8 +18,8 @@
 	"peridotpath.example/peridotpath/sweep"
 )
 
-// membershipInterval is how often the membership list is fetched. Only new members depend
-// on it, since drains and refusals arrive faster by other channels. Fetching the list each
+// membershipInterval is how often the membership list is fetched. It delays only
+// the detection of new members, since drains and refusals arrive faster by other channels. Fetching the list each
 // second would take more than half of the budget for control traffic.
 const membershipInterval = 3 * time.Second
 
--- a/peridotd/relay.go
+++ b/peridotd/relay.go
@@ -64,7 +64,8 @@
 	// Further signals are ignored, so that they do not interrupt running requests.
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
-	// SIGHUP announces new settings; those used here cannot change in a running process.
+	// SIGHUP announces new settings. It is ignored, since this process reads its settings
+	// only at the start.
 	signal.Ignore(syscall.SIGHUP)
 	writer := &telemetry.LogWriter{Out: os.Stdout}
 	defer writer.Close()
--- a/peridotd/stop_test.go
+++ b/peridotd/stop_test.go
@@ -10,11 +10,12 @@
 	"time"
 )
 
-// The order of the steps guards against three failures when an instance is replaced
-// under load. Closed before the load balancer has detected the stop, it refuses callers
-// that another instance could serve. With claims closed before the last call has ended,
-// that call's outcome stays "unknown" for good. With the peer listener closed first,
-// peers route by outdated state. A step that fails must not skip the rest.
+// The order of the steps prevents three failures when an instance is replaced under load.
+// If the instance stopped accepting before the load balancer has detected the stop, it would
+// refuse callers that another instance could serve. If claims were closed before the last
+// call has ended, the outcome of that call would stay "unknown" for good. If the peer
+// listener closed first, peers would route by outdated state. After a step that fails, the
+// remaining steps must still run.
 func TestStopOrder(t *testing.T) {
 	errBusy := errors.New("busy")
 	tests := []struct {
