--- a/peridotpath/config/config.go
+++ b/peridotpath/config/config.go
@@ -5,8 +5,8 @@
 // The configuration is sharded into documents, each with its own revision, which
 // increases by one with each accepted change. A Store reads all documents once
 // (Load), follows changes (Run) and returns the active configuration as an
-// immutable Snapshot (Current). It applies a document only if its revision is
-// higher than the one it has, whatever the source, so the active configuration
+// immutable Snapshot (Current). It applies a document from any source only if the
+// document's revision is higher than the active one, so the active configuration
 // never reverts.
 //
 // A pending watch counts as a call of the key-value service. To limit this load,
@@ -32,8 +32,8 @@
 var Error = errs.Class("config")
 
 // ErrNoPeers is returned by Store.FetchFromPeers if the membership list has no other live
-// instance. It counts as contact: the instance stays ready, because no other one could
-// serve callers instead.
+// instance. It counts as contact with a peer: the instance stays ready, because no other
+// instance could serve its callers.
 var ErrNoPeers = errs.Class("config: no peers")
 
 // Defaults of the Store's fields.
@@ -104,8 +104,8 @@
 // Ready reports whether the instance may accept new callers: it has a
 // configuration, and had recent contact with the platform or a peer.
 //
-// It guards against a network partition in which callers still reach the instance:
-// it would keep serving with an outdated configuration, without any visible
+// In a network partition in which callers still reach the instance, it would
+// otherwise keep serving with an outdated configuration, without any visible
 // symptom. During an outage of the platform alone, instances have contact with one
 // another and stay ready.
 func (store *Store) Ready() bool {
--- a/peridotpath/config/config_test.go
+++ b/peridotpath/config/config_test.go
@@ -40,8 +40,9 @@
 	return peridotpath.Customer{ID: peridotpath.CustomerID(id), KeySHA256: peridotpath.HashKey(key)}
 }
 
-// A watch must apply a new document, but not one with a lower revision, such as a
-// service that was restored from an old backup returns.
+// A watch must apply a document with a higher revision than the active one. It must not
+// apply a lower revision, which the key-value service returns after it was restored from an
+// old backup.
 func TestFollowAppliesOnlyHigherRevisions(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/config/fleet_test.go
+++ b/peridotpath/config/fleet_test.go
@@ -22,12 +22,12 @@
 // hopDelay is the one-way network delay between any two processes of a fleet.
 const hopDelay = time.Millisecond
 
-// fleet is a group of instances that share one key-value service, on the clock of a
-// synctest bubble.
+// fleet is a group of instances that share one key-value service, called the platform, on
+// the clock of a synctest bubble.
 type fleet struct {
 	memory         *memory.Memory
 	platform       *keyvalue.Store
-	platformDown   atomic.Bool  // the platform is unreachable for all instances
+	platformDown   atomic.Bool  // the key-value service is unreachable for all instances
 	delayedWatches atomic.Int64 // number of watch replies still to be delayed
 	firstHangs     atomic.Bool  // the first instance accepts polls but never responds
 	instances      []*instance
@@ -37,8 +37,8 @@
 type instance struct {
 	fleet           *fleet
 	reader          bool
-	partitioned     atomic.Bool // the platform and all peers are unreachable
-	withoutPlatform atomic.Bool // the platform is unreachable
+	partitioned     atomic.Bool // the key-value service and all peers are unreachable
+	withoutPlatform atomic.Bool // the key-value service is unreachable for this instance
 	current         atomic.Pointer[config.Store]
 	cancel          context.CancelFunc
 	done            chan error
--- a/peridotpath/config/follow.go
+++ b/peridotpath/config/follow.go
@@ -70,7 +70,7 @@
 // follow makes one watch or long poll of the instance's primary source, and falls
 // back to the other source if the primary one fails: readers use the platform
 // first, followers their peers. An instance whose source is unreachable thus loses
-// no time and makes no more calls than a reader. The error means that both sources
+// no time and makes no more calls than a reader. follow returns an error if both sources
 // failed.
 func (store *Store) follow(ctx context.Context, wait time.Duration) error {
 	if store.Current() == nil {
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// followPeers polls the peers. It also fails if no peer had recent contact with the
-// platform; otherwise a follower of a partitioned instance would keep an outdated
+// followPeers polls the peers. It also returns an error if no peer had recent contact with
+// the platform; otherwise a follower of a partitioned instance would keep an outdated
 // configuration indefinitely.
 func (store *Store) followPeers(ctx context.Context, wait time.Duration) error {
 	if err := store.pollPeers(ctx, wait); err != nil {
--- a/peridotpath/config/follow_test.go
+++ b/peridotpath/config/follow_test.go
@@ -31,48 +31,49 @@
 	return instance.store().ActiveRevisions()["profiles"]
 }
 
-// An instance starts while the platform is down, with one peer that missed the last
-// change and one that has it. If it took the first response, it could revert an
-// accepted change.
+// An instance restarts with an empty store while the platform is down. One of its peers
+// missed the last change, the other one has it. The instance must wait for both and take the
+// higher revision: with the first response it could revert an accepted change.
 func TestStartDuringOutageTakesHighestRevision(t *testing.T) {
 	withFleet(t, 3, 3, nil, func(t *testing.T, is *is.I, fleet *fleet) {
-		lagging, ahead, replaced := fleet.instances[0], fleet.instances[1], fleet.instances[2]
+		lagging, ahead, restarted := fleet.instances[0], fleet.instances[1], fleet.instances[2]
 		ahead.mustChange(t, putProfile("1", "counter", 0, 100))
 		time.Sleep(time.Second)
 		lagging.partitioned.Store(true)
 		ahead.mustChange(t, putProfile("2", "counter", 1, 200))
 		time.Sleep(time.Second)
-		replaced.stop()
+		restarted.stop()
 		fleet.platformDown.Store(true)
 		lagging.partitioned.Store(false)
 		is.Equal(lagging.revision(), peridotpath.Revision(1))
-		replaced.replaceStore()
-		is.NoErr(replaced.start())
-		is.Equal(replaced.revision(), peridotpath.Revision(2)) // the lagging peer's revision was applied
-		is.True(replaced.store().Ready())
+		restarted.replaceStore()
+		is.NoErr(restarted.start())
+		is.Equal(restarted.revision(), peridotpath.Revision(2)) // the lagging peer's revision was applied
+		is.True(restarted.store().Ready())
 	})
 }
 
-// An instance starts while the platform is down, and the only reachable peer lags. It
-// must take the peer's configuration, and the last change after the outage.
+// An instance restarts with an empty store while the platform is down, and its only peer
+// missed the last change. The instance must start with the peer's configuration, and apply
+// the last change once the platform is reachable again.
 func TestStartFromLaggingPeer(t *testing.T) {
 	withFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
-		lagging, replaced := fleet.instances[0], fleet.instances[1]
-		replaced.mustChange(t, putProfile("1", "counter", 0, 100))
+		lagging, restarted := fleet.instances[0], fleet.instances[1]
+		restarted.mustChange(t, putProfile("1", "counter", 0, 100))
 		time.Sleep(time.Second)
 		lagging.partitioned.Store(true)
-		replaced.mustChange(t, putProfile("2", "counter", 1, 200))
-		replaced.stop()
+		restarted.mustChange(t, putProfile("2", "counter", 1, 200))
+		restarted.stop()
 		fleet.platformDown.Store(true)
 		lagging.partitioned.Store(false)
-		replaced.replaceStore()
-		is.NoErr(replaced.start())
-		is.Equal(replaced.revision(), peridotpath.Revision(1))
+		restarted.replaceStore()
+		is.NoErr(restarted.start())
+		is.Equal(restarted.revision(), peridotpath.Revision(1))
 		time.Sleep(10 * time.Minute)
-		is.True(replaced.store().Ready()) // not ready in an outage of the platform alone
+		is.True(restarted.store().Ready()) // not ready in an outage of the platform alone
 		fleet.platformDown.Store(false)
 		time.Sleep(11 * time.Second)
-		is.Equal(replaced.revision(), peridotpath.Revision(2))
+		is.Equal(restarted.revision(), peridotpath.Revision(2))
 		is.Equal(lagging.revision(), peridotpath.Revision(2))
 	})
 }
@@ -129,9 +130,9 @@
 	})
 }
 
-// All instances are replaced one by one during an outage of the platform, when only
-// they hold the configuration. Each must load it from its peers before the next one
-// is replaced.
+// All instances are restarted with an empty store, one by one, during an outage of the
+// platform, so that only the instances hold the configuration. Each must load the
+// configuration from its peers before the next instance is restarted.
 func TestReplaceAllDuringOutage(t *testing.T) {
 	withFleet(t, 4, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		for i := range 3 {
@@ -152,8 +153,8 @@
 }
 
 // The platform is down for a long time, and the data centre has only one reader, which has
-// no other reader to follow. It must stay ready: its callers would otherwise move to the
-// other instances without need.
+// no other reader to follow. The reader must stay ready: its callers would otherwise move
+// to the other instances without need.
 func TestOutageWithOneReader(t *testing.T) {
 	withFleet(t, 3, 1, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		fleet.instances[0].mustChange(t, putProfile("1", "counter", 0, 100))
@@ -169,7 +170,7 @@
 
 // A follower's peer responds to every poll but has had no platform contact for a long time,
 // for example because only its route to the platform is down. The follower must fall
-// back to the platform; otherwise it would keep an outdated configuration.
+// back to the platform; otherwise the follower would keep an outdated configuration.
 func TestFollowerOfStalePeer(t *testing.T) {
 	virtual.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/peridotpath/config/machine_test.go
+++ b/peridotpath/config/machine_test.go
@@ -27,8 +27,8 @@
 // invariants.
 type machine struct {
 	fleet *fleet
-	// loseBefore and loseAfter are the numbers of swaps whose call or reply is still
-	// to be lost.
+	// loseBefore is the number of later swaps whose call will be lost, and loseAfter the
+	// number of those whose reply will be lost.
 	loseBefore, loseAfter atomic.Int32
 	// downAfterLoss takes the platform down with the next lost call or reply.
 	downAfterLoss atomic.Bool
@@ -112,7 +112,8 @@
 	span  time.Duration
 }
 
-// edit is a randomly drawn change of one of four items.
+// edit is a randomly drawn change of one of four items: a customer or a profile that is
+// named a or b.
 type edit struct {
 	customer, deleted bool
 	// overwrite disables the conflict check.
