--- a/soak/fatal.go
+++ b/soak/fatal.go
@@ -13,26 +13,26 @@
 )
 
 const (
-	// fatalPrefix begins the bodies that crash every endpoint that runs them.
+	// A request whose body begins with fatalPrefix crashes every endpoint that executes it.
 	fatalPrefix = "fatal"
 	// fatalRequestInterval is the time between two requests with the same fatal body.
 	fatalRequestInterval = 150 * time.Millisecond
-	// minFatalDuration is the shortest time for which a fatal body is sent. It is longer
-	// than instances may take to quarantine the body.
+	// minFatalDuration is the shortest time for which requests with a fatal body are sent.
+	// It exceeds the time in which every instance must have quarantined the body.
 	minFatalDuration = 10 * time.Second
 	// A crashed endpoint is down for minDowntime plus a random part of downtimeSpread;
 	// entryTTL is the time after the crash at which its store entry expires.
 	minDowntime, downtimeSpread = 400 * time.Millisecond, 1200 * time.Millisecond
 	entryTTL                    = time.Second
-	// crashesToQuarantine is the number of crashes after which a body must be quarantined,
-	// and maxQuarantinedRuns the number of runs that are tolerated after that.
+	// crashesToQuarantine is the number of crashes after which instances must quarantine a
+	// body. The check tolerates maxQuarantinedRuns further executions of the body.
 	crashesToQuarantine, maxQuarantinedRuns = 3, 3
 )
 
 func isFatal(body string) bool { return strings.HasPrefix(body, fatalPrefix) }
 
-// repeatFatalRequest sends a body repeatedly, with a new request ID each time and to a
-// random instance, until end is called.
+// repeatFatalRequest sends requests with the fatal body, each with a new request ID and to
+// a random instance, until end is called.
 func (fleet *fleet) repeatFatalRequest(random *rand.Rand, body string) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	began, ended := time.Now(), make(chan struct{})
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -20,7 +20,7 @@
 	linkSlow
 	// linkBlackhole keeps connections open and forwards nothing.
 	linkBlackhole
-	// linkOneWay forwards data to the server, and none back.
+	// linkOneWay forwards data to the server and holds back data to the client.
 	linkOneWay
 	// linkReset resets open and new connections.
 	linkReset
@@ -157,8 +157,8 @@
 	<-ended
 }
 
-// forward copies data while the link permits; toClient is true for the direction to the
-// client.
+// forward copies data from one connection to the other, subject to the state of the link.
+// toClient is true for the direction to the client.
 func (proxy *proxy) forward(ctx context.Context, to, from net.Conn, toClient bool) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -185,8 +185,9 @@
 	}
 }
 
-// awaitLink blocks while the link forwards nothing in that direction. It returns false if
-// ctx has ended.
+// awaitLink delays data by the state of the link: by linkDelay if the link is slow, and for
+// as long as the link forwards nothing in the direction of the data. toClient is true for
+// data to the client. It returns false if ctx has ended.
 func (proxy *proxy) awaitLink(ctx context.Context, toClient bool) bool {
 	for {
 		switch now := proxy.currentLink(); {
