--- a/standin/load/call.go
+++ b/standin/load/call.go
@@ -62,7 +62,7 @@
 	code string
 	// refusals counts the replies that report "not run", by code.
 	refusals map[string]int
-	// onlyNotRun is true while no attempt may have run, according to the replies.
+	// onlyNotRun is true as long as every attempt certainly did not run.
 	onlyNotRun        bool
 	resumptions       int
 	brokenConnections int
--- a/standin/load/plan.go
+++ b/standin/load/plan.go
@@ -41,7 +41,8 @@
 	// Share is its weight among all requests, relative to the sum of all shares.
 	Share   int                     `json:"share"`
 	Profile peridotpath.ProfileName `json:"profile"`
-	// Path is a completion path, or for a plain service the path after the profile.
+	// Path is the URL path of a completion request; for a plain service, the part of the
+	// path after the profile name.
 	Path string `json:"path"`
 	// IsPlainService marks calls to a plain service.
 	IsPlainService bool `json:"plain,omitempty"`
@@ -56,7 +57,7 @@
 	OutputTokens peridotpath.Tokens `json:"output_tokens,omitempty"`
 	// StreamPercent is the percentage of streamed requests.
 	StreamPercent int `json:"stream_percent,omitempty"`
-	// SharedPercent is the percentage of requests whose first half is the same.
+	// SharedPercent is the percentage of requests whose prompts have the same first half.
 	SharedPercent int `json:"shared_percent,omitempty"`
 	// DuplicatePercent is the percentage of requests that are sent twice at the same time
 	// with the same key, as by a double click.
--- a/standin/load/request.go
+++ b/standin/load/request.go
@@ -25,12 +25,12 @@
 	tokens      peridotpath.Tokens
 	arrivesAt   time.Duration
 	seed        uint64
-	// copies is the number of concurrent sends of the request.
+	// copies is how many times the request is sent concurrently.
 	copies int
 }
 
-// newRequests generates all requests of a plan, in order of arrival.
-func newRequests(plan *Plan) []*request {
+// generateRequests generates all requests of a plan, in order of arrival.
+func generateRequests(plan *Plan) []*request {
 	random := rand.New(rand.NewPCG(plan.Seed, plan.Seed))
 	shares := 0
 	for _, work := range plan.Work {
@@ -39,13 +39,13 @@
 	var requests []*request
 	for i := range plan.Work {
 		if plan.Work[i].SendsFirst {
-			requests = append(requests, newRequest(plan, &plan.Work[i], random, len(requests), 0))
+			requests = append(requests, generateRequest(plan, &plan.Work[i], random, len(requests), 0))
 		}
 	}
 	at := time.Duration(0)
 	for len(requests) < plan.Requests {
 		at += time.Duration(random.ExpFloat64() / plan.RatePerS * float64(time.Second))
-		requests = append(requests, newRequest(plan, pickWork(plan, random.IntN(shares)), random, len(requests), at))
+		requests = append(requests, generateRequest(plan, pickWork(plan, random.IntN(shares)), random, len(requests), at))
 	}
 	return requests
 }
@@ -59,7 +59,7 @@
 	return &plan.Work[len(plan.Work)-1]
 }
 
-func newRequest(plan *Plan, work *Work, random *rand.Rand, number int, arrivesAt time.Duration) *request {
+func generateRequest(plan *Plan, work *Work, random *rand.Rand, number int, arrivesAt time.Duration) *request {
 	tokens := work.MinTokens + peridotpath.Tokens(random.Int64N(int64(work.MaxTokens-work.MinTokens)+1))
 	copies := 1
 	if random.IntN(100) < work.DuplicatePercent {
@@ -98,7 +98,7 @@
 	return builder.String()[:length]
 }
 
-// prompt returns the request's text. Some share their first half with other requests.
+// prompt returns the prompt of the request. Some prompts have the same first half.
 func (request *request) prompt() string {
 	length := int(request.tokens) * bytesPerToken
 	if int(request.seed%100) >= request.work.SharedPercent {
--- a/standin/load/run.go
+++ b/standin/load/run.go
@@ -34,7 +34,7 @@
 
 // sendAll sends each request at its arrival time and waits for all results.
 func sendAll(ctx context.Context, balancer *balancer, plan *Plan, progress io.Writer) []*result {
-	requests := newRequests(plan)
+	requests := generateRequests(plan)
 	began := time.Now()
 	finished := make(chan *result, len(requests))
 	var results []*result
--- a/standin/load/run_test.go
+++ b/standin/load/run_test.go
@@ -188,7 +188,7 @@
 	}
 }
 
-// A refused caller retries after the time in the refusal.
+// A refused caller must retry after the delay in the refusal.
 func TestClientRetriesAfterRefusal(t *testing.T) {
 	is := is.New(t)
 	var refusedOnce sync.Map
--- a/standin/members.go
+++ b/standin/members.go
@@ -137,8 +137,8 @@
 	Times   int                `json:"times"`
 }
 
-// flap makes a member leave and return the given number of times, or until the request
-// ends.
+// flap makes a member leave and return the given number of times, or until the HTTP
+// request ends.
 func (memberList *memberList) flap(writer http.ResponseWriter, request *http.Request) {
 	var flapping flapRequest
 	if err := json.NewDecoder(request.Body).Decode(&flapping); err != nil || flapping.EveryMS <= 0 {
--- a/standin/members_test.go
+++ b/standin/members_test.go
@@ -35,7 +35,8 @@
 	return &memberList{readLag: 500 * time.Millisecond, list: list, versions: []listVersion{{list: list}}}
 }
 
-// A change becomes visible after the lag and not before, and changes in their order.
+// A change must become visible after readLag and not before, and changes must become visible
+// in the order in which they were made.
 func TestMembersLag(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -55,7 +56,7 @@
 	})
 }
 
-// A flapping member alternates between leaving and live, and ends live.
+// A flapping member must alternate between leaving and live, and be live in the end.
 func TestMembersFlap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
