--- a/measure/ablation/ablation.go
+++ b/measure/ablation/ablation.go
@@ -1,6 +1,8 @@
-// Package ablation measures the effect of single mechanisms in an ablation study: it
-// disables each one by a patch to a copy of the sources, runs the users' benchmark with
-// the same days and seeds on the patched and the unpatched copy, and compares the pairs.
+// Package ablation measures the effect of single mechanisms of the scheduler in an
+// ablation study. For each mechanism it applies a patch that disables the mechanism to a
+// copy of the sources. It runs an external benchmark program, which simulates a day's
+// traffic of a deployment from a seed, on the patched and on an unpatched copy, and
+// compares the two results for each combination of deployment, day and seed.
 // Production builds do not include it.
 package ablation
 
@@ -21,14 +23,16 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("ablation")
 
-// Play is one run of the benchmark: a day of a deployment with a seed.
+// Play identifies a run of the benchmark by the deployment (Site), the simulated day and
+// the random seed.
 type Play struct {
 	Site, Day, Seed string
 }
 
-// Result is the benchmark's report on a play.
+// Result is the part of the benchmark's report on a play that is compared.
 type Result struct {
-	// Worth is the score of the day, and Unserved the share of requests without an answer.
+	// Worth is the benchmark's score for the day, and Unserved the share of requests without
+	// an answer.
 	Worth    float64 `json:"G"`
 	Unserved float64 `json:"unserved"`
 	// BrokenRules are the violated rules, by name.
@@ -40,16 +44,17 @@
 	} `json:"all"`
 }
 
-// Bench runs the users' benchmark program.
+// Bench runs the benchmark program.
 type Bench struct {
-	// Program is its path, and Jobs the number of concurrent runs.
+	// Program is the path of the benchmark program, and Jobs the number of concurrent runs.
 	Program string
 	Jobs    int
-	// Reason is the reason that the program records with each run.
+	// Reason is a text that the program records with each run.
 	Reason string
 }
 
-// Build builds the sources in the folder once, before concurrent runs.
+// Build builds the sources in the folder. It is called once before Play, whose runs are
+// concurrent.
 func (bench *Bench) Build(ctx context.Context, folder string) error {
 	command := exec.CommandContext(ctx, bench.Program, "build")
 	command.Dir = folder
@@ -163,10 +168,10 @@
 	// Worth is the mean of the worth with the mechanism minus the worth without it, and
 	// StandardError the standard error of that mean.
 	Worth, StandardError float64
-	// Unserved, Late and Refused are the mean increases of the shares of requests
-	// without the mechanism.
+	// Unserved, Late and Refused are the mean shares of such requests without the mechanism
+	// minus the shares with it.
 	Unserved, Late, Refused float64
-	// BrokenRules counts the rules that are violated without it.
+	// BrokenRules counts the rule violations of the plays without the mechanism.
 	BrokenRules int
 }
 
--- a/measure/bench/cluster.go
+++ b/measure/bench/cluster.go
@@ -32,7 +32,7 @@
 	makeDecider      func(int) *decider
 	customers        []*peridotpath.Customer
 	requests         []*request
-	engineCapacity   float64 // see Load.engineCapacity
+	engineCapacity   float64 // as returned by Load.engineCapacity
 	attempts         int
 	prefilledTokens  float64 // in the period whose arrivals are counted
 	imbalanceSum     float64 // see sampleImbalance
@@ -134,8 +134,8 @@
 	return instance
 }
 
-// sendReports sends the load reports of all engines to every instance after the lag, and
-// schedules the next reports.
+// sendReports sends the load reports of all engines to every instance, which receives them
+// after Load.ReportLag, and schedules the next reports.
 func (cluster *cluster) sendReports(revision uint64) {
 	if cluster.clock.now.After(epoch.Add(arrivalPeriod + drainPeriod)) {
 		return
@@ -259,8 +259,8 @@
 	})
 }
 
-// handle passes a decision to the instance that received the work. With a shared queue, it
-// can differ from the one that decided.
+// handle passes a decision to the instance that received the work. With a shared queue, that
+// instance can differ from decidedBy.
 func (cluster *cluster) handle(decision decide.Decision, decidedBy *instance) {
 	if decidedBy.works[decision.Work] != nil {
 		decidedBy.handle(decision)
--- a/measure/bench/figures.go
+++ b/measure/bench/figures.go
@@ -25,8 +25,8 @@
 	// StretchP99 is the 99th percentile, over all lengths, of the ratio of the TTFT to the
 	// prefill time of the prompt alone.
 	StretchP99 float64
-	// ShortSlowdown is the ratio of the 99th percentile of short requests to the same
-	// without long requests in the load.
+	// ShortSlowdown is the 99th percentile of the TTFT of short requests, divided by that
+	// percentile in a run without long requests.
 	ShortSlowdown float64
 	// LongInTimeShare is the share of admitted long requests that finished in time.
 	LongInTimeShare float64
@@ -35,8 +35,8 @@
 	// GoodputPercent is the work that finished in time within the period whose arrivals are
 	// counted, in percent of Load.engineCapacity. It excludes work that finished later.
 	GoodputPercent float64
-	// Unfairness is the ratio of the 99th percentile of the other customers' short requests
-	// to the same without the heavy customer.
+	// Unfairness is the 99th percentile of the TTFT of the short requests of all customers
+	// but the heavy one, divided by that percentile in a run without the heavy customer.
 	Unfairness float64
 	// OthersServedShare is the share of the other customers' requests that finished in time
 	// under the load of the heavy customer.
@@ -48,8 +48,8 @@
 	Retries            int
 	Requests           int
 	Refused            map[peridotpath.Code]int
-	// Utilisation is the ratio of the prefilled tokens to those that always busy engines
-	// prefill.
+	// Utilisation is the ratio of the prefilled tokens to the tokens that engines prefill
+	// if they are always busy.
 	Utilisation float64
 	Finished    [3]int
 }
--- a/measure/bench/joint.go
+++ b/measure/bench/joint.go
@@ -23,7 +23,7 @@
 	ReplacedInstances int
 	Figures           Figures
 	// Imbalance is the mean over time of the difference between the prefill backlog of
-	// the busiest endpoint and the mean of all, in milliseconds.
+	// the busiest endpoint and the mean backlog of all endpoints, in milliseconds.
 	Imbalance float64
 }
 
--- a/measure/bench/load.go
+++ b/measure/bench/load.go
@@ -88,8 +88,9 @@
 }
 
 // Bounds of the lengths of prompts and answers of each class, in tokens. The longest short
-// prompt is a tenth shorter than the next class, so that the ordinary error of estimates
-// does not move it there. The error of the load wrong_estimates does.
+// prompt is a tenth shorter than the shortest medium one, so that the ordinary error of
+// estimates does not move it to the medium class. The error in the load wrong_estimates
+// does.
 var (
 	minPrompt = [3]float64{1_000, 8_000, 100_000}
 	maxPrompt = [3]float64{7_200, 100_000, 1_000_000}
--- a/measure/bench/outcome_test.go
+++ b/measure/bench/outcome_test.go
@@ -13,7 +13,8 @@
 // testedPolicy is the policy under test.
 var testedPolicy = NewPeridotpath("peridotpath", 0)
 
-// measureAlone measures a load without the reference runs of measure.
+// measureAlone measures a load without the reference runs that omit the long prompts or the
+// heavy customer.
 func measureAlone(t *testing.T, name string, offered int) Figures {
 	t.Helper()
 	load := loadByName(name)
@@ -34,7 +35,7 @@
 	return measure(loadByName(name), offered, testedPolicy, 1)
 }
 
-// The same seed gives the same figures, also with concurrent runs.
+// The same seed must give the same figures, also with concurrent runs.
 func TestRunsAreDeterministic(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -61,9 +62,9 @@
 	is.Equal(nearSaturation.LongInTimeShare, 1.0)
 }
 
-// The load exceeds the fleet's capacity for minutes. Short requests are still answered
-// promptly, requests that cannot finish are refused immediately, and nearly all admitted
-// ones finish in time.
+// The load exceeds the fleet's capacity for minutes. Short requests must still be answered
+// promptly, requests that cannot finish must be refused immediately, and nearly all admitted
+// requests must finish in time.
 func TestSaturation(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -75,8 +76,8 @@
 	is.True(figures.Refused[peridotpath.CodeCannotFinish] > 10*figures.Refused[peridotpath.CodeQueueTimeout])
 }
 
-// The arrival rate rises tenfold for a minute. Refused callers retry after their
-// Retry-After, most of them are then served, and the retries do not form a second burst.
+// The arrival rate rises tenfold for a minute, and refused callers retry after their
+// Retry-After. Most of the retries must be served, and they must not form a second burst.
 func TestBurstRetries(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -88,7 +89,7 @@
 }
 
 // One customer sends 70 % of a load above the fleet's capacity. The other customers'
-// requests are hardly affected.
+// requests must hardly be affected.
 func TestSkewedCustomers(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -103,8 +104,8 @@
 	is.True(sum/3 <= 1.25)
 }
 
-// One engine is five times slower than it reports. Its work moves to other engines, and
-// hardly any request misses its deadline.
+// One engine is five times slower than it reports. Its work must move to other engines, and
+// hardly any request may miss its deadline.
 func TestSlowEndpoint(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -115,7 +116,7 @@
 }
 
 // One engine fails every request immediately, or a third of the engines crash. Hardly any
-// caller gets an error, and retries stay below one in ten requests.
+// caller may get an error, and fewer than one in ten requests may be retried.
 func TestFailingEndpoints(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -138,8 +139,8 @@
 	is.Equal(figures.LongInTimeShare, 1.0)
 }
 
-// The simulated engine respects its memory limit and runs higher priorities first. A job
-// that does not fit waits.
+// The simulated engine must not exceed its memory limit and must run higher priorities
+// first. A job that does not fit must wait.
 func TestEngineRespectsMemoryAndPriority(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/measure/chart/chart.go
+++ b/measure/chart/chart.go
@@ -65,8 +65,8 @@
 	return names, lines
 }
 
-// labelPadding keeps labels clear of the axis if the viewer's font is wider than the one
-// that the layout was computed with.
+// labelPadding keeps labels clear of the axis if the viewer's font is wider than the font
+// for which the layout was computed.
 var labelPadding = vg.Points(12)
 
 // Effect is a figure that is compared between ablations.
--- a/measure/chart/chart_test.go
+++ b/measure/chart/chart_test.go
@@ -12,7 +12,7 @@
 	"peridotpath.example/peridotpath"
 )
 
-// The files are SVG and contain the names of the policies.
+// The files must be SVG and contain the names of the policies.
 func TestChartsLabelPolicies(t *testing.T) {
 	is := is.New(t)
 	folder := t.TempDir()
