--- a/peridotd/daemon.go
+++ b/peridotd/daemon.go
@@ -60,8 +60,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// A later run has a higher number unless the clock is set back by more than the
-	// downtime. The number only distinguishes runs.
+	// A later run of the instance has a higher incarnation, unless the clock is set back by
+	// more than the time between the runs. The number only distinguishes runs.
 	incarnation := peridotpath.Incarnation(time.Now().UnixNano())
 	daemon := &daemon{settings: settings, log: log, incarnation: incarnation, signer: &cursor.Signer{}}
 	daemon.keyValue = keyvalue.Connect(settings.KeyValueAddress, &keyvalue.EraTracker{Now: clock.SinceBoot, Log: daemon.log, OnEraChange: daemon.onStoreRestored})
--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -148,10 +148,10 @@
 // received by gossip. Zero means unknown.
 //
 // An instance that was killed is often replaced under its old id, and the list may not
-// distinguish the incarnations: a caller that retries an idempotency key of the killed one
-// would get "running" for a day. A gossiped later incarnation proves that the earlier one
-// has ended; the claim ledger waits for messages of the earlier one that may still be in
-// transit.
+// distinguish the incarnations: a caller that retries an idempotency key of the killed
+// instance would get "running" for a day. A later incarnation received by gossip proves that
+// the earlier one has ended; the claim ledger waits for messages of the earlier incarnation
+// that may still be in transit.
 func mayStillRun(claimed, listed, gossiped peridotpath.Incarnation) bool {
 	return claimed >= gossiped && (listed == 0 || claimed >= listed)
 }
--- a/peridotd/shift.go
+++ b/peridotd/shift.go
@@ -66,8 +66,8 @@
 }
 
 // run makes this instance a candidate for the leases of its sites. A site has few
-// candidates, because each one's watch loads the platform. Instances may disagree on who
-// the candidates are: only the lease grants control.
+// candidates, because the watch of each candidate loads the platform. Instances may disagree
+// on which of them are candidates: only the holder of the lease has control.
 func (controller *groupController) run(ctx context.Context) error {
 	ticker := time.NewTicker(candidacyInterval)
 	defer ticker.Stop()
