--- a/peridotpath/config/change_test.go
+++ b/peridotpath/config/change_test.go
@@ -209,9 +209,9 @@
 }
 
 // The key-value service is restored from a backup that lacks the last changes, which
-// stay active on the instances. The next change must be based on them and restore
-// them; otherwise it would get a revision that instances have already seen and would
-// never be applied.
+// stay active on the instances. The next change must be based on the active configuration
+// and restore the last changes; otherwise it would get a revision that instances have
+// already seen and would never be applied.
 func TestPlatformRestoredFromBackup(t *testing.T) {
 	withFleet(t, 2, 2, nil, func(t *testing.T, is *is.I, fleet *fleet) {
 		fleet.instances[0].mustChange(t, putProfile("1", "counter", 0, 100))
--- a/peridotpath/config/machine_test.go
+++ b/peridotpath/config/machine_test.go
@@ -35,15 +35,15 @@
 
 	changeCount int // changes made so far
 
-	mu       sync.Mutex
-	changes  map[config.ChangeID]config.Change
-	accepted map[config.ChangeID]config.Accepted
-	refused  map[config.ChangeID]error
-	unknown  map[config.ChangeID]bool
+	mu              sync.Mutex
+	changes         map[config.ChangeID]config.Change
+	acceptedChanges map[config.ChangeID]config.Accepted
+	refusals        map[config.ChangeID]error
+	unknownOutcomes map[config.ChangeID]bool
 	// events holds every change ever read from a document's history.
-	events     map[config.DocumentName]map[peridotpath.Revision]config.ChangeID
-	seen       map[*config.Store]config.Revisions
-	violations []string
+	events        map[config.DocumentName]map[peridotpath.Revision]config.ChangeID
+	seenRevisions map[*config.Store]config.Revisions
+	violations    []string
 }
 
 func (machine *machine) fail(format string, args ...any) {
@@ -52,13 +52,13 @@
 
 func newMachine() *machine {
 	machine := &machine{
-		fleet:    newFleet(machineSize, 2),
-		changes:  map[config.ChangeID]config.Change{},
-		accepted: map[config.ChangeID]config.Accepted{},
-		refused:  map[config.ChangeID]error{},
-		unknown:  map[config.ChangeID]bool{},
-		events:   map[config.DocumentName]map[peridotpath.Revision]config.ChangeID{},
-		seen:     map[*config.Store]config.Revisions{},
+		fleet:           newFleet(machineSize, 2),
+		changes:         map[config.ChangeID]config.Change{},
+		acceptedChanges: map[config.ChangeID]config.Accepted{},
+		refusals:        map[config.ChangeID]error{},
+		unknownOutcomes: map[config.ChangeID]bool{},
+		events:          map[config.DocumentName]map[peridotpath.Revision]config.ChangeID{},
+		seenRevisions:   map[*config.Store]config.Revisions{},
 	}
 	machine.fleet.memory.Fault = machine.fault
 	return machine
@@ -91,13 +91,13 @@
 	defer machine.mu.Unlock()
 	switch {
 	case err == nil:
-		machine.accepted[change.ID] = accepted
+		machine.acceptedChanges[change.ID] = accepted
 	case config.ErrOutcomeUnknown.Has(err):
-		machine.unknown[change.ID] = true
-	case !machine.unknown[change.ID] && machine.accepted[change.ID] == (config.Accepted{}):
+		machine.unknownOutcomes[change.ID] = true
+	case !machine.unknownOutcomes[change.ID] && machine.acceptedChanges[change.ID] == (config.Accepted{}):
 		// A refusal is definite only without an earlier attempt, which may have
 		// taken effect.
-		machine.refused[change.ID] = err
+		machine.refusals[change.ID] = err
 	}
 }
 
@@ -231,7 +231,7 @@
 func (machine *machine) repeat(instance *instance, choice int) {
 	var repeatable []string
 	for id := range machine.changes {
-		if machine.refused[id] == nil {
+		if machine.refusals[id] == nil {
 			repeatable = append(repeatable, string(id))
 		}
 	}
@@ -247,17 +247,17 @@
 	for i, instance := range machine.fleet.instances {
 		store := instance.store()
 		now := store.ActiveRevisions()
-		for document, revision := range machine.seen[store] {
+		for document, revision := range machine.seenRevisions[store] {
 			if now[document] < revision {
 				machine.fail("instance %d went from revision %d of %s back to %d", i, revision, document, now[document])
 			}
 		}
-		machine.seen[store] = now
+		machine.seenRevisions[store] = now
 	}
 	for _, document := range machine.documents() {
 		machine.record(document)
 	}
-	for id, accepted := range machine.accepted {
+	for id, accepted := range machine.acceptedChanges {
 		if have := machine.events[accepted.Document][accepted.Revision]; have != id {
 			machine.fail("%s was accepted as revision %d of %s, which is %q", id, accepted.Revision, accepted.Document, have)
 		}
@@ -349,7 +349,7 @@
 	for revision := peridotpath.Revision(1); revision <= document.Revision; revision++ {
 		id := machine.events[document.name][revision]
 		change := machine.changes[id]
-		if err := machine.refused[id]; err != nil {
+		if err := machine.refusals[id]; err != nil {
 			machine.fail("%s took effect but was refused with %v", id, err)
 		}
 		if change.Base != config.AnyRevision && change.Base != items[change.Name] {
--- a/peridotpath/config/snapshot.go
+++ b/peridotpath/config/snapshot.go
@@ -67,8 +67,8 @@
 // revisions have been applied, and their number.
 //
 // A lower or equal revision comes from a lagging peer, from a delayed response or
-// from a service that was restored from a backup. Applying it would revert an
-// accepted change; ignoring it cannot.
+// from a service that was restored from a backup. Applying such a document would revert
+// an accepted change, so it is ignored.
 func (snapshot *Snapshot) withDocuments(documents []Document, log zerolog.Logger) (*Snapshot, int) {
 	next := &Snapshot{Config: snapshot.Config, Drains: snapshot.Drains, documents: maps.Clone(snapshot.documents)}
 	applied := 0
