--- a/peridotpath/audit/audit.go
+++ b/peridotpath/audit/audit.go
@@ -27,8 +27,8 @@
 	FaultRanTwice
 	// FaultEndedTwice means that more than one end of the request was logged.
 	FaultEndedTwice
-	// FaultRefusedTooLate means that the request was refused too late, and never sent to an
-	// endpoint.
+	// FaultRefusedTooLate means that the request was never sent to an endpoint and was refused
+	// after more than maxHeldTargets latency targets.
 	FaultRefusedTooLate
 	// FaultNoRetryAfter means that a refusal has no Retry-After.
 	FaultNoRetryAfter
@@ -164,8 +164,8 @@
 	return faults
 }
 
-// countPossibleRuns counts the failed attempts that may have been executed: those without an
-// endpoint's guarantee of the contrary.
+// countPossibleRuns counts the failed attempts that may have been executed, because no
+// endpoint guaranteed the contrary.
 func (history *history) countPossibleRuns() int {
 	count := 0
 	for i := range history.failedAttempts {
@@ -190,8 +190,8 @@
 	return len(history.ends) > 0 && history.ends[0].Pairs["kind"] == "once"
 }
 
-// heldTooLong reports whether a request was held too long, not counting pauses of the
-// instance: a paused process cannot refuse requests.
+// heldTooLong reports whether a request was held longer than maxHeldTargets allows, not
+// counting pauses of the instance: a paused process cannot refuse requests.
 func (audit *Audit) heldTooLong(end *logline.Line) bool {
 	target := end.Number("aim")
 	return target > 0 && milliseconds(end.Number("took"))-audit.pausedTime(end) > milliseconds(maxHeldTargets*target)
--- a/peridotpath/faults/faults.go
+++ b/peridotpath/faults/faults.go
@@ -1,6 +1,6 @@
 // Package faults implements runtime fault injection for the stand-ins of engines,
-// plain services and the key-value service. Faults are switched over HTTP; a stand-in
-// queries them for each call.
+// plain services and the key-value service. Faults are activated and cleared over HTTP; a
+// stand-in queries the active faults for each call.
 package faults
 
 import (
@@ -54,11 +54,12 @@
 // Fault is an active fault.
 type Fault struct {
 	Kind Kind `json:"kind"`
-	// Count is the number of calls it affects; zero for all calls until cleared.
+	// Count is the number of calls that the fault affects; zero for all calls until the fault
+	// is cleared.
 	Count int `json:"count,omitempty"`
 	// Factor is the divisor of a slow engine's rates; zero for 10.
 	Factor float64 `json:"factor,omitempty"`
-	// DelayMS is the delay of a call for which Slow is a delay.
+	// DelayMS is the delay that Slow adds to a call, except for calls of engines.
 	DelayMS peridotpath.Millis `json:"delay_ms,omitempty"`
 }
 
--- a/peridotpath/inbound/inbound_test.go
+++ b/peridotpath/inbound/inbound_test.go
@@ -59,8 +59,8 @@
 	return ""
 }
 
-// TestRestLimitsAreOff guards against the defaults of go-zero's rest: it rejects a body
-// over 1 MiB with 413, truncates an answer after 3 s, opens a circuit breaker after
+// TestRestLimitsAreOff guards against the defaults of go-zero's rest server, which rejects a
+// body over 1 MiB with 413, truncates an answer after 3 s, opens a circuit breaker after
 // repeated failures of a handler, and decompresses bodies. Callers would get errors that
 // our metrics do not count.
 func TestRestLimitsAreOff(t *testing.T) {
@@ -128,7 +128,7 @@
 }
 
 // TestSIGTERMDoesNotCloseListeners guards against go-zero's signal handling, which closes
-// all listeners 1 s after SIGTERM and terminates the process after 5.5 s: streams were
+// all listeners 1 s after SIGTERM and terminates the process after 5.5 s: streams would be
 // truncated and new connections refused.
 func TestSIGTERMDoesNotCloseListeners(t *testing.T) {
 	is := is.New(t)
@@ -149,7 +149,7 @@
 	is.Equal(response.StatusCode, http.StatusNoContent)
 }
 
-// TestListenErrorIsReturned listens on an address that is in use.
+// Run must return an error, not panic, if the address is in use.
 func TestListenErrorIsReturned(t *testing.T) {
 	is := is.New(t)
 	occupant, err := net.Listen("tcp", "127.0.0.1:0")
--- a/peridotpath/strictjson/valid_test.go
+++ b/peridotpath/strictjson/valid_test.go
@@ -10,8 +10,9 @@
 	"peridotpath.example/peridotpath/strictjson"
 )
 
-// A request body of 16 MB of opening brackets caused a stack overflow, which terminated
-// the instance and every stream that it was relaying.
+// A request body of 16 MB of opening brackets must be rejected as invalid. A recursive check
+// without a bound on the depth overflows the stack, which terminates the instance and every
+// stream that the instance relays.
 func TestValidRejectsDeepNesting(t *testing.T) {
 	tests := []struct {
 		name string
