--- a/peridotctl/bound.go
+++ b/peridotctl/bound.go
@@ -65,8 +65,8 @@
 
 // solve returns the share of the long prompts' value that met the TTFT target, and
 // the share that could have. Prompts are admitted greedily by value per second of
-// prefill, each with the largest fraction that fits beside those before it. For divisible work this
-// order is optimal, as in the fractional knapsack problem.
+// prefill, each with the largest fraction that fits beside the prompts admitted before.
+// For divisible work this order is optimal, as in the fractional knapsack problem.
 func (upperBound *upperBound) solve() (achieved, possible float64) {
 	slices.SortStableFunc(upperBound.jobs, func(a, b *boundJob) int {
 		return cmp.Compare(b.value/b.prefillTime, a.value/a.prefillTime)
