--- a/soak/check.go
+++ b/soak/check.go
@@ -20,8 +20,8 @@
 	// leavingSince is when the store acknowledged that an endpoint leaves.
 	leavingSince map[peridotpath.EndpointID]time.Time
 	// disturbedAt is when a fault last began or ended.
-	disturbedAt time.Time
-	sent        map[peridotpath.RequestID]sentRequest
+	disturbedAt  time.Time
+	sentRequests map[peridotpath.RequestID]sentRequest
 	// crashes holds the times at which a body crashed endpoints, and quarantinedRuns
 	// how often a body ran after every instance had to quarantine it.
 	crashes         map[string][]time.Time
@@ -48,7 +48,7 @@
 func newChecker() *checker {
 	return &checker{
 		runs: map[peridotpath.RequestID][]endpointRun{}, revokedAt: map[peridotpath.APIKey]time.Time{},
-		crashes: map[string][]time.Time{}, quarantinedRuns: map[string]int{}, limits: map[peridotpath.EndpointID]*limitedEndpoint{}, leavingSince: map[peridotpath.EndpointID]time.Time{}, sent: map[peridotpath.RequestID]sentRequest{},
+		crashes: map[string][]time.Time{}, quarantinedRuns: map[string]int{}, limits: map[peridotpath.EndpointID]*limitedEndpoint{}, leavingSince: map[peridotpath.EndpointID]time.Time{}, sentRequests: map[peridotpath.RequestID]sentRequest{},
 	}
 }
 
@@ -76,7 +76,7 @@
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
 	checker.runs[execution.RequestID] = append(checker.runs[execution.RequestID], endpointRun{execution, endpoint})
-	sent, wasSent := checker.sent[execution.RequestID]
+	sent, wasSent := checker.sentRequests[execution.RequestID]
 	if !wasSent {
 		checker.addViolation("%s runs %s, which nobody sent", endpoint, execution.RequestID)
 		return
@@ -103,7 +103,7 @@
 func (checker *checker) recordReply(id peridotpath.RequestID, reply *standin.Reply) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
-	sent := checker.sent[id]
+	sent := checker.sentRequests[id]
 	// Requests with a revoked key or a fatal body are refused by design.
 	_, refusalExpected := checker.revokedAt[sent.Key]
 	refusalExpected = refusalExpected || isFatal(sent.Body)
@@ -155,7 +155,7 @@
 func (checker *checker) recordSent(sent sentRequest) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
-	checker.sent[sent.ID] = sent
+	checker.sentRequests[sent.ID] = sent
 }
 
 // summary returns the violations and the counts of requests.
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -16,7 +16,7 @@
 	begin func(fleet *fleet, random *rand.Rand) (end func())
 }
 
-// faults are the faults that a schedule is drawn from. Faults with different targets
+// faults are the faults that injectFaults draws from. Faults with different targets may
 // overlap.
 var faults = []fault{
 	{"kill", func(fleet *fleet, random *rand.Rand) func() {
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -9,12 +9,13 @@
 )
 
 const (
-	// limitWindow is the window in which requests to a limited endpoint are counted. Up to
-	// limitTolerance times the announced rate, plus limitExtraRequests, is allowed.
+	// limitWindow is the sliding window in which requests to a limited endpoint are counted.
+	// The endpoint may receive limitTolerance times as many requests as the announced limit
+	// allows in the window, plus limitExtraRequests.
 	limitWindow                        = 4 * time.Second
 	limitTolerance, limitExtraRequests = 1.5, 5
-	// minLimitDuration is the shortest time for which a limit is announced. It is longer
-	// than instances may take to apply the limit plus limitWindow.
+	// minLimitDuration is the shortest time for which a limit is announced. It exceeds the
+	// sum of the time in which instances must apply the limit and of limitWindow.
 	minLimitDuration = 10 * time.Second
 )
 
@@ -22,7 +23,8 @@
 type limitedEndpoint struct {
 	limit       peridotpath.Rate
 	announcedAt time.Time
-	// arrivals are the times within limitWindow at which settled instances sent to it.
+	// arrivals are the times, within limitWindow, at which the endpoint received requests
+	// from settled instances.
 	arrivals   []time.Time
 	isReported bool
 }
@@ -51,7 +53,7 @@
 func (checker *checker) recordArrival(endpoint peridotpath.EndpointID, id peridotpath.RequestID) {
 	checker.mutex.Lock()
 	defer checker.mutex.Unlock()
-	limited, sent, now := checker.limits[endpoint], checker.sent[id], time.Now()
+	limited, sent, now := checker.limits[endpoint], checker.sentRequests[id], time.Now()
 	if limited == nil || sent.Instance == nil || now.Sub(limited.announcedAt) < settleTime+schedulingSlack || !sent.Instance.hasSettled(now) {
 		return
 	}
--- a/soak/load.go
+++ b/soak/load.go
@@ -59,7 +59,7 @@
 	default:
 		request.Route, request.PromptTokens = standin.RouteStream, peridotpath.Tokens(100+random.IntN(5_000))
 		if random.IntN(20) == 0 {
-			// Exceeds the KV memory of one engine.
+			// This prompt exceeds the KV memory of one engine.
 			request.PromptTokens = 150_000
 		}
 	}
--- a/soak/process.go
+++ b/soak/process.go
@@ -30,8 +30,8 @@
 	mutex   sync.Mutex
 	command *exec.Cmd
 	exited  chan struct{}
-	// disturbedUntil is when the last disturbance of the process ended; it lies in the
-	// future while one lasts.
+	// disturbedUntil is when the last disturbance of the process ended, or a time in the
+	// future while a disturbance lasts.
 	disturbedUntil time.Time
 }
 
@@ -138,8 +138,8 @@
 	instance.disturbedUntil = until
 }
 
-// hasSettled reports whether the process has been undisturbed for settleTime, in which
-// it receives its peers' state.
+// hasSettled reports whether the process has been undisturbed for settleTime. In that time
+// the process receives the state of its peers.
 func (instance *instance) hasSettled(now time.Time) bool {
 	instance.mutex.Lock()
 	defer instance.mutex.Unlock()
--- a/soak/restore_test.go
+++ b/soak/restore_test.go
@@ -17,8 +17,8 @@
 )
 
 // A store that is restored from a copy reuses revisions and lease numbers: the same
-// revision then names another configuration, and an instance's lease number another
-// client's lease. Instances must apply the new configuration and register again.
+// revision then denotes another configuration, and the number of an instance's lease
+// denotes another client's lease. Instances must apply the new configuration and register again.
 func TestRestoredStoreReusesNumbers(t *testing.T) {
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -86,7 +86,8 @@
 // restoreSeeds are the seeds of runs in which the store is restored from copies.
 var restoreSeeds = []uint64{1, 2}
 
-// The store is restored from older copies, in addition to all other faults.
+// No guarantee may be violated when the store is restored from older copies, in addition to
+// all other faults.
 func TestSoakStoreRestored(t *testing.T) {
 	is := is.New(t)
 	binary := buildPeridotd(t)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -12,14 +12,16 @@
 // seeds are the seeds of the short run in CI. Some of them exposed faults; each guards
 // against this failure:
 //
-// 102: half of the requests count as "not served" after the last fault, because the check
-// includes requests with revoked or nonexistent keys.
+// 102: the check of the share of served requests after the last fault includes requests with
+// revoked or nonexistent keys, so that half of the requests count as not served.
 //
-// 8002: requests with a fatal body wait a second behind another one on trial and are then
-// refused; without any quarantine, the body crashes endpoints for seconds.
+// 8002: requests with a fatal body wait for a second while another request with the body is
+// executed on trial, and are then refused; without any quarantine, the body crashes endpoints
+// for seconds.
 //
-// 9102: requests with a suspected body wait for another one's trial before each of their
-// attempts, and are refused after more than twice their latency target.
+// 9102: requests with a body that may be fatal wait, before each of their attempts, for the
+// trial of another request with the body. They are refused after more than twice their
+// latency target.
 //
 // Two failures to start, of the seeds 2009 and 4101, do not depend on the seed: an outgoing
 // connection takes an instance's port between the check that it is free and its use, and
