--- a/standin/key_value.go
+++ b/standin/key_value.go
@@ -67,7 +67,7 @@
 	return serve(ctx, command.Name(), command.address, mux)
 }
 
-// errFault is the class of injected failures.
+// errFault is the class of the errors that injected faults cause.
 var errFault = errs.Class("fault")
 
 // injectFault applies the active faults: an outage or a delay before a call is applied, or
--- a/standin/load/audit.go
+++ b/standin/load/audit.go
@@ -70,18 +70,18 @@
 	reportedNotRun := map[string]bool{}
 	for _, result := range results {
 		notRun, seen := reportedNotRun[result.request.id]
-		reportedNotRun[result.request.id] = result.onlyNotRun && (notRun || !seen)
+		reportedNotRun[result.request.id] = result.isCertainlyNotRun && (notRun || !seen)
 		count := counts[result.request.id]
 		switch result.verdict {
-		case lost:
+		case verdictLost:
 			audit.Lost++
-		case cutOff:
+		case verdictCutOff:
 			audit.CutOff++
-		case wrong:
+		case verdictWrong:
 			audit.WrongAnswer++
-		case unknown:
+		case verdictUnknown:
 			audit.OutcomeUnknown++
-		case answered:
+		case verdictAnswered:
 			if count.Finished == 0 {
 				audit.AnsweredUnfinished++
 			}
--- a/standin/load/call.go
+++ b/standin/load/call.go
@@ -37,21 +37,22 @@
 type verdict string
 
 const (
-	// answered: the complete answer to this request.
-	answered verdict = "answered"
-	// refused: every reply until the deadline reports that it was not run.
-	refused verdict = "refused"
-	// failed: an error with a code.
-	failed verdict = "failed"
-	// unknown: it may have run, according to the reply or because the connection broke
-	// and a retry is not safe.
-	unknown verdict = "unknown"
-	// lost: neither an answer nor an error by the deadline.
-	lost verdict = "lost"
-	// cutOff: the answer broke off and could not be resumed.
-	cutOff verdict = "cut_off"
-	// wrong: an incomplete answer or that of another request.
-	wrong verdict = "wrong"
+	// verdictAnswered means that the caller got the complete answer to this request.
+	verdictAnswered verdict = "answered"
+	// verdictRefused means that every reply until the deadline reports that the request did
+	// not run.
+	verdictRefused verdict = "refused"
+	// verdictFailed means that the caller got an error with a code.
+	verdictFailed verdict = "failed"
+	// verdictUnknown means that the request may have run, according to the reply or because
+	// the connection broke and a retry is not safe.
+	verdictUnknown verdict = "unknown"
+	// verdictLost means that the caller got neither an answer nor an error by the deadline.
+	verdictLost verdict = "lost"
+	// verdictCutOff means that the answer broke off and could not be resumed.
+	verdictCutOff verdict = "cut_off"
+	// verdictWrong means that the caller got an incomplete answer or that of another request.
+	verdictWrong verdict = "wrong"
 )
 
 // result is the outcome of a request, with statistics of its attempts.
@@ -62,8 +63,8 @@
 	code string
 	// refusals counts the replies that report "not run", by code.
 	refusals map[string]int
-	// onlyNotRun is true as long as every attempt certainly did not run.
-	onlyNotRun        bool
+	// isCertainlyNotRun is true as long as every attempt certainly did not run.
+	isCertainlyNotRun bool
 	resumptions       int
 	brokenConnections int
 	firstToken        time.Duration
@@ -75,7 +76,7 @@
 	verdict    verdict
 	code       string
 	retryAfter time.Duration
-	// connectionBroke is true if the connection ended before the answer did, and
+	// connectionBroke is true if the connection ended before the answer was complete, and
 	// mayHaveArrived if an instance may have received the call.
 	connectionBroke bool
 	mayHaveArrived  bool
@@ -96,10 +97,10 @@
 
 // runRequest sends a request, with retries, and returns its result.
 func runRequest(ctx context.Context, balancer *balancer, request *request, retriesKeyed bool) *result {
-	call := &call{retriesKeyed: retriesKeyed, result: &result{request: request, refusals: map[string]int{}, onlyNotRun: true}, balancer: balancer, startedAt: time.Now()}
+	call := &call{retriesKeyed: retriesKeyed, result: &result{request: request, refusals: map[string]int{}, isCertainlyNotRun: true}, balancer: balancer, startedAt: time.Now()}
 	body, err := request.body()
 	if err != nil {
-		call.verdict, call.code = lost, err.Error()
+		call.verdict, call.code = verdictLost, err.Error()
 		return call.result
 	}
 	call.body, call.expectedAnswer = body, request.expectedAnswer(body)
@@ -116,10 +117,10 @@
 		instance = call.balancer.pick(instance)
 		attempt := call.attempt(ctx, instance)
 		call.verdict, call.code = attempt.verdict, attempt.code
-		if attempt.verdict == refused {
+		if attempt.verdict == verdictRefused {
 			call.refusals[attempt.code]++
 		} else if attempt.mayHaveArrived {
-			call.onlyNotRun = false
+			call.isCertainlyNotRun = false
 		}
 		if attempt.connectionBroke {
 			call.brokenConnections++
@@ -138,7 +139,7 @@
 	switch {
 	case isPastDeadline:
 		return false
-	case attempt.verdict == refused || attempt.code == keyRunning:
+	case attempt.verdict == verdictRefused || attempt.code == keyRunning:
 		return attempt.retryAfter > 0
 	case !attempt.connectionBroke:
 		return false
@@ -188,7 +189,7 @@
 func (call *call) attempt(ctx context.Context, instance netip.AddrPort) attempt {
 	httpRequest, err := call.newHTTPRequest(ctx, instance)
 	if err != nil {
-		return attempt{verdict: lost, code: err.Error()}
+		return attempt{verdict: verdictLost, code: err.Error()}
 	}
 	if call.lastEventID != "" {
 		call.resumptions++
@@ -209,15 +210,15 @@
 
 // classifyBroken returns the outcome of a call whose connection broke.
 func (call *call) classifyBroken(ctx context.Context, err error, mayHaveArrived bool) attempt {
-	result := attempt{verdict: lost, code: "connection", retryAfter: reconnectDelay, connectionBroke: true, mayHaveArrived: mayHaveArrived}
+	result := attempt{verdict: verdictLost, code: "connection", retryAfter: reconnectDelay, connectionBroke: true, mayHaveArrived: mayHaveArrived}
 	switch {
 	case ctx.Err() != nil:
-		return attempt{verdict: lost, code: "no answer in time", mayHaveArrived: mayHaveArrived}
+		return attempt{verdict: verdictLost, code: "no answer in time", mayHaveArrived: mayHaveArrived}
 	case call.lastEventID != "":
-		result.verdict = cutOff
+		result.verdict = verdictCutOff
 	case mayHaveArrived && !call.request.work.Idempotent:
 		// The idempotency key makes a retry safe: the request runs at most once.
-		result.verdict = unknown
+		result.verdict = verdictUnknown
 	}
 	if errors.Is(err, context.Canceled) {
 		result.connectionBroke = false
@@ -242,17 +243,17 @@
 	code, wait := fields[0].String(), min(time.Duration(fields[2].Int())*time.Millisecond, maxRetryAfter)
 	switch {
 	case code == "":
-		return attempt{verdict: wrong, code: errMalformed.New("%.80q", text).Error(), mayHaveArrived: true}
+		return attempt{verdict: verdictWrong, code: errMalformed.New("%.80q", text).Error(), mayHaveArrived: true}
 	case fields[1].Bool() && call.lastEventID == "":
-		return attempt{verdict: refused, code: code, retryAfter: wait}
+		return attempt{verdict: verdictRefused, code: code, retryAfter: wait}
 	case code == keyRunning:
-		return attempt{verdict: unknown, code: code, retryAfter: wait, mayHaveArrived: true}
+		return attempt{verdict: verdictUnknown, code: code, retryAfter: wait, mayHaveArrived: true}
 	case code == "outcome_unknown" || code == "answer_gone":
-		return attempt{verdict: unknown, code: code, mayHaveArrived: true}
+		return attempt{verdict: verdictUnknown, code: code, mayHaveArrived: true}
 	case call.lastEventID != "":
-		return attempt{verdict: cutOff, code: code, mayHaveArrived: true}
+		return attempt{verdict: verdictCutOff, code: code, mayHaveArrived: true}
 	default:
-		return attempt{verdict: failed, code: code, mayHaveArrived: true}
+		return attempt{verdict: verdictFailed, code: code, mayHaveArrived: true}
 	}
 }
 
@@ -271,9 +272,9 @@
 
 func (call *call) checkAnswer(answer string) attempt {
 	if answer != call.expectedAnswer {
-		return attempt{verdict: wrong, code: "answer has " + strconv.Itoa(len(answer)) + " bytes of " + strconv.Itoa(len(call.expectedAnswer)), mayHaveArrived: true}
+		return attempt{verdict: verdictWrong, code: "answer has " + strconv.Itoa(len(answer)) + " bytes of " + strconv.Itoa(len(call.expectedAnswer)), mayHaveArrived: true}
 	}
-	return attempt{verdict: answered, mayHaveArrived: true}
+	return attempt{verdict: verdictAnswered, mayHaveArrived: true}
 }
 
 // readStream reads events until the end mark. It keeps the received part, so that the next
--- a/standin/load/report.go
+++ b/standin/load/report.go
@@ -68,7 +68,7 @@
 	for code, count := range result.refusals {
 		report.refusals[code] += count
 	}
-	if result.verdict != answered && result.verdict != refused {
+	if result.verdict != verdictAnswered && result.verdict != verdictRefused {
 		report.failures[string(result.verdict)+" "+result.code]++
 	}
 	report.resumptions += result.resumptions
@@ -84,7 +84,7 @@
 	for _, name := range slices.Sorted(maps.Keys(report.rows)) {
 		row := report.rows[name]
 		fmt.Fprintf(writer, "event=class length=%s requests=%d answered=%d refused=%d failed=%d unknown=%d", name, row.requests,
-			row.verdicts[answered], row.verdicts[refused], row.verdicts[failed], row.verdicts[unknown])
+			row.verdicts[verdictAnswered], row.verdicts[verdictRefused], row.verdicts[verdictFailed], row.verdicts[verdictUnknown])
 		if first := row.firstToken; first.TotalCount() > 0 {
 			fmt.Fprintf(writer, " streams=%d first_token_p50_ms=%d first_token_p95_ms=%d first_token_p99_ms=%d", first.TotalCount(),
 				first.ValueAtQuantile(50), first.ValueAtQuantile(95), first.ValueAtQuantile(99))
@@ -108,7 +108,7 @@
 func (report *Report) PrintFailures(writer io.Writer) {
 	for _, result := range report.results {
 		switch result.verdict {
-		case lost, cutOff, wrong:
+		case verdictLost, verdictCutOff, verdictWrong:
 			fmt.Fprintf(writer, "event=bad request=%s work=%s verdict=%s code=%q total_ms=%d tokens=%d stream=%t\n", result.request.id,
 				result.request.work.Name, result.verdict, result.code, result.total.Milliseconds(), result.request.tokens, result.request.stream)
 		}
--- a/standin/members.go
+++ b/standin/members.go
@@ -67,7 +67,7 @@
 	versions []listVersion
 }
 
-// listVersion is the list as of a change.
+// listVersion is the membership list after a change.
 type listVersion struct {
 	list      membership.List
 	changedAt time.Time
