--- a/measure/ablation/ablation_test.go
+++ b/measure/ablation/ablation_test.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// The mechanism of a patch that no longer applies to the sources cannot be measured.
+// Each patch must apply to the sources; otherwise the effect of its mechanism could not be
+// measured.
 func TestPatchesApply(t *testing.T) {
 	patches, err := filepath.Glob("patches/*.patch")
 	if err != nil || len(patches) == 0 {
--- a/measure/bench/baseline.go
+++ b/measure/bench/baseline.go
@@ -11,25 +11,25 @@
 // baseline places every request immediately by a simple rule, and retries on another
 // endpoint as often as the profile allows.
 type baseline struct {
-	endpoints     []peridotpath.Endpoint
-	running       map[peridotpath.EndpointID]int
-	failed        map[*decide.Work][]peridotpath.EndpointID
-	sendsPriority bool
-	rotation      int
+	endpoints       []peridotpath.Endpoint
+	runningCounts   map[peridotpath.EndpointID]int
+	failedEndpoints map[*decide.Work][]peridotpath.EndpointID
+	sendsPriority   bool
+	rotation        int
 	// pick returns the index of an endpoint for which usable is true, or -1.
 	pick func(work *decide.Work, usable func(int) bool) int
 }
 
 func newBaseline() *baseline {
 	return &baseline{
-		running: map[peridotpath.EndpointID]int{},
-		failed:  map[*decide.Work][]peridotpath.EndpointID{},
+		runningCounts:   map[peridotpath.EndpointID]int{},
+		failedEndpoints: map[*decide.Work][]peridotpath.EndpointID{},
 	}
 }
 
 func (baseline *baseline) submit(_ time.Time, work *decide.Work) decide.Decision {
 	usable := func(index int) bool {
-		return !slices.Contains(baseline.failed[work], baseline.endpoints[index].ID)
+		return !slices.Contains(baseline.failedEndpoints[work], baseline.endpoints[index].ID)
 	}
 	index := -1
 	if len(baseline.endpoints) > 0 {
@@ -43,7 +43,7 @@
 }
 
 func (baseline *baseline) place(work *decide.Work, endpoint peridotpath.Endpoint) decide.Decision {
-	baseline.running[endpoint.ID]++
+	baseline.runningCounts[endpoint.ID]++
 	work.Attempts++
 	work.Endpoint = endpoint.ID
 	decision := decide.Decision{Work: work, Verdict: decide.Place, Endpoint: endpoint}
@@ -54,10 +54,10 @@
 }
 
 func (baseline *baseline) done(_ time.Time, work *decide.Work, outcome decide.Outcome, _ peridotpath.Tokens) {
-	baseline.running[work.Endpoint]--
-	delete(baseline.failed, work)
+	baseline.runningCounts[work.Endpoint]--
+	delete(baseline.failedEndpoints, work)
 	if outcome != decide.Finished && outcome != decide.Abandoned {
-		baseline.failed[work] = append(baseline.failed[work], work.Endpoint)
+		baseline.failedEndpoints[work] = append(baseline.failedEndpoints[work], work.Endpoint)
 	}
 }
 
@@ -127,7 +127,7 @@
 		if !usable(index) {
 			continue
 		}
-		if best < 0 || baseline.running[baseline.endpoints[index].ID] < baseline.running[baseline.endpoints[best].ID] {
+		if best < 0 || baseline.runningCounts[baseline.endpoints[index].ID] < baseline.runningCounts[baseline.endpoints[best].ID] {
 			best = index
 		}
 	}
@@ -169,7 +169,7 @@
 	shared := &sharedFIFO{baseline: newBaseline()}
 	shared.baseline.pick = func(_ *decide.Work, usable func(int) bool) int {
 		return shared.baseline.leastLoaded(0, len(shared.baseline.endpoints), func(index int) bool {
-			return usable(index) && shared.baseline.running[shared.baseline.endpoints[index].ID] < maxFIFORunning
+			return usable(index) && shared.baseline.runningCounts[shared.baseline.endpoints[index].ID] < maxFIFORunning
 		})
 	}
 	return func(int) *decider {
--- a/measure/bench/cluster.go
+++ b/measure/bench/cluster.go
@@ -35,7 +35,7 @@
 	engineCapacity   float64 // as returned by Load.engineCapacity
 	attempts         int
 	prefilledTokens  float64 // in the period whose arrivals are counted
-	imbalanceSum     float64 // see sampleImbalance
+	imbalanceSum     float64 // sum of the imbalances that sampleImbalance recorded
 	imbalanceSamples int
 }
 
@@ -322,7 +322,7 @@
 	}
 	request.job = job
 	cluster.clock.runAfter(latency, func() {
-		if !job.removed {
+		if !job.isRemoved {
 			engine.submit(job)
 		}
 	})
--- a/measure/bench/compare.go
+++ b/measure/bench/compare.go
@@ -93,8 +93,8 @@
 }
 
 // Comparisons returns the full report: all policies under all loads, the mixed load with
-// each mechanism left out in turn, and the loads with a fault without the mechanisms that
-// handle it.
+// each mechanism disabled in turn, and each load in faultMechanisms with the mechanisms that
+// handle the load disabled.
 func Comparisons() []Comparison {
 	policies := append(Baselines(), NewPeridotpath("peridotpath", 0))
 	all := []Comparison{
@@ -109,7 +109,8 @@
 	return all
 }
 
-// faultMechanisms are, for each load, the policies without the mechanisms that handle it.
+// faultMechanisms holds, by the name of a load, the policies that lack one or more of the
+// mechanisms that handle the load.
 var faultMechanisms = map[string][]Policy{
 	"skewed":        {withoutMechanisms("fair_queue"), withoutMechanisms("demotion")},
 	"late_reports":  {withoutMechanisms("sent")},
@@ -128,7 +129,7 @@
 	return NewPeridotpath("peridotpath_without_"+strings.Join(names, "_and_"), without)
 }
 
-// Ablations returns peridotpath without each mechanism in turn.
+// Ablations returns, for each mechanism, the policy of peridotpath without that mechanism.
 func Ablations() []Policy {
 	var policies []Policy
 	mechanisms := decide.Mechanisms()
--- a/measure/bench/engine.go
+++ b/measure/bench/engine.go
@@ -38,7 +38,7 @@
 	remainingPrefill int64 // tokens
 	decodedTokens    int64
 	reservedKV       int64
-	removed          bool
+	isRemoved        bool
 
 	onFirstToken func()
 	onEnd        func(outcome decide.Outcome)
@@ -70,7 +70,7 @@
 	return int(int64(a.sequence) - int64(b.sequence))
 }
 
-// submit queues a job, and calls its functions on the first token and the end.
+// submit queues a job. The engine calls the job's functions on the first token and the end.
 func (engine *engine) submit(job *job) {
 	switch {
 	case engine.isDead:
@@ -97,10 +97,10 @@
 
 // cancel removes a job and frees its memory.
 func (engine *engine) cancel(job *job) {
-	if job.removed {
+	if job.isRemoved {
 		return
 	}
-	job.removed = true
+	job.isRemoved = true
 	if index := slices.Index(engine.waiting, job); index >= 0 {
 		engine.waiting = slices.Delete(engine.waiting, index, index+1)
 		return
@@ -121,7 +121,7 @@
 	failed := append(slices.Clone(engine.running), engine.waiting...)
 	engine.running, engine.waiting, engine.usedKV = nil, nil, 0
 	for _, job := range failed {
-		job.removed = true
+		job.isRemoved = true
 		job.onEnd(decide.Failed)
 	}
 }
@@ -196,7 +196,7 @@
 		return
 	}
 	for _, job := range slices.Clone(engine.running) {
-		if job.remainingPrefill > 0 || job.removed {
+		if job.remainingPrefill > 0 || job.isRemoved {
 			continue
 		}
 		job.decodedTokens++
@@ -204,7 +204,7 @@
 			job.onFirstToken()
 		}
 		if job.decodedTokens >= job.outputTokens {
-			job.removed = true
+			job.isRemoved = true
 			engine.release(job)
 			engine.cache.add(job.work.Prefixes)
 			job.onEnd(decide.Finished)
@@ -238,7 +238,7 @@
 
 // prefixCache is an LRU cache of prefixes with up to prefixCacheTokens tokens.
 type prefixCache struct {
-	byLastUse   []uint64 // oldest first
+	byLastUse   []uint64 // hashes of prefixes, least recently used first
 	tokens      map[uint64]int64
 	totalTokens int64
 }
@@ -259,7 +259,8 @@
 	cache.byLastUse = append(slices.Delete(cache.byLastUse, index, index+1), hash)
 }
 
-// add caches prefixes. Each one shares the memory of the shorter ones.
+// add caches the prefixes of a prompt, shortest first. Each prefix shares the memory of the
+// shorter ones.
 func (cache *prefixCache) add(prefixes []uint64) {
 	if cache.tokens == nil {
 		cache.tokens = map[uint64]int64{}
--- a/measure/bench/load.go
+++ b/measure/bench/load.go
@@ -37,7 +37,8 @@
 	Deployment Deployment
 	// LengthShares are the shares of short, medium and long prompts.
 	LengthShares [3]float64
-	// BurstFactor multiplies the rate of arrivals for a minute; zero for none.
+	// BurstFactor is the ratio of the rate of arrivals in a burst of a minute to the rate
+	// before and after the burst; zero for a constant rate.
 	BurstFactor float64
 	// HeavyCustomerShare is the share of arrivals of the first, heavy customer; zero for the
 	// ordinary shares.
@@ -53,8 +54,8 @@
 	ReplacedInstances int
 	// ReportLag is the age of load reports on arrival.
 	ReportLag time.Duration
-	// MaxEstimateError is the largest ratio of an estimated prompt length to the actual one
-	// and of the actual one to the estimate.
+	// MaxEstimateError is the largest factor by which the estimate of a prompt length is too
+	// high or too low.
 	MaxEstimateError float64
 	// CallersRetry makes refused callers retry once, after their Retry-After.
 	CallersRetry bool
@@ -138,8 +139,8 @@
 }
 
 // engineCapacity is the work, in seconds of engineTime, that one engine finishes in a
-// second with a queue that is never empty. It is less than one, because the next prompt
-// waits for memory that decoding requests hold.
+// second with a queue that is never empty. The result is less than one, because the next
+// prompt waits for memory that decoding requests hold.
 func (load *Load) engineCapacity(seed uint64) float64 {
 	clock := &clock{now: epoch}
 	engine := &engine{clock: clock, slowFactor: 1}
--- a/measure/bench/outcome_test.go
+++ b/measure/bench/outcome_test.go
@@ -129,8 +129,9 @@
 	}
 }
 
-// Load reports are five seconds old. Each instance also counts the requests that it has
-// sent since the last report.
+// Load reports are five seconds old on arrival. Long prompts must still not delay short ones
+// by much, since each instance also counts the requests that it has sent since the last
+// report.
 func TestStaleReports(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
--- a/measure/bench/policy.go
+++ b/measure/bench/policy.go
@@ -23,8 +23,8 @@
 // Policy creates the deciders of a fleet's instances.
 type Policy struct {
 	Name string
-	// build returns the constructor of the deciders of one run, which holds their shared
-	// state.
+	// build returns the function that creates the decider of each instance of a run, and
+	// that holds the state that these deciders share.
 	build func(deployment Deployment, seed uint64) func(instance int) *decider
 }
 
