--- a/peridotd/fleet.go
+++ b/peridotd/fleet.go
@@ -18,9 +18,9 @@
 	"peridotpath.example/peridotpath/sweep"
 )
 
-// membershipInterval is how often the membership list is fetched. It delays only
-// the detection of new members, since drains and refusals arrive faster by other channels. Fetching the list each
-// second would take more than half of the budget for control traffic.
+// membershipInterval is how often the membership list is fetched. It delays only the
+// detection of new members, since drains and refusals arrive faster by other channels.
+// Fetching the list each second would take more than half of the budget for control traffic.
 const membershipInterval = 3 * time.Second
 
 // fleetTracker tracks the endpoints and the other instances: by the membership list, by the
--- a/peridotd/shift.go
+++ b/peridotd/shift.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// demandInterval bounds the rate of platform calls that count long prompts.
+	// demandInterval is the time between two writes to the platform of the counts of prompts
+	// that are too long for one engine.
 	demandInterval = 2 * time.Second
 	// shiftInterval is the time between two plans of engine groups.
 	shiftInterval = 2 * time.Second
@@ -39,9 +40,9 @@
 // groupController controls the engine groups of the sites for whose leases this instance is
 // a candidate. The holder of a site's lease sends orders to the site's engines.
 type groupController struct {
-	daemon  *daemon
-	counter *shift.DemandCounter
-	running map[site]*siteTask
+	daemon    *daemon
+	counter   *shift.DemandCounter
+	siteTasks map[site]*siteTask
 }
 
 // site is the engines of one service in one data centre.
@@ -59,9 +60,9 @@
 
 func newGroupController(daemon *daemon) *groupController {
 	return &groupController{
-		daemon:  daemon,
-		counter: &shift.DemandCounter{Store: daemon.keyValue, Interval: demandInterval},
-		running: map[site]*siteTask{},
+		daemon:    daemon,
+		counter:   &shift.DemandCounter{Store: daemon.keyValue, Interval: demandInterval},
+		siteTasks: map[site]*siteTask{},
 	}
 }
 
@@ -89,19 +90,19 @@
 	}
 	controller.stopExcept(wanted)
 	for _, site := range wanted {
-		if controller.running[site] == nil {
-			controller.running[site] = controller.startSite(ctx, site)
+		if controller.siteTasks[site] == nil {
+			controller.siteTasks[site] = controller.startSite(ctx, site)
 		}
 	}
 }
 
 // stopExcept stops the tasks of all sites except the wanted ones.
 func (controller *groupController) stopExcept(wanted []site) {
-	for site, task := range controller.running {
+	for site, task := range controller.siteTasks {
 		if !slices.Contains(wanted, site) {
 			task.cancel()
 			<-task.ended
-			delete(controller.running, site)
+			delete(controller.siteTasks, site)
 		}
 	}
 }
