--- a/peridotpath/audit/audit.go
+++ b/peridotpath/audit/audit.go
@@ -28,7 +28,7 @@
 	// FaultEndedTwice means that more than one end of the request was logged.
 	FaultEndedTwice
 	// FaultRefusedTooLate means that the request was never sent to an endpoint and was refused
-	// after more than maxHeldTargets latency targets.
+	// after more than maxHoldFactor times its latency target.
 	FaultRefusedTooLate
 	// FaultNoRetryAfter means that a refusal has no Retry-After.
 	FaultNoRetryAfter
@@ -38,10 +38,10 @@
 
 func (fault Fault) String() string { return faultNames[fault] }
 
-// maxHeldTargets bounds the time for which a request may be held without being sent, as a
-// multiple of its latency target. A queued long prompt may miss its target, but its refusal
-// must leave the caller time for a retry.
-const maxHeldTargets = 2
+// maxHoldFactor bounds the time for which a request may be held without being sent to an
+// endpoint, as a multiple of the request's latency target. A queued long prompt may miss its
+// target, but must be refused early enough that the caller has time for a retry.
+const maxHoldFactor = 2
 
 // Finding is a request with a fault and the log lines that prove it.
 type Finding struct {
@@ -190,11 +190,11 @@
 	return len(history.ends) > 0 && history.ends[0].Pairs["kind"] == "once"
 }
 
-// heldTooLong reports whether a request was held longer than maxHeldTargets allows, not
+// heldTooLong reports whether a request was held longer than maxHoldFactor allows, not
 // counting pauses of the instance: a paused process cannot refuse requests.
 func (audit *Audit) heldTooLong(end *logline.Line) bool {
 	target := end.Number("aim")
-	return target > 0 && milliseconds(end.Number("took"))-audit.pausedTime(end) > milliseconds(maxHeldTargets*target)
+	return target > 0 && milliseconds(end.Number("took"))-audit.pausedTime(end) > milliseconds(maxHoldFactor*target)
 }
 
 func codeOf(line *logline.Line) peridotpath.Code {
