--- a/standin/load/call.go
+++ b/standin/load/call.go
@@ -45,7 +45,7 @@
 	// verdictFailed means that the caller got an error with a code.
 	verdictFailed verdict = "failed"
 	// verdictUnknown means that the request may have run, according to the reply or because
-	// the connection broke and a retry is not safe.
+	// the connection broke and the request is not idempotent.
 	verdictUnknown verdict = "unknown"
 	// verdictLost means that the caller got neither an answer nor an error by the deadline.
 	verdictLost verdict = "lost"
@@ -131,9 +131,10 @@
 	}
 }
 
-// shouldRetry reports whether the caller retries. It retries a refusal with a retry time,
-// and a call with a broken connection if the request is idempotent, if the call certainly
-// did not arrive, or if its idempotency key prevents a second run.
+// shouldRetry reports whether the caller retries before the deadline. It retries a refusal,
+// or a call whose idempotency key is in use, if the reply states a delay for the retry. It
+// retries a call with a broken connection if the request is idempotent, if the call certainly
+// did not arrive, or if retriesKeyed is set, since the idempotency key prevents a second run.
 func (call *call) shouldRetry(attempt attempt) bool {
 	isPastDeadline := time.Since(call.startedAt)+attempt.retryAfter >= call.request.work.DeadlineMS.Duration()
 	switch {
@@ -217,7 +218,8 @@
 	case call.lastEventID != "":
 		result.verdict = verdictCutOff
 	case mayHaveArrived && !call.request.work.Idempotent:
-		// The idempotency key makes a retry safe: the request runs at most once.
+		// The request may have run. Its idempotency key makes a retry safe, so shouldRetry may
+		// still permit one.
 		result.verdict = verdictUnknown
 	}
 	if errors.Is(err, context.Canceled) {
--- a/standin/load/run_test.go
+++ b/standin/load/run_test.go
@@ -136,7 +136,7 @@
 	return clone
 }
 
-// Each system below has one fault; the audit must count it.
+// Each simulated system has one fault, which the audit must count.
 func TestAuditFindsEachViolation(t *testing.T) {
 	tests := []struct {
 		name       string
--- a/standin/members.go
+++ b/standin/members.go
@@ -76,8 +76,8 @@
 func (memberList *memberList) get(writer http.ResponseWriter, _ *http.Request) {
 	memberList.mu.Lock()
 	defer memberList.mu.Unlock()
-	until := time.Now().Add(-memberList.readLag)
-	for len(memberList.versions) > 1 && !memberList.versions[1].changedAt.After(until) {
+	visibleUntil := time.Now().Add(-memberList.readLag)
+	for len(memberList.versions) > 1 && !memberList.versions[1].changedAt.After(visibleUntil) {
 		memberList.versions = memberList.versions[1:]
 	}
 	_ = json.NewEncoder(writer).Encode(&memberList.versions[0].list)
