--- a/peridotd/fleet_test.go
+++ b/peridotd/fleet_test.go
@@ -6,9 +6,9 @@
 	"peridotpath.example/peridotpath"
 )
 
-// TestReplacedInstanceIsDead guards against a retry that gets "running" for a day: the
-// instance that held the claim was killed and replaced under the same id, so the retry
-// at another instance must get "outcome unknown".
+// TestReplacedInstanceIsDead guards against a retry that gets "running" for a day although
+// the instance that held the claim was killed and replaced under the same id. mayStillRun
+// must return false for the replaced incarnation, so that the retry gets "outcome unknown".
 func TestReplacedInstanceIsDead(t *testing.T) {
 	cases := map[string]struct {
 		claimed, listed, gossiped peridotpath.Incarnation
