--- a/peridotpath/config/check.go
+++ b/peridotpath/config/check.go
@@ -84,14 +84,14 @@
 	return decodeItem[peridotpath.Customer](text, KindCustomer)
 }
 
-// validated is a domain type with defaults and validation.
-type validated[T any] interface {
+// defaultsValidator is the constraint of a pointer to a domain type with defaults and validation.
+type defaultsValidator[T any] interface {
 	*T
 	Defaults()
 	Validate(prefix string) peridotpath.Faults
 }
 
-func decodeItem[T any, P validated[T]](text []byte, kind Kind) (*T, peridotpath.Faults) {
+func decodeItem[T any, P defaultsValidator[T]](text []byte, kind Kind) (*T, peridotpath.Faults) {
 	item := P(new(T))
 	faults := decode(text, item, kind)
 	item.Defaults()
--- a/peridotpath/config/fleet_test.go
+++ b/peridotpath/config/fleet_test.go
@@ -25,30 +25,30 @@
 // fleet is a group of instances that share one key-value service, called the platform, on
 // the clock of a synctest bubble.
 type fleet struct {
-	memory         *memory.Memory
-	platform       *keyvalue.Store
-	platformDown   atomic.Bool  // the key-value service is unreachable for all instances
-	delayedWatches atomic.Int64 // number of watch replies still to be delayed
-	firstHangs     atomic.Bool  // the first instance accepts polls but never responds
-	instances      []*instance
+	memory             *memory.Memory
+	platform           *keyvalue.Store
+	platformDown       atomic.Bool  // the key-value service is unreachable for all instances
+	delayedWatches     atomic.Int64 // number of watch replies still to be delayed
+	firstInstanceHangs atomic.Bool  // the first instance accepts polls but never responds
+	instances          []*instance
 }
 
 // instance is one instance of a fleet, across its restarts.
 type instance struct {
-	fleet           *fleet
-	reader          bool
-	partitioned     atomic.Bool // the key-value service and all peers are unreachable
-	withoutPlatform atomic.Bool // the key-value service is unreachable for this instance
-	current         atomic.Pointer[config.Store]
-	cancel          context.CancelFunc
-	done            chan error
+	fleet               *fleet
+	isReader            bool
+	isPartitioned       atomic.Bool // the key-value service and all peers are unreachable
+	platformUnreachable atomic.Bool // the key-value service is unreachable for this instance
+	current             atomic.Pointer[config.Store]
+	cancel              context.CancelFunc
+	done                chan error
 }
 
 func newFleet(size, readers int) *fleet {
 	fleet := &fleet{memory: &memory.Memory{}}
 	fleet.platform = fleet.memory.Store()
 	for i := range size {
-		instance := &instance{fleet: fleet, reader: i < readers}
+		instance := &instance{fleet: fleet, isReader: i < readers}
 		instance.replaceStore()
 		fleet.instances = append(fleet.instances, instance)
 	}
@@ -60,7 +60,7 @@
 	instance.current.Store(&config.Store{
 		KeyValue:       instance.keyValue(),
 		Log:            zerolog.Nop(),
-		IsReader:       func() bool { return instance.reader },
+		IsReader:       func() bool { return instance.isReader },
 		FetchFromPeers: instance.fetchFromPeers,
 		Random:         func() float64 { return 0.5 },
 	})
@@ -164,7 +164,7 @@
 			}
 			entries, version, err := platform.Watch(ctx, prefix, after, wait)
 			instance.fleet.delayWatch()
-			if callErr := instance.callPlatform(); callErr != nil { // a reply in flight is lost too
+			if callErr := instance.callPlatform(); callErr != nil { // a fault that begins during the watch loses the reply
 				return nil, 0, callErr
 			}
 			return entries, version, err
@@ -183,7 +183,7 @@
 
 func (instance *instance) callPlatform() error {
 	time.Sleep(hopDelay)
-	if instance.fleet.platformDown.Load() || instance.partitioned.Load() || instance.withoutPlatform.Load() {
+	if instance.fleet.platformDown.Load() || instance.isPartitioned.Load() || instance.platformUnreachable.Load() {
 		return keyvalue.ErrNotSent.New("no route")
 	}
 	return nil
@@ -194,15 +194,15 @@
 	time.Sleep(hopDelay)
 	var updates []config.Update
 	for _, other := range instance.fleet.instances {
-		if other == instance || instance.partitioned.Load() || other.partitioned.Load() || wait > 0 && !other.reader {
+		if other == instance || instance.isPartitioned.Load() || other.isPartitioned.Load() || wait > 0 && !other.isReader {
 			continue
 		}
-		if instance.fleet.firstHangs.Load() && other == instance.fleet.instances[0] && wait > 0 {
+		if instance.fleet.firstInstanceHangs.Load() && other == instance.fleet.instances[0] && wait > 0 {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		update, err := other.store().WaitForUpdate(ctx, have, wait)
-		if err != nil || instance.partitioned.Load() || other.partitioned.Load() {
+		if err != nil || instance.isPartitioned.Load() || other.isPartitioned.Load() {
 			continue
 		}
 		updates = append(updates, update)
--- a/peridotpath/config/follow.go
+++ b/peridotpath/config/follow.go
@@ -55,7 +55,7 @@
 	return ctx.Err()
 }
 
-// sleepWithJitter sleeps for half of limit up to limit. Without jitter all
+// sleepWithJitter sleeps for a random time between half of limit and limit. Without jitter all
 // instances would retry in lockstep after an outage and overload the platform.
 func (store *Store) sleepWithJitter(ctx context.Context, limit time.Duration) {
 	jitter := time.Duration(store.random() * float64(limit) / 2)
@@ -69,8 +69,8 @@
 
 // follow makes one watch or long poll of the instance's primary source, and falls
 // back to the other source if the primary one fails: readers use the platform
-// first, followers their peers. An instance whose source is unreachable thus loses
-// no time and makes no more calls than a reader. follow returns an error if both sources
+// first, followers their peers. An instance whose primary source is unreachable thus
+// switches without delay, and makes no more calls to the platform than a reader. follow returns an error if both sources
 // failed.
 func (store *Store) follow(ctx context.Context, wait time.Duration) error {
 	if store.Current() == nil {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-// recordNoPeers records contact if err is ErrNoPeers, and returns err.
+// recordNoPeers records a contact with a peer if err is ErrNoPeers, and returns err.
 func (store *Store) recordNoPeers(err error) error {
 	if ErrNoPeers.Has(err) && store.Current() != nil {
 		store.recordContact(store.platformAge())
--- a/peridotpath/config/follow_test.go
+++ b/peridotpath/config/follow_test.go
@@ -39,12 +39,12 @@
 		lagging, ahead, restarted := fleet.instances[0], fleet.instances[1], fleet.instances[2]
 		ahead.mustChange(t, putProfile("1", "counter", 0, 100))
 		time.Sleep(time.Second)
-		lagging.partitioned.Store(true)
+		lagging.isPartitioned.Store(true)
 		ahead.mustChange(t, putProfile("2", "counter", 1, 200))
 		time.Sleep(time.Second)
 		restarted.stop()
 		fleet.platformDown.Store(true)
-		lagging.partitioned.Store(false)
+		lagging.isPartitioned.Store(false)
 		is.Equal(lagging.revision(), peridotpath.Revision(1))
 		restarted.replaceStore()
 		is.NoErr(restarted.start())
@@ -61,11 +61,11 @@
 		lagging, restarted := fleet.instances[0], fleet.instances[1]
 		restarted.mustChange(t, putProfile("1", "counter", 0, 100))
 		time.Sleep(time.Second)
-		lagging.partitioned.Store(true)
+		lagging.isPartitioned.Store(true)
 		restarted.mustChange(t, putProfile("2", "counter", 1, 200))
 		restarted.stop()
 		fleet.platformDown.Store(true)
-		lagging.partitioned.Store(false)
+		lagging.isPartitioned.Store(false)
 		restarted.replaceStore()
 		is.NoErr(restarted.start())
 		is.Equal(restarted.revision(), peridotpath.Revision(1))
@@ -86,14 +86,14 @@
 		fleet.instances[0].mustChange(t, putProfile("1", "counter", 0, 100))
 		isolated := fleet.instances[1]
 		isolated.stop()
-		isolated.partitioned.Store(true)
+		isolated.isPartitioned.Store(true)
 		isolated.replaceStore()
 		is.True(isolated.start() != nil)
 		time.Sleep(time.Hour)
 		is.True(!isolated.store().Ready())
 		_, err := isolated.store().Change(changeContext(t), putProfile("2", "counter", 1, 200))
 		is.True(config.ErrNotAccepted.Has(err))
-		isolated.partitioned.Store(false)
+		isolated.isPartitioned.Store(false)
 		time.Sleep(11 * time.Second)
 		is.True(isolated.store().Ready())
 		is.Equal(isolated.revision(), peridotpath.Revision(1))
@@ -108,7 +108,7 @@
 		for _, isolated := range fleet.instances {
 			before := isolated.mustChange(t, putProfile(fmt.Sprint(time.Now().UnixNano()), "counter", config.AnyRevision, 100))
 			time.Sleep(time.Second)
-			isolated.partitioned.Store(true)
+			isolated.isPartitioned.Store(true)
 			time.Sleep(config.DefaultNotReadyAfter - 7*time.Second)
 			is.True(isolated.store().Ready()) // not ready after a short partition
 			other := fleet.instances[0]
@@ -122,7 +122,7 @@
 			is.Equal(isolated.revision(), before)
 			is.True(isolated.store().Current().Config.Profile("counter") != nil)
 			time.Sleep(time.Minute)
-			isolated.partitioned.Store(false)
+			isolated.isPartitioned.Store(false)
 			time.Sleep(11 * time.Second)
 			is.True(isolated.store().Ready())
 			is.Equal(isolated.revision(), before+1)
@@ -266,8 +266,8 @@
 		injectFault func(fleet *fleet)
 		limit       time.Duration
 	}{
-		{"hung", func(fleet *fleet) { fleet.firstHangs.Store(true) }, config.DefaultMaxPollWait + 2*time.Second},
-		{"without platform", func(fleet *fleet) { fleet.instances[0].withoutPlatform.Store(true) }, config.DefaultStaleAfter + config.DefaultMaxPollWait},
+		{"hung", func(fleet *fleet) { fleet.firstInstanceHangs.Store(true) }, config.DefaultMaxPollWait + 2*time.Second},
+		{"without platform", func(fleet *fleet) { fleet.instances[0].platformUnreachable.Store(true) }, config.DefaultStaleAfter + config.DefaultMaxPollWait},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/peridotpath/config/machine_test.go
+++ b/peridotpath/config/machine_test.go
@@ -199,11 +199,11 @@
 	case "toggle platform":
 		toggle(&fleet.platformDown)
 	case "toggle partition":
-		toggle(&instance.partitioned)
+		toggle(&instance.isPartitioned)
 	case "toggle platform route":
-		toggle(&instance.withoutPlatform)
+		toggle(&instance.platformUnreachable)
 	case "hang":
-		toggle(&fleet.firstHangs)
+		toggle(&fleet.firstInstanceHangs)
 	case "restart":
 		instance.stop()
 		instance.replaceStore()
@@ -317,10 +317,10 @@
 	machine.downAfterLoss.Store(false)
 	machine.fleet.delayedWatches.Store(0)
 	machine.fleet.platformDown.Store(false)
-	machine.fleet.firstHangs.Store(false)
+	machine.fleet.firstInstanceHangs.Store(false)
 	for _, instance := range machine.fleet.instances {
-		instance.partitioned.Store(false)
-		instance.withoutPlatform.Store(false)
+		instance.isPartitioned.Store(false)
+		instance.platformUnreachable.Store(false)
 	}
 	// The maximum backoff, then a poll that hangs until its timeout.
 	time.Sleep(17 * time.Second)
