--- a/measure/ablation/ablation.go
+++ b/measure/ablation/ablation.go
@@ -46,9 +46,10 @@
 
 // Bench runs the benchmark program.
 type Bench struct {
-	// Program is the path of the benchmark program, and Jobs the number of concurrent runs.
+	// Program is the path of the benchmark program.
 	Program string
-	Jobs    int
+	// Jobs is the number of concurrent runs.
+	Jobs int
 	// Reason is a text that the program records with each run.
 	Reason string
 }
