--- a/soak/faults.go
+++ b/soak/faults.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// restartInstance restarts an instance whose process has exited.
+// restartInstance waits until the process of an instance has exited, and starts a new one.
 func (fleet *fleet) restartInstance(index int) {
 	instance := fleet.instances[index]
 	instance.wait(time.Second)
@@ -123,21 +123,21 @@
 }
 
 const (
-	// maxFaultPause bounds the time between the beginnings of two faults, and
-	// maxFaultDuration the duration of a fault.
+	// maxFaultPause bounds the random pause before each attempt to begin a fault, and
+	// maxFaultDuration the random time from the beginning of a fault to the call of its end.
 	maxFaultPause    = 1500 * time.Millisecond
 	maxFaultDuration = 7 * time.Second
 )
 
-// injectFaults begins faults until ctx ends, and returns when all have ended. A target
-// has one fault at a time.
+// injectFaults begins random faults until ctx ends, and returns when all faults have ended.
+// It skips a fault whose target already has one.
 func (fleet *fleet) injectFaults(ctx context.Context, faults []fault, random *rand.Rand, onFault func(string)) {
 	ended := make(chan string, len(faults))
-	busy := map[string]bool{}
+	busyTargets := map[string]bool{}
 	for ctx.Err() == nil {
 		select {
 		case name := <-ended:
-			busy[faultTarget(name)] = false
+			busyTargets[faultTarget(name)] = false
 			continue
 		case <-time.After(time.Duration(random.Int64N(int64(maxFaultPause)))):
 		case <-ctx.Done():
@@ -145,10 +145,10 @@
 		}
 		fault := faults[random.IntN(len(faults))]
 		duration := time.Duration(random.Int64N(int64(maxFaultDuration)))
-		if busy[faultTarget(fault.name)] {
+		if busyTargets[faultTarget(fault.name)] {
 			continue
 		}
-		busy[faultTarget(fault.name)] = true
+		busyTargets[faultTarget(fault.name)] = true
 		fleet.checker.recordDisturbance()
 		onFault(fault.name)
 		end := fault.begin(fleet, random)
@@ -159,14 +159,14 @@
 			ended <- fault.name
 		}()
 	}
-	for _, isBusy := range busy {
+	for _, isBusy := range busyTargets {
 		if isBusy {
 			<-ended
 		}
 	}
 }
 
-// faultTarget returns the target of a fault: two faults with the same target, such as
+// faultTarget returns the target of a fault. Two faults with the same target, such as
 // signals to processes, do not overlap.
 func faultTarget(name string) string {
 	switch name {
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -69,7 +69,7 @@
 	leaving bool
 	// breaksStreams makes the endpoint abort some streams.
 	breaksStreams bool
-	// down is true between a crash and the restart.
+	// down is true between a crash of the endpoint and its restart.
 	down bool
 }
 
--- a/soak/main.go
+++ b/soak/main.go
@@ -138,11 +138,11 @@
 		return nil, fmt.Errorf("seed %d: not ready after %v, logs in %s", seed, startTimeout, folder)
 	}
 	random := rand.New(rand.NewPCG(seed, seed))
-	load, stopLoad := context.WithCancel(ctx)
+	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	for number := range clientCount {
 		clientRandom := rand.New(rand.NewPCG(seed, uint64(number)+1))
-		fleet.runInBackground(func() { fleet.runClient(load, number, clientRandom) })
+		fleet.runInBackground(func() { fleet.runClient(loadCtx, number, clientRandom) })
 	}
 	var faultNames []string
 	faultCtx, stopFaults := context.WithTimeout(signalCtx, options.faultTime)
