--- a/peridotpath/config/machine_test.go
+++ b/peridotpath/config/machine_test.go
@@ -27,23 +27,23 @@
 // invariants.
 type machine struct {
 	fleet *fleet
-	// loseBefore and loseAfter are the numbers of swaps whose call or reply is still
-	// to be lost.
+	// loseBefore is the number of later swaps whose call will be lost, and loseAfter the
+	// number of those whose reply will be lost.
 	loseBefore, loseAfter atomic.Int32
 	// downAfterLoss takes the platform down with the next lost call or reply.
 	downAfterLoss atomic.Bool
 
 	changeCount int // changes made so far
 
-	mu       sync.Mutex
-	changes  map[config.ChangeID]config.Change
-	accepted map[config.ChangeID]config.Accepted
-	refused  map[config.ChangeID]error
-	unknown  map[config.ChangeID]bool
+	mu              sync.Mutex
+	changes         map[config.ChangeID]config.Change
+	acceptedChanges map[config.ChangeID]config.Accepted
+	refusals        map[config.ChangeID]error
+	unknownOutcomes map[config.ChangeID]bool
 	// events holds every change ever read from a document's history.
-	events     map[config.DocumentName]map[peridotpath.Revision]config.ChangeID
-	seen       map[*config.Store]config.Revisions
-	violations []string
+	events        map[config.DocumentName]map[peridotpath.Revision]config.ChangeID
+	seenRevisions map[*config.Store]config.Revisions
+	violations    []string
 }
 
 func (machine *machine) fail(format string, args ...any) {
@@ -52,13 +52,13 @@
 
 func newMachine() *machine {
 	machine := &machine{
-		fleet:    newFleet(machineSize, 2),
-		changes:  map[config.ChangeID]config.Change{},
-		accepted: map[config.ChangeID]config.Accepted{},
-		refused:  map[config.ChangeID]error{},
-		unknown:  map[config.ChangeID]bool{},
-		events:   map[config.DocumentName]map[peridotpath.Revision]config.ChangeID{},
-		seen:     map[*config.Store]config.Revisions{},
+		fleet:           newFleet(machineSize, 2),
+		changes:         map[config.ChangeID]config.Change{},
+		acceptedChanges: map[config.ChangeID]config.Accepted{},
+		refusals:        map[config.ChangeID]error{},
+		unknownOutcomes: map[config.ChangeID]bool{},
+		events:          map[config.DocumentName]map[peridotpath.Revision]config.ChangeID{},
+		seenRevisions:   map[*config.Store]config.Revisions{},
 	}
 	machine.fleet.memory.Fault = machine.fault
 	return machine
@@ -91,13 +91,13 @@
 	defer machine.mu.Unlock()
 	switch {
 	case err == nil:
-		machine.accepted[change.ID] = accepted
+		machine.acceptedChanges[change.ID] = accepted
 	case config.ErrOutcomeUnknown.Has(err):
-		machine.unknown[change.ID] = true
-	case !machine.unknown[change.ID] && machine.accepted[change.ID] == (config.Accepted{}):
+		machine.unknownOutcomes[change.ID] = true
+	case !machine.unknownOutcomes[change.ID] && machine.acceptedChanges[change.ID] == (config.Accepted{}):
 		// A refusal is definite only without an earlier attempt, which may have
 		// taken effect.
-		machine.refused[change.ID] = err
+		machine.refusals[change.ID] = err
 	}
 }
 
@@ -112,7 +112,8 @@
 	span  time.Duration
 }
 
-// edit is a randomly drawn change of one of four items.
+// edit is a randomly drawn change of one of four items: a customer or a profile that is
+// named a or b.
 type edit struct {
 	customer, deleted bool
 	// overwrite disables the conflict check.
@@ -198,11 +199,11 @@
 	case "toggle platform":
 		toggle(&fleet.platformDown)
 	case "toggle partition":
-		toggle(&instance.partitioned)
+		toggle(&instance.isPartitioned)
 	case "toggle platform route":
-		toggle(&instance.withoutPlatform)
+		toggle(&instance.platformUnreachable)
 	case "hang":
-		toggle(&fleet.firstHangs)
+		toggle(&fleet.firstInstanceHangs)
 	case "restart":
 		instance.stop()
 		instance.replaceStore()
@@ -230,7 +231,7 @@
 func (machine *machine) repeat(instance *instance, choice int) {
 	var repeatable []string
 	for id := range machine.changes {
-		if machine.refused[id] == nil {
+		if machine.refusals[id] == nil {
 			repeatable = append(repeatable, string(id))
 		}
 	}
@@ -246,17 +247,17 @@
 	for i, instance := range machine.fleet.instances {
 		store := instance.store()
 		now := store.ActiveRevisions()
-		for document, revision := range machine.seen[store] {
+		for document, revision := range machine.seenRevisions[store] {
 			if now[document] < revision {
 				machine.fail("instance %d went from revision %d of %s back to %d", i, revision, document, now[document])
 			}
 		}
-		machine.seen[store] = now
+		machine.seenRevisions[store] = now
 	}
 	for _, document := range machine.documents() {
 		machine.record(document)
 	}
-	for id, accepted := range machine.accepted {
+	for id, accepted := range machine.acceptedChanges {
 		if have := machine.events[accepted.Document][accepted.Revision]; have != id {
 			machine.fail("%s was accepted as revision %d of %s, which is %q", id, accepted.Revision, accepted.Document, have)
 		}
@@ -316,10 +317,10 @@
 	machine.downAfterLoss.Store(false)
 	machine.fleet.delayedWatches.Store(0)
 	machine.fleet.platformDown.Store(false)
-	machine.fleet.firstHangs.Store(false)
+	machine.fleet.firstInstanceHangs.Store(false)
 	for _, instance := range machine.fleet.instances {
-		instance.partitioned.Store(false)
-		instance.withoutPlatform.Store(false)
+		instance.isPartitioned.Store(false)
+		instance.platformUnreachable.Store(false)
 	}
 	// The maximum backoff, then a poll that hangs until its timeout.
 	time.Sleep(17 * time.Second)
@@ -348,7 +349,7 @@
 	for revision := peridotpath.Revision(1); revision <= document.Revision; revision++ {
 		id := machine.events[document.name][revision]
 		change := machine.changes[id]
-		if err := machine.refused[id]; err != nil {
+		if err := machine.refusals[id]; err != nil {
 			machine.fail("%s took effect but was refused with %v", id, err)
 		}
 		if change.Base != config.AnyRevision && change.Base != items[change.Name] {
--- a/standin/load/run_test.go
+++ b/standin/load/run_test.go
@@ -136,7 +136,7 @@
 	return clone
 }
 
-// Each system below has one fault; the audit must count it.
+// Each simulated system has one fault, which the audit must count.
 func TestAuditFindsEachViolation(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -188,7 +188,7 @@
 	}
 }
 
-// A refused caller retries after the time in the refusal.
+// A refused caller must retry after the delay in the refusal.
 func TestClientRetriesAfterRefusal(t *testing.T) {
 	is := is.New(t)
 	var refusedOnce sync.Map
--- a/standin/members.go
+++ b/standin/members.go
@@ -67,7 +67,7 @@
 	versions []listVersion
 }
 
-// listVersion is the list as of a change.
+// listVersion is the membership list after a change.
 type listVersion struct {
 	list      membership.List
 	changedAt time.Time
@@ -76,8 +76,8 @@
 func (memberList *memberList) get(writer http.ResponseWriter, _ *http.Request) {
 	memberList.mu.Lock()
 	defer memberList.mu.Unlock()
-	until := time.Now().Add(-memberList.readLag)
-	for len(memberList.versions) > 1 && !memberList.versions[1].changedAt.After(until) {
+	visibleUntil := time.Now().Add(-memberList.readLag)
+	for len(memberList.versions) > 1 && !memberList.versions[1].changedAt.After(visibleUntil) {
 		memberList.versions = memberList.versions[1:]
 	}
 	_ = json.NewEncoder(writer).Encode(&memberList.versions[0].list)
@@ -137,8 +137,8 @@
 	Times   int                `json:"times"`
 }
 
-// flap makes a member leave and return the given number of times, or until the request
-// ends.
+// flap makes a member leave and return the given number of times, or until the HTTP
+// request ends.
 func (memberList *memberList) flap(writer http.ResponseWriter, request *http.Request) {
 	var flapping flapRequest
 	if err := json.NewDecoder(request.Body).Decode(&flapping); err != nil || flapping.EveryMS <= 0 {
