--- a/measure/ablation.go
+++ b/measure/ablation.go
@@ -42,7 +42,7 @@
 // SetFlags implements subcommands.Command.
 func (command *ablationCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&command.bench.Program, "bench", "", "the users' bench")
-	flags.IntVar(&command.bench.Jobs, "jobs", 4, "days played at a time")
+	flags.IntVar(&command.bench.ConcurrentRuns, "jobs", 4, "days played at a time")
 	flags.StringVar(&command.repository, "repository", ".", "the sources, as committed")
 	flags.StringVar(&command.patches, "patches", "measure/ablation/patches", "folder of the patches, one for each mechanism")
 	flags.StringVar(&command.sites, "sites", "", "files of the deployments")
--- a/measure/ablation/ablation.go
+++ b/measure/ablation/ablation.go
@@ -48,8 +48,8 @@
 type Bench struct {
 	// Program is the path of the benchmark program.
 	Program string
-	// Jobs is the number of concurrent runs.
-	Jobs int
+	// ConcurrentRuns is the number of concurrent runs.
+	ConcurrentRuns int
 	// Reason is a text that the program records with each run.
 	Reason string
 }
@@ -75,7 +75,7 @@
 	defer os.RemoveAll(reports)
 	results := make([]*Result, len(plays))
 	failures := make([]error, len(plays))
-	slots := make(chan struct{}, max(bench.Jobs, 1))
+	slots := make(chan struct{}, max(bench.ConcurrentRuns, 1))
 	var group sync.WaitGroup
 	for i, play := range plays {
 		group.Go(func() {
--- a/measure/bench/compare.go
+++ b/measure/bench/compare.go
@@ -21,15 +21,15 @@
 	OfferedPercents []int
 	Policies        []Policy
 	Seed            uint64
-	// Parallel is the number of concurrent runs. It does not affect the figures.
-	Parallel int
+	// ConcurrentRuns is the number of concurrent runs. It does not affect the figures.
+	ConcurrentRuns int
 }
 
 // Run measures every policy under every load, in that order, with the same arrivals for
 // all policies.
 func (comparison *Comparison) Run(ctx context.Context) ([]Figures, error) {
 	group, ctx := errgroup.WithContext(ctx)
-	group.SetLimit(max(comparison.Parallel, 1))
+	group.SetLimit(max(comparison.ConcurrentRuns, 1))
 	all := make([]Figures, len(comparison.Loads)*len(comparison.OfferedPercents)*len(comparison.Policies))
 	index := 0
 	for l := range comparison.Loads {
--- a/measure/bench/outcome_test.go
+++ b/measure/bench/outcome_test.go
@@ -39,7 +39,7 @@
 func TestRunsAreDeterministic(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
-	comparison := &Comparison{Loads: Loads()[:1], OfferedPercents: []int{60}, Policies: []Policy{testedPolicy, Baselines()[1]}, Seed: 7, Parallel: 2}
+	comparison := &Comparison{Loads: Loads()[:1], OfferedPercents: []int{60}, Policies: []Policy{testedPolicy, Baselines()[1]}, Seed: 7, ConcurrentRuns: 2}
 	first, err := comparison.Run(t.Context())
 	is.NoErr(err)
 	second, err := comparison.Run(t.Context())
--- a/measure/figures.go
+++ b/measure/figures.go
@@ -43,7 +43,7 @@
 func (command *figuresCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	for _, comparison := range bench.Comparisons() {
 		comparison.Seed = command.seed
-		comparison.Parallel = command.parallel
+		comparison.ConcurrentRuns = command.parallel
 		command.filter(&comparison)
 		all, err := comparison.Run(ctx)
 		if err != nil {
--- a/measure/plots.go
+++ b/measure/plots.go
@@ -78,7 +78,7 @@
 func (command *plotsCommand) runMixedLoad(ctx context.Context, policies []bench.Policy) ([]bench.Figures, error) {
 	comparison := &bench.Comparison{
 		Loads: bench.Loads()[:1], OfferedPercents: bench.OfferedPercents, Policies: policies,
-		Seed: command.seed, Parallel: command.parallel,
+		Seed: command.seed, ConcurrentRuns: command.parallel,
 	}
 	return comparison.Run(ctx)
 }
--- a/peridotctl/session_test.go
+++ b/peridotctl/session_test.go
@@ -65,7 +65,7 @@
 		Explain: func(_ context.Context, request *pb.ExplainRequest) (*pb.ExplainResponse, error) {
 			return cannedExplanation(request), nil
 		},
-		Applied: func(_ context.Context, document config.DocumentName) ([]*pb.InstanceRevision, error) {
+		AppliedRevisions: func(_ context.Context, document config.DocumentName) ([]*pb.InstanceRevision, error) {
 			revision := store.ActiveRevisions()[document]
 			return []*pb.InstanceRevision{
 				{Instance: "colombo-a-1", DataCentre: "colombo-a", Revision: uint64(revision)},
--- a/peridotd/operate.go
+++ b/peridotd/operate.go
@@ -31,7 +31,7 @@
 func (backend *operatorBackend) server() *operator.Server {
 	return &operator.Server{
 		Config: backend.daemon.config, Log: backend.daemon.log,
-		Applied: backend.appliedRevisions, Endpoints: backend.endpoints, Instances: backend.instances,
+		AppliedRevisions: backend.appliedRevisions, Endpoints: backend.endpoints, Instances: backend.instances,
 		Status: backend.status, Explain: backend.explain,
 	}
 }
--- a/peridotpath/operator/server.go
+++ b/peridotpath/operator/server.go
@@ -26,9 +26,9 @@
 type Server struct {
 	Config *config.Store
 	Log    zerolog.Logger
-	// Applied returns the revision of a document on each live instance, including an
+	// AppliedRevisions returns the revision of a document on each live instance, including an
 	// entry for each instance that did not respond.
-	Applied func(ctx context.Context, document config.DocumentName) ([]*pb.InstanceRevision, error)
+	AppliedRevisions func(ctx context.Context, document config.DocumentName) ([]*pb.InstanceRevision, error)
 	// Endpoints returns the endpoints with their load. The server adds whether
 	// operators have drained them.
 	Endpoints func(ctx context.Context) ([]*pb.Endpoint, error)
@@ -131,7 +131,7 @@
 		revision := service.server.Config.ActiveRevisions()[document]
 		return &pb.AppliedResponse{Instances: []*pb.InstanceRevision{{Revision: uint64(revision)}}}, nil
 	}
-	instances, err := service.server.Applied(ctx, document)
+	instances, err := service.server.AppliedRevisions(ctx, document)
 	return &pb.AppliedResponse{Instances: instances}, toTwirpError(err)
 }
 
